--- a/internal/duty/discovery.go
+++ b/internal/duty/discovery.go
@@ -68,7 +68,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("duty: target %s: %w", t.ID, err)
 		}
-		message.Targets = append(message.Targets, listEntry{t.ID, addr, t.Site, t.Kind, t.Block, t.Health, t.Share, t.BornMS})
+		message.Targets = append(message.Targets, listEntry{t.ID, addr, t.Site, t.Kind, t.Block, t.Health, t.Share, t.StartUnixMS})
 	}
 	return cbor.Marshal(message)
 }
@@ -124,7 +124,7 @@
 		r.Unknown++
 		return nil
 	}
-	if known != nil && known.BornMS != entry.BornMS && !same {
+	if known != nil && known.StartUnixMS != entry.BornMS && !same {
 		r.Unknown++ // it has started anew, perhaps elsewhere
 	}
 	target := entry.target()
@@ -143,6 +143,6 @@
 // target returns the target of an entry, without its address.
 func (e *listEntry) target() *routes.Target {
 	return &routes.Target{
-		ID: e.ID, Site: e.Site, Kind: e.Kind, Block: e.Block, Health: e.Health, Share: e.Share, BornMS: e.BornMS,
+		ID: e.ID, Site: e.Site, Kind: e.Kind, Block: e.Block, Health: e.Health, Share: e.Share, StartUnixMS: e.BornMS,
 	}
 }
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -14,7 +14,7 @@
 
 func list() []*routes.Target {
 	return []*routes.Target{
-		{ID: "a", Addr: netip.MustParseAddrPort("10.0.0.1:1"), Share: 1, BornMS: 5},
+		{ID: "a", Addr: netip.MustParseAddrPort("10.0.0.1:1"), Share: 1, StartUnixMS: 5},
 		{ID: "b", Addr: netip.MustParseAddrPort("10.0.0.2:1"), Health: routes.Draining, Share: 1},
 	}
 }
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	mine := &routes.Target{ID: "a", Addr: netip.MustParseAddrPort("10.9.9.9:1"), BornMS: 5}
+	mine := &routes.Target{ID: "a", Addr: netip.MustParseAddrPort("10.9.9.9:1"), StartUnixMS: 5}
 	find := func(id string) *routes.Target {
 		if id == "a" {
 			return mine
@@ -79,7 +79,7 @@
 	var all []*routes.Target
 	for i := range n {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 8443)
-		all = append(all, &routes.Target{ID: fmt.Sprintf("s-%08x", i), Addr: addr, Site: "a", Kind: "m2", Block: i, Share: 1, BornMS: 1_800_000_000_000})
+		all = append(all, &routes.Target{ID: fmt.Sprintf("s-%08x", i), Addr: addr, Site: "a", Kind: "m2", Block: i, Share: 1, StartUnixMS: 1_800_000_000_000})
 	}
 	text, err := EncodeList(at, 9, all)
 	if err != nil {
--- a/internal/lab/changes/wholelist.go
+++ b/internal/lab/changes/wholelist.go
@@ -84,7 +84,7 @@
 		address := netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)})
 		list[i] = &routes.Target{
 			ID: fmt.Sprintf("server-%05d", i), Addr: netip.AddrPortFrom(address, 9000), Site: fmt.Sprint("zone-", i%8),
-			Block: i % 100, Share: 1, BornMS: 1_790_000_000_000 + int64(i),
+			Block: i % 100, Share: 1, StartUnixMS: 1_790_000_000_000 + int64(i),
 		}
 	}
 	return list
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -44,7 +44,7 @@
 	set       *settings.Settings
 	module    *balance.Balancer
 	table     routes.Table
-	births    *routes.Births
+	births    *routes.StartTimes
 	watch     *routes.Watch
 	prober    Prober
 	count     *stats.Counters
@@ -116,8 +116,8 @@
 	})
 	e.startedAt = e.loop.Now()
 	module.Start(e.startedAt)
-	e.births = routes.NewBirths(e.loop.Refresh(), e.loop.Wall()) // the two clocks in one moment
-	e.births.Mark(c.Known, e.startedAt, time.Time{})
+	e.births = routes.NewStartTimes(e.loop.Refresh(), e.loop.Wall()) // the two clocks in one moment
+	e.births.SetStarts(c.Known, e.startedAt, time.Time{})
 	e.table.Merge(c.Known)
 	e.push(event{kind: evList, list: balance.ListStale, entries: backends(c.Known.Hosts)})
 	if pushed && c.Discovery.IsValid() {
@@ -326,7 +326,7 @@
 		}
 	}
 	e.count.Aged(e.loop.Now().Sub(known))
-	if !to.Boot.IsZero() && e.loop.Now().Sub(to.Boot) < e.set.Config.Rules.WarmWithin {
+	if !to.StartedAt.IsZero() && e.loop.Now().Sub(to.StartedAt) < e.set.Config.Rules.WarmWithin {
 		e.count.HopsCold++
 	}
 	x.client.Hop(to, wait)
@@ -372,7 +372,7 @@
 	if l.Seq < e.newest {
 		return // it was on its way while another process passed a later one on
 	}
-	e.births.Mark(l, e.heardAt, before)
+	e.births.SetStarts(l, e.heardAt, before)
 	e.take(l)
 	if e.onNews != nil {
 		e.onNews()
--- a/internal/proxy/shared.go
+++ b/internal/proxy/shared.go
@@ -32,7 +32,7 @@
 	}
 	e.newest = max(e.newest, l.Seq)
 	e.count.ListsHeard++
-	e.births.Mark(l, e.loop.Now(), time.Time{})
+	e.births.SetStarts(l, e.loop.Now(), time.Time{})
 	e.take(l)
 }
 
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -22,7 +22,7 @@
 	}
 	h := l.Hosts[0]
 	if l.Seq != 43 || l.Whole || h.ID != "s-1" || h.Addr.Port() != 80 || h.Health != Draining || h.Block != 3 ||
-		h.BornMS != 1000 {
+		h.StartUnixMS != 1000 {
 		t.Errorf("read as %+v %+v", l, h)
 	}
 	for _, bad := range []string{
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -38,16 +38,16 @@
 
 // Target is an egress target as discovery names it.
 type Target struct {
-	ID     string         `json:"host"`
-	Addr   netip.AddrPort `json:"dial"`
-	Site   string         `json:"site"`
-	Kind   string         `json:"class"`
-	Block  int            `json:"block"`
-	Health Health         `json:"health"`
-	Share  float64        `json:"share"`
-	BornMS int64          `json:"born_ms"` // its last start in Unix time, ms; 0 or less: long ago
-	Boot   time.Time      `json:"-"`       // the same by the loop's clock, see Births; zero: long ago
-	entry  int            // counts the entries; one that changes keeps its number
+	ID          string         `json:"host"`
+	Addr        netip.AddrPort `json:"dial"`
+	Site        string         `json:"site"`
+	Kind        string         `json:"class"`
+	Block       int            `json:"block"`
+	Health      Health         `json:"health"`
+	Share       float64        `json:"share"`
+	StartUnixMS int64          `json:"born_ms"` // its last start in Unix time, ms; 0 or less: long ago
+	StartedAt   time.Time      `json:"-"`       // the same by the loop's clock, see Births; zero: long ago
+	entry       int            // counts the entries; one that changes keeps its number
 }
 
 // Same tells whether two are the same entry of the table, at different times: it has not left the table in between.
