--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -63,7 +63,7 @@
 func (f *Lines) auditCounts(out []*Exchange) error {
 	held := make(map[string]int)
 	for _, x := range out {
-		if now := f.engine.table.Find(x.target.ID); now != nil && now.Same(x.target) && (x.adopt == "" || x.standing) {
+		if now := f.engine.table.Find(x.target.ID); now != nil && now.SameEntry(x.target) && (x.adopt == "" || x.standing) {
 			held[x.target.ID]++
 		}
 	}
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -108,7 +108,7 @@
 	e.module = module
 	from, pushed := c.Known.Seq, !c.Settings.Config.Subscribe
 	if len(c.Known.Hosts) == 0 {
-		from = routes.FromNothing // nobody can be served until a list is there
+		from = routes.NoVersion // nobody can be served until a list is there
 	}
 	e.watch = routes.NewWatch(routes.WatchConfig{
 		Loop: c.Loop, Addr: c.Discovery, Seq: from, Processes: c.Settings.Config.Balancers, AskWithin: c.Settings.Config.Rules.AskWithin,
--- a/internal/proxy/many_test.go
+++ b/internal/proxy/many_test.go
@@ -44,7 +44,7 @@
 			}
 			d := newDiscovery(b)
 			config := b.watchConfig(d.l.Addr())
-			config.Seq, config.Pushed = routes.FromNothing, how == "pushed"
+			config.Seq, config.Pushed = routes.NoVersion, how == "pushed"
 			b.engine.watch = routes.NewWatch(config)
 			b.engine.watch.Start()
 			d.asked(0)
--- a/internal/proxy/proofs.go
+++ b/internal/proxy/proofs.go
@@ -72,7 +72,7 @@
 // listEnds returns the time from which on a change that is not in the table may count as told. ok is false where this process does
 // not ask discovery.
 func (e *Engine) listEnds() (at time.Time, ok bool) {
-	at, ok = e.watch.ListEnds()
+	at, ok = e.watch.LeaseExpiry()
 	if e.vouched == nil {
 		return at, ok
 	}
--- a/internal/routes/lease.go
+++ b/internal/routes/lease.go
@@ -37,8 +37,8 @@
 // Unreachable takes a proof that discovery could not be reached at a time: changes count from its return.
 func (l *Lease) Unreachable(at time.Time) { l.current = later(l.current, at) }
 
-// Ends returns the time from which on a change that is not in the list may count as told.
-func (l *Lease) Ends() time.Time {
+// Expiry returns the time from which on a change that is not in the list may count as told.
+func (l *Lease) Expiry() time.Time {
 	if l.pushed {
 		return later(l.current, l.watched)
 	}
--- a/internal/routes/lease_test.go
+++ b/internal/routes/lease_test.go
@@ -36,7 +36,7 @@
 	} {
 		l := NewLease(start, tt.pushed)
 		tt.calls(&l)
-		if got := l.Ends(); !got.Equal(tt.ends) {
+		if got := l.Expiry(); !got.Equal(tt.ends) {
 			t.Errorf("%s: ends after %v, not %v", tt.name, got.Sub(start), tt.ends.Sub(start))
 		}
 	}
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -50,8 +50,8 @@
 	entry       int            // counts the entries; one that changes keeps its number
 }
 
-// Same tells whether two are the same entry of the table, at different times: it has not left the table in between.
-func (t *Target) Same(o *Target) bool { return t.ID == o.ID && t.entry == o.entry }
+// SameEntry tells whether two are the same entry of the table, at different times: it has not left the table in between.
+func (t *Target) SameEntry(o *Target) bool { return t.ID == o.ID && t.entry == o.entry }
 
 // List is one answer of discovery.
 type List struct {
--- a/internal/routes/watch.go
+++ b/internal/routes/watch.go
@@ -39,8 +39,8 @@
 	hurryFor = 4 * time.Second
 )
 
-// FromNothing is the version to go on from where none is known: the whole list is asked for.
-const FromNothing = -1
+// NoVersion is the version to go on from where none is known: the whole list is asked for.
+const NoVersion = -1
 
 // Watch keeps up with discovery by a watch: the next call follows each answer at once, on the same connection where that stays
 // open. Discovery takes such a call for the same watch, which costs it next to nothing; one that is opened anew takes its turn
@@ -122,16 +122,16 @@
 	if w.state != watchOff {
 		return
 	}
-	if pause := w.pace.start(); pause > 0 && w.seq != FromNothing && !w.pushed {
+	if pause := w.pace.start(); pause > 0 && w.seq != NoVersion && !w.pushed {
 		w.rest(pause)
 		return
 	}
 	w.call()
 }
 
-// ListEnds returns the time from which on a change that this process does not know of may count as told to it, by its own calls.
+// LeaseExpiry returns the time from which on a change that this process does not know of may count as told to it, by its own calls.
 // ok is false where it has never been asked to call.
-func (w *Watch) ListEnds() (at time.Time, ok bool) { return w.lease.Ends(), w.state != watchOff }
+func (w *Watch) LeaseExpiry() (at time.Time, ok bool) { return w.lease.Expiry(), w.state != watchOff }
 
 // Urge has a call made soon, since requests wait for it.
 func (w *Watch) Urge() {
@@ -156,7 +156,7 @@
 func (w *Watch) Soon() {
 	if w.state == watchResting && !w.pressed {
 		w.eased, w.pressed = false, true
-		w.seq = FromNothing
+		w.seq = NoVersion
 		w.rest(time.Duration(w.pace.rng.Float64() * float64(time.Second)))
 	}
 }
@@ -188,7 +188,7 @@
 	w.hurry, w.tries = w.loop.Now().Add(hurryFor), 0
 	if to != w.addr {
 		w.hangUp()
-		w.addr, w.seq, w.stands = to, FromNothing, false
+		w.addr, w.seq, w.stands = to, NoVersion, false
 	} else if w.state != watchResting {
 		return
 	}
@@ -378,7 +378,7 @@
 	busy, silent := errors.Is(err, ErrBusy), errors.Is(err, errSilent) && len(w.in) == 0
 	if !busy && !silent && !ownFault(err) {
 		// What answers next may be another process, whose versions don't continue those that are known.
-		w.seq = FromNothing
+		w.seq = NoVersion
 	}
 	w.hangUp()
 	w.stands, w.crowded = false, busy
@@ -406,7 +406,7 @@
 	case w.loop.Now().Before(w.hurry):
 		return w.pace.around(retryFrom)
 	case errors.Is(err, ErrBusy):
-		return w.pace.busy(w.tries, w.lease.Ends().Sub(w.loop.Now()))
+		return w.pace.busy(w.tries, w.lease.Expiry().Sub(w.loop.Now()))
 	}
 	return w.pace.failed(w.tries)
 }
