--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -99,7 +99,7 @@
 	}
 	if slices.Contains(m.Duties, duty.Discovery) || len(m.Keepers) > 0 {
 		i.engine.OnNews(f.news)
-		i.engine.Watch().SetGuide(f.guide)
+		i.engine.Watch().SetQueryPolicy(f.guide)
 		i.engine.Vouched(func() time.Time {
 			_, at, _ := f.node.Latest(duty.Discovery)
 			return at
@@ -163,7 +163,7 @@
 	}
 	if e.What == "own" && e.Lease == duty.Discovery {
 		f.said = nil
-		f.i.engine.Watch().Nudge()
+		f.i.engine.Watch().ReevaluatePolicy()
 	}
 }
 
@@ -294,6 +294,6 @@
 	}
 	f.i.engine.Hear(h.List)
 	if h.Unknown > 0 {
-		f.i.engine.Watch().Soon()
+		f.i.engine.Watch().RefetchSoon()
 	}
 }
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -102,7 +102,7 @@
 			probes++
 		}
 	}
-	own := f.engine.watch.Sockets() + f.shared
+	own := f.engine.watch.SocketCount() + f.shared
 	if f.listener != nil && !f.listener.Closed() {
 		own++
 	}
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -112,7 +112,7 @@
 	}
 	e.watch = routes.NewWatch(routes.WatchConfig{
 		Loop: c.Loop, Addr: c.Discovery, Seq: from, Processes: c.Settings.Config.Balancers, AskWithin: c.Settings.Config.Rules.AskWithin,
-		Pushed: pushed, Rand: rand.New(rand.NewPCG(c.Seed, 1)), Calls: &c.Count.Watches, News: e.news,
+		Pushed: pushed, Rand: rand.New(rand.NewPCG(c.Seed, 1)), Calls: &c.Count.Watches, OnResult: e.news,
 	})
 	e.startedAt = e.loop.Now()
 	module.Start(e.startedAt)
@@ -132,7 +132,7 @@
 	if at != e.discovery {
 		e.discovery, e.newest = at, 0 // another one's versions need not continue these
 	}
-	e.watch.Point(at)
+	e.watch.SetAddr(at)
 }
 
 // CanServe tells whether there has been a list: a process that has just started and knows of no target would refuse whoever is
--- a/internal/proxy/listwait.go
+++ b/internal/proxy/listwait.go
@@ -39,7 +39,7 @@
 	e.count.ListWaits++
 	until := now.Add(x.deadline.Sub(now) / listWaitPart)
 	e.listWait.held = append(e.listWait.held, heldSend{x, *a, now, until})
-	e.watch.Urge()
+	e.watch.Expedite()
 	e.armListWait()
 	return true
 }
--- a/internal/routes/silent_test.go
+++ b/internal/routes/silent_test.go
@@ -44,7 +44,7 @@
 		var heard []error
 		count := 0
 		w := NewWatch(WatchConfig{Loop: loop, Addr: l.Addr(), Seq: 7, Rand: rand.New(rand.NewPCG(1, 1)), Calls: &count,
-			News: func(_ *List, err error) { heard = append(heard, err) }})
+			OnResult: func(_ *List, err error) { heard = append(heard, err) }})
 		w.Start()
 		asked := func(n int, first string) {
 			t.Helper()
--- a/internal/routes/watch.go
+++ b/internal/routes/watch.go
@@ -65,7 +65,7 @@
 	hurry    time.Time // until then the pauses stay short
 	pushed   bool      // lists are pushed
 	calls    *int      // counts them
-	guide    Guide
+	guide    QueryPolicy
 	pressed  bool // it is to ask soon, whatever the guide says
 	eased    bool // it rests because the guide said so
 }
@@ -80,12 +80,12 @@
 	Pushed    bool          // what discovery has counts as told whether or not a watch is open
 	Rand      *rand.Rand
 	Calls     *int               // counts the calls
-	News      func(*List, error) // gets each list, or why a call failed
+	OnResult  func(*List, error) // gets each list, or why a call failed
 }
 
-// Guide tells how a watch is to ask where another process may ask in its place. lead has it watch without a pause, on
+// QueryPolicy tells how a watch is to ask where another process may ask in its place. lead has it watch without a pause, on
 // behalf of the others; else it need not ask before rest, and draws its first question over lapse after that.
-type Guide func() (lead bool, rest time.Time, lapse time.Duration)
+type QueryPolicy func() (lead bool, rest time.Time, lapse time.Duration)
 
 type watchState uint8
 
@@ -109,7 +109,7 @@
 // NewWatch returns a Watch, which makes no call before Start.
 func NewWatch(c WatchConfig) *Watch {
 	w := &Watch{
-		loop: c.Loop, addr: c.Addr, seq: c.Seq, pushed: c.Pushed, calls: c.Calls, news: c.News, crowded: !c.Pushed,
+		loop: c.Loop, addr: c.Addr, seq: c.Seq, pushed: c.Pushed, calls: c.Calls, news: c.OnResult, crowded: !c.Pushed,
 		pace: newPace(c.Processes, c.AskWithin, c.Rand), lease: NewLease(c.Loop.Now(), c.Pushed),
 	}
 	w.timer.Fire = w.due
@@ -133,27 +133,27 @@
 // ok is false where it has never been asked to call.
 func (w *Watch) LeaseExpiry() (at time.Time, ok bool) { return w.lease.Expiry(), w.state != watchOff }
 
-// Urge has a call made soon, since requests wait for it.
-func (w *Watch) Urge() {
+// Expedite has a call made soon, since requests wait for it.
+func (w *Watch) Expedite() {
 	if w.state == watchResting && w.restEnds.Sub(w.loop.Now()) > busyRetry {
 		w.eased, w.pressed = false, true
 		w.rest(w.pace.around(busyRetry / 2))
 	}
 }
 
-// SetGuide has a guide asked before each call; nil: none.
-func (w *Watch) SetGuide(g Guide) { w.guide = g }
+// SetQueryPolicy has a guide asked before each call; nil: none.
+func (w *Watch) SetQueryPolicy(g QueryPolicy) { w.guide = g }
 
-// Nudge has the watch look at its guide at once: it may lead now.
-func (w *Watch) Nudge() {
+// ReevaluatePolicy has the watch look at its guide at once: it may lead now.
+func (w *Watch) ReevaluatePolicy() {
 	if lead, _, _ := w.guided(); lead && w.state == watchResting {
 		w.eased = false
 		w.call()
 	}
 }
 
-// Soon has it ask itself soon, at a drawn time: what it was told is not enough.
-func (w *Watch) Soon() {
+// RefetchSoon has it ask itself soon, at a drawn time: what it was told is not enough.
+func (w *Watch) RefetchSoon() {
 	if w.state == watchResting && !w.pressed {
 		w.eased, w.pressed = false, true
 		w.seq = NoVersion
@@ -181,10 +181,10 @@
 	w.loop.Arm(&w.timer, w.restEnds)
 }
 
-// Point moves the watch to another address, at once. Nothing that the old one may still say counts: its
+// SetAddr moves the watch to another address, at once. Nothing that the old one may still say counts: its
 // connection goes, and what was read of an answer with it. The new one's versions need not continue the old
 // one's, so that it is asked for the whole list first. The address that it has already is only tried anew.
-func (w *Watch) Point(to netip.AddrPort) {
+func (w *Watch) SetAddr(to netip.AddrPort) {
 	w.hurry, w.tries = w.loop.Now().Add(hurryFor), 0
 	if to != w.addr {
 		w.hangUp()
@@ -197,8 +197,8 @@
 	}
 }
 
-// Sockets is how many the watch has open.
-func (w *Watch) Sockets() int {
+// SocketCount is how many the watch has open.
+func (w *Watch) SocketCount() int {
 	if w.sock == nil {
 		return 0
 	}
