--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -89,7 +89,7 @@
 		v := instance.DefaultVerdicts()
 		v.Judge = verdict.Config{Fresh: o.Fresh, Forget: o.Forget, Witnesses: o.Witnesses, Part: o.Part}
 		v.Evidence.Keep = o.Forget + v.Evidence.Width
-		v.Tell = s.judged
+		v.OnChange = s.judged
 		f.Verdicts = &v
 	}
 	if o := s.conf.Retries; o.On {
@@ -97,7 +97,7 @@
 	}
 	if len(s.conf.Limits) > 0 {
 		o := s.conf.Soft
-		f.Limits = &instance.Limits{Soft: limit.Soft{Stale: o.Stale, Hold: o.Hold, Expect: o.Expect}, List: s.conf.Limits, Tell: s.limited}
+		f.Limits = &instance.Limits{Soft: limit.Soft{Stale: o.Stale, Hold: o.Hold, Expect: o.Expect}, List: s.conf.Limits, OnChange: s.limited}
 		for _, l := range s.conf.Limits {
 			if err := named(c, l); err != nil {
 				return nil, fmt.Errorf("%s: [limit %s] %w", s.path, l.Name, err)
@@ -121,10 +121,10 @@
 // limited logs that a limit begins or ends to refuse.
 func (s *sharing) limited(c instance.LimitChange) {
 	what := "fleet: limit takes again"
-	if c.Refuses {
+	if c.Refusing {
 		what = "fleet: limit refuses"
 	}
-	s.log.Info().Str("limit", c.Limit.Name).Stringer("kind", c.Limit.Kind).Int("most", c.Limit.Most).Int("use", c.Use).Int("room", c.Room).Msg(what)
+	s.log.Info().Str("limit", c.Limit.Name).Stringer("kind", c.Limit.Kind).Int("most", c.Limit.Most).Int("use", c.InUse).Int("room", c.Available).Msg(what)
 }
 
 func drawSession() (uint64, error) {
@@ -181,8 +181,8 @@
 }
 
 // judged logs a verdict that changed, with what it rests on.
-func (s *sharing) judged(c instance.Change) {
-	s.log.Info().Str("target", c.Target).Stringer("verdict", c.Verdict).Stringer("was", c.Was).Dur("age_ms", c.Age).
+func (s *sharing) judged(c instance.VerdictChange) {
+	s.log.Info().Str("target", c.Target).Stringer("verdict", c.Verdict).Stringer("was", c.Previous).Dur("age_ms", c.Age).
 		Int("witnesses", c.Witnesses).Int("against", c.Against).Msg("fleet: verdict")
 }
 
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -13,16 +13,16 @@
 
 // Limits are what all proxies of a fleet together may take; all of them must have the same.
 type Limits struct {
-	Soft limit.Soft
-	List []limit.Limit
-	Tell func(LimitChange) // told when a limit begins to refuse, and when it ends; may be nil
+	Soft     limit.Soft
+	List     []limit.Limit
+	OnChange func(LimitChange) // told when a limit begins to refuse, and when it ends; may be nil
 }
 
 // LimitChange is a limit that began or ended to refuse.
 type LimitChange struct {
-	Limit     limit.Limit
-	Refuses   bool
-	Use, Room int // of this proxy
+	Limit            limit.Limit
+	Refusing         bool
+	InUse, Available int // of this proxy
 }
 
 // limits counts what stands here under each limit, and keeps to this process's part of it. What that is, internal/shared/limit
@@ -241,8 +241,8 @@
 }
 
 func (l *limits) tell(x *limited) {
-	if l.conf.Tell != nil {
-		l.conf.Tell(LimitChange{Limit: x.Limit, Refuses: x.refusing, Use: x.counted(l.f.loop.Now()), Room: x.free})
+	if l.conf.OnChange != nil {
+		l.conf.OnChange(LimitChange{Limit: x.Limit, Refusing: x.refusing, InUse: x.counted(l.f.loop.Now()), Available: x.free})
 	}
 }
 
--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -16,7 +16,7 @@
 type Verdicts struct {
 	Evidence evidence.Config
 	Judge    verdict.Config
-	Tell     func(Change) // told of each change, for the log; may be nil
+	OnChange func(VerdictChange) // told of each change, for the log; may be nil
 }
 
 // DefaultVerdicts have the figures that serve.
@@ -24,10 +24,10 @@
 	return Verdicts{Evidence: evidence.DefaultConfig(), Judge: verdict.DefaultConfig()}
 }
 
-// Change is a verdict that changed.
-type Change struct {
+// VerdictChange is a verdict that changed.
+type VerdictChange struct {
 	verdict.Finding
-	Was verdict.Verdict
+	Previous verdict.Verdict
 }
 
 const (
@@ -115,7 +115,7 @@
 			if x.Condemned() && !was.Condemned() {
 				v.f.i.Count.Condemned++
 			}
-			v.tell(Change{x, was})
+			v.tell(VerdictChange{x, was})
 		}
 		span := now.UnixMilli() / trialEvery.Milliseconds()
 		mine := verdict.Turn(v.store.Me().Session, x.Target, span, verdict.Triers)
@@ -134,7 +134,7 @@
 		if _, still := v.known[id]; !still {
 			v.f.i.Count.Acquitted++
 			v.f.i.engine.Told(id, time.Time{})
-			v.tell(Change{verdict.Finding{Target: id}, before[id].Verdict})
+			v.tell(VerdictChange{verdict.Finding{Target: id}, before[id].Verdict})
 		}
 	}
 	v.order = v.order[:0]
@@ -154,8 +154,8 @@
 	return all
 }
 
-func (v *verdicts) tell(c Change) {
-	if v.conf.Tell != nil {
-		v.conf.Tell(c)
+func (v *verdicts) tell(c VerdictChange) {
+	if v.conf.OnChange != nil {
+		v.conf.OnChange(c)
 	}
 }
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -46,7 +46,7 @@
 	f := &instance.Fleet{Mesh: m, SameAddresses: true, MovesPerS: s.s.Proxies.PerS}
 	if s.s.Proxies.Verdicts {
 		v := instance.DefaultVerdicts()
-		v.Tell = func(c instance.Change) { s.judged(p, c) }
+		v.OnChange = func(c instance.VerdictChange) { s.judged(p, c) }
 		f.Verdicts = &v
 	}
 	if part := s.s.Proxies.Retries; part > 0 {
@@ -139,8 +139,8 @@
 }
 
 // judged takes a verdict that a proxy has come to, and counts those against relays to which nothing had happened.
-func (s *stage) judged(p *proxyNode, c instance.Change) {
-	if !c.Condemned() || c.Was.Condemned() {
+func (s *stage) judged(p *proxyNode, c instance.VerdictChange) {
+	if !c.Condemned() || c.Previous.Condemned() {
 		return
 	}
 	for _, n := range s.nodes {
@@ -148,7 +148,7 @@
 			s.shared.False++
 			if s.o.Log != nil {
 				fmt.Fprintf(s.o.Log, "%v %s: without a cause: %s is %v, was %v, age %v, %d witnesses, %d against\n",
-					s.world.Elapsed(), p.name, c.Target, c.Verdict, c.Was, c.Age, c.Witnesses, c.Against)
+					s.world.Elapsed(), p.name, c.Target, c.Verdict, c.Previous, c.Age, c.Witnesses, c.Against)
 			}
 		}
 	}
