--- a/cmd/ospreyspan/main.go
+++ b/cmd/ospreyspan/main.go
@@ -69,8 +69,8 @@
 	}
 	defer shared.close()
 	proxy, err = instance.New(loop, instance.Config{
-		Fleet: fleet, Name: c.Name, Listen: c.Listen, Discovery: c.Discovery, Seed: uint64(c.Seed), Sockets: c.Limits.Sockets,
-		Known: &c.Known, Settings: c.settings, Log: logger, Retry: patiently,
+		Fleet: fleet, Name: c.Name, Listen: c.Listen, Discovery: c.Discovery, Seed: uint64(c.Seed), MaxDescriptors: c.Limits.Sockets,
+		KnownList: &c.Known, Settings: c.settings, Log: logger, Retry: patiently,
 	})
 	if err != nil {
 		return err
--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -84,7 +84,7 @@
 			return nil, err
 		}
 	}
-	f := &instance.Fleet{Mesh: m, SameAddresses: s.conf.Discovery.SameAddresses, MovesPerS: s.conf.Moves.PerSecond}
+	f := &instance.Fleet{Mesh: m, SameAddresses: s.conf.Discovery.SameAddresses, MovesPerSecond: s.conf.Moves.PerSecond}
 	if o := s.conf.Verdicts; o.On {
 		v := instance.DefaultVerdicts()
 		v.Judge = verdict.Config{Fresh: o.Fresh, Forget: o.Forget, Witnesses: o.Witnesses, Part: o.Part}
--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -19,12 +19,12 @@
 
 // Fleet is what a proxy needs that shares work with others.
 type Fleet struct {
-	Mesh          mesh.Config    // Loop, Heard and Tell are set here; Tell, if it is set, is told too
-	SameAddresses bool           // of targets, for all proxies
-	Verdicts      *Verdicts      // nil: each judges targets alone
-	Limits        *Limits        // nil: none holds for all together
-	Retries       *limit.Retries // of all together; nil: no budget
-	MovesPerS     float64        // at which the owner of moves paces them; 0: they are not paced
+	Mesh           mesh.Config    // Loop, Heard and Tell are set here; Tell, if it is set, is told too
+	SameAddresses  bool           // of targets, for all proxies
+	Verdicts       *Verdicts      // nil: each judges targets alone
+	Limits         *Limits        // nil: none holds for all together
+	Retries        *limit.Retries // of all together; nil: no budget
+	MovesPerSecond float64        // at which the owner of moves paces them; 0: they are not paced
 }
 
 // fleet joins a proxy with the others: it carries out duties that are held here, and uses the words of those that are held
@@ -83,8 +83,8 @@
 		f.probes = newProbes(f, true)
 		m.Members = f.probes.members
 	}
-	if c.Fleet.MovesPerS > 0 {
-		f.moves = newMoves(f, c.Fleet.MovesPerS)
+	if c.Fleet.MovesPerSecond > 0 {
+		f.moves = newMoves(f, c.Fleet.MovesPerSecond)
 	}
 	m.Direct = f.direct
 	f.together(c, &m)
--- a/internal/instance/hard_test.go
+++ b/internal/instance/hard_test.go
@@ -108,7 +108,7 @@
 		loop := poll.NewOn(k, func() {})
 		s.inst, err = New(loop, Config{
 			Name: "p", Listen: netip.AddrPortFrom(s.proxy.Addr(), port), Discovery: s.at(s.discovery), Seed: 1,
-			Sockets: descriptors, Known: known, Settings: set, Log: log.New(io.Discard, "", 0),
+			MaxDescriptors: descriptors, KnownList: known, Settings: set, Log: log.New(io.Discard, "", 0),
 		})
 		return func() error { return s.inst.Turn() }, err
 	})
--- a/internal/instance/idle_test.go
+++ b/internal/instance/idle_test.go
@@ -120,7 +120,7 @@
 	err = s.proxy.Start(func(k poll.Kernel) (func() error, error) {
 		s.inst, err = New(poll.NewOn(k, func() {}), Config{
 			Name: "p", Listen: netip.AddrPortFrom(s.proxy.Addr(), port), Discovery: s.at(s.discovery), Seed: 1,
-			Known: known, Settings: set, Log: log.New(io.Discard, "", 0),
+			KnownList: known, Settings: set, Log: log.New(io.Discard, "", 0),
 		})
 		return func() error { return s.inst.Turn() }, err
 	})
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -19,16 +19,16 @@
 
 // Config is what an Instance needs.
 type Config struct {
-	Name      string
-	Listen    netip.AddrPort
-	Discovery netip.AddrPort
-	Seed      uint64
-	Sockets   int          // descriptors that the process may hold; 0: no limit is known
-	Known     *routes.List // the route table as it was last known
-	Settings  *settings.Settings
-	Tuning    *proxy.Tuning // nil: what serves
-	Log       *log.Logger
-	Fleet     *Fleet // nil: this proxy shares nothing with others
+	Name           string
+	Listen         netip.AddrPort
+	Discovery      netip.AddrPort
+	Seed           uint64
+	MaxDescriptors int          // descriptors that the process may hold; 0: no limit is known
+	KnownList      *routes.List // the route table as it was last known
+	Settings       *settings.Settings
+	Tuning         *proxy.Tuning // nil: what serves
+	Log            *log.Logger
+	Fleet          *Fleet // nil: this proxy shares nothing with others
 	// Retry tries something again while it fails for a passing reason; nil: it is tried once.
 	Retry func(try func() error) error
 }
@@ -48,13 +48,13 @@
 	i := &Instance{loop: loop}
 	var err error
 	i.engine, err = proxy.NewEngine(proxy.EngineConfig{
-		Loop: loop, Settings: c.Settings, Known: c.Known, Discovery: c.Discovery, Seed: c.Seed,
+		Loop: loop, Settings: c.Settings, Known: c.KnownList, Discovery: c.Discovery, Seed: c.Seed,
 		Count: &i.Count, Log: c.Log, Tuning: c.Tuning,
 	})
 	if err != nil {
 		return nil, err
 	}
-	i.front = proxy.NewLines(i.engine, c.Sockets)
+	i.front = proxy.NewLines(i.engine, c.MaxDescriptors)
 	listen := func() error { return i.front.Listen(c.Listen) }
 	if c.Retry != nil {
 		err = c.Retry(listen)
@@ -144,5 +144,5 @@
 // Idle tells whether no client is left.
 func (i *Instance) Idle() bool { return i.front.Idle() }
 
-// Longest is the longest time that a planned stop may take.
-func Longest(s *settings.Settings) time.Duration { return proxy.Longest(s) }
+// MaxDrainDuration is the longest time that a planned stop may take.
+func MaxDrainDuration(s *settings.Settings) time.Duration { return proxy.Longest(s) }
--- a/internal/instance/start_test.go
+++ b/internal/instance/start_test.go
@@ -87,8 +87,8 @@
 	host := f.w.AddHost(fmt.Sprint("proxy", i), proxyAddr(i).Addr(), vnet.Limits{})
 	err = host.Start(func(k poll.Kernel) (func() error, error) {
 		inst, err := New(poll.NewOn(k, func() {}), Config{
-			Name: "p", Listen: proxyAddr(i), Discovery: discovery, Seed: uint64(i), Sockets: 1024,
-			Known: known, Settings: set, Log: log.New(io.Discard, "", 0),
+			Name: "p", Listen: proxyAddr(i), Discovery: discovery, Seed: uint64(i), MaxDescriptors: 1024,
+			KnownList: known, Settings: set, Log: log.New(io.Discard, "", 0),
 		})
 		return func() error { return inst.Turn() }, err
 	})
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -162,8 +162,8 @@
 	shared := instance.DefaultVerdicts()
 	i, err := instance.New(loop, instance.Config{
 		Name: p.name, Listen: netip.AddrPortFrom(p.host.Addr(), proxyPort), Discovery: c.discovery.address(), Seed: c.config.Seed ^ p.session,
-		Known: c.known, Settings: c.settings, Log: log.New(io.Discard, "", 0),
-		Fleet: &instance.Fleet{Mesh: m, SameAddresses: true, MovesPerS: movesPerSecond, Verdicts: &shared},
+		KnownList: c.known, Settings: c.settings, Log: log.New(io.Discard, "", 0),
+		Fleet: &instance.Fleet{Mesh: m, SameAddresses: true, MovesPerSecond: movesPerSecond, Verdicts: &shared},
 	})
 	if err != nil {
 		return err
--- a/internal/lab/proxies.go
+++ b/internal/lab/proxies.go
@@ -50,7 +50,7 @@
 	}
 	c := instance.Config{
 		Name: p.name, Listen: p.addr(), Discovery: netip.AddrPortFrom(s.discovery.host.Addr(), discoveryPort),
-		Seed: p.rng.Uint64(), Sockets: s.s.Proxies.Sockets, Known: s.known(), Settings: set, Tuning: s.s.Tuning(),
+		Seed: p.rng.Uint64(), MaxDescriptors: s.s.Proxies.Sockets, KnownList: s.known(), Settings: set, Tuning: s.s.Tuning(),
 		Log: log.New(logTo{s, p.name}, "", 0),
 	}
 	if c.Fleet, err = s.shares(p); err != nil {
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -43,7 +43,7 @@
 			return nil, err
 		}
 	}
-	f := &instance.Fleet{Mesh: m, SameAddresses: true, MovesPerS: s.s.Proxies.PerS}
+	f := &instance.Fleet{Mesh: m, SameAddresses: true, MovesPerSecond: s.s.Proxies.PerS}
 	if s.s.Proxies.Verdicts {
 		v := instance.DefaultVerdicts()
 		v.OnChange = func(c instance.VerdictChange) { s.judged(p, c) }
--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -369,7 +369,7 @@
 			s.failed(err)
 			return
 		}
-		limit := instance.Longest(set)
+		limit := instance.MaxDrainDuration(set)
 		s.after(late, func() {
 			for _, c := range s.crowds {
 				c.front.Withdraw(p.addr())
