--- a/internal/routes/http.go
+++ b/internal/routes/http.go
@@ -9,32 +9,32 @@
 
 // response is an HTTP/1.1 response with its whole body.
 type response struct {
-	status int
-	keep   bool // the connection may carry another call
-	body   []byte
+	status    int
+	keepAlive bool // the connection may carry another call
+	body      []byte
 }
 
 const (
-	maxHead = 16 << 10
-	maxBody = 8 << 20
+	maxHeadBytes = 16 << 10
+	maxBodyBytes = 8 << 20
 )
 
 var (
-	errMore     = errors.New("http: incomplete")
-	errHead     = errors.New("http: malformed head")
-	errChunk    = errors.New("http: malformed chunk")
-	errTooLarge = errors.New("http: response too large")
+	errIncomplete     = errors.New("http: incomplete")
+	errMalformedHead  = errors.New("http: malformed head")
+	errMalformedChunk = errors.New("http: malformed chunk")
+	errTooLarge       = errors.New("http: response too large")
 )
 
 // parseResponse reads one response from the start of data; ended tells that no more will come. errMore means
 // that the response is not complete yet.
-func parseResponse(data []byte, ended bool) (*response, error) {
+func parseResponse(data []byte, eof bool) (*response, error) {
 	end := bytes.Index(data, []byte("\r\n\r\n"))
-	if end > maxHead || end < 0 && len(data) > maxHead {
+	if end > maxHeadBytes || end < 0 && len(data) > maxHeadBytes {
 		return nil, errTooLarge
 	}
 	if end < 0 {
-		return nil, errMore
+		return nil, errIncomplete
 	}
 	head, body := data[:end], data[end+4:]
 	status, fields, _ := bytes.Cut(head, []byte("\r\n"))
@@ -42,77 +42,77 @@
 	code, _, _ := bytes.Cut(rest, []byte(" "))
 	n, err := strconv.Atoi(string(code))
 	if !bytes.HasPrefix(proto, []byte("HTTP/1.")) || err != nil || n < 100 || n > 999 {
-		return nil, errHead
+		return nil, errMalformedHead
 	}
 	if n < 200 {
-		return parseResponse(body, ended) // an interim response; the final one follows
+		return parseResponse(body, eof) // an interim response; the final one follows
 	}
-	r := &response{status: n, keep: string(proto) == "HTTP/1.1"}
+	resp := &response{status: n, keepAlive: string(proto) == "HTTP/1.1"}
 	length, chunked := -1, false
 	for len(fields) > 0 {
 		var field []byte
 		field, fields, _ = bytes.Cut(fields, []byte("\r\n"))
 		name, value, ok := bytes.Cut(field, []byte(":"))
 		if !ok {
-			return nil, errHead
+			return nil, errMalformedHead
 		}
 		value = bytes.ToLower(bytes.TrimSpace(value))
 		switch string(bytes.ToLower(name)) {
 		case "content-length":
 			if length, err = strconv.Atoi(string(value)); err != nil || length < 0 {
-				return nil, errHead
+				return nil, errMalformedHead
 			}
 		case "transfer-encoding":
 			chunked = bytes.HasSuffix(value, []byte("chunked"))
 		case "connection":
 			if bytes.Contains(value, []byte("close")) {
-				r.keep = false
+				resp.keepAlive = false
 			} else if bytes.Contains(value, []byte("keep-alive")) {
-				r.keep = true
+				resp.keepAlive = true
 			}
 		}
 	}
-	if length > maxBody || len(body) > 2*maxBody {
+	if length > maxBodyBytes || len(body) > 2*maxBodyBytes {
 		return nil, errTooLarge
 	}
 	switch {
 	case chunked:
-		r.body, err = unchunk(body)
+		resp.body, err = decodeChunked(body)
 	case n == 204 || n == 304:
 	case length >= 0:
 		if len(body) < length {
-			err = errMore
+			err = errIncomplete
 		} else {
-			r.body = body[:length]
+			resp.body = body[:length]
 		}
-	case !ended:
-		err = errMore
+	case !eof:
+		err = errIncomplete
 	default:
-		r.body, r.keep = body, false
+		resp.body, resp.keepAlive = body, false
 	}
 	if err != nil {
 		return nil, err
 	}
-	return r, nil
+	return resp, nil
 }
 
-// unchunk joins the chunks of a body.
-func unchunk(data []byte) ([]byte, error) {
+// decodeChunked joins the chunks of a body.
+func decodeChunked(data []byte) ([]byte, error) {
 	var body []byte
 	for {
 		head, rest, ok := bytes.Cut(data, []byte("\r\n"))
 		if !ok {
-			if len(data) > maxHead {
-				return nil, errChunk
+			if len(data) > maxHeadBytes {
+				return nil, errMalformedChunk
 			}
-			return nil, errMore
+			return nil, errIncomplete
 		}
 		size, _, _ := bytes.Cut(head, []byte(";"))
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 32)
 		if err != nil {
-			return nil, errChunk
+			return nil, errMalformedChunk
 		}
-		if len(body)+int(n) > maxBody {
+		if len(body)+int(n) > maxBodyBytes {
 			return nil, errTooLarge
 		}
 		if n == 0 {
@@ -120,21 +120,21 @@
 			if bytes.HasPrefix(rest, []byte("\r\n")) || bytes.Contains(rest, []byte("\r\n\r\n")) {
 				return body, nil
 			}
-			return nil, errMore
+			return nil, errIncomplete
 		}
 		if uint64(len(rest)) < n+2 {
-			return nil, errMore
+			return nil, errIncomplete
 		}
 		if string(rest[n:n+2]) != "\r\n" {
-			return nil, errChunk
+			return nil, errMalformedChunk
 		}
 		body = append(body, rest[:n]...)
 		data = rest[n+2:]
 	}
 }
 
-// appendCall appends the call of a watch, or without a version to go on from, a call for the whole list.
-func appendCall(dst []byte, host string, seq int64, waitMS int64) []byte {
+// appendRequest appends the call of a watch, or without a version to go on from, a call for the whole list.
+func appendRequest(dst []byte, host string, seq int64, waitMS int64) []byte {
 	if seq < 0 {
 		return fmt.Appendf(dst, "GET /registry/instances HTTP/1.1\r\nHost: %s\r\n\r\n", host)
 	}
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -74,19 +74,19 @@
 		"chunked":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\n\r\n", false, "abcde", true, nil},
 		"trailer":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\nX: y\r\n\r\n", false, "a", true, nil},
 		"to the end": {"HTTP/1.1 200 OK\r\n\r\nabc", true, "abc", false, nil},
-		"not ended":  {"HTTP/1.1 200 OK\r\n\r\nabc", false, "", false, errMore},
+		"not ended":  {"HTTP/1.1 200 OK\r\n\r\nabc", false, "", false, errIncomplete},
 		"close":      {"HTTP/1.1 200 OK\r\nconnection: Close\r\nContent-Length: 1\r\n\r\na", false, "a", false, nil},
 		"interim":    {"HTTP/1.1 100 Continue\r\n\r\n" + plain("ok"), false, "ok", true, nil},
-		"no http":    {"SSH-2.0-x\r\n\r\n", false, "", false, errHead},
-		"bad length": {"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n", false, "", false, errHead},
-		"bad chunk":  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", false, "", false, errChunk},
+		"no http":    {"SSH-2.0-x\r\n\r\n", false, "", false, errMalformedHead},
+		"bad length": {"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n", false, "", false, errMalformedHead},
+		"bad chunk":  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", false, "", false, errMalformedChunk},
 		"huge":       {"HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n", false, "", false, errTooLarge},
-		"endless":    {strings.Repeat("x", maxHead+1), false, "", false, errTooLarge},
+		"endless":    {strings.Repeat("x", maxHeadBytes+1), false, "", false, errTooLarge},
 	} {
 		r, err := parseResponse([]byte(tt.text), tt.ended)
 		if !errors.Is(err, tt.err) {
 			t.Errorf("%s: error %v", name, err)
-		} else if err == nil && (string(r.body) != tt.body || r.keep != tt.keep || r.status != 200) {
+		} else if err == nil && (string(r.body) != tt.body || r.keepAlive != tt.keep || r.status != 200) {
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
--- a/internal/routes/silent_test.go
+++ b/internal/routes/silent_test.go
@@ -71,13 +71,13 @@
 			}
 			if n < 2 {
 				loop.Disarm(&w.timer)
-				w.due() // its time is over
-				if !w.timer.Armed() || w.state != watchResting {
+				w.onTimer() // its time is over
+				if !w.timer.Armed() || w.state != watchWaiting {
 					t.Errorf("%q: state %v after the silence", said, w.state)
 				}
 			}
 		}
-		if len(heard) != 2 || heard[0] != errSilent || heard[1] != errSilent {
+		if len(heard) != 2 || heard[0] != errNoAnswer || heard[1] != errNoAnswer {
 			t.Errorf("%q: heard %v", said, heard)
 		}
 		w.Stop()
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -47,11 +47,13 @@
 	Share       float64        `json:"share"`
 	StartUnixMS int64          `json:"born_ms"` // its last start in Unix time, ms; 0 or less: long ago
 	StartedAt   time.Time      `json:"-"`       // the same by the loop's clock, see Births; zero: long ago
-	entry       int            // counts the entries; one that changes keeps its number
+	entryNumber int            // counts the entries; one that changes keeps its number
 }
 
 // SameEntry tells whether two are the same entry of the table, at different times: it has not left the table in between.
-func (t *Target) SameEntry(o *Target) bool { return t.ID == o.ID && t.entry == o.entry }
+func (t *Target) SameEntry(other *Target) bool {
+	return t.ID == other.ID && t.entryNumber == other.entryNumber
+}
 
 // List is one answer of discovery.
 type List struct {
@@ -89,9 +91,9 @@
 
 // Table is the route table. It owns its entries; they are not changed once they are in.
 type Table struct {
-	Seq     int64
-	byID    map[string]*Target
-	entries int // that there have been
+	Seq        int64
+	byID       map[string]*Target
+	entryCount int // that there have been
 }
 
 // Find returns an egress target by its id, nil if the table does not name it.
@@ -138,10 +140,10 @@
 			delete(t.byID, h.ID)
 		} else {
 			if old := t.byID[h.ID]; old != nil {
-				h.entry = old.entry
+				h.entryNumber = old.entryNumber
 			} else {
-				t.entries++
-				h.entry = t.entries
+				t.entryCount++
+				h.entryNumber = t.entryCount
 			}
 			t.byID[h.ID] = h
 		}
