--- a/balance/fuzz_test.go
+++ b/balance/fuzz_test.go
@@ -102,7 +102,7 @@
 			case 14:
 				s.b.Timer(s.now, timerWatch)
 			case 15:
-				s.b.Note(s.now, id, Note(arg%2), float64(arg))
+				s.b.ConnectionMeasured(s.now, id, Note(arg%2), float64(arg))
 			}
 			check()
 		}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -500,7 +500,7 @@
 	s.b.Started(s.now, 1)
 	s.finish(1, false, Broken)
 	s.take()
-	s.b.Note(s.now, 1, NoteDelay, 1000)
+	s.b.ConnectionMeasured(s.now, 1, NoteDelay, 1000)
 	if n := s.count(s.take(), "probe"); n != 0 {
 		t.Errorf("%d probes for a connection that has ended", n)
 	}
--- a/balance/troubles_test.go
+++ b/balance/troubles_test.go
@@ -155,14 +155,14 @@
 		s.b.Open(s.now, ask(1), "b1")
 		s.take()
 		for range 5 {
-			s.b.Note(s.now, 1, tt.note, tt.level)
+			s.b.ConnectionMeasured(s.now, 1, tt.note, tt.level)
 		}
 		if n := s.count(s.take(), "probe"); n != tt.want {
 			t.Errorf("note %d of %v: %d probes, want %d", tt.note, tt.level, n, tt.want)
 		}
 		s.b.Probed(s.now, "b1", OK, load(0.5))
 		s.now = s.now.Add(100 * ms)
-		s.b.Note(s.now, 1, tt.note, tt.level)
+		s.b.ConnectionMeasured(s.now, 1, tt.note, tt.level)
 		if n := s.count(s.take(), "probe"); n != 0 {
 			t.Errorf("note %d of %v: probed again at once", tt.note, tt.level)
 		}
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// Note takes word on an open connection. Late messages there are a reason to look at its backend at once.
-func (b *Balancer) Note(now time.Time, id RequestID, n Note, level float64) {
+// ConnectionMeasured takes word on an open connection. Late messages there are a reason to look at its backend at once.
+func (b *Balancer) ConnectionMeasured(now time.Time, id RequestID, n Note, level float64) {
 	r := b.requests[id]
 	if r == nil || !r.open || n != NoteDelay || now.Sub(r.at.seen) < reportLag {
 		return
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -80,7 +80,7 @@
 		b.Started(e.Now, e.Request.ID)
 	case wire.Heartbeat:
 		if e.Known {
-			b.Note(e.Now, e.Request.ID, e.Note, e.Level)
+			b.ConnectionMeasured(e.Now, e.Request.ID, e.Note, e.Level)
 		}
 	case wire.Finished:
 		b.Finished(e.Now, e.Request.ID, e.Attempt, e.Settled, e.Outcome, e.Report)
--- a/internal/proxy/batch.go
+++ b/internal/proxy/batch.go
@@ -114,7 +114,7 @@
 	case evLeft:
 		e.module.Gone(now, ev.x.id)
 	case evNote:
-		e.module.Note(now, ev.x.id, ev.note, ev.level)
+		e.module.ConnectionMeasured(now, ev.x.id, ev.note, ev.level)
 	case evProbed:
 		e.module.Probed(now, ev.target, ev.outcome, ev.report)
 	case evTimer:
