--- a/balance/balance.go
+++ b/balance/balance.go
@@ -44,8 +44,8 @@
 	return span(micros(d) * (1 + jitter*(b.rng.Float64()-0.5)))
 }
 
-// Members takes discovery's news.
-func (b *Balancer) Members(now time.Time, kind ListKind, list []Backend) {
+// DiscoveryUpdate takes discovery's news.
+func (b *Balancer) DiscoveryUpdate(now time.Time, kind ListKind, list []Backend) {
 	if kind == ListBroken {
 		// All relays lose discovery together: what they ask again must not come together too.
 		b.watching = false
@@ -78,7 +78,7 @@
 		b.send(now, r, k) // any other backend would reset the connection
 		return
 	}
-	b.seek(now, r)
+	b.startPlacement(now, r)
 }
 
 // wake sets a request's timer; the last one set counts.
@@ -87,8 +87,8 @@
 	b.host.After(d, r.ID<<timerBits|timerRequest)
 }
 
-// Started tells that a connection stands.
-func (b *Balancer) Started(now time.Time, id RequestID) {
+// Established tells that a connection stands.
+func (b *Balancer) Established(now time.Time, id RequestID) {
 	if r := b.requests[id]; r != nil && r.at != nil && !r.open {
 		r.open = true
 		b.out--
@@ -144,11 +144,11 @@
 	case timerProbe:
 		b.host.After(b.spread(probeEvery), timerProbe)
 		// What is spent on watching own connections stays a part of what requests cost in any case.
-		budget := 1 + b.arrivals*scanSize/2
+		budget := 1 + b.arrivals*sampleSize/2
 		b.arrivals = 0
 		for i, at := 0, b.rng.IntN(len(b.all)+1); i < len(b.all) && budget > 0; i++ {
 			k := b.all[(at+i)%len(b.all)]
-			if len(k.held) > 0 && now.Sub(k.seen) >= probeEvery && b.probe(now, k, scanFresh) {
+			if len(k.held) > 0 && now.Sub(k.seen) >= probeEvery && b.probe(now, k, sampleReportMaxAge) {
 				budget--
 			}
 		}
@@ -164,14 +164,14 @@
 				b.scanning = slices.Delete(b.scanning, i, i+1)
 				b.place(now, r)
 			} else {
-				b.seek(now, r)
+				b.startPlacement(now, r)
 			}
 		}
 	}
 }
 
-// Gone tells that a client left: nothing more is owed, but an attempt that is out still ends.
-func (b *Balancer) Gone(now time.Time, id RequestID) {
+// ClientGone tells that a client left: nothing more is owed, but an attempt that is out still ends.
+func (b *Balancer) ClientGone(now time.Time, id RequestID) {
 	r := b.requests[id]
 	if r == nil {
 		return
--- a/balance/design_test.go
+++ b/balance/design_test.go
@@ -126,7 +126,7 @@
 				t.Fatalf("count %d after a send", n)
 			}
 			if tt.open {
-				s.b.Started(s.now, 7)
+				s.b.Established(s.now, 7)
 			}
 			s.finish(7, tt.settled, tt.outcome)
 			if n := len(s.b.byID["b0"].held); n != 0 {
@@ -138,8 +138,8 @@
 
 func TestOpenConnectionsCount(t *testing.T) {
 	s := start(t, config(), 1, 2)
-	s.b.Open(s.now, ask(3), "b1")
-	s.b.Open(s.now, ask(4), "unlisted")
+	s.b.RestoreConnection(s.now, ask(3), "b1")
+	s.b.RestoreConnection(s.now, ask(4), "unlisted")
 	if n := len(s.b.byID["b1"].held); n != 1 {
 		t.Errorf("count %d, want 1", n)
 	}
@@ -253,7 +253,7 @@
 		s.take()
 		q := ask(1)
 		q.Group = "g"
-		s.b.seek(s.now, s.b.add(q))
+		s.b.startPlacement(s.now, s.b.add(q))
 		full := map[string]bool{}
 		for _, k := range s.b.requests[1].sample[:2] {
 			full[k.ID] = true
@@ -290,7 +290,7 @@
 	s.take()
 	q := ask(1)
 	q.Group = "g"
-	s.b.seek(s.now, s.b.add(q))
+	s.b.startPlacement(s.now, s.b.add(q))
 	home := s.b.requests[1].sample[0].ID
 	s = start(t, cfg, 1, 3)
 	s.take()
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -36,7 +36,7 @@
 	}
 	at := func(us int64) time.Time { return time.UnixMicro(us) }
 	b.Start(at(0))
-	b.Members(at(0), balance.ListWhole, []balance.Backend{{ID: "east"}, {ID: "west"}})
+	b.DiscoveryUpdate(at(0), balance.ListWhole, []balance.Backend{{ID: "east"}, {ID: "west"}})
 	b.Request(at(10), balance.Request{ID: 1, Left: 3 * time.Second})
 
 	none := balance.Report{Load: math.NaN(), CPU: math.NaN()}
@@ -45,7 +45,7 @@
 	b.Probed(at(900), "east", balance.OK, east)
 	b.Probed(at(950), "west", balance.OK, west)
 
-	b.Started(at(9_000), 1)
+	b.Established(at(9_000), 1)
 	b.Finished(at(20_000_000), 1, 0, true, balance.OK, none)
 	// Unordered output:
 	// probe east
--- a/balance/fuzz_test.go
+++ b/balance/fuzz_test.go
@@ -20,8 +20,8 @@
 		cfg.Park = time.Duration(seed%5) * sec
 		cfg.Classes = []Class{
 			{Aim: 500 * ms, Worth: 1},
-			{Aim: 300 * ms, Worth: 5, Repeat: RepeatKeyed, Scope: ScopeCell, Window: sec},
-			{Aim: 300 * ms, Repeat: RepeatNever},
+			{Aim: 300 * ms, Worth: 5, Idempotency: IdempotentByKey, Scope: ScopeCell, Window: sec},
+			{Aim: 300 * ms, Idempotency: NotIdempotent},
 		}
 		s := start(t, cfg, seed, int(seed%7))
 		live := map[RequestID]time.Time{} // deadline of those that are owed an answer
@@ -80,7 +80,7 @@
 					list[j].State = State((int(arg) + j) % 3)
 					list[j].Boot = s.now.Add(-time.Duration(j) * sec)
 				}
-				s.b.Members(s.now, ListKind(arg%4), list)
+				s.b.DiscoveryUpdate(s.now, ListKind(arg%4), list)
 			case 4, 5:
 				s.b.Probed(s.now, "b"+string(rune('0'+arg%10)), Outcome(arg%8), load(float64(arg)/100-0.2))
 			case 6:
@@ -88,12 +88,12 @@
 			case 7, 8:
 				end(id, arg%2 == 0, Outcome(arg%8))
 			case 9:
-				s.b.Started(s.now, id)
+				s.b.Established(s.now, id)
 			case 10:
 				_, owed := live[id]
 				if owed {
 					delete(live, id)
-					s.b.Gone(s.now, id)
+					s.b.ClientGone(s.now, id)
 				}
 			case 11, 12:
 				s.b.Timer(s.now, uint64(id)<<timerBits|timerRequest)
--- a/balance/interface.go
+++ b/balance/interface.go
@@ -11,33 +11,33 @@
 // RequestID names one request of a client; the host never uses one twice. It stays below 1<<52.
 type RequestID = uint64
 
-// Repeat tells what sending a request twice may do.
-type Repeat uint8
+// Idempotency tells what sending a request twice may do.
+type Idempotency uint8
 
 // The kinds of Repeat.
 const (
-	RepeatFree  Repeat = iota // harmless
-	RepeatKeyed               // harmless within the backends of the class's scope, for its window
-	RepeatNever               // only once every earlier attempt is known not to have run
+	Idempotent      Idempotency = iota // harmless
+	IdempotentByKey                    // harmless within the backends of the class's scope, for its window
+	NotIdempotent                      // only once every earlier attempt is known not to have run
 )
 
-// Scope tells which backends drop the repeats of a keyed request.
-type Scope uint8
+// DedupScope tells which backends drop the repeats of a keyed request.
+type DedupScope uint8
 
 // The kinds of Scope.
 const (
-	ScopeAll Scope = iota
+	ScopeAll DedupScope = iota
 	ScopeZone
 	ScopeCell
 )
 
 // Class holds what is known of a kind of request.
 type Class struct {
-	Aim    time.Duration // a connection set up within this is in time
-	Worth  float64
-	Repeat Repeat
-	Scope  Scope
-	Window time.Duration // for RepeatKeyed, from the send of the first attempt that may have run
+	Aim         time.Duration // a connection set up within this is in time
+	Worth       float64
+	Idempotency Idempotency
+	Scope       DedupScope
+	Window      time.Duration // for RepeatKeyed, from the send of the first attempt that may have run
 	// MessageAim is the time within which an open connection wants each message; 0: not told.
 	MessageAim time.Duration
 }
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	scanFresh = 200 * time.Millisecond // a scan younger than this serves further requests
-	reportLag = time.Second            // how long one report is all that is known of a backend
+	sampleReportMaxAge = 200 * time.Millisecond // a scan younger than this serves further requests
+	reportLifetime     = time.Second            // how long one report is all that is known of a backend
 
-	scanSize   = 3    // backends of a sampled scan
-	drawTries  = 6    // draws for each backend of a sample, so that few ready ones are found
-	heldMore   = 2    // backends that are looked at besides for requests that were held
-	heldFresh  = 2    // doublings of that age for requests that were held: their looks are most by far
-	groupRanks = 6    // backends on which a group may spill at all relays alike
-	groupCost  = 2.0  // a backend that would pay for a group anew needs this many times the weight
-	groupSpill = 25.0 // and this many more idle points, for each place after the first...
-	groupSeen  = 4.0  // ...where so few relays share the backends that each knows who holds the group...
-	groupLeast = 0.5  // ...and this part of them where it can't tell
-	shedWeight = 25.0 // idle points below which a backend takes no new connection
-	freshCost  = 2.0  // idle points that a placement takes until a report tells
-	worthMost  = 2.0  // most that the bar rises by a worth below the mean
-	overSlack  = 1.5  // a tenant's share is passed over until it is exceeded by this factor
-	overMost   = 3.0  // most idle points asked of a tenant beyond its share, in shedWeights
-	scanWait   = 0.1  // part of the aim for which a request waits for a scan
-	crossing   = 10.0 // passes over a backend of another zone in a draw, for each unit of its price
-	firstShare = 0.4  // part of the aim that a first attempt may take: there must be time for another
+	sampleSize            = 3    // backends of a sampled scan
+	drawsPerBackend       = 6    // draws for each backend of a sample, so that few ready ones are found
+	maxExtraBackends      = 2    // backends that are looked at besides for requests that were held
+	maxReportAgeDoublings = 2    // doublings of that age for requests that were held: their looks are most by far
+	groupCandidates       = 6    // backends on which a group may spill at all relays alike
+	groupRankFactor       = 2.0  // a backend that would pay for a group anew needs this many times the weight
+	groupSpillMargin      = 25.0 // and this many more idle points, for each place after the first...
+	fullSpillRelays       = 4.0  // ...where so few relays share the backends that each knows who holds the group...
+	minSpillFraction      = 0.5  // ...and this part of them where it can't tell
+	minPlacementWeight    = 25.0 // idle points below which a backend takes no new connection
+	placementCost         = 2.0  // idle points that a placement takes until a report tells
+	maxWorthFactor        = 2.0  // most that the bar rises by a worth below the mean
+	quotaSlack            = 1.5  // a tenant's share is passed over until it is exceeded by this factor
+	maxQuotaFactor        = 3.0  // most idle points asked of a tenant beyond its share, in shedWeights
+	probeWaitFraction     = 0.1  // part of the aim for which a request waits for a scan
+	crossZoneFactor       = 10.0 // passes over a backend of another zone in a draw, for each unit of its price
+	firstAttemptFraction  = 0.4  // part of the aim that a first attempt may take: there must be time for another
 )
 
-// seek draws a request's sample of the backends and places it once their reports are fresh. Few probes are
+// startPlacement draws a request's sample of the backends and places it once their reports are fresh. Few probes are
 // paid for, and relays that look at different samples do not herd to the same backend.
-func (b *Balancer) seek(now time.Time, r *request) {
+func (b *Balancer) startPlacement(now time.Time, r *request) {
 	// As in congestion control, fewer are out at a time while attempts fail, down to one.
 	if float64(b.out) >= b.window {
 		b.park(now, r)
@@ -41,11 +41,11 @@
 	}
 	r.awaited = 0
 	if r.sample = r.sample[:0]; r.Group != "" && b.cfg.Groups {
-		b.drawGroup(now, r)
+		b.drawGroupSample(now, r)
 	}
-	b.draw(now, r)
+	b.drawSample(now, r)
 	for _, k := range r.sample {
-		if b.probe(now, k, scanFresh<<min(r.parks, heldFresh)) {
+		if b.probe(now, k, sampleReportMaxAge<<min(r.parks, maxReportAgeDoublings)) {
 			r.awaited++
 		}
 	}
@@ -54,22 +54,22 @@
 		return
 	}
 	b.scanning = append(b.scanning, r)
-	wait := micros(min(b.class(r.Class).Aim, r.deadline.Sub(now))) * scanWait
+	wait := micros(min(b.class(r.Class).Aim, r.deadline.Sub(now))) * probeWaitFraction
 	b.wake(now, r, span(wait))
 }
 
-// draw takes a random sample of the warm backends, and a cold one that was offered a connection.
-func (b *Balancer) draw(now time.Time, r *request) {
+// drawSample takes a random sample of the warm backends, and a cold one that was offered a connection.
+func (b *Balancer) drawSample(now time.Time, r *request) {
 	for added := false; len(b.offers) > 0 && !added; b.offers = b.offers[1:] {
 		if o := b.offers[0]; now.Sub(o.at) < b.cfg.Rules.FallWithin && o.to.State == Ready {
 			r.sample = append(r.sample, o.to)
 			added = true
 		}
 	}
-	want := min(scanSize+min(r.parks, heldMore), len(b.ready)) // one that was held found no room in a few
-	for tries := 0; tries < drawTries*scanSize && len(r.sample) < want; tries++ {
+	want := min(sampleSize+min(r.parks, maxExtraBackends), len(b.ready)) // one that was held found no room in a few
+	for tries := 0; tries < drawsPerBackend*sampleSize && len(r.sample) < want; tries++ {
 		k := b.ready[b.rng.IntN(len(b.ready))]
-		far := k.Zone != b.cfg.Zone && b.rng.Float64() < crossing*b.cfg.Prices.CrossZone
+		far := k.Zone != b.cfg.Zone && b.rng.Float64() < crossZoneFactor*b.cfg.Prices.CrossZone
 		if !far && b.warmth(now, k) >= 1 && !slices.Contains(r.sample, k) {
 			r.sample = append(r.sample, k)
 		}
@@ -82,18 +82,18 @@
 	}
 }
 
-// drawGroup takes the backends that rank first and second for the request's group by a hash, alike at all
+// drawGroupSample takes the backends that rank first and second for the request's group by a hash, alike at all
 // relays, so that few pay for the group; for a request that was held, another of the first groupRanks.
-func (b *Balancer) drawGroup(now time.Time, r *request) {
+func (b *Balancer) drawGroupSample(now time.Time, r *request) {
 	h, load := hash(r.Group), b.borne(now)
-	var ranks [groupRanks]uint64
+	var ranks [groupCandidates]uint64
 	for _, k := range b.ready {
 		rank := mix(h ^ k.hash)
 		n := len(r.sample)
-		if n == groupRanks && rank <= ranks[n-1] || k.shunned(now) || !b.mayTake(now, r, k, load) {
+		if n == groupCandidates && rank <= ranks[n-1] || k.shunned(now) || !b.mayTake(now, r, k, load) {
 			continue
 		}
-		if n < groupRanks {
+		if n < groupCandidates {
 			r.sample = append(r.sample, k)
 			n++
 		}
@@ -115,7 +115,7 @@
 func (b *Balancer) place(now time.Time, r *request) {
 	late := r.attempts > 0 && !now.Before(r.deadline)
 	spent := b.cfg.MaxAttempts > 0 && r.attempts >= b.cfg.MaxAttempts || late
-	if spent || r.ran != nil && b.class(r.Class).Repeat == RepeatNever {
+	if spent || r.ran != nil && b.class(r.Class).Idempotency == NotIdempotent {
 		b.conclude(r)
 	} else if k := b.pick(now, r); k != nil {
 		b.send(now, r, k)
@@ -128,9 +128,9 @@
 
 func (b *Balancer) send(now time.Time, r *request, k *backend) {
 	timeout, c := r.deadline.Sub(now), b.class(r.Class)
-	if r.attempts == 0 && b.cfg.MaxAttempts != 1 && c.Repeat != RepeatNever && b.failing < commonFail {
+	if r.attempts == 0 && b.cfg.MaxAttempts != 1 && c.Idempotency != NotIdempotent && b.failing < commonFail {
 		// A backend that accepts and stays silent must leave time for another try inside the aim.
-		timeout = min(timeout, span(micros(c.Aim)*firstShare))
+		timeout = min(timeout, span(micros(c.Aim)*firstAttemptFraction))
 	}
 	r.attempts++
 	r.sent = now
@@ -157,10 +157,10 @@
 	other := slices.ContainsFunc(r.sample, func(k *backend) bool {
 		return b.usable(now, r, k) && !k.shunned(now)
 	})
-	spill := groupSpill * min(max(groupSeen/float64(b.cfg.Balancers), groupLeast), 1)
-	bar := shedWeight * min(max(b.excess(r)/overSlack, 1), overMost)
+	spill := groupSpillMargin * min(max(fullSpillRelays/float64(b.cfg.Balancers), minSpillFraction), 1)
+	bar := minPlacementWeight * min(max(b.excess(r)/quotaSlack, 1), maxQuotaFactor)
 	if w := b.class(r.Class).Worth; w > 0 { // what is worth less than most leaves the last room to them
-		bar *= min(max(math.Sqrt(b.worth/w), 1), worthMost)
+		bar *= min(max(math.Sqrt(b.worth/w), 1), maxWorthFactor)
 	}
 	for i, k := range r.sample {
 		if !b.usable(now, r, k) || other && k.shunned(now) {
@@ -172,18 +172,18 @@
 		added := 1 + float64(k.fresh)
 		count := (added + old) / k.weight
 		if k.Zone != b.cfg.Zone {
-			count /= max(1-crossing*b.cfg.Prices.CrossZone, 1/crossing) // local work is worth its price
+			count /= max(1-crossZoneFactor*b.cfg.Prices.CrossZone, 1/crossZoneFactor) // local work is worth its price
 		}
 		need := bar
 		if r.Group != "" && b.cfg.Groups && !k.holds(r.Group) {
 			// It would pay for the group anew: later in the sample, only with ever more room.
 			need += spill * float64(i)
-			count *= math.Pow(groupCost, float64(i))
+			count *= math.Pow(groupRankFactor, float64(i))
 		}
 		if need <= max(bar, k.weight) { // else it would not come for a while: that room is another's
 			wanted = append(wanted, k)
 		}
-		if need+freshCost*float64(k.fresh) > k.weight || b.rng.Float64() > b.room(now, k) {
+		if need+placementCost*float64(k.fresh) > k.weight || b.rng.Float64() > b.room(now, k) {
 			continue
 		}
 		switch {
@@ -207,11 +207,11 @@
 // room is the part of the requests that want a backend which may go there before its next report: own
 // wants times the relays tell how many to expect, its head room how many it bears.
 func (b *Balancer) room(now time.Time, k *backend) float64 {
-	wants := k.wantsBy(now) * float64(b.cfg.Balancers) * micros(reportLag) / micros(probeEvery)
+	wants := k.wantsBy(now) * float64(b.cfg.Balancers) * micros(reportLifetime) / micros(probeEvery)
 	if !(k.each > 0) || wants <= 0 {
 		return 1
 	}
-	return (k.weight - shedWeight) / (fullWeight * k.each * wants)
+	return (k.weight - minPlacementWeight) / (fullWeight * k.each * wants)
 }
 
 // excess is a tenant's own connections here over this relay's part of its share.
@@ -224,7 +224,7 @@
 
 // usable tells whether a request may go to a backend. A cold one must have told its load just now.
 func (b *Balancer) usable(now time.Time, r *request, k *backend) bool {
-	told := !b.cfg.MayProbe || now.Sub(k.seen) < reportLag || b.warmth(now, k) >= 1
+	told := !b.cfg.MayProbe || now.Sub(k.seen) < reportLifetime || b.warmth(now, k) >= 1
 	takes := told && b.takesNew(k) && b.withinLimit(now, k) && (r.Again || !b.filled(now, k))
 	return takes && !slices.Contains(r.tried, k) && b.repeatable(now, r, k)
 }
--- a/balance/restrict_test.go
+++ b/balance/restrict_test.go
@@ -16,7 +16,7 @@
 			return s.place(q, idle)
 		}
 		elsewhere := request(1)
-		s.b.Started(s.now, 1)
+		s.b.Established(s.now, 1)
 		named := "b7"
 		if elsewhere == named {
 			named = "b8"
@@ -24,14 +24,14 @@
 		s.b.Restrict([]string{named})
 		for id := RequestID(2); id < 30; id++ {
 			if id == 15 {
-				s.b.Members(s.now, ListPatch, []Backend{{ID: "new", Zone: "here", Size: 1}})
+				s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "new", Zone: "here", Size: 1}})
 			}
 			if at := request(id); at != named {
 				t.Fatalf("groups %v: request %d goes to %q, not to %s", groups, id, at, named)
 			}
 			s.finish(id, true, OK)
 		}
-		if s.b.Held(elsewhere) != 1 || s.count(s.take(), "move") != 0 {
+		if s.b.ConnectionCount(elsewhere) != 1 || s.count(s.take(), "move") != 0 {
 			t.Errorf("groups %v: the connection at %s does not stay", groups, elsewhere)
 		}
 		s.b.Restrict(nil)
--- a/balance/retries.go
+++ b/balance/retries.go
@@ -28,10 +28,10 @@
 // repeatable tells whether sending to a backend can have no effect twice.
 func (b *Balancer) repeatable(now time.Time, r *request, k *backend) bool {
 	c := b.class(r.Class)
-	if r.ran == nil || c.Repeat == RepeatFree {
+	if r.ran == nil || c.Idempotency == Idempotent {
 		return true
 	}
-	if c.Repeat == RepeatNever || now.Sub(r.ranSince) >= c.Window {
+	if c.Idempotency == NotIdempotent || now.Sub(r.ranSince) >= c.Window {
 		return false
 	}
 	return c.Scope == ScopeAll || c.Scope == ScopeZone && k.Zone == r.ran.Zone ||
@@ -42,7 +42,7 @@
 func (b *Balancer) conclude(r *request) {
 	c := b.class(r.Class)
 	b.forget(r)
-	if r.ran == nil || c.Repeat == RepeatFree || c.Repeat == RepeatKeyed && c.Scope == ScopeAll {
+	if r.ran == nil || c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.Scope == ScopeAll {
 		b.host.Refuse(r.ID, time.Duration(float64(b.cfg.MaxAdvice)*adviceShare))
 	} else {
 		b.host.Fail(r.ID)
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -82,10 +82,10 @@
 		{"not sent by the host", 4, idle, NotSent},
 	}
 	for _, tt := range tests {
-		for _, repeat := range []Repeat{RepeatFree, RepeatKeyed, RepeatNever} {
+		for _, repeat := range []Idempotency{Idempotent, IdempotentByKey, NotIdempotent} {
 			t.Run(tt.name, func(t *testing.T) {
 				cfg := config()
-				cfg.Classes[0].Repeat, cfg.Classes[0].Window = repeat, 5*sec
+				cfg.Classes[0].Idempotency, cfg.Classes[0].Window = repeat, 5*sec
 				s := start(t, cfg, 3, tt.n)
 				s.take()
 				from := s.now
@@ -162,8 +162,8 @@
 func TestClientLeft(t *testing.T) {
 	s := start(t, config(), 1, 2)
 	s.place(ask(1), idle)
-	s.b.Gone(s.now, 1)
-	s.b.Gone(s.now, 99)
+	s.b.ClientGone(s.now, 1)
+	s.b.ClientGone(s.now, 99)
 	if as := s.take(); s.count(as, "cancel") != 1 {
 		t.Errorf("attempt not called off: %v", as)
 	}
@@ -196,34 +196,34 @@
 func TestNoEffectTwice(t *testing.T) {
 	tests := []struct {
 		name    string
-		repeat  Repeat
-		scope   Scope
+		repeat  Idempotency
+		scope   DedupScope
 		outcome Outcome
 		resends bool // a second attempt may be made somewhere
 		refuses bool // the final answer may be a refusal
 	}{
-		{"free, may have run", RepeatFree, ScopeAll, Error, true, true},
-		{"never, may have run", RepeatNever, ScopeAll, Error, false, false},
-		{"never, timed out", RepeatNever, ScopeAll, TimedOut, false, false},
-		{"never, broke", RepeatNever, ScopeAll, Broken, false, false},
-		{"never, called off", RepeatNever, ScopeAll, Cancelled, false, false},
-		{"never, turned away", RepeatNever, ScopeAll, Full, true, true},
-		{"never, not connected", RepeatNever, ScopeAll, NoConnect, true, true},
-		{"keyed to all", RepeatKeyed, ScopeAll, Error, true, true},
-		{"keyed to a zone", RepeatKeyed, ScopeZone, Error, true, false},
-		{"keyed to a cell", RepeatKeyed, ScopeCell, Error, true, false},
-		{"keyed to a cell, turned away", RepeatKeyed, ScopeCell, Full, true, true},
+		{"free, may have run", Idempotent, ScopeAll, Error, true, true},
+		{"never, may have run", NotIdempotent, ScopeAll, Error, false, false},
+		{"never, timed out", NotIdempotent, ScopeAll, TimedOut, false, false},
+		{"never, broke", NotIdempotent, ScopeAll, Broken, false, false},
+		{"never, called off", NotIdempotent, ScopeAll, Cancelled, false, false},
+		{"never, turned away", NotIdempotent, ScopeAll, Full, true, true},
+		{"never, not connected", NotIdempotent, ScopeAll, NoConnect, true, true},
+		{"keyed to all", IdempotentByKey, ScopeAll, Error, true, true},
+		{"keyed to a zone", IdempotentByKey, ScopeZone, Error, true, false},
+		{"keyed to a cell", IdempotentByKey, ScopeCell, Error, true, false},
+		{"keyed to a cell, turned away", IdempotentByKey, ScopeCell, Full, true, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			cfg := config()
-			cfg.Classes[0].Repeat, cfg.Classes[0].Scope, cfg.Classes[0].Window = tt.repeat, tt.scope, sec
+			cfg.Classes[0].Idempotency, cfg.Classes[0].Scope, cfg.Classes[0].Window = tt.repeat, tt.scope, sec
 			s := start(t, cfg, 2, 6)
 			list := backends(6)
 			for i := range list[:3] {
 				list[i].Zone = "there"
 			}
-			s.b.Members(s.now, ListWhole, list)
+			s.b.DiscoveryUpdate(s.now, ListWhole, list)
 			s.take()
 			s.b.Request(s.now, ask(1))
 			all := s.drive(s.now.Add(4*sec), idle, always(tt.outcome))
@@ -236,7 +236,7 @@
 				if first == nil {
 					first = k
 				}
-				if tt.outcome == Error && tt.repeat == RepeatKeyed &&
+				if tt.outcome == Error && tt.repeat == IdempotentByKey &&
 					(tt.scope == ScopeZone && k.Zone != first.Zone || tt.scope == ScopeCell && k.Cell != first.Cell) {
 					t.Errorf("resent to %v after %v", k, first)
 				}
@@ -258,7 +258,7 @@
 // proves not to have run does not wipe that one out.
 func TestKeyedWindow(t *testing.T) {
 	cfg := config()
-	cfg.Classes[0] = Class{Aim: 500 * ms, Worth: 1, Repeat: RepeatKeyed, Scope: ScopeCell, Window: 400 * ms}
+	cfg.Classes[0] = Class{Aim: 500 * ms, Worth: 1, Idempotency: IdempotentByKey, Scope: ScopeCell, Window: 400 * ms}
 	s := start(t, cfg, 1, 1)
 	s.take()
 	s.b.Request(s.now, ask(1))
@@ -297,12 +297,12 @@
 			s.take()
 			s.b.Request(s.now, ask(100)) // waits for its probes as the news comes
 			asked := s.take()
-			s.b.Members(s.now, tt.kind, tt.list)
+			s.b.DiscoveryUpdate(s.now, tt.kind, tt.list)
 			s.answer(asked, idle)
 			for id := range RequestID(40) {
 				s.now = s.now.Add(100 * ms)
 				s.place(ask(id+1), idle)
-				s.b.Started(s.now, id+1)
+				s.b.Established(s.now, id+1)
 			}
 			for _, a := range s.take() {
 				if a.what == "send" && a.backend == "b0" {
@@ -325,8 +325,8 @@
 func TestRestartUnderTheSameID(t *testing.T) {
 	s := start(t, config(), 1, 1)
 	s.b.Probed(s.now, "b0", OK, load(0.9))
-	s.b.Members(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}})
-	s.b.Members(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", Boot: s.now}})
+	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}})
+	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", Boot: s.now}})
 	k := s.b.byID["b0"]
 	if k.weight != fullWeight || len(s.b.ready) != 1 {
 		t.Errorf("weight %v, %d ready", k.weight, len(s.b.ready))
@@ -358,7 +358,7 @@
 				s.now = s.now.Add(250 * ms)
 				list := backends(n)
 				list[0].Boot = s.now.Add(-tt.age)
-				s.b.Members(s.now, ListPatch, list[:1])
+				s.b.DiscoveryUpdate(s.now, ListPatch, list[:1])
 				to := s.place(ask(id+1), func(b string) float64 {
 					if b == "b0" {
 						return 0
@@ -368,7 +368,7 @@
 				if to == "b0" {
 					got++
 				}
-				s.b.Started(s.now, id+1)
+				s.b.Established(s.now, id+1)
 				s.finish(id+1, true, OK)
 			}
 			share := float64(got) / (requests / (n - 1 + tt.warmth))
@@ -386,7 +386,7 @@
 	s := start(t, config(), 4, 6)
 	list := backends(1)
 	list[0].Boot = s.now
-	s.b.Members(s.now, ListPatch, list)
+	s.b.DiscoveryUpdate(s.now, ListPatch, list)
 	for id := range RequestID(500) {
 		s.now = s.now.Add(10 * ms)
 		to := s.place(ask(id+1), func(b string) float64 {
@@ -399,7 +399,7 @@
 			t.Fatalf("request %d went to the cold backend", id)
 		}
 		if to != "" {
-			s.b.Started(s.now, id+1)
+			s.b.Established(s.now, id+1)
 			s.finish(id+1, true, Broken)
 		}
 	}
@@ -412,7 +412,7 @@
 	for i := range list {
 		list[i].Boot = s.now.Add(-10 * sec)
 	}
-	s.b.Members(s.now, ListPatch, list)
+	s.b.DiscoveryUpdate(s.now, ListPatch, list)
 	placed := 0
 	for id := range RequestID(20) {
 		s.now = s.now.Add(500 * ms)
@@ -435,13 +435,13 @@
 		t.Fatal("no subscription at the start")
 	}
 	for range 6 {
-		s.b.Members(s.now, ListBroken, nil)
+		s.b.DiscoveryUpdate(s.now, ListBroken, nil)
 		all := s.drive(s.now.Add(cfg.Rules.AskWithin), idle, always(OK))
 		if n := s.count(all, "watch"); n < 1 || n > 3 {
 			t.Errorf("%d subscriptions within AskWithin of a failure", n)
 		}
 	}
-	s.b.Members(s.now, ListPatch, nil)
+	s.b.DiscoveryUpdate(s.now, ListPatch, nil)
 	s.take()
 	if n := s.count(s.drive(s.now.Add(60*sec), idle, always(OK)), "watch"); n != 0 {
 		t.Errorf("%d calls while subscribed", n)
@@ -458,7 +458,7 @@
 		q := ask(2*id + 1)
 		q.Key = string(rune('a' + id))
 		home := s.place(q, idle)
-		s.b.Started(s.now, q.ID)
+		s.b.Established(s.now, q.ID)
 		s.finish(q.ID, true, Cancelled)
 		q.ID++
 		q.MidFlow = true
@@ -478,7 +478,7 @@
 	for i := range 12 {
 		list = append(list, Backend{ID: "cold" + strconv.Itoa(i), Boot: s.now.Add(-10 * sec)})
 	}
-	s.b.Members(s.now, ListPatch, list)
+	s.b.DiscoveryUpdate(s.now, ListPatch, list)
 	const ends = 1000
 	w := s.b.warmth(s.now, s.b.byID["cold0"])
 	for range ends {
@@ -497,7 +497,7 @@
 func TestEndedConnectionStandsNoMore(t *testing.T) {
 	s := start(t, config(), 1, 1)
 	s.place(ask(1), idle)
-	s.b.Started(s.now, 1)
+	s.b.Established(s.now, 1)
 	s.finish(1, false, Broken)
 	s.take()
 	s.b.ConnectionMeasured(s.now, 1, NoteDelay, 1000)
@@ -541,10 +541,10 @@
 	for id := RequestID(1); id <= 12; id++ {
 		q := ask(id)
 		q.Class = int(id % 2)
-		s.b.Open(s.now, q, "b"+strconv.Itoa(int(id%3)/2))
+		s.b.RestoreConnection(s.now, q, "b"+strconv.Itoa(int(id%3)/2))
 	}
 	s.take()
-	s.b.Members(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}})
+	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}})
 	moved, most, lasted := map[RequestID]bool{}, 0, time.Duration(0)
 	step := func() (timers int) {
 		n := 0
@@ -579,7 +579,7 @@
 	for id := range moved {
 		s.b.Finished(s.now, id, 0, true, Cancelled, load(math.NaN()))
 	}
-	s.b.Members(s.now, ListPatch, []Backend{{ID: "b0", State: Gone}})
+	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", State: Gone}})
 	s.take()
 	s.b.Timer(s.now.Add(leaveStep), timerLeave)
 	if n := step(); n != 0 {
@@ -595,9 +595,9 @@
 		cfg := config()
 		cfg.Balancers = 80
 		s := start(t, cfg, seed, 2)
-		s.b.Open(s.now, ask(1), "b0")
+		s.b.RestoreConnection(s.now, ask(1), "b0")
 		s.take()
-		s.b.Members(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}})
+		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}})
 		first += s.count(s.actions, "move")
 		for end := s.now.Add(leaveWithin); s.now.Before(end); {
 			s.now = s.now.Add(leaveStep)
@@ -628,7 +628,7 @@
 			for i := range list { // they stay as cold as they are
 				list[i].Boot = s.now.Add(-5 * sec)
 			}
-			s.b.Members(s.now, ListPatch, list)
+			s.b.DiscoveryUpdate(s.now, ListPatch, list)
 			warmth = s.b.warmth(s.now, s.b.byID["c0"])
 			q := ask(id)
 			if q.Again = again; id%2 == 0 {
@@ -638,8 +638,8 @@
 			}
 			// The cold ones bear what a steady use of their budget has given them in 5 s; at more they take no new clients.
 			at := s.place(q, func(at string) float64 { return map[bool]float64{false: 0.5, true: 0.35}[at[0] == 'c'] })
-			s.b.Started(s.now, id)
-			s.b.Gone(s.now, id)
+			s.b.Established(s.now, id)
+			s.b.ClientGone(s.now, id)
 			s.finish(id, true, Cancelled)
 			s.b.byID[at].fresh = 0
 			if sent[at]++; at[0] == 'c' {
@@ -679,7 +679,7 @@
 		if len(s.b.requests[id].sample) > 0 && s.b.requests[id].sample[0].ID == first {
 			t.Fatalf("request %d looks at %s first, which has just failed", id, first)
 		}
-		s.b.Gone(s.now, id)
+		s.b.ClientGone(s.now, id)
 		s.take()
 	}
 }
@@ -691,7 +691,7 @@
 	cfg.Groups = true
 	for seed := range uint64(20) {
 		s := start(t, cfg, seed, 0)
-		s.b.Members(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Boot: s.now.Add(-10 * sec)}})
+		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Boot: s.now.Add(-10 * sec)}})
 		s.take()
 		q := ask(1)
 		q.Group = "g"
@@ -713,7 +713,7 @@
 func TestHeldRequestsLookFurther(t *testing.T) {
 	s := start(t, config(), 1, 12)
 	s.b.Request(s.now, ask(1))
-	if n := len(s.b.requests[1].sample); n != scanSize {
+	if n := len(s.b.requests[1].sample); n != sampleSize {
 		t.Fatalf("%d looked at first", n)
 	}
 	s.answer(s.take(), func(string) float64 { return 0.99 })
@@ -723,7 +723,7 @@
 	}
 	s.now = r.due
 	s.b.Timer(s.now, r.ID<<timerBits|timerRequest)
-	if n := len(r.sample); n != scanSize+1 {
+	if n := len(r.sample); n != sampleSize+1 {
 		t.Errorf("%d looked at after it was held", n)
 	}
 }
@@ -733,7 +733,7 @@
 // steady use of its budget can have given it: half of its capacity 2 s after its start.
 func TestColdBackendIsDrawnByItsIdlePart(t *testing.T) {
 	s := start(t, config(), 1, 1)
-	s.b.Members(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Boot: s.now.Add(-2 * sec)}})
+	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Boot: s.now.Add(-2 * sec)}})
 	k := s.b.byID["cold"]
 	k.weight = fullWeight / 2
 	for range 1000 {
@@ -741,7 +741,7 @@
 			t.Fatal("a new client may go to one that is half full after 2 s")
 		}
 	}
-	s.b.Members(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Boot: s.now.Add(-8 * sec)}})
+	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Boot: s.now.Add(-8 * sec)}})
 	part := func(weight float64, again bool) float64 {
 		n := 0.0
 		k.weight = weight
@@ -772,7 +772,7 @@
 		q := ask(1)
 		q.Group = "g"
 		s := start(t, cfg, 1, 3)
-		s.b.seek(s.now, s.b.add(q))
+		s.b.startPlacement(s.now, s.b.add(q))
 		home := s.b.requests[1].sample[0].ID
 		s = start(t, cfg, 1, 3)
 		got := s.place(q, func(b string) float64 { return map[bool]float64{true: 0.99, false: 0.6}[b == home] })
--- a/balance/script_test.go
+++ b/balance/script_test.go
@@ -87,7 +87,7 @@
 	}
 	s.b = b
 	b.Start(s.now)
-	b.Members(s.now, ListStale, backends(n))
+	b.DiscoveryUpdate(s.now, ListStale, backends(n))
 	return s
 }
 
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -23,7 +23,7 @@
 	for c := range connections {
 		q := ask(RequestID(1)<<40 + RequestID(c))
 		q.Group = strconv.Itoa(c)
-		fleet[c%relays].b.Open(fleet[0].now, q, "b"+strconv.Itoa(c/relays%n))
+		fleet[c%relays].b.RestoreConnection(fleet[0].now, q, "b"+strconv.Itoa(c/relays%n))
 	}
 	return fleet
 }
@@ -53,7 +53,7 @@
 	cold := Backend{ID: "cold", Zone: "here", Size: 1, Boot: fleet[0].now.Add(-10 * sec)}
 	for i, s := range fleet {
 		s.b.rng = rand.New(rand.NewPCG(seed, uint64(i)))
-		s.b.Members(s.now, ListPatch, []Backend{cold})
+		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{cold})
 	}
 	sent, group := 0, groupOf(fleet[0].b, "cold")
 	for id := RequestID(1); id <= RequestID(clients); id++ {
@@ -136,7 +136,7 @@
 		var took [clients + 1]float64 // before each
 		for i := range clients {
 			s := fleet[(seed*clients+i)%relays]
-			s.b.Members(s.now, ListPatch, cold)
+			s.b.DiscoveryUpdate(s.now, ListPatch, cold)
 			k := s.b.byID["cold"]
 			if w := s.b.warmth(s.now, k); w < 0.55 || w > 0.65 {
 				t.Fatalf("it is at %.2f", w)
@@ -165,7 +165,7 @@
 		for i := range list {
 			list[i].Boot = s.now.Add(-10 * sec)
 		}
-		s.b.Members(s.now, ListPatch, list)
+		s.b.DiscoveryUpdate(s.now, ListPatch, list)
 		placed := 0
 		for id := range RequestID(20) {
 			s.now = s.now.Add(100 * ms)
@@ -185,7 +185,7 @@
 // and as before when none was denied.
 func TestPermitsGrowWhileReturnsAreDenied(t *testing.T) {
 	s := startFleet(t, 1, 4, 64)[0]
-	s.b.Members(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Size: 1, Boot: s.now.Add(-10 * sec)}})
+	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Size: 1, Boot: s.now.Add(-10 * sec)}})
 	k := s.b.byID["cold"]
 	term := s.b.cfg.Rules.FallWithin
 	for _, tt := range []struct {
@@ -213,7 +213,7 @@
 	group := ""
 	sent := 0
 	for i, s := range fleet {
-		s.b.Members(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Size: 1, Boot: s.now.Add(-10 * sec)}})
+		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Size: 1, Boot: s.now.Add(-10 * sec)}})
 		if group == "" {
 			group = groupOf(s.b, "cold")
 		}
--- a/balance/state.go
+++ b/balance/state.go
@@ -109,8 +109,8 @@
 	return r
 }
 
-// Open takes a connection that runs through this relay at its start.
-func (b *Balancer) Open(now time.Time, q Request, id string) {
+// RestoreConnection takes a connection that runs through this relay at its start.
+func (b *Balancer) RestoreConnection(now time.Time, q Request, id string) {
 	r := b.add(q)
 	r.attempts, r.open = 1, true
 	k := b.byID[id]
@@ -120,8 +120,8 @@
 	b.hold(r, k)
 }
 
-// Held tells how many own connections and attempts a backend has by the relay's count.
-func (b *Balancer) Held(id string) int {
+// ConnectionCount tells how many own connections and attempts a backend has by the relay's count.
+func (b *Balancer) ConnectionCount(id string) int {
 	if k := b.byID[id]; k != nil {
 		return len(k.held)
 	}
@@ -131,7 +131,7 @@
 // class returns what is known of a class; one that is unknown is treated with the most care.
 func (b *Balancer) class(i int) Class {
 	if i < 0 || i >= len(b.cfg.Classes) {
-		return Class{Aim: probeEvery, Repeat: RepeatNever}
+		return Class{Aim: probeEvery, Idempotency: NotIdempotent}
 	}
 	return b.cfg.Classes[i]
 }
@@ -230,16 +230,16 @@
 	}
 }
 
-// Thrifty says whether a request whose attempt failed has its final answer at once.
-func (b *Balancer) Thrifty(on bool) { b.thrifty = on }
+// DisableRetries says whether a request whose attempt failed has its final answer at once.
+func (b *Balancer) DisableRetries(on bool) { b.thrifty = on }
 
 // shunned tells whether it failed of late, or left its last probe unanswered.
 func (k *backend) shunned(now time.Time) bool {
 	return k.missed || now.Before(k.until) || now.Before(k.told)
 }
 
-// Told has a backend count as one that failed of late until then, by what other relays know of it.
-func (b *Balancer) Told(id string, until time.Time) {
+// EjectUntil has a backend count as one that failed of late until then, by what other relays know of it.
+func (b *Balancer) EjectUntil(id string, until time.Time) {
 	if k := b.byID[id]; k != nil {
 		k.told = until
 	}
--- a/balance/troubles_test.go
+++ b/balance/troubles_test.go
@@ -29,7 +29,7 @@
 				case a.what == "send":
 					got[a.backend]++
 					if o := end(a.backend); o == OK {
-						s.b.Started(s.now, a.id)
+						s.b.Established(s.now, a.id)
 					} else {
 						s.finish(a.id, false, o)
 					}
@@ -152,7 +152,7 @@
 		cfg := config()
 		cfg.Classes[0].MessageAim = 100 * ms
 		s := start(t, cfg, 1, 3)
-		s.b.Open(s.now, ask(1), "b1")
+		s.b.RestoreConnection(s.now, ask(1), "b1")
 		s.take()
 		for range 5 {
 			s.b.ConnectionMeasured(s.now, 1, tt.note, tt.level)
@@ -183,7 +183,7 @@
 	if refused != 50 || len(s.sends) != 0 {
 		t.Errorf("%d refused, %d sent", refused, len(s.sends))
 	}
-	if probes > 50*5*scanSize {
+	if probes > 50*5*sampleSize {
 		t.Errorf("%d probes for 50 requests", probes)
 	}
 }
@@ -192,7 +192,7 @@
 func TestHalfGoneAtOnce(t *testing.T) {
 	s := start(t, config(), 1, 10)
 	s.world(50, 200*ms, idle, served)
-	s.b.Members(s.now, ListWhole, backends(10)[5:])
+	s.b.DiscoveryUpdate(s.now, ListWhole, backends(10)[5:])
 	for _, r := range s.b.requests {
 		if r.at.State == Gone {
 			s.finish(r.ID, true, Broken)
@@ -216,7 +216,7 @@
 	for i := 6; i < 12; i++ {
 		list[i].Boot = s.now
 	}
-	s.b.Members(s.now, ListPatch, list[6:])
+	s.b.DiscoveryUpdate(s.now, ListPatch, list[6:])
 	cold, warm, budget := 0, 0, 0.0
 	for id := range RequestID(80) {
 		s.now = s.now.Add(250 * ms)
@@ -235,7 +235,7 @@
 		default:
 			warm++
 		}
-		s.b.Started(s.now, id+1)
+		s.b.Established(s.now, id+1)
 		s.finish(id+1, true, OK)
 	}
 	if float64(cold) > budget || cold < 10 || warm < 10 {
@@ -265,7 +265,7 @@
 		t.Errorf("window %v after failures", s.b.window)
 	}
 	for id := range RequestID(300) {
-		s.b.Gone(s.now, id+1)
+		s.b.ClientGone(s.now, id+1)
 	}
 	if s.b.out < 0 || s.b.out > maxWindow {
 		t.Errorf("%d attempts out", s.b.out)
@@ -335,7 +335,7 @@
 				q := ask(id)
 				q.Tenant = tenant
 				to := s.place(q, func(string) float64 { return tt.load })
-				s.b.Started(s.now, id)
+				s.b.Established(s.now, id)
 				return to != ""
 			}
 			flooded := true
@@ -367,7 +367,7 @@
 			for i := range list[:6] {
 				list[i].Zone = "there"
 			}
-			s.b.Members(s.now, ListWhole, list)
+			s.b.DiscoveryUpdate(s.now, ListWhole, list)
 			far := 0
 			for id, n := range s.world(200, 300*ms, func(b string) float64 {
 				if s.b.byID[b].Zone == "there" {
@@ -390,7 +390,7 @@
 func TestRelief(t *testing.T) {
 	s := start(t, config(), 1, 1)
 	for id := range RequestID(40) {
-		s.b.Open(s.now, ask(id+1), "b0")
+		s.b.RestoreConnection(s.now, ask(id+1), "b0")
 	}
 	s.take()
 	s.b.Probed(s.now, "b0", OK, load(0.90))
@@ -418,7 +418,7 @@
 		for id := range RequestID(40) {
 			q := ask(id + 1)
 			q.Group = string(rune('a' + (id+RequestID(seed))%2))
-			s.b.Open(s.now, q, "b0")
+			s.b.RestoreConnection(s.now, q, "b0")
 		}
 		s.take()
 		s.b.Probed(s.now, "b0", OK, load(1.1)) // some 16 of 40 go
@@ -480,14 +480,14 @@
 		s.b.Request(s.now, Request{ID: 1, Class: 99, Tenant: 99})
 		s.b.Request(s.now, Request{ID: 2, Class: -1, Tenant: -1, Left: -5})
 		s.b.Finished(s.now, 77, 0, true, OK, load(0.5))
-		s.b.Started(s.now, 77)
-		s.b.Gone(s.now, 77)
+		s.b.Established(s.now, 77)
+		s.b.ClientGone(s.now, 77)
 		s.b.Probed(s.now, "nobody", OK, load(0.5))
-		s.b.Members(s.now, ListWhole, nil)
-		s.b.Members(s.now, ListWhole, []Backend{{ID: "b0", State: Draining}})
-		s.b.Members(s.now, ListPatch, []Backend{{ID: "b9", State: Gone}})
+		s.b.DiscoveryUpdate(s.now, ListWhole, nil)
+		s.b.DiscoveryUpdate(s.now, ListWhole, []Backend{{ID: "b0", State: Draining}})
+		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b9", State: Gone}})
 		s.b.Request(s.now, ask(3))
-		s.b.Members(s.now, ListPatch, []Backend{{ID: "b0"}, {ID: "b0"}})
+		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0"}, {ID: "b0"}})
 		if n := len(s.b.ready); n != 1 {
 			t.Errorf("%d ready", n)
 		}
@@ -563,8 +563,8 @@
 			}
 		}
 	}
-	if s.b.Held("b0")+s.b.Held("b1") != 20 || s.b.Held("b0") < 5 {
-		t.Errorf("b0 has %d, b1 %d", s.b.Held("b0"), s.b.Held("b1"))
+	if s.b.ConnectionCount("b0")+s.b.ConnectionCount("b1") != 20 || s.b.ConnectionCount("b0") < 5 {
+		t.Errorf("b0 has %d, b1 %d", s.b.ConnectionCount("b0"), s.b.ConnectionCount("b1"))
 	}
 }
 
@@ -602,7 +602,7 @@
 		if s.place(ask(id), idle) != "b0" {
 			t.Fatalf("request %d was held", id)
 		}
-		s.b.Started(s.now, id)
+		s.b.Established(s.now, id)
 	}
 	for id := RequestID(1); id <= 6; id++ {
 		s.finish(id, true, Broken)
@@ -662,29 +662,29 @@
 	cfg.Balancers = 1
 	idle := func(string) float64 { return 0.1 }
 	s := start(t, cfg, 1, 4)
-	s.b.Told("b2", s.now.Add(time.Minute))
+	s.b.EjectUntil("b2", s.now.Add(time.Minute))
 	if got := s.world(40, 10*ms, idle, served); got["b2"] != 0 || got["b0"] == 0 {
 		t.Errorf("told of b2, placed %v", got)
 	}
-	s.b.Told("b2", time.Time{})
+	s.b.EjectUntil("b2", time.Time{})
 	if got := s.world(40, 10*ms, idle, served); got["b2"] == 0 {
 		t.Errorf("taken back, placed %v", got)
 	}
-	s.b.Told("b3", s.now.Add(time.Minute))
+	s.b.EjectUntil("b3", s.now.Add(time.Minute))
 	s.now = s.now.Add(61 * sec)
 	if got := s.world(40, 10*ms, idle, served); got["b3"] == 0 {
 		t.Errorf("over, placed %v", got)
 	}
 	for i := range 4 {
-		s.b.Told("b"+strconv.Itoa(i), s.now.Add(time.Minute))
+		s.b.EjectUntil("b"+strconv.Itoa(i), s.now.Add(time.Minute))
 	}
 	if got := s.world(40, 10*ms, idle, served); len(got) != 4 {
 		t.Errorf("told of all, which can't all be at fault, placed %v", got)
 	}
-	s.b.Told("nobody", s.now.Add(time.Minute))
+	s.b.EjectUntil("nobody", s.now.Add(time.Minute))
 	list := backends(4)
 	list[1].Boot = s.now.Add(-30 * sec)
-	s.b.Members(s.now, ListWhole, list)
+	s.b.DiscoveryUpdate(s.now, ListWhole, list)
 	if s.b.byID["b1"].shunned(s.now) {
 		t.Error("a process that started anew is told of still")
 	}
@@ -718,7 +718,7 @@
 func TestThrifty(t *testing.T) {
 	for _, thrifty := range []bool{false, true} {
 		s := start(t, config(), 1, 4)
-		s.b.Thrifty(thrifty)
+		s.b.DisableRetries(thrifty)
 		sent := s.world(1, 10*ms, func(string) float64 { return 0.1 }, func(string) Outcome { return Error })
 		n := 0
 		for _, k := range sent {
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -78,10 +78,10 @@
 // ConnectionMeasured takes word on an open connection. Late messages there are a reason to look at its backend at once.
 func (b *Balancer) ConnectionMeasured(now time.Time, id RequestID, n Note, level float64) {
 	r := b.requests[id]
-	if r == nil || !r.open || n != NoteDelay || now.Sub(r.at.seen) < reportLag {
+	if r == nil || !r.open || n != NoteDelay || now.Sub(r.at.seen) < reportLifetime {
 		return
 	}
 	if c := b.class(r.Class); level*1000 >= micros(c.MessageAim) {
-		b.probe(now, r.at, scanFresh)
+		b.probe(now, r.at, sampleReportMaxAge)
 	}
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -71,13 +71,13 @@
 	}
 	switch e.Kind {
 	case wire.Members:
-		b.Members(e.Now, e.List, e.Backends)
+		b.DiscoveryUpdate(e.Now, e.List, e.Backends)
 	case wire.Ingress:
 		b.Request(e.Now, e.Request)
 	case wire.Timer:
 		b.Timer(e.Now, e.Token)
 	case wire.Streaming:
-		b.Started(e.Now, e.Request.ID)
+		b.Established(e.Now, e.Request.ID)
 	case wire.Heartbeat:
 		if e.Known {
 			b.ConnectionMeasured(e.Now, e.Request.ID, e.Note, e.Level)
@@ -85,9 +85,9 @@
 	case wire.Finished:
 		b.Finished(e.Now, e.Request.ID, e.Attempt, e.Settled, e.Outcome, e.Report)
 	case wire.ClientGone:
-		b.Gone(e.Now, e.Request.ID)
+		b.ClientGone(e.Now, e.Request.ID)
 	case wire.Handover:
-		b.Open(e.Now, e.Request, e.Backend)
+		b.RestoreConnection(e.Now, e.Request, e.Backend)
 	case wire.Checked:
 		b.Probed(e.Now, e.Backend, e.Outcome, e.Report)
 	}
--- a/internal/lab/decisions.go
+++ b/internal/lab/decisions.go
@@ -47,7 +47,7 @@
 	for i := range list {
 		list[i] = balance.Backend{ID: fmt.Sprintf("relay-%05d", i), Zone: string("abc"[i%3]), Size: 1}
 	}
-	module.Members(d.now, balance.ListWhole, list)
+	module.DiscoveryUpdate(d.now, balance.ListWhole, list)
 	for range 2 * d.most {
 		d.Request()
 	}
@@ -70,7 +70,7 @@
 		d.module.Probed(d.now, id, balance.OK, balance.Report{Load: load, CPU: load, Active: 20, Waiting: math.NaN(), Latency: math.NaN(), Rate: 1, Errors: math.NaN()})
 	}
 	if d.sent != 0 {
-		d.module.Started(d.now, d.sent)
+		d.module.Established(d.now, d.sent)
 		d.stand = append(d.stand, d.sent)
 	}
 	if len(d.stand) > d.most {
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -71,7 +71,7 @@
 		held[h.action.target]++
 	}
 	for _, id := range f.engine.table.IDs() {
-		if n := f.engine.module.Held(id); n != held[id] {
+		if n := f.engine.module.ConnectionCount(id); n != held[id] {
 			return fmt.Errorf("counts: the module counts %d at %s, %d are out", n, id, held[id])
 		}
 	}
--- a/internal/proxy/batch.go
+++ b/internal/proxy/batch.go
@@ -102,17 +102,17 @@
 func (e *Engine) hand(now time.Time, ev *event) {
 	switch ev.kind {
 	case evList:
-		e.module.Members(now, ev.list, ev.entries)
+		e.module.DiscoveryUpdate(now, ev.list, ev.entries)
 	case evRequest:
 		e.module.Request(now, ev.request)
 	case evOpen:
-		e.module.Open(now, ev.request, ev.target)
+		e.module.RestoreConnection(now, ev.request, ev.target)
 	case evUp:
-		e.module.Started(now, ev.x.id)
+		e.module.Established(now, ev.x.id)
 	case evEnded:
 		e.module.Finished(now, ev.x.id, ev.attempt, ev.settled, ev.outcome, ev.report)
 	case evLeft:
-		e.module.Gone(now, ev.x.id)
+		e.module.ClientGone(now, ev.x.id)
 	case evNote:
 		e.module.ConnectionMeasured(now, ev.x.id, ev.note, ev.level)
 	case evProbed:
@@ -120,9 +120,9 @@
 	case evTimer:
 		e.module.Timer(now, ev.token)
 	case evTold:
-		e.module.Told(ev.target, ev.until)
+		e.module.EjectUntil(ev.target, ev.until)
 	case evThrifty:
-		e.module.Thrifty(ev.on)
+		e.module.DisableRetries(ev.on)
 	}
 }
 
--- a/internal/proxy/effect.go
+++ b/internal/proxy/effect.go
@@ -16,16 +16,16 @@
 // hop's, by the class's scope.
 func permits(c balance.Class, ran bool, since time.Duration, near bool) (hop, shed bool) {
 	switch {
-	case !ran || c.Repeat == balance.RepeatFree:
+	case !ran || c.Idempotency == balance.Idempotent:
 		return true, true
-	case c.Repeat == balance.RepeatKeyed && since < c.Window:
+	case c.Idempotency == balance.IdempotentByKey && since < c.Window:
 		return near, c.Scope == balance.ScopeAll // a client that is sent away comes to any target
 	}
 	return false, false
 }
 
 // near tells whether a target drops the repeats of what ran at another one.
-func near(s balance.Scope, ran, to *routes.Target) bool {
+func near(s balance.DedupScope, ran, to *routes.Target) bool {
 	return s == balance.ScopeAll || s == balance.ScopeZone && ran.Site == to.Site || s == balance.ScopeCell && ran.Block == to.Block
 }
 
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -77,8 +77,8 @@
 			leave(c)
 			b.serving(routes.Serving)
 			b.noAttempt()
-			if b.count.Left != 1 || b.engine.module.Held("s0") != 0 {
-				t.Errorf("%d left, the module counts %d", b.count.Left, b.engine.module.Held("s0"))
+			if b.count.Left != 1 || b.engine.module.ConnectionCount("s0") != 0 {
+				t.Errorf("%d left, the module counts %d", b.count.Left, b.engine.module.ConnectionCount("s0"))
 			}
 			b.over(c)
 		})
--- a/internal/proxy/listwait_test.go
+++ b/internal/proxy/listwait_test.go
@@ -252,7 +252,7 @@
 				b.engine.Shutdown(0)
 			}
 			b.settle()
-			if n := b.engine.module.Held("s0"); n != 0 || len(b.engine.exchanges) != 0 || len(b.engine.listWait.held) != 0 {
+			if n := b.engine.module.ConnectionCount("s0"); n != 0 || len(b.engine.exchanges) != 0 || len(b.engine.listWait.held) != 0 {
 				t.Errorf("the module counts %d attempts, %d requests and %d attempts are kept", n, len(b.engine.exchanges), len(b.engine.listWait.held))
 			}
 			b.auditBooks()
--- a/internal/proxy/many_test.go
+++ b/internal/proxy/many_test.go
@@ -61,7 +61,7 @@
 				hops[i].say(t, "UP r\r\n")
 				b.until("UP", func() bool { return string(c.got) == "UP r\r\n" })
 			}
-			if held := b.engine.module.Held(fmt.Sprintf("s-%08x", n-1)); held != 20 {
+			if held := b.engine.module.ConnectionCount(fmt.Sprintf("s-%08x", n-1)); held != 20 {
 				t.Errorf("%d of 20 at the target that serves", held)
 			}
 			b.engine.watch.Stop()
--- a/internal/proxy/model_test.go
+++ b/internal/proxy/model_test.go
@@ -169,7 +169,7 @@
 			}
 		}
 		for id := range b.front.peers {
-			if b.engine.module.Held(id) != hops[id] {
+			if b.engine.module.ConnectionCount(id) != hops[id] {
 				return false
 			}
 		}
--- a/internal/proxy/races_test.go
+++ b/internal/proxy/races_test.go
@@ -90,8 +90,8 @@
 					t.Errorf("sent on: %q", b.hops[0].got)
 				}
 				want := map[string]string{"fin": "BUSY\r\n", "reset": "", "line": "ERR\r\n", "line and fin": "ERR\r\n"}[how]
-				if string(c.got) != want || b.count.Left != 1 || b.engine.module.Held("s0") != 0 {
-					t.Errorf("got %q, want %q; %d left, the module counts %d", c.got, want, b.count.Left, b.engine.module.Held("s0"))
+				if string(c.got) != want || b.count.Left != 1 || b.engine.module.ConnectionCount("s0") != 0 {
+					t.Errorf("got %q, want %q; %d left, the module counts %d", c.got, want, b.count.Left, b.engine.module.ConnectionCount("s0"))
 				}
 				b.over(c)
 			})
@@ -129,8 +129,8 @@
 				b.hops[0].say(t, word)
 			}
 			b.until("the end of the hop", func() bool { return len(b.engine.exchanges) == 0 })
-			if n := strings.Count(string(c.got), "\n"); n > 1 || b.engine.module.Held("s0") != 0 || b.count.Up != 0 {
-				t.Errorf("%s, %q: the client got %q, the module counts %d", how, word, c.got, b.engine.module.Held("s0"))
+			if n := strings.Count(string(c.got), "\n"); n > 1 || b.engine.module.ConnectionCount("s0") != 0 || b.count.Up != 0 {
+				t.Errorf("%s, %q: the client got %q, the module counts %d", how, word, c.got, b.engine.module.ConnectionCount("s0"))
 			}
 			b.over(c)
 		}
--- a/internal/proxy/rude_test.go
+++ b/internal/proxy/rude_test.go
@@ -113,8 +113,8 @@
 		b.until("the end of the hop", func() bool { return b.asked(id).eof })
 		c.sock.Close()
 	}
-	if b.engine.module.Held("s0") != 0 {
-		t.Errorf("the module counts %d", b.engine.module.Held("s0"))
+	if b.engine.module.ConnectionCount("s0") != 0 {
+		t.Errorf("the module counts %d", b.engine.module.ConnectionCount("s0"))
 	}
 	b.over()
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -96,11 +96,11 @@
 	}
 }
 
-var repeats = map[string]balance.Repeat{
-	"free": balance.RepeatFree, "guarded": balance.RepeatKeyed, "single_shot": balance.RepeatNever,
+var repeats = map[string]balance.Idempotency{
+	"free": balance.Idempotent, "guarded": balance.IdempotentByKey, "single_shot": balance.NotIdempotent,
 }
 
-var scopes = map[string]balance.Scope{
+var scopes = map[string]balance.DedupScope{
 	"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell,
 }
 
@@ -142,7 +142,7 @@
 	for i, c := range s.Classes {
 		repeat, ok := repeats[c.Repeat]
 		if !ok {
-			repeat = balance.RepeatNever
+			repeat = balance.NotIdempotent
 		}
 		scope, ok := scopes[c.DedupScope]
 		if !ok {
@@ -150,7 +150,7 @@
 		}
 		class := balance.Class{
 			Aim: span(c.TargetUs), Worth: c.Worth,
-			Repeat: repeat, Scope: scope, Window: span(c.WindowUs),
+			Idempotency: repeat, Scope: scope, Window: span(c.WindowUs),
 		}
 		r.Waits = append(r.Waits, span(c.HardLimitUs))
 		if i < len(s.Domain.MessageAimUs) {
