--- a/balance/balance.go
+++ b/balance/balance.go
@@ -50,7 +50,7 @@
 		// All relays lose discovery together: what they ask again must not come together too.
 		b.watching = false
 		b.broken++
-		wait := micros(min(probeEvery<<min(b.broken-1, ejectMost), max(b.cfg.Rules.AskWithin, probeEvery)))
+		wait := micros(min(probeEvery<<min(b.broken-1, maxBackoffDoublings), max(b.cfg.Rules.AskWithin, probeEvery)))
 		b.host.After(span(wait*(1+b.rng.Float64())/2), timerWatch)
 		return
 	}
@@ -132,7 +132,7 @@
 		b.conclude(r) // all relays together have made the further attempts that they may
 	case b.failing >= commonFail:
 		// What fails everywhere is kept failing by the load of quick retries.
-		b.park(now, r)
+		b.retryLater(now, r)
 	default:
 		b.place(now, r)
 	}
--- a/balance/fuzz_test.go
+++ b/balance/fuzz_test.go
@@ -20,7 +20,7 @@
 		cfg.Park = time.Duration(seed%5) * sec
 		cfg.Classes = []Class{
 			{Aim: 500 * ms, Worth: 1},
-			{Aim: 300 * ms, Worth: 5, Idempotency: IdempotentByKey, Scope: ScopeCell, Window: sec},
+			{Aim: 300 * ms, Worth: 5, Idempotency: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: sec},
 			{Aim: 300 * ms, Idempotency: NotIdempotent},
 		}
 		s := start(t, cfg, seed, int(seed%7))
--- a/balance/interface.go
+++ b/balance/interface.go
@@ -36,8 +36,8 @@
 	Aim         time.Duration // a connection set up within this is in time
 	Worth       float64
 	Idempotency Idempotency
-	Scope       DedupScope
-	Window      time.Duration // for RepeatKeyed, from the send of the first attempt that may have run
+	DedupScope  DedupScope
+	DedupWindow time.Duration // for RepeatKeyed, from the send of the first attempt that may have run
 	// MessageAim is the time within which an open connection wants each message; 0: not told.
 	MessageAim time.Duration
 }
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -36,7 +36,7 @@
 func (b *Balancer) startPlacement(now time.Time, r *request) {
 	// As in congestion control, fewer are out at a time while attempts fail, down to one.
 	if float64(b.out) >= b.window {
-		b.park(now, r)
+		b.retryLater(now, r)
 		return
 	}
 	r.awaited = 0
@@ -122,7 +122,7 @@
 	} else {
 		// Discovery may name a backend soon, or one may recover.
 		r.tried = r.tried[:0]
-		b.park(now, r)
+		b.retryLater(now, r)
 	}
 }
 
@@ -158,7 +158,7 @@
 		return b.usable(now, r, k) && !k.shunned(now)
 	})
 	spill := groupSpillMargin * min(max(fullSpillRelays/float64(b.cfg.Balancers), minSpillFraction), 1)
-	bar := minPlacementWeight * min(max(b.excess(r)/quotaSlack, 1), maxQuotaFactor)
+	bar := minPlacementWeight * min(max(b.quotaUsage(r)/quotaSlack, 1), maxQuotaFactor)
 	if w := b.class(r.Class).Worth; w > 0 { // what is worth less than most leaves the last room to them
 		bar *= min(max(math.Sqrt(b.worth/w), 1), maxWorthFactor)
 	}
@@ -183,7 +183,7 @@
 		if need <= max(bar, k.weight) { // else it would not come for a while: that room is another's
 			wanted = append(wanted, k)
 		}
-		if need+placementCost*float64(k.fresh) > k.weight || b.rng.Float64() > b.room(now, k) {
+		if need+placementCost*float64(k.fresh) > k.weight || b.rng.Float64() > b.admissionProbability(now, k) {
 			continue
 		}
 		switch {
@@ -204,9 +204,9 @@
 	return best
 }
 
-// room is the part of the requests that want a backend which may go there before its next report: own
-// wants times the relays tell how many to expect, its head room how many it bears.
-func (b *Balancer) room(now time.Time, k *backend) float64 {
+// admissionProbability is the part of the requests that want a backend which may go there before its next report: own
+// wants times the relays tell how many to expect, its head admissionProbability how many it bears.
+func (b *Balancer) admissionProbability(now time.Time, k *backend) float64 {
 	wants := k.wantsBy(now) * float64(b.cfg.Balancers) * micros(reportLifetime) / micros(probeEvery)
 	if !(k.each > 0) || wants <= 0 {
 		return 1
@@ -214,8 +214,8 @@
 	return (k.weight - minPlacementWeight) / (fullWeight * k.each * wants)
 }
 
-// excess is a tenant's own connections here over this relay's part of its share.
-func (b *Balancer) excess(r *request) float64 {
+// quotaUsage is a tenant's own connections here over this relay's part of its share.
+func (b *Balancer) quotaUsage(r *request) float64 {
 	if r.Tenant < 0 || r.Tenant >= len(b.cfg.Tenants) || b.cfg.Tenants[r.Tenant].Connections <= 0 {
 		return 0
 	}
--- a/balance/retries.go
+++ b/balance/retries.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	backoff     = 0.4  // part of the aim before a second try while most attempts fail; then doubles
-	adviceShare = 0.25 // part of the longest advice that a refused client gets: room is found soon
-	ejectFor    = 1.0  // first ejection of a failing backend, in probe periods; doubles each time
-	ejectMost   = 4    // doublings of an ejection
+	backoffFraction      = 0.4  // part of the aim before a second try while most attempts fail; then doubles
+	adviceFraction       = 0.25 // part of the longest advice that a refused client gets: room is found soon
+	firstEjectionPeriods = 1.0  // first ejection of a failing backend, in probe periods; doubles each time
+	maxBackoffDoublings  = 4    // doublings of an ejection
 )
 
-// park holds a request for a while before its next try, or concludes it if its time is too short for that.
-func (b *Balancer) park(now time.Time, r *request) {
-	wait := micros(b.class(r.Class).Aim) * backoff * float64(int64(1)<<min(r.parks, ejectMost))
+// retryLater holds a request for a while before its next try, or concludes it if its time is too short for that.
+func (b *Balancer) retryLater(now time.Time, r *request) {
+	wait := micros(b.class(r.Class).Aim) * backoffFraction * float64(int64(1)<<min(r.parks, maxBackoffDoublings))
 	wait = max(wait*(0.5+b.rng.Float64()), 1)
 	r.parks++
 	if !now.Add(span(wait)).Before(r.deadline) {
@@ -31,19 +31,19 @@
 	if r.ran == nil || c.Idempotency == Idempotent {
 		return true
 	}
-	if c.Idempotency == NotIdempotent || now.Sub(r.ranSince) >= c.Window {
+	if c.Idempotency == NotIdempotent || now.Sub(r.ranSince) >= c.DedupWindow {
 		return false
 	}
-	return c.Scope == ScopeAll || c.Scope == ScopeZone && k.Zone == r.ran.Zone ||
-		c.Scope == ScopeCell && k.Cell == r.ran.Cell
+	return c.DedupScope == ScopeAll || c.DedupScope == ScopeZone && k.Zone == r.ran.Zone ||
+		c.DedupScope == ScopeCell && k.Cell == r.ran.Cell
 }
 
 // conclude gives a request that cannot be placed its final answer.
 func (b *Balancer) conclude(r *request) {
 	c := b.class(r.Class)
 	b.forget(r)
-	if r.ran == nil || c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.Scope == ScopeAll {
-		b.host.Refuse(r.ID, time.Duration(float64(b.cfg.MaxAdvice)*adviceShare))
+	if r.ran == nil || c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DedupScope == ScopeAll {
+		b.host.Refuse(r.ID, time.Duration(float64(b.cfg.MaxAdvice)*adviceFraction))
 	} else {
 		b.host.Fail(r.ID)
 	}
@@ -61,7 +61,7 @@
 	if now.Before(k.until) {
 		return // a process that dies breaks all its connections at once: that is one failure
 	}
-	times := float64(int64(1) << min(k.strikes, ejectMost))
-	k.until = now.Add(b.spread(span(ejectFor * micros(probeEvery) * times)))
+	times := float64(int64(1) << min(k.strikes, maxBackoffDoublings))
+	k.until = now.Add(b.spread(span(firstEjectionPeriods * micros(probeEvery) * times)))
 	k.strikes++
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -85,7 +85,7 @@
 		for _, repeat := range []Idempotency{Idempotent, IdempotentByKey, NotIdempotent} {
 			t.Run(tt.name, func(t *testing.T) {
 				cfg := config()
-				cfg.Classes[0].Idempotency, cfg.Classes[0].Window = repeat, 5*sec
+				cfg.Classes[0].Idempotency, cfg.Classes[0].DedupWindow = repeat, 5*sec
 				s := start(t, cfg, 3, tt.n)
 				s.take()
 				from := s.now
@@ -217,7 +217,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			cfg := config()
-			cfg.Classes[0].Idempotency, cfg.Classes[0].Scope, cfg.Classes[0].Window = tt.repeat, tt.scope, sec
+			cfg.Classes[0].Idempotency, cfg.Classes[0].DedupScope, cfg.Classes[0].DedupWindow = tt.repeat, tt.scope, sec
 			s := start(t, cfg, 2, 6)
 			list := backends(6)
 			for i := range list[:3] {
@@ -258,7 +258,7 @@
 // proves not to have run does not wipe that one out.
 func TestKeyedWindow(t *testing.T) {
 	cfg := config()
-	cfg.Classes[0] = Class{Aim: 500 * ms, Worth: 1, Idempotency: IdempotentByKey, Scope: ScopeCell, Window: 400 * ms}
+	cfg.Classes[0] = Class{Aim: 500 * ms, Worth: 1, Idempotency: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: 400 * ms}
 	s := start(t, cfg, 1, 1)
 	s.take()
 	s.b.Request(s.now, ask(1))
--- a/internal/proxy/effect.go
+++ b/internal/proxy/effect.go
@@ -18,8 +18,8 @@
 	switch {
 	case !ran || c.Idempotency == balance.Idempotent:
 		return true, true
-	case c.Idempotency == balance.IdempotentByKey && since < c.Window:
-		return near, c.Scope == balance.ScopeAll // a client that is sent away comes to any target
+	case c.Idempotency == balance.IdempotentByKey && since < c.DedupWindow:
+		return near, c.DedupScope == balance.ScopeAll // a client that is sent away comes to any target
 	}
 	return false, false
 }
@@ -38,7 +38,7 @@
 		return true
 	}
 	c := x.class()
-	hop, _ := permits(c, true, now.Sub(x.ranAt), near(c.Scope, x.ran, to))
+	hop, _ := permits(c, true, now.Sub(x.ranAt), near(c.DedupScope, x.ran, to))
 	return hop
 }
 
--- a/internal/proxy/effects_test.go
+++ b/internal/proxy/effects_test.go
@@ -207,7 +207,7 @@
 			t.Errorf("%v: got %q", after, c.got)
 		}
 	}
-	if hop, shed := permits(balance.Class{Idempotency: balance.IdempotentByKey, Window: time.Second}, true, time.Second, true); hop || shed {
+	if hop, shed := permits(balance.Class{Idempotency: balance.IdempotentByKey, DedupWindow: time.Second}, true, time.Second, true); hop || shed {
 		t.Error("the window's last instant counts as within it")
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -150,7 +150,7 @@
 		}
 		class := balance.Class{
 			Aim: span(c.TargetUs), Worth: c.Worth,
-			Idempotency: repeat, Scope: scope, Window: span(c.WindowUs),
+			Idempotency: repeat, DedupScope: scope, DedupWindow: span(c.WindowUs),
 		}
 		r.Waits = append(r.Waits, span(c.HardLimitUs))
 		if i < len(s.Domain.MessageAimUs) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -63,7 +63,7 @@
 		t.Errorf("rules %+v", c.Rules)
 	}
 	if want := (balance.Class{
-		Aim: 300 * time.Millisecond, Worth: 3, Idempotency: balance.IdempotentByKey, Scope: balance.ScopeCell, Window: 5 * time.Second,
+		Aim: 300 * time.Millisecond, Worth: 3, Idempotency: balance.IdempotentByKey, DedupScope: balance.ScopeCell, DedupWindow: 5 * time.Second,
 	}); c.Classes[1] != want {
 		t.Errorf("class %+v", c.Classes[1])
 	}
