--- a/balance/balance.go
+++ b/balance/balance.go
@@ -115,7 +115,7 @@
 			b.window = max(b.window/2, 1)
 		}
 	}
-	b.judge(now, k, o)
+	b.recordOutcome(now, k, o)
 	if stood && o == OK {
 		b.offer(now, k)
 	}
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -26,7 +26,7 @@
 func Example() {
 	cfg := balance.Config{
 		Balancers: 1,
-		Classes:   []balance.Class{{Aim: 500 * time.Millisecond, Worth: 1}},
+		Classes:   []balance.Class{{SetupTarget: 500 * time.Millisecond, Worth: 1}},
 		MayProbe:  true,
 	}
 	b, err := balance.New(cfg, 1, printer{})
--- a/balance/fuzz_test.go
+++ b/balance/fuzz_test.go
@@ -19,9 +19,9 @@
 		cfg.Subscribe = seed%3 == 0
 		cfg.Park = time.Duration(seed%5) * sec
 		cfg.Classes = []Class{
-			{Aim: 500 * ms, Worth: 1},
-			{Aim: 300 * ms, Worth: 5, Idempotency: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: sec},
-			{Aim: 300 * ms, Idempotency: NotIdempotent},
+			{SetupTarget: 500 * ms, Worth: 1},
+			{SetupTarget: 300 * ms, Worth: 5, Idempotency: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: sec},
+			{SetupTarget: 300 * ms, Idempotency: NotIdempotent},
 		}
 		s := start(t, cfg, seed, int(seed%7))
 		live := map[RequestID]time.Time{} // deadline of those that are owed an answer
--- a/balance/interface.go
+++ b/balance/interface.go
@@ -33,18 +33,18 @@
 
 // Class holds what is known of a kind of request.
 type Class struct {
-	Aim         time.Duration // a connection set up within this is in time
+	SetupTarget time.Duration // a connection set up within this is in time
 	Worth       float64
 	Idempotency Idempotency
 	DedupScope  DedupScope
 	DedupWindow time.Duration // for RepeatKeyed, from the send of the first attempt that may have run
-	// MessageAim is the time within which an open connection wants each message; 0: not told.
-	MessageAim time.Duration
+	// MessageTarget is the time within which an open connection wants each message; 0: not told.
+	MessageTarget time.Duration
 }
 
 // Tenant holds what one tenant may use.
 type Tenant struct {
-	Connections float64 // open connections over all relays; 0: no share is set
+	ConnectionQuota float64 // open connections over all relays; 0: no share is set
 }
 
 // Rules are the figures of the rules that a relay keeps.
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -54,7 +54,7 @@
 		return
 	}
 	b.scanning = append(b.scanning, r)
-	wait := micros(min(b.class(r.Class).Aim, r.deadline.Sub(now))) * probeWaitFraction
+	wait := micros(min(b.class(r.Class).SetupTarget, r.deadline.Sub(now))) * probeWaitFraction
 	b.wake(now, r, span(wait))
 }
 
@@ -130,7 +130,7 @@
 	timeout, c := r.deadline.Sub(now), b.class(r.Class)
 	if r.attempts == 0 && b.cfg.MaxAttempts != 1 && c.Idempotency != NotIdempotent && b.failing < commonFail {
 		// A backend that accepts and stays silent must leave time for another try inside the aim.
-		timeout = min(timeout, span(micros(c.Aim)*firstAttemptFraction))
+		timeout = min(timeout, span(micros(c.SetupTarget)*firstAttemptFraction))
 	}
 	r.attempts++
 	r.sent = now
@@ -216,15 +216,15 @@
 
 // quotaUsage is a tenant's own connections here over this relay's part of its share.
 func (b *Balancer) quotaUsage(r *request) float64 {
-	if r.Tenant < 0 || r.Tenant >= len(b.cfg.Tenants) || b.cfg.Tenants[r.Tenant].Connections <= 0 {
+	if r.Tenant < 0 || r.Tenant >= len(b.cfg.Tenants) || b.cfg.Tenants[r.Tenant].ConnectionQuota <= 0 {
 		return 0
 	}
-	return float64(b.tenants[r.Tenant]) * float64(b.cfg.Balancers) / b.cfg.Tenants[r.Tenant].Connections
+	return float64(b.tenants[r.Tenant]) * float64(b.cfg.Balancers) / b.cfg.Tenants[r.Tenant].ConnectionQuota
 }
 
 // usable tells whether a request may go to a backend. A cold one must have told its load just now.
 func (b *Balancer) usable(now time.Time, r *request, k *backend) bool {
 	told := !b.cfg.MayProbe || now.Sub(k.seen) < reportLifetime || b.warmth(now, k) >= 1
-	takes := told && b.takesNew(k) && b.withinLimit(now, k) && (r.Again || !b.filled(now, k))
+	takes := told && b.takesNew(k) && b.withinLimit(now, k) && (r.Again || !b.filledEarly(now, k))
 	return takes && !slices.Contains(r.tried, k) && b.repeatable(now, r, k)
 }
--- a/balance/retries.go
+++ b/balance/retries.go
@@ -15,7 +15,7 @@
 
 // retryLater holds a request for a while before its next try, or concludes it if its time is too short for that.
 func (b *Balancer) retryLater(now time.Time, r *request) {
-	wait := micros(b.class(r.Class).Aim) * backoffFraction * float64(int64(1)<<min(r.parks, maxBackoffDoublings))
+	wait := micros(b.class(r.Class).SetupTarget) * backoffFraction * float64(int64(1)<<min(r.parks, maxBackoffDoublings))
 	wait = max(wait*(0.5+b.rng.Float64()), 1)
 	r.parks++
 	if !now.Add(span(wait)).Before(r.deadline) {
@@ -49,8 +49,8 @@
 	}
 }
 
-// judge counts failures in a row and ejects a backend that fails.
-func (b *Balancer) judge(now time.Time, k *backend, o Outcome) {
+// recordOutcome counts failures in a row and ejects a backend that fails.
+func (b *Balancer) recordOutcome(now time.Time, k *backend, o Outcome) {
 	switch o {
 	case OK:
 		k.strikes = 0
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -258,7 +258,7 @@
 // proves not to have run does not wipe that one out.
 func TestKeyedWindow(t *testing.T) {
 	cfg := config()
-	cfg.Classes[0] = Class{Aim: 500 * ms, Worth: 1, Idempotency: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: 400 * ms}
+	cfg.Classes[0] = Class{SetupTarget: 500 * ms, Worth: 1, Idempotency: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: 400 * ms}
 	s := start(t, cfg, 1, 1)
 	s.take()
 	s.b.Request(s.now, ask(1))
@@ -372,7 +372,7 @@
 				s.finish(id+1, true, OK)
 			}
 			share := float64(got) / (requests / (n - 1 + tt.warmth))
-			want := tt.warmth * s.b.cfg.Rules.FallMultiple * fallShare
+			want := tt.warmth * s.b.cfg.Rules.FallMultiple * offerFraction
 			if share > want*1.2 || share < want*0.4 {
 				t.Errorf("%.2f of a warm backend's share, want about %.2f", share, want)
 			}
@@ -536,7 +536,7 @@
 // connection once, a few at a time, and nothing is moved off the others.
 func TestDrainingBackendIsEmptied(t *testing.T) {
 	cfg := config()
-	cfg.Classes = []Class{{Aim: 500 * ms, Worth: 1}, {Aim: 500 * ms, Worth: 3}}
+	cfg.Classes = []Class{{SetupTarget: 500 * ms, Worth: 1}, {SetupTarget: 500 * ms, Worth: 3}}
 	s := start(t, cfg, 1, 2)
 	for id := RequestID(1); id <= 12; id++ {
 		q := ask(id)
--- a/balance/script_test.go
+++ b/balance/script_test.go
@@ -65,7 +65,7 @@
 	return Config{
 		Balancers:   10,
 		Zone:        "here",
-		Classes:     []Class{{Aim: 500 * ms, Worth: 1}},
+		Classes:     []Class{{SetupTarget: 500 * ms, Worth: 1}},
 		MaxAttempts: 5,
 		MaxAdvice:   sec,
 		MayProbe:    true,
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -12,42 +12,42 @@
 // bounded however many come.
 
 const (
-	permitShare   = 1.5  // of the settings' budget, computed from the slowest warm-up that they allow
-	returnSize    = 2.0  // largest mass return to a backend, in connections that one holds in the mean
-	mostDoublings = 3    // of the permits, while returning clients are denied at a backend that stays idle
-	fallShare     = 0.8  // part of the fall multiple that all relays mean to send a cold backend
-	coldShare     = 0.6  // likewise by the ranks of groups, of which a large one brings several even parts
-	heldShare     = 0.7  // of that for requests that were held: they come in waves
-	borneLeast    = 0.25 // load that the warm backends are taken to bear at the least
-	fillShare     = 0.5  // part of the fall multiple at which new clients fill a cold backend; see filled
+	permitFactor       = 1.5  // of the settings' budget, computed from the slowest warm-up that they allow
+	maxReturnSize      = 2.0  // largest mass return to a backend, in connections that one holds in the mean
+	maxPermitDoublings = 3    // of the permits, while returning clients are denied at a backend that stays idle
+	offerFraction      = 0.8  // part of the fall multiple that all relays mean to send a cold backend
+	groupColdFraction  = 0.6  // likewise by the ranks of groups, of which a large one brings several even parts
+	retriedFraction    = 0.7  // of that for requests that were held: they come in waves
+	minWarmLoad        = 0.25 // load that the warm backends are taken to bear at the least
+	fillFraction       = 0.5  // part of the fall multiple at which new clients fill a cold backend; see filled
 )
 
 // permits are what one relay may send to one cold backend until they lapse.
 type permits struct {
-	lapse     time.Time
-	drawn     int  // for clients that return
-	limit     int  // for all requests together
-	used      int  // requests that were sent, of any kind
-	denied    bool // a returning client found none left
-	doublings int  // of the mean number, since returning clients were denied in the terms before
+	expires     time.Time
+	returnLimit int  // for clients that return
+	totalLimit  int  // for all requests together
+	used        int  // requests that were sent, of any kind
+	denied      bool // a returning client found none left
+	doublings   int  // of the mean number, since returning clients were denied in the terms before
 }
 
 // renewPermits draws permits anew when the last ones have lapsed.
 func (b *Balancer) renewPermits(now time.Time, k *backend) {
 	last := k.permits
-	if now.Before(last.lapse) {
+	if now.Before(last.expires) {
 		return
 	}
-	next := permits{lapse: now.Add(b.cfg.Rules.FallWithin)}
-	if last.denied && now.Sub(last.lapse) < b.cfg.Rules.FallWithin {
+	next := permits{expires: now.Add(b.cfg.Rules.FallWithin)}
+	if last.denied && now.Sub(last.expires) < b.cfg.Rules.FallWithin {
 		// By now reports show what all sent in the last term: the mean falls with the idle part.
-		next.doublings = min(last.doublings+1, mostDoublings)
+		next.doublings = min(last.doublings+1, maxPermitDoublings)
 	}
 	mean := b.meanPermits(now, k) * float64(int64(1)<<next.doublings)
-	next.drawn = int(mean + b.rng.Float64())
-	next.limit = max(next.drawn, 1)
+	next.returnLimit = int(mean + b.rng.Float64())
+	next.totalLimit = max(next.returnLimit, 1)
 	if b.countWarm(now) == 0 {
-		next.limit = math.MaxInt // the cold ones are all there is
+		next.totalLimit = math.MaxInt // the cold ones are all there is
 	}
 	k.permits = next
 }
@@ -67,30 +67,30 @@
 		size += other.Size
 	}
 	backends := float64(len(b.ready))
-	full := max(held/backends, 1/returnSize) / b.borne(now)
+	full := max(held/backends, 1/maxReturnSize) / b.borne(now)
 	if size > 0 { // a small one is full with less; the size of a large one may only mean that it is idle
 		full *= min(k.Size*backends/size, 1)
 	}
 	budget := b.warmth(now, k) * rules.FallMultiple * float64(rules.FallWithin) / float64(rules.WarmWithin)
-	return permitShare * full * budget * k.weight / fullWeight
+	return permitFactor * full * budget * k.weight / fullWeight
 }
 
-// filled tells whether a cold backend has as much load as a steady use of its budget would have given it.
+// filledEarly tells whether a cold backend has as much load as a steady use of its budget would have given it.
 // In a burst of new clients each of many relays sees one or none, while the reported load has their sum.
-func (b *Balancer) filled(now time.Time, k *backend) bool {
+func (b *Balancer) filledEarly(now time.Time, k *backend) bool {
 	w, rules := b.warmth(now, k), b.cfg.Rules
 	if w >= 1 {
 		return false
 	}
 	steady := (rules.ColdFrom + w) / 2 * micros(now.Sub(k.Boot)) / w // its age, at the mean of its warmth
-	most := fillShare * rules.FallMultiple * (steady + micros(rules.FallWithin)) / micros(rules.WarmWithin)
+	most := fillFraction * rules.FallMultiple * (steady + micros(rules.FallWithin)) / micros(rules.WarmWithin)
 	return 1-k.weight/fullWeight > most
 }
 
 // mayReturn tells whether a returning client's request may go to a cold backend.
 func (b *Balancer) mayReturn(now time.Time, k *backend) bool {
 	b.renewPermits(now, k)
-	if k.permits.used < k.permits.drawn {
+	if k.permits.used < k.permits.returnLimit {
 		return true
 	}
 	k.permits.denied = true
@@ -104,7 +104,7 @@
 		return true
 	}
 	b.renewPermits(now, k)
-	return k.permits.used < k.permits.limit
+	return k.permits.used < k.permits.totalLimit
 }
 
 // warmth is the part of its capacity that a backend must have by now.
@@ -140,7 +140,7 @@
 	if seen == 0 {
 		return 1
 	}
-	return max(load/seen, borneLeast)
+	return max(load/seen, minWarmLoad)
 }
 
 // mayTake draws whether a request may go to a backend by its group's rank; a warm one always may. The even
@@ -155,12 +155,12 @@
 	if r.Again {
 		return b.mayReturn(now, k)
 	}
-	if b.filled(now, k) {
+	if b.filledEarly(now, k) {
 		return false
 	}
-	p := w / load * b.cfg.Rules.FallMultiple * coldShare * k.weight / fullWeight // what it has already counts
+	p := w / load * b.cfg.Rules.FallMultiple * groupColdFraction * k.weight / fullWeight // what it has already counts
 	if r.parks > 0 {
-		p *= heldShare
+		p *= retriedFraction
 	}
 	return b.rng.Float64() < p
 }
@@ -176,7 +176,7 @@
 	warm := float64(b.countWarm(now))
 	for _, k := range b.ready {
 		w := b.warmth(now, k)
-		if w < 1 && b.rng.Float64() < w/max(warm, 1)*b.cfg.Rules.FallMultiple*fallShare {
+		if w < 1 && b.rng.Float64() < w/max(warm, 1)*b.cfg.Rules.FallMultiple*offerFraction {
 			b.offers = append(b.offers, offer{k, now})
 		}
 	}
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -195,7 +195,7 @@
 	}{{false, 0, 0}, {true, 1, 1}, {true, 1, 2}, {true, 1, 3}, {true, 1, 3}, {false, 1, 0}, {true, 3, 0}} {
 		s.b.mayReturn(s.now, k)
 		k.permits.denied = tt.denied
-		s.now = k.permits.lapse
+		s.now = k.permits.expires
 		if tt.wait > 1 {
 			s.now = s.now.Add(term)
 		}
--- a/balance/state.go
+++ b/balance/state.go
@@ -131,7 +131,7 @@
 // class returns what is known of a class; one that is unknown is treated with the most care.
 func (b *Balancer) class(i int) Class {
 	if i < 0 || i >= len(b.cfg.Classes) {
-		return Class{Aim: probeEvery, Idempotency: NotIdempotent}
+		return Class{SetupTarget: probeEvery, Idempotency: NotIdempotent}
 	}
 	return b.cfg.Classes[i]
 }
--- a/balance/troubles_test.go
+++ b/balance/troubles_test.go
@@ -116,7 +116,7 @@
 func TestAllFailedOfLate(t *testing.T) {
 	s := start(t, config(), 1, 10)
 	for _, k := range s.b.ready {
-		s.b.judge(s.now, k, NoConnect)
+		s.b.recordOutcome(s.now, k, NoConnect)
 	}
 	if s.place(ask(1), idle) == "" {
 		t.Error("held, with all of the list ejected")
@@ -150,7 +150,7 @@
 		want  int
 	}{{NoteDelay, 400, 1}, {NoteDelay, 20, 0}, {NoteLoad, 4000, 0}} {
 		cfg := config()
-		cfg.Classes[0].MessageAim = 100 * ms
+		cfg.Classes[0].MessageTarget = 100 * ms
 		s := start(t, cfg, 1, 3)
 		s.b.RestoreConnection(s.now, ask(1), "b1")
 		s.take()
@@ -221,7 +221,7 @@
 	for id := range RequestID(80) {
 		s.now = s.now.Add(250 * ms)
 		w := s.b.warmth(s.now, s.b.byID["b6"])
-		budget += 6 * w / (6 + 6*w) * s.b.cfg.Rules.FallMultiple * fallShare
+		budget += 6 * w / (6 + 6*w) * s.b.cfg.Rules.FallMultiple * offerFraction
 		to := s.place(ask(id+1), func(b string) float64 {
 			if len(b) > 2 || b > "b5" {
 				return 0
@@ -328,7 +328,7 @@
 	}{{"loaded", 0.6, false}, {"idle", 0, true}} {
 		t.Run(tt.name, func(t *testing.T) {
 			cfg := config()
-			cfg.Tenants = []Tenant{{Connections: 50}, {Connections: 50}} // 5 at this relay
+			cfg.Tenants = []Tenant{{ConnectionQuota: 50}, {ConnectionQuota: 50}} // 5 at this relay
 			s := start(t, cfg, 1, 10)
 			place := func(id RequestID, tenant int) bool {
 				s.now = s.now.Add(sec)
@@ -575,7 +575,7 @@
 		placed [2]bool
 	}{{0.2, [2]bool{true, true}}, {0.65, [2]bool{true, false}}, {0.9, [2]bool{false, false}}} {
 		cfg := config()
-		cfg.Classes = []Class{{Aim: 500 * ms, Worth: 5}, {Aim: 500 * ms, Worth: 1}}
+		cfg.Classes = []Class{{SetupTarget: 500 * ms, Worth: 5}, {SetupTarget: 500 * ms, Worth: 1}}
 		s := start(t, cfg, 1, 10)
 		loads := func(string) float64 { return tt.load }
 		for id := RequestID(1); id <= 30; id++ { // the mean worth is learnt
@@ -612,7 +612,7 @@
 		t.Errorf("%d strikes, ejected for %v", k.strikes, out)
 	}
 	s.now = k.until // what fails after that is another failure
-	s.b.judge(s.now, k, NoConnect)
+	s.b.recordOutcome(s.now, k, NoConnect)
 	if out := k.until.Sub(s.now); k.strikes != 2 || out < 5*sec {
 		t.Errorf("then %d strikes, ejected for %v", k.strikes, out)
 	}
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -57,7 +57,7 @@
 		b.report(k, rep)
 		b.relieve(now, k, rep.Load)
 	} else if o == NoConnect {
-		b.judge(now, k, o) // the process is down, which discovery learns much later
+		b.recordOutcome(now, k, o) // the process is down, which discovery learns much later
 	}
 	held := b.scanning
 	b.scanning = b.scanning[:0]
@@ -81,7 +81,7 @@
 	if r == nil || !r.open || n != NoteDelay || now.Sub(r.at.seen) < reportLifetime {
 		return
 	}
-	if c := b.class(r.Class); level*1000 >= micros(c.MessageAim) {
+	if c := b.class(r.Class); level*1000 >= micros(c.MessageTarget) {
 		b.probe(now, r.at, sampleReportMaxAge)
 	}
 }
--- a/internal/lab/decisions.go
+++ b/internal/lab/decisions.go
@@ -32,7 +32,7 @@
 	d := &Decider{now: time.Unix(1e9, 0), most: max(relays, 30)}
 	module, err := balance.New(balance.Config{
 		Balancers: 3, Zone: "a", Groups: true, MaxAttempts: 5, MaxAdvice: 2 * time.Second, MayProbe: true, MayCancel: true,
-		Classes: []balance.Class{{Aim: 800 * time.Millisecond, Worth: 3, MessageAim: 60 * time.Millisecond}},
+		Classes: []balance.Class{{SetupTarget: 800 * time.Millisecond, Worth: 3, MessageTarget: 60 * time.Millisecond}},
 		Rules: balance.Rules{
 			AskWithin: 10 * time.Second, ColdFrom: 0.13, WarmWithin: 24 * time.Second, FallMultiple: 3, FallWithin: 1500 * time.Millisecond,
 		},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -149,7 +149,7 @@
 			scope = balance.ScopeCell
 		}
 		class := balance.Class{
-			Aim: span(c.TargetUs), Worth: c.Worth,
+			SetupTarget: span(c.TargetUs), Worth: c.Worth,
 			Idempotency: repeat, DedupScope: scope, DedupWindow: span(c.WindowUs),
 		}
 		r.Waits = append(r.Waits, span(c.HardLimitUs))
@@ -157,7 +157,7 @@
 			if aim := span(s.Domain.MessageAimUs[i]); aim > 0 && (r.MessageAim == 0 || aim < r.MessageAim) {
 				r.MessageAim = aim
 			}
-			class.MessageAim = span(s.Domain.MessageAimUs[i])
+			class.MessageTarget = span(s.Domain.MessageAimUs[i])
 		}
 		cfg.Classes = append(cfg.Classes, class)
 		r.Classes[c.Name] = i
@@ -165,7 +165,7 @@
 	for i, t := range s.Orgs {
 		var tenant balance.Tenant
 		if i < len(s.Domain.TenantQuotaConnections) {
-			tenant.Connections = s.Domain.TenantQuotaConnections[i]
+			tenant.ConnectionQuota = s.Domain.TenantQuotaConnections[i]
 		}
 		cfg.Tenants = append(cfg.Tenants, tenant)
 		r.Tenants[t.Name] = i
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -63,11 +63,11 @@
 		t.Errorf("rules %+v", c.Rules)
 	}
 	if want := (balance.Class{
-		Aim: 300 * time.Millisecond, Worth: 3, Idempotency: balance.IdempotentByKey, DedupScope: balance.ScopeCell, DedupWindow: 5 * time.Second,
+		SetupTarget: 300 * time.Millisecond, Worth: 3, Idempotency: balance.IdempotentByKey, DedupScope: balance.ScopeCell, DedupWindow: 5 * time.Second,
 	}); c.Classes[1] != want {
 		t.Errorf("class %+v", c.Classes[1])
 	}
-	if want := (balance.Tenant{Connections: 39}); c.Tenants[0] != want {
+	if want := (balance.Tenant{ConnectionQuota: 39}); c.Tenants[0] != want {
 		t.Errorf("tenant %+v", c.Tenants[0])
 	}
 }
