--- a/balance/balance.go
+++ b/balance/balance.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	probeEvery = 3 * time.Second // t of the paper
+	probeInterval = 3 * time.Second // t of the paper
 
-	jitter     = 0.2  // part of a timer that is drawn, so that relays do not act in step
-	maxWindow  = 32.0 // attempts that may be out at once, not counting connections that stand
-	commonFail = 0.5  // part of the attempts that fail when it is no single backend's fault
-	lastWeight = 0.25 // of one attempt or request in a mean: three failures in a row bring it over half
+	timerJitter           = 0.2  // part of a timer that is drawn, so that relays do not act in step
+	maxAttemptWindow      = 32.0 // attempts that may be out at once, not counting connections that stand
+	widespreadFailureRate = 0.5  // part of the attempts that fail when it is no single backend's fault
+	ewmaWeight            = 0.25 // of one attempt or request in a mean: three failures in a row bring it over half
 )
 
 // Kinds of timer, in the low bits of a token; a request's id is above them.
@@ -21,60 +21,60 @@
 	timerProbe = iota
 	timerRequest
 	timerWatch
-	timerLeave
-	timerBits = 2
+	timerDrain
+	timerKindBits = 2
 )
 
 // Start begins the relay's work; it comes before every other event.
 func (b *Balancer) Start(now time.Time) {
-	b.host.After(span(b.rng.Float64()*micros(probeEvery)*jitter), timerProbe)
+	b.host.After(fromMicros(b.rng.Float64()*micros(probeInterval)*timerJitter), timerProbe)
 	if b.cfg.Subscribe {
-		b.watch()
+		b.subscribe()
 	}
 }
 
 // watch subscribes to discovery, and looks after it later: an answer may be long in coming.
-func (b *Balancer) watch() {
+func (b *Balancer) subscribe() {
 	b.host.Watch()
-	b.host.After(b.spread(max(b.cfg.Rules.AskWithin, probeEvery)), timerWatch)
+	b.host.After(b.withJitter(max(b.cfg.Rules.MaxDiscoveryGap, probeInterval)), timerWatch)
 }
 
 // spread draws a time near d.
-func (b *Balancer) spread(d time.Duration) time.Duration {
-	return span(micros(d) * (1 + jitter*(b.rng.Float64()-0.5)))
+func (b *Balancer) withJitter(d time.Duration) time.Duration {
+	return fromMicros(micros(d) * (1 + timerJitter*(b.rng.Float64()-0.5)))
 }
 
 // DiscoveryUpdate takes discovery's news.
 func (b *Balancer) DiscoveryUpdate(now time.Time, kind ListKind, list []Backend) {
 	if kind == ListBroken {
 		// All relays lose discovery together: what they ask again must not come together too.
-		b.watching = false
-		b.broken++
-		wait := micros(min(probeEvery<<min(b.broken-1, maxBackoffDoublings), max(b.cfg.Rules.AskWithin, probeEvery)))
-		b.host.After(span(wait*(1+b.rng.Float64())/2), timerWatch)
+		b.subscribed = false
+		b.discoveryFailures++
+		wait := micros(min(probeInterval<<min(b.discoveryFailures-1, maxBackoffDoublings), max(b.cfg.Rules.MaxDiscoveryGap, probeInterval)))
+		b.host.After(fromMicros(wait*(1+b.rng.Float64())/2), timerWatch)
 		return
 	}
 	if kind != ListStale {
-		b.watching, b.broken = true, 0
+		b.subscribed, b.discoveryFailures = true, 0
 	}
-	b.merge(kind, list)
-	if !b.leaving {
+	b.mergeBackends(kind, list)
+	if !b.drainTimerSet {
 		b.leave(now)
 	}
 }
 
 // Request takes a client's request: it is placed at once, or held while no backend may take it.
 func (b *Balancer) Request(now time.Time, q Request) {
-	r := b.add(q)
+	r := b.addRequest(q)
 	r.deadline = now.Add(max(q.Left, 0))
 	b.arrivals++
-	b.worth += (b.class(q.Class).Worth - b.worth) * lastWeight
+	b.meanWorth += (b.class(q.Class).Worth - b.meanWorth) * ewmaWeight
 	if q.Beyond { // room comes as clients leave, not soon: they are told to come late, and not together
-		b.forget(r)
-		b.host.Refuse(r.ID, span(micros(b.cfg.MaxAdvice)*(1+b.rng.Float64())/2))
+		b.removeRequest(r)
+		b.host.Refuse(r.ID, fromMicros(micros(b.cfg.MaxAdvice)*(1+b.rng.Float64())/2))
 		return
 	}
-	if k := b.left[q.Key]; q.MidFlow && k != nil && k.State == Ready {
+	if k := b.detached[q.Key]; q.MidFlow && k != nil && k.State == Ready {
 		b.send(now, r, k) // any other backend would reset the connection
 		return
 	}
@@ -82,55 +82,55 @@
 }
 
 // wake sets a request's timer; the last one set counts.
-func (b *Balancer) wake(now time.Time, r *request, d time.Duration) {
-	r.due = now.Add(d)
-	b.host.After(d, r.ID<<timerBits|timerRequest)
+func (b *Balancer) setRequestTimer(now time.Time, r *request, d time.Duration) {
+	r.timerAt = now.Add(d)
+	b.host.After(d, r.ID<<timerKindBits|timerRequest)
 }
 
 // Established tells that a connection stands.
 func (b *Balancer) Established(now time.Time, id RequestID) {
-	if r := b.requests[id]; r != nil && r.at != nil && !r.open {
-		r.open = true
-		b.out--
-		b.window = min(b.window+1/b.window, maxWindow)
-		r.at.strikes = 0
-		b.failing -= b.failing * lastWeight
+	if r := b.requests[id]; r != nil && r.backend != nil && !r.established {
+		r.established = true
+		b.pendingAttempts--
+		b.attemptWindow = min(b.attemptWindow+1/b.attemptWindow, maxAttemptWindow)
+		r.backend.consecutiveFailures = 0
+		b.failureRate -= b.failureRate * ewmaWeight
 	}
 }
 
 // Finished tells how an attempt or its connection ended; settled: nothing is owed to the client any more.
 func (b *Balancer) Finished(now time.Time, id RequestID, attempt int, settled bool, o Outcome, rep Report) {
 	r := b.requests[id]
-	if r == nil || r.at == nil || attempt != r.attempts-1 {
+	if r == nil || r.backend == nil || attempt != r.attempts-1 {
 		return
 	}
-	k, stood := r.at, r.open
-	r.open = false // else a request that is tried again would pass for a connection that stands
-	b.drop(r)
+	k, stood := r.backend, r.established
+	r.established = false // else a request that is tried again would pass for a connection that stands
+	b.unassign(r)
 	b.report(k, rep)
 	if !stood {
-		b.out--
+		b.pendingAttempts--
 		if o != OK && o != Cancelled && o != NotSent {
-			b.failing += (1 - b.failing) * lastWeight
-			b.window = max(b.window/2, 1)
+			b.failureRate += (1 - b.failureRate) * ewmaWeight
+			b.attemptWindow = max(b.attemptWindow/2, 1)
 		}
 	}
 	b.recordOutcome(now, k, o)
 	if stood && o == OK {
-		b.offer(now, k)
+		b.offerColdBackends(now, k)
 	}
-	if !o.NeverRan() && r.ran == nil {
-		r.ran, r.ranSince = k, r.sent
+	if !o.NeverRan() && r.ranOn == nil {
+		r.ranOn, r.ranAt = k, r.sentAt
 	}
 	switch {
-	case settled || r.over:
-		b.forget(r)
+	case settled || r.answered:
+		b.removeRequest(r)
 		if o == Cancelled {
-			b.parted(now, r, k) // its packets may come back here
+			b.recordDetached(now, r, k) // its packets may come back here
 		}
-	case b.thrifty:
+	case b.retriesDisabled:
 		b.conclude(r) // all relays together have made the further attempts that they may
-	case b.failing >= commonFail:
+	case b.failureRate >= widespreadFailureRate:
 		// What fails everywhere is kept failing by the load of quick retries.
 		b.retryLater(now, r)
 	default:
@@ -140,28 +140,28 @@
 
 // Timer takes a timer that is due.
 func (b *Balancer) Timer(now time.Time, token uint64) {
-	switch token & (1<<timerBits - 1) {
+	switch token & (1<<timerKindBits - 1) {
 	case timerProbe:
-		b.host.After(b.spread(probeEvery), timerProbe)
+		b.host.After(b.withJitter(probeInterval), timerProbe)
 		// What is spent on watching own connections stays a part of what requests cost in any case.
 		budget := 1 + b.arrivals*sampleSize/2
 		b.arrivals = 0
-		for i, at := 0, b.rng.IntN(len(b.all)+1); i < len(b.all) && budget > 0; i++ {
-			k := b.all[(at+i)%len(b.all)]
-			if len(k.held) > 0 && now.Sub(k.seen) >= probeEvery && b.probe(now, k, sampleReportMaxAge) {
+		for i, at := 0, b.rng.IntN(len(b.backends)+1); i < len(b.backends) && budget > 0; i++ {
+			k := b.backends[(at+i)%len(b.backends)]
+			if len(k.requests) > 0 && now.Sub(k.lastReport) >= probeInterval && b.probe(now, k, sampleReportMaxAge) {
 				budget--
 			}
 		}
-	case timerLeave:
+	case timerDrain:
 		b.leave(now)
 	case timerWatch:
-		if b.cfg.Subscribe && !b.watching {
-			b.watch()
+		if b.cfg.Subscribe && !b.subscribed {
+			b.subscribe()
 		}
 	case timerRequest:
-		if r := b.requests[token>>timerBits]; r != nil && r.at == nil && !r.over && !now.Before(r.due) {
-			if i := slices.Index(b.scanning, r); i >= 0 {
-				b.scanning = slices.Delete(b.scanning, i, i+1)
+		if r := b.requests[token>>timerKindBits]; r != nil && r.backend == nil && !r.answered && !now.Before(r.timerAt) {
+			if i := slices.Index(b.awaitingReports, r); i >= 0 {
+				b.awaitingReports = slices.Delete(b.awaitingReports, i, i+1)
 				b.place(now, r)
 			} else {
 				b.startPlacement(now, r)
@@ -176,10 +176,10 @@
 	if r == nil {
 		return
 	}
-	r.over = true
-	if r.at == nil {
-		b.forget(r)
-	} else if b.cfg.MayCancel && !r.open {
+	r.answered = true
+	if r.backend == nil {
+		b.removeRequest(r)
+	} else if b.cfg.MayCancel && !r.established {
 		b.host.Cancel(id, r.attempts-1)
 	}
 }
--- a/balance/design_test.go
+++ b/balance/design_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestWeightFollowsProbesByTheStep(t *testing.T) {
+func TestWeightIgnoresChangesBelowStep(t *testing.T) {
 	tests := []struct {
 		name  string
 		loads []float64
@@ -20,9 +20,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := start(t, config(), 1, 1)
+			s := startBalancer(t, testConfig(), 1, 1)
 			for _, x := range tt.loads {
-				s.b.Probed(s.now, "b0", OK, load(x))
+				s.b.Probed(s.now, "b0", OK, loadReport(x))
 			}
 			if got := s.b.byID["b0"].weight; got < tt.want-1e-9 || got > tt.want+1e-9 {
 				t.Errorf("weight %v, want %v", got, tt.want)
@@ -32,17 +32,17 @@
 }
 
 func TestUnansweredProbeLeavesWeight(t *testing.T) {
-	s := start(t, config(), 1, 1)
-	s.b.Probed(s.now, "b0", OK, load(0.5))
-	s.b.Probed(s.now, "b0", TimedOut, load(0))
+	s := startBalancer(t, testConfig(), 1, 1)
+	s.b.Probed(s.now, "b0", OK, loadReport(0.5))
+	s.b.Probed(s.now, "b0", TimedOut, loadReport(0))
 	if got := s.b.byID["b0"].weight; got != 50 {
 		t.Errorf("weight %v, want 50", got)
 	}
 }
 
-func TestCPUStandsInForLoad(t *testing.T) {
-	s := start(t, config(), 1, 1)
-	r := load(-1)
+func TestCPUUsedWhenLoadNotReported(t *testing.T) {
+	s := startBalancer(t, testConfig(), 1, 1)
+	r := loadReport(-1)
 	r.CPU = 0.4
 	s.b.Probed(s.now, "b0", OK, r)
 	if got := s.b.byID["b0"].weight; got != 60 {
@@ -53,7 +53,7 @@
 func TestTiesBreakAtRandom(t *testing.T) {
 	got := map[string]int{}
 	for seed := range uint64(200) {
-		got[start(t, config(), seed, 2).place(ask(1), idle)]++
+		got[startBalancer(t, testConfig(), seed, 2).place(newRequest(1), idleLoad)]++
 	}
 	if got["b0"] < 60 || got["b1"] < 60 || got["b0"]+got["b1"] != 200 {
 		t.Errorf("200 equal choices went %v", got)
@@ -61,10 +61,10 @@
 }
 
 // With many relays own counts are 0 nearly everywhere: 0/W ties, and weights would say nothing.
-func TestWeightTellsIdleBackendsApart(t *testing.T) {
+func TestWeightDecidesBetweenIdleBackends(t *testing.T) {
 	for seed := range uint64(50) {
-		s := start(t, config(), seed, 3)
-		got := s.place(ask(1), func(id string) float64 {
+		s := startBalancer(t, testConfig(), seed, 3)
+		got := s.place(newRequest(1), func(id string) float64 {
 			return map[string]float64{"b0": 0.5, "b1": 0.3, "b2": 0.4}[id]
 		})
 		if got != "b1" {
@@ -73,25 +73,25 @@
 	}
 }
 
-func TestOnlyRelayCountsItsConnectionsInFull(t *testing.T) {
-	cfg := config()
+func TestSingleRelayCountsConnectionsInFull(t *testing.T) {
+	cfg := testConfig()
 	cfg.Balancers = 1
-	s := start(t, cfg, 1, 2)
+	s := startBalancer(t, cfg, 1, 2)
 	for id := range RequestID(20) {
-		s.place(ask(id+1), idle)
+		s.place(newRequest(id+1), idleLoad)
 		s.now = s.now.Add(sec) // so that reports are asked again
 	}
-	if a, b := len(s.b.byID["b0"].held), len(s.b.byID["b1"].held); a != 10 || b != 10 {
+	if a, b := len(s.b.byID["b0"].requests), len(s.b.byID["b1"].requests); a != 10 || b != 10 {
 		t.Errorf("20 connections went %d and %d", a, b)
 	}
 }
 
 // Relays read the same reports: what this one has sent since must keep it from sending all to one.
 func TestBurstSpreadsOverTheSample(t *testing.T) {
-	s := start(t, config(), 1, 6)
+	s := startBalancer(t, testConfig(), 1, 6)
 	got := map[string]int{}
 	for id := range RequestID(6) {
-		got[s.place(ask(id+1), idle)]++
+		got[s.place(newRequest(id+1), idleLoad)]++
 	}
 	for id, n := range got {
 		if n > 2 {
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestCountsThroughEveryEnding(t *testing.T) {
+func TestConnectionCountAfterEachOutcome(t *testing.T) {
 	tests := []struct {
 		name    string
 		open    bool
@@ -118,53 +118,53 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := start(t, config(), 1, 1)
-			if s.place(ask(7), idle) != "b0" {
+			s := startBalancer(t, testConfig(), 1, 1)
+			if s.place(newRequest(7), idleLoad) != "b0" {
 				t.Fatal("not placed")
 			}
-			if n := len(s.b.byID["b0"].held); n != 1 {
+			if n := len(s.b.byID["b0"].requests); n != 1 {
 				t.Fatalf("count %d after a send", n)
 			}
 			if tt.open {
 				s.b.Established(s.now, 7)
 			}
 			s.finish(7, tt.settled, tt.outcome)
-			if n := len(s.b.byID["b0"].held); n != 0 {
+			if n := len(s.b.byID["b0"].requests); n != 0 {
 				t.Errorf("count %d after the end", n)
 			}
 		})
 	}
 }
 
-func TestOpenConnectionsCount(t *testing.T) {
-	s := start(t, config(), 1, 2)
-	s.b.RestoreConnection(s.now, ask(3), "b1")
-	s.b.RestoreConnection(s.now, ask(4), "unlisted")
-	if n := len(s.b.byID["b1"].held); n != 1 {
+func TestRestoredConnectionsAreCounted(t *testing.T) {
+	s := startBalancer(t, testConfig(), 1, 2)
+	s.b.RestoreConnection(s.now, newRequest(3), "b1")
+	s.b.RestoreConnection(s.now, newRequest(4), "unlisted")
+	if n := len(s.b.byID["b1"].requests); n != 1 {
 		t.Errorf("count %d, want 1", n)
 	}
 	s.sends[3], s.sends[4] = 1, 1
 	s.finish(3, true, OK)
 	s.finish(4, true, Broken)
-	if n := len(s.b.byID["b1"].held) + len(s.b.requests); n != 0 {
+	if n := len(s.b.byID["b1"].requests) + len(s.b.requests); n != 0 {
 		t.Errorf("%d left after the ends", n)
 	}
 }
 
 func TestSameEventsSameActions(t *testing.T) {
 	run := func(seed uint64) []action {
-		s := start(t, config(), seed, 12)
+		s := startBalancer(t, testConfig(), seed, 12)
 		var all []action
 		for id := range RequestID(60) {
 			s.now = s.now.Add(120 * ms)
-			s.place(ask(id+1), func(b string) float64 { return float64(len(b)+int(id)%5) / 10 })
+			s.place(newRequest(id+1), func(b string) float64 { return float64(len(b)+int(id)%5) / 10 })
 			s.finish(id+1, id%3 == 0, Outcome(id%8))
 			s.b.Timer(s.now, timerProbe)
-			all = append(all, s.take()...)
+			all = append(all, s.takeActions()...)
 		}
 		return all
 	}
-	sameActions(t, run(5), run(5))
+	requireSameActions(t, run(5), run(5))
 	if a, b := run(5), run(6); len(a) == len(b) {
 		same := true
 		for i := range a {
@@ -178,35 +178,35 @@
 
 // Two instances in one process share nothing: interleaved or alone, each acts the same.
 func TestInstancesAreIndependent(t *testing.T) {
-	step := func(s *script, id RequestID) []action {
+	step := func(s *recordingHost, id RequestID) []action {
 		s.now = s.now.Add(200 * ms)
-		s.b.Request(s.now, ask(id))
-		as := s.take()
-		s.answer(as, idle)
-		return append(as, s.take()...)
+		s.b.Request(s.now, newRequest(id))
+		as := s.takeActions()
+		s.answerProbes(as, idleLoad)
+		return append(as, s.takeActions()...)
 	}
-	alone := start(t, config(), 9, 8)
-	a, other := start(t, config(), 9, 8), start(t, config(), 10, 8)
+	alone := startBalancer(t, testConfig(), 9, 8)
+	a, other := startBalancer(t, testConfig(), 9, 8), startBalancer(t, testConfig(), 10, 8)
 	for id := range RequestID(40) {
 		want := step(alone, id+1)
 		got := step(a, id+1)
 		step(other, id+1)
-		sameActions(t, got, want)
+		requireSameActions(t, got, want)
 	}
 }
 
 // A group's connections are placed together by every relay, whatever its seed.
-func TestRelaysAgreeOnAGroupsBackend(t *testing.T) {
-	cfg := config()
+func TestRelaysAgreeOnGroupBackend(t *testing.T) {
+	cfg := testConfig()
 	cfg.Groups = true
 	first := map[string]string{}
 	spread := map[string]bool{}
 	for seed := range uint64(20) {
 		for _, group := range []string{"g1", "g2", "g3", "g4", "g5", "g6"} {
-			s := start(t, cfg, seed, 12)
-			q := ask(1)
+			s := startBalancer(t, cfg, seed, 12)
+			q := newRequest(1)
 			q.Group = group
-			got := s.place(q, idle)
+			got := s.place(q, idleLoad)
 			if first[group] == "" {
 				first[group] = got
 			}
@@ -222,13 +222,13 @@
 }
 
 // A group that has filled its backend spills to another one.
-func TestFullGroupSpills(t *testing.T) {
-	cfg := config()
+func TestGroupSpillsWhenBackendFull(t *testing.T) {
+	cfg := testConfig()
 	cfg.Groups = true
-	s := start(t, cfg, 1, 12)
-	q := ask(1)
+	s := startBalancer(t, cfg, 1, 12)
+	q := newRequest(1)
 	q.Group = "g"
-	home := s.place(q, idle)
+	home := s.place(q, idleLoad)
 	s.now = s.now.Add(sec)
 	q.ID = 2
 	got := s.place(q, func(b string) float64 {
@@ -244,30 +244,30 @@
 
 // Where a group's first backends are full, held requests look at later ranks, on which all relays agree too:
 // with many relays a spill to drawn backends made nearly all of them pay for the group.
-func TestRelaysAgreeOnSpills(t *testing.T) {
-	cfg := config()
+func TestRelaysAgreeOnSpillBackends(t *testing.T) {
+	cfg := testConfig()
 	cfg.Groups = true
 	homes := map[string]int{}
 	for seed := range uint64(30) {
-		s := start(t, cfg, seed, 30)
-		s.take()
-		q := ask(1)
+		s := startBalancer(t, cfg, seed, 30)
+		s.takeActions()
+		q := newRequest(1)
 		q.Group = "g"
-		s.b.startPlacement(s.now, s.b.add(q))
+		s.b.startPlacement(s.now, s.b.addRequest(q))
 		full := map[string]bool{}
 		for _, k := range s.b.requests[1].sample[:2] {
 			full[k.ID] = true
 		}
-		s = start(t, cfg, seed, 30)
-		s.take()
+		s = startBalancer(t, cfg, seed, 30)
+		s.takeActions()
 		s.b.Request(s.now, q)
-		for _, a := range s.drive(s.now.Add(2*sec), func(b string) float64 {
+		for _, a := range s.runUntil(s.now.Add(2*sec), func(b string) float64 {
 			if full[b] {
 				return 0.99
 			}
 			return 0.5
-		}, always(OK)) {
-			if a.what == "send" {
+		}, alwaysEndWith(OK)) {
+			if a.kind == "send" {
 				homes[a.backend]++
 			}
 		}
@@ -283,17 +283,17 @@
 
 // A held request leaves the room on backends where its group may not spill to those that may go there: when it
 // counted as wanting them, four of them stood at 0.6 while 75% were refused (ibf684b).
-func TestHeldWantsOnlyWhereItMayGo(t *testing.T) {
-	cfg := config()
+func TestHeldRequestCountsDemandOnlyWhereAllowed(t *testing.T) {
+	cfg := testConfig()
 	cfg.Groups, cfg.Balancers = true, 3
-	s := start(t, cfg, 1, 3)
-	s.take()
-	q := ask(1)
+	s := startBalancer(t, cfg, 1, 3)
+	s.takeActions()
+	q := newRequest(1)
 	q.Group = "g"
-	s.b.startPlacement(s.now, s.b.add(q))
+	s.b.startPlacement(s.now, s.b.addRequest(q))
 	home := s.b.requests[1].sample[0].ID
-	s = start(t, cfg, 1, 3)
-	s.take()
+	s = startBalancer(t, cfg, 1, 3)
+	s.takeActions()
 	if got := s.place(q, func(b string) float64 {
 		if b == home {
 			return 0.99
@@ -303,8 +303,8 @@
 		t.Fatalf("sent to %q", got)
 	}
 	for _, k := range s.b.ready {
-		if want := k.ID == home; (k.wants > 0) != want {
-			t.Errorf("%s is wanted %v times; its home is %s", k.ID, k.wants, home)
+		if want := k.ID == home; (k.demand > 0) != want {
+			t.Errorf("%s is wanted %v times; its home is %s", k.ID, k.demand, home)
 		}
 	}
 }
--- a/balance/fuzz_test.go
+++ b/balance/fuzz_test.go
@@ -14,7 +14,7 @@
 	f.Add(uint64(3), []byte("\x01\x11\x21\x31\x41\x51\x61\x71\x02\x12\x22\x32\x43\x53\x63\x73"))
 	f.Add(uint64(4), []byte{})
 	f.Fuzz(func(t *testing.T, seed uint64, data []byte) {
-		cfg := config()
+		cfg := testConfig()
 		cfg.Groups = seed%2 == 0
 		cfg.Subscribe = seed%3 == 0
 		cfg.Park = time.Duration(seed%5) * sec
@@ -23,12 +23,12 @@
 			{SetupTarget: 300 * ms, Worth: 5, Idempotency: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: sec},
 			{SetupTarget: 300 * ms, Idempotency: NotIdempotent},
 		}
-		s := start(t, cfg, seed, int(seed%7))
+		s := startBalancer(t, cfg, seed, int(seed%7))
 		live := map[RequestID]time.Time{} // deadline of those that are owed an answer
 		out := map[RequestID]bool{}       // an attempt or connection is out
 		check := func() {
-			for _, a := range s.take() {
-				switch a.what {
+			for _, a := range s.takeActions() {
+				switch a.kind {
 				case "send":
 					if _, ok := live[a.id]; !ok || out[a.id] {
 						t.Fatalf("send of %d, owed %v, out %v", a.id, ok, out[a.id])
@@ -75,16 +75,16 @@
 				next++
 				s.b.Request(s.now, q)
 			case 3:
-				list := backends(9)[arg%9:]
+				list := readyBackends(9)[arg%9:]
 				for j := range list {
 					list[j].State = State((int(arg) + j) % 3)
 					list[j].Boot = s.now.Add(-time.Duration(j) * sec)
 				}
 				s.b.DiscoveryUpdate(s.now, ListKind(arg%4), list)
 			case 4, 5:
-				s.b.Probed(s.now, "b"+string(rune('0'+arg%10)), Outcome(arg%8), load(float64(arg)/100-0.2))
+				s.b.Probed(s.now, "b"+string(rune('0'+arg%10)), Outcome(arg%8), loadReport(float64(arg)/100-0.2))
 			case 6:
-				s.b.Probed(s.now, "b0", OK, load(math.Inf(int(arg%3)-1)))
+				s.b.Probed(s.now, "b0", OK, loadReport(math.Inf(int(arg%3)-1)))
 			case 7, 8:
 				end(id, arg%2 == 0, Outcome(arg%8))
 			case 9:
@@ -96,7 +96,7 @@
 					s.b.ClientGone(s.now, id)
 				}
 			case 11, 12:
-				s.b.Timer(s.now, uint64(id)<<timerBits|timerRequest)
+				s.b.Timer(s.now, uint64(id)<<timerKindBits|timerRequest)
 			case 13:
 				s.b.Timer(s.now, timerProbe)
 			case 14:
--- a/balance/interface.go
+++ b/balance/interface.go
@@ -49,12 +49,12 @@
 
 // Rules are the figures of the rules that a relay keeps.
 type Rules struct {
-	AnswerSlack  time.Duration // an answer this long after the client's deadline still counts
-	AskWithin    time.Duration // longest time without a subscription or a question to discovery
-	ColdFrom     float64       // least share of its capacity with which a backend starts
-	WarmWithin   time.Duration // time after which a backend has all of its capacity
-	FallMultiple float64       // work above this many times the present capacity...
-	FallWithin   time.Duration // ...for this long makes a cold backend fall
+	AnswerSlack     time.Duration // an answer this long after the client's deadline still counts
+	MaxDiscoveryGap time.Duration // longest time without a subscription or a question to discovery
+	InitialCapacity float64       // least share of its capacity with which a backend starts
+	WarmUpTime      time.Duration // time after which a backend has all of its capacity
+	OverloadFactor  float64       // work above this many times the present capacity...
+	OverloadWindow  time.Duration // ...for this long makes a cold backend fall
 }
 
 // Prices are parts of the service given up for each unit, where 1 is all of it.
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -8,7 +8,7 @@
 )
 
 // The operators print the module and file its pages. It is made of files with one job each: none may outgrow its pages.
-func TestModuleFitsItsPages(t *testing.T) {
+func TestSourceFileSizeLimits(t *testing.T) {
 	const maxLines, maxColumns = 300, 110
 	files, err := filepath.Glob("*.go")
 	if err != nil {
--- a/balance/moves.go
+++ b/balance/moves.go
@@ -19,57 +19,57 @@
 // leave moves own connections off the backends that drain, evenly over leaveWithin, since all relays hear of
 // a drain in the same moment. Those of most worth go first, while there is surely time.
 func (b *Balancer) leave(now time.Time) {
-	b.leaving = false
-	for _, k := range b.all {
+	b.drainTimerSet = false
+	for _, k := range b.backends {
 		if k.State != Draining {
-			k.empty = time.Time{}
+			k.drainBy = time.Time{}
 			continue
 		}
-		b.leaving = true
-		if k.empty.IsZero() {
-			k.empty = now.Add(leaveWithin)
+		b.drainTimerSet = true
+		if k.drainBy.IsZero() {
+			k.drainBy = now.Add(leaveWithin)
 		}
 		var open []*request
-		for _, r := range k.held {
-			if r.open && !r.moved {
+		for _, r := range k.requests {
+			if r.established && !r.moveSent {
 				open = append(open, r)
 			}
 		}
 		slices.SortStableFunc(open, func(r, than *request) int {
 			return cmp.Compare(b.class(than.Class).Worth, b.class(r.Class).Worth)
 		})
-		steps := max(int(k.empty.Sub(now)/leaveStep), 1)
+		steps := max(int(k.drainBy.Sub(now)/leaveStep), 1)
 		// A part that is no whole number is drawn: rounded up, one each of many relays would go at once.
 		part := float64(len(open))/float64(steps) + b.rng.Float64()
 		for _, r := range open[:min(int(part), len(open))] {
-			r.moved = true
+			r.moveSent = true
 			b.host.Move(r.ID)
 		}
 	}
-	if b.leaving {
-		b.host.After(leaveStep, timerLeave)
+	if b.drainTimerSet {
+		b.host.After(leaveStep, timerDrain)
 	}
 }
 
 // relieve moves own connections off an overloaded backend, the same part at every relay, drawn so that small
 // numbers add up, and then waits until reports can show what that did.
 func (b *Balancer) relieve(now time.Time, k *backend, load float64) {
-	if !(load > reliefAt) || now.Sub(k.relief) < probeEvery {
+	if !(load > reliefAt) || now.Sub(k.rebalancedAt) < probeInterval {
 		return
 	}
-	k.relief = now
-	excess := (1 - reliefTo/load) * float64(len(k.held))
+	k.rebalancedAt = now
+	excess := (1 - reliefTo/load) * float64(len(k.requests))
 	for n := int(excess + b.rng.Float64()); n > 0; n-- {
 		var least *request
-		for _, r := range k.held {
-			if r.open && !r.moved && (least == nil || b.firstOff(k, r, least)) {
+		for _, r := range k.requests {
+			if r.established && !r.moveSent && (least == nil || b.firstOff(k, r, least)) {
 				least = r
 			}
 		}
 		if least == nil {
 			return
 		}
-		least.moved = true
+		least.moveSent = true
 		b.host.Move(least.ID)
 	}
 }
@@ -78,7 +78,7 @@
 // alike, so that it soon pays for one group less; then the least worth.
 func (b *Balancer) firstOff(k *backend, r, than *request) bool {
 	if b.cfg.Groups && r.Group != than.Group {
-		return mix(hash(r.Group)^k.hash) < mix(hash(than.Group)^k.hash)
+		return mix(hash(r.Group)^k.idHash) < mix(hash(than.Group)^k.idHash)
 	}
 	return b.class(r.Class).Worth < b.class(than.Class).Worth
 }
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -35,48 +35,48 @@
 // paid for, and relays that look at different samples do not herd to the same backend.
 func (b *Balancer) startPlacement(now time.Time, r *request) {
 	// As in congestion control, fewer are out at a time while attempts fail, down to one.
-	if float64(b.out) >= b.window {
+	if float64(b.pendingAttempts) >= b.attemptWindow {
 		b.retryLater(now, r)
 		return
 	}
-	r.awaited = 0
+	r.pendingReports = 0
 	if r.sample = r.sample[:0]; r.Group != "" && b.cfg.Groups {
 		b.drawGroupSample(now, r)
 	}
 	b.drawSample(now, r)
 	for _, k := range r.sample {
-		if b.probe(now, k, sampleReportMaxAge<<min(r.parks, maxReportAgeDoublings)) {
-			r.awaited++
+		if b.probe(now, k, sampleReportMaxAge<<min(r.holdCount, maxReportAgeDoublings)) {
+			r.pendingReports++
 		}
 	}
-	if r.awaited == 0 {
+	if r.pendingReports == 0 {
 		b.place(now, r)
 		return
 	}
-	b.scanning = append(b.scanning, r)
+	b.awaitingReports = append(b.awaitingReports, r)
 	wait := micros(min(b.class(r.Class).SetupTarget, r.deadline.Sub(now))) * probeWaitFraction
-	b.wake(now, r, span(wait))
+	b.setRequestTimer(now, r, fromMicros(wait))
 }
 
 // drawSample takes a random sample of the warm backends, and a cold one that was offered a connection.
 func (b *Balancer) drawSample(now time.Time, r *request) {
-	for added := false; len(b.offers) > 0 && !added; b.offers = b.offers[1:] {
-		if o := b.offers[0]; now.Sub(o.at) < b.cfg.Rules.FallWithin && o.to.State == Ready {
-			r.sample = append(r.sample, o.to)
+	for added := false; len(b.coldCredits) > 0 && !added; b.coldCredits = b.coldCredits[1:] {
+		if o := b.coldCredits[0]; now.Sub(o.grantedAt) < b.cfg.Rules.OverloadWindow && o.backend.State == Ready {
+			r.sample = append(r.sample, o.backend)
 			added = true
 		}
 	}
-	want := min(sampleSize+min(r.parks, maxExtraBackends), len(b.ready)) // one that was held found no room in a few
+	want := min(sampleSize+min(r.holdCount, maxExtraBackends), len(b.ready)) // one that was held found no room in a few
 	for tries := 0; tries < drawsPerBackend*sampleSize && len(r.sample) < want; tries++ {
 		k := b.ready[b.rng.IntN(len(b.ready))]
 		far := k.Zone != b.cfg.Zone && b.rng.Float64() < crossZoneFactor*b.cfg.Prices.CrossZone
-		if !far && b.warmth(now, k) >= 1 && !slices.Contains(r.sample, k) {
+		if !far && b.warmUpFraction(now, k) >= 1 && !slices.Contains(r.sample, k) {
 			r.sample = append(r.sample, k)
 		}
 	}
 	if len(r.sample) == 0 && len(b.ready) > 0 {
 		// Perhaps all are cold: each request may then try one, as often as that one is warm.
-		if k := b.ready[b.rng.IntN(len(b.ready))]; b.rng.Float64() < b.warmth(now, k) {
+		if k := b.ready[b.rng.IntN(len(b.ready))]; b.rng.Float64() < b.warmUpFraction(now, k) {
 			r.sample = append(r.sample, k)
 		}
 	}
@@ -85,12 +85,12 @@
 // drawGroupSample takes the backends that rank first and second for the request's group by a hash, alike at all
 // relays, so that few pay for the group; for a request that was held, another of the first groupRanks.
 func (b *Balancer) drawGroupSample(now time.Time, r *request) {
-	h, load := hash(r.Group), b.borne(now)
+	h, load := hash(r.Group), b.meanWarmLoad(now)
 	var ranks [groupCandidates]uint64
 	for _, k := range b.ready {
-		rank := mix(h ^ k.hash)
+		rank := mix(h ^ k.idHash)
 		n := len(r.sample)
-		if n == groupCandidates && rank <= ranks[n-1] || k.shunned(now) || !b.mayTake(now, r, k, load) {
+		if n == groupCandidates && rank <= ranks[n-1] || k.unhealthy(now) || !b.mayTakeByRank(now, r, k, load) {
 			continue
 		}
 		if n < groupCandidates {
@@ -104,7 +104,7 @@
 		ranks[i], r.sample[i] = rank, k
 	}
 	if n := len(r.sample); n > 1 {
-		if r.parks > 0 {
+		if r.holdCount > 0 {
 			r.sample[1] = r.sample[1+b.rng.IntN(n-1)]
 		}
 		r.sample = r.sample[:2]
@@ -115,7 +115,7 @@
 func (b *Balancer) place(now time.Time, r *request) {
 	late := r.attempts > 0 && !now.Before(r.deadline)
 	spent := b.cfg.MaxAttempts > 0 && r.attempts >= b.cfg.MaxAttempts || late
-	if spent || r.ran != nil && b.class(r.Class).Idempotency == NotIdempotent {
+	if spent || r.ranOn != nil && b.class(r.Class).Idempotency == NotIdempotent {
 		b.conclude(r)
 	} else if k := b.pick(now, r); k != nil {
 		b.send(now, r, k)
@@ -128,20 +128,20 @@
 
 func (b *Balancer) send(now time.Time, r *request, k *backend) {
 	timeout, c := r.deadline.Sub(now), b.class(r.Class)
-	if r.attempts == 0 && b.cfg.MaxAttempts != 1 && c.Idempotency != NotIdempotent && b.failing < commonFail {
+	if r.attempts == 0 && b.cfg.MaxAttempts != 1 && c.Idempotency != NotIdempotent && b.failureRate < widespreadFailureRate {
 		// A backend that accepts and stays silent must leave time for another try inside the aim.
-		timeout = min(timeout, span(micros(c.SetupTarget)*firstAttemptFraction))
+		timeout = min(timeout, fromMicros(micros(c.SetupTarget)*firstAttemptFraction))
 	}
 	r.attempts++
-	r.sent = now
+	r.sentAt = now
 	k.permits.used++
-	b.out++
+	b.pendingAttempts++
 	r.tried = append(r.tried, k)
-	b.hold(r, k)
-	if now.Sub(k.seen) >= probeEvery {
-		k.fresh = 0 // without reports the bar would shut out for ever what this relay has used
+	b.assign(r, k)
+	if now.Sub(k.lastReport) >= probeInterval {
+		k.unreported = 0 // without reports the bar would shut out for ever what this relay has used
 	}
-	k.fresh++
+	k.unreported++
 	b.host.Send(r.ID, k.ID, max(timeout, time.Microsecond))
 }
 
@@ -155,27 +155,27 @@
 	ties := 0
 	// Those that fail or leave probes unanswered are passed over wherever there is another.
 	other := slices.ContainsFunc(r.sample, func(k *backend) bool {
-		return b.usable(now, r, k) && !k.shunned(now)
+		return b.usable(now, r, k) && !k.unhealthy(now)
 	})
 	spill := groupSpillMargin * min(max(fullSpillRelays/float64(b.cfg.Balancers), minSpillFraction), 1)
 	bar := minPlacementWeight * min(max(b.quotaUsage(r)/quotaSlack, 1), maxQuotaFactor)
 	if w := b.class(r.Class).Worth; w > 0 { // what is worth less than most leaves the last room to them
-		bar *= min(max(math.Sqrt(b.worth/w), 1), maxWorthFactor)
+		bar *= min(max(math.Sqrt(b.meanWorth/w), 1), maxWorthFactor)
 	}
 	for i, k := range r.sample {
-		if !b.usable(now, r, k) || other && k.shunned(now) {
+		if !b.usable(now, r, k) || other && k.unhealthy(now) {
 			continue
 		}
 		// What it held when it was last seen is in its weight: only what went there since counts in full. The
 		// one added, as in the shortest expected delay, lets weights tell idle backends apart.
-		old := float64(len(k.held)-k.fresh) / float64(b.cfg.Balancers)
-		added := 1 + float64(k.fresh)
+		old := float64(len(k.requests)-k.unreported) / float64(b.cfg.Balancers)
+		added := 1 + float64(k.unreported)
 		count := (added + old) / k.weight
 		if k.Zone != b.cfg.Zone {
 			count /= max(1-crossZoneFactor*b.cfg.Prices.CrossZone, 1/crossZoneFactor) // local work is worth its price
 		}
 		need := bar
-		if r.Group != "" && b.cfg.Groups && !k.holds(r.Group) {
+		if r.Group != "" && b.cfg.Groups && !k.hasGroup(r.Group) {
 			// It would pay for the group anew: later in the sample, only with ever more room.
 			need += spill * float64(i)
 			count *= math.Pow(groupRankFactor, float64(i))
@@ -183,7 +183,7 @@
 		if need <= max(bar, k.weight) { // else it would not come for a while: that room is another's
 			wanted = append(wanted, k)
 		}
-		if need+placementCost*float64(k.fresh) > k.weight || b.rng.Float64() > b.admissionProbability(now, k) {
+		if need+placementCost*float64(k.unreported) > k.weight || b.rng.Float64() > b.admissionProbability(now, k) {
 			continue
 		}
 		switch {
@@ -199,7 +199,7 @@
 		wanted = append(wanted[:0], best)
 	}
 	for _, k := range wanted { // one that is held would have taken whichever had room
-		k.wants, k.wanted = k.wantsBy(now)+1, now
+		k.demand, k.demandAt = k.decayedDemand(now)+1, now
 	}
 	return best
 }
@@ -207,11 +207,11 @@
 // admissionProbability is the part of the requests that want a backend which may go there before its next report: own
 // wants times the relays tell how many to expect, its head admissionProbability how many it bears.
 func (b *Balancer) admissionProbability(now time.Time, k *backend) float64 {
-	wants := k.wantsBy(now) * float64(b.cfg.Balancers) * micros(reportLifetime) / micros(probeEvery)
-	if !(k.each > 0) || wants <= 0 {
+	wants := k.decayedDemand(now) * float64(b.cfg.Balancers) * micros(reportLifetime) / micros(probeInterval)
+	if !(k.loadPerConnection > 0) || wants <= 0 {
 		return 1
 	}
-	return (k.weight - minPlacementWeight) / (fullWeight * k.each * wants)
+	return (k.weight - minPlacementWeight) / (fullWeight * k.loadPerConnection * wants)
 }
 
 // quotaUsage is a tenant's own connections here over this relay's part of its share.
@@ -219,12 +219,12 @@
 	if r.Tenant < 0 || r.Tenant >= len(b.cfg.Tenants) || b.cfg.Tenants[r.Tenant].ConnectionQuota <= 0 {
 		return 0
 	}
-	return float64(b.tenants[r.Tenant]) * float64(b.cfg.Balancers) / b.cfg.Tenants[r.Tenant].ConnectionQuota
+	return float64(b.tenantConnections[r.Tenant]) * float64(b.cfg.Balancers) / b.cfg.Tenants[r.Tenant].ConnectionQuota
 }
 
 // usable tells whether a request may go to a backend. A cold one must have told its load just now.
 func (b *Balancer) usable(now time.Time, r *request, k *backend) bool {
-	told := !b.cfg.MayProbe || now.Sub(k.seen) < reportLifetime || b.warmth(now, k) >= 1
-	takes := told && b.takesNew(k) && b.withinLimit(now, k) && (r.Again || !b.filledEarly(now, k))
+	told := !b.cfg.MayProbe || now.Sub(k.lastReport) < reportLifetime || b.warmUpFraction(now, k) >= 1
+	takes := told && b.acceptsNew(k) && b.withinPermits(now, k) && (r.Again || !b.filledEarly(now, k))
 	return takes && !slices.Contains(r.tried, k) && b.repeatable(now, r, k)
 }
--- a/balance/restrict_test.go
+++ b/balance/restrict_test.go
@@ -6,14 +6,14 @@
 // elsewhere stay. Lifted, all may be used again.
 func TestRestrict(t *testing.T) {
 	for _, groups := range []bool{false, true} {
-		cfg := config()
+		cfg := testConfig()
 		cfg.Groups = groups
-		s := start(t, cfg, 5, 20)
+		s := startBalancer(t, cfg, 5, 20)
 		request := func(id RequestID) string {
 			s.now = s.now.Add(100 * ms)
-			q := ask(id)
+			q := newRequest(id)
 			q.Group = string(rune('a' + id%26))
-			return s.place(q, idle)
+			return s.place(q, idleLoad)
 		}
 		elsewhere := request(1)
 		s.b.Established(s.now, 1)
@@ -31,7 +31,7 @@
 			}
 			s.finish(id, true, OK)
 		}
-		if s.b.ConnectionCount(elsewhere) != 1 || s.count(s.take(), "move") != 0 {
+		if s.b.ConnectionCount(elsewhere) != 1 || s.count(s.takeActions(), "move") != 0 {
 			t.Errorf("groups %v: the connection at %s does not stay", groups, elsewhere)
 		}
 		s.b.Restrict(nil)
@@ -48,9 +48,9 @@
 // Where no backend is left, a request is held and has its one refusal in time; it goes out if the restriction is lifted before.
 func TestRestrictToNone(t *testing.T) {
 	for _, lifted := range []bool{false, true} {
-		s := start(t, config(), 6, 8)
+		s := startBalancer(t, testConfig(), 6, 8)
 		s.b.Restrict([]string{})
-		q := ask(1)
+		q := newRequest(1)
 		from := s.now
 		s.b.Request(s.now, q)
 		if n := s.count(s.actions, "send") + s.count(s.actions, "refuse"); n != 0 {
@@ -59,7 +59,7 @@
 		if lifted {
 			s.b.Restrict(nil)
 		}
-		all := s.drive(from.Add(q.Left), idle, always(OK))
+		all := s.runUntil(from.Add(q.Left), idleLoad, alwaysEndWith(OK))
 		if sends, refusals := s.count(all, "send"), s.count(all, "refuse"); lifted && sends == 0 || !lifted && (sends != 0 || refusals != 1) {
 			t.Errorf("lifted %v: %d sends, %d refusals", lifted, sends, refusals)
 		}
--- a/balance/retries.go
+++ b/balance/retries.go
@@ -15,34 +15,34 @@
 
 // retryLater holds a request for a while before its next try, or concludes it if its time is too short for that.
 func (b *Balancer) retryLater(now time.Time, r *request) {
-	wait := micros(b.class(r.Class).SetupTarget) * backoffFraction * float64(int64(1)<<min(r.parks, maxBackoffDoublings))
+	wait := micros(b.class(r.Class).SetupTarget) * backoffFraction * float64(int64(1)<<min(r.holdCount, maxBackoffDoublings))
 	wait = max(wait*(0.5+b.rng.Float64()), 1)
-	r.parks++
-	if !now.Add(span(wait)).Before(r.deadline) {
+	r.holdCount++
+	if !now.Add(fromMicros(wait)).Before(r.deadline) {
 		b.conclude(r)
 		return
 	}
-	b.wake(now, r, span(wait))
+	b.setRequestTimer(now, r, fromMicros(wait))
 }
 
 // repeatable tells whether sending to a backend can have no effect twice.
 func (b *Balancer) repeatable(now time.Time, r *request, k *backend) bool {
 	c := b.class(r.Class)
-	if r.ran == nil || c.Idempotency == Idempotent {
+	if r.ranOn == nil || c.Idempotency == Idempotent {
 		return true
 	}
-	if c.Idempotency == NotIdempotent || now.Sub(r.ranSince) >= c.DedupWindow {
+	if c.Idempotency == NotIdempotent || now.Sub(r.ranAt) >= c.DedupWindow {
 		return false
 	}
-	return c.DedupScope == ScopeAll || c.DedupScope == ScopeZone && k.Zone == r.ran.Zone ||
-		c.DedupScope == ScopeCell && k.Cell == r.ran.Cell
+	return c.DedupScope == ScopeAll || c.DedupScope == ScopeZone && k.Zone == r.ranOn.Zone ||
+		c.DedupScope == ScopeCell && k.Cell == r.ranOn.Cell
 }
 
 // conclude gives a request that cannot be placed its final answer.
 func (b *Balancer) conclude(r *request) {
 	c := b.class(r.Class)
-	b.forget(r)
-	if r.ran == nil || c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DedupScope == ScopeAll {
+	b.removeRequest(r)
+	if r.ranOn == nil || c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DedupScope == ScopeAll {
 		b.host.Refuse(r.ID, time.Duration(float64(b.cfg.MaxAdvice)*adviceFraction))
 	} else {
 		b.host.Fail(r.ID)
@@ -53,15 +53,15 @@
 func (b *Balancer) recordOutcome(now time.Time, k *backend, o Outcome) {
 	switch o {
 	case OK:
-		k.strikes = 0
+		k.consecutiveFailures = 0
 		return
 	case Cancelled, NotSent:
 		return
 	}
-	if now.Before(k.until) {
+	if now.Before(k.ejectedUntil) {
 		return // a process that dies breaks all its connections at once: that is one failure
 	}
-	times := float64(int64(1) << min(k.strikes, maxBackoffDoublings))
-	k.until = now.Add(b.spread(span(firstEjectionPeriods * micros(probeEvery) * times)))
-	k.strikes++
+	times := float64(int64(1) << min(k.consecutiveFailures, maxBackoffDoublings))
+	k.ejectedUntil = now.Add(b.withJitter(fromMicros(firstEjectionPeriods * micros(probeInterval) * times)))
+	k.consecutiveFailures++
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -8,7 +8,7 @@
 )
 
 // drive runs timers and answers probes until t, letting attempts end by outcome (not at all if it is nil).
-func (s *script) drive(until time.Time, loads func(string) float64, end func(id RequestID) (Outcome, bool)) []action {
+func (s *recordingHost) runUntil(until time.Time, loads func(string) float64, end func(id RequestID) (Outcome, bool)) []action {
 	type due struct {
 		at time.Time
 		a  action
@@ -16,9 +16,9 @@
 	var queue []due
 	var all []action
 	push := func() {
-		for _, a := range s.take() {
+		for _, a := range s.takeActions() {
 			all = append(all, a)
-			switch a.what {
+			switch a.kind {
 			case "after", "probe":
 				queue = append(queue, due{s.now.Add(a.d), a})
 			case "send":
@@ -27,7 +27,7 @@
 				if !now {
 					d = a.d
 				}
-				queue = append(queue, due{s.now.Add(d), action{what: "end", id: a.id, attempt: int(o)}})
+				queue = append(queue, due{s.now.Add(d), action{kind: "end", id: a.id, attempt: int(o)}})
 			}
 		}
 	}
@@ -46,10 +46,10 @@
 		d := queue[best]
 		queue = append(queue[:best], queue[best+1:]...)
 		s.now = d.at
-		switch d.a.what {
+		switch d.a.kind {
 		case "probe":
 			if loads != nil {
-				s.b.Probed(s.now, d.a.backend, OK, load(loads(d.a.backend)))
+				s.b.Probed(s.now, d.a.backend, OK, loadReport(loads(d.a.backend)))
 			}
 		case "after":
 			s.b.Timer(s.now, d.a.token)
@@ -60,50 +60,50 @@
 	}
 }
 
-func always(o Outcome) func(RequestID) (Outcome, bool) {
+func alwaysEndWith(o Outcome) func(RequestID) (Outcome, bool) {
 	return func(RequestID) (Outcome, bool) { return o, o != TimedOut }
 }
 
 // Rule 1: whatever happens to its attempts, a request ends once and in time.
-func TestEveryRequestEndsOnceInTime(t *testing.T) {
+func TestEachRequestGetsOneAnswerInTime(t *testing.T) {
 	tests := []struct {
 		name    string
 		n       int
 		loads   func(string) float64
 		outcome Outcome
 	}{
-		{"no backend at all", 0, idle, OK},
-		{"all time out", 4, idle, TimedOut},
-		{"all turn away", 4, idle, Full},
-		{"all fail", 4, idle, Error},
-		{"none can be reached", 4, idle, NoConnect},
+		{"no backend at all", 0, idleLoad, OK},
+		{"all time out", 4, idleLoad, TimedOut},
+		{"all turn away", 4, idleLoad, Full},
+		{"all fail", 4, idleLoad, Error},
+		{"none can be reached", 4, idleLoad, NoConnect},
 		{"all over capacity", 4, func(string) float64 { return 1.4 }, Full},
 		{"no probe is answered", 4, nil, TimedOut},
-		{"not sent by the host", 4, idle, NotSent},
+		{"not sent by the host", 4, idleLoad, NotSent},
 	}
 	for _, tt := range tests {
 		for _, repeat := range []Idempotency{Idempotent, IdempotentByKey, NotIdempotent} {
 			t.Run(tt.name, func(t *testing.T) {
-				cfg := config()
+				cfg := testConfig()
 				cfg.Classes[0].Idempotency, cfg.Classes[0].DedupWindow = repeat, 5*sec
-				s := start(t, cfg, 3, tt.n)
-				s.take()
+				s := startBalancer(t, cfg, 3, tt.n)
+				s.takeActions()
 				from := s.now
-				q := ask(1)
+				q := newRequest(1)
 				q.Left = 1200 * ms // less than the class gives: this counts
 				s.b.Request(s.now, q)
-				all := s.drive(from.Add(q.Left+cfg.Rules.AnswerSlack), tt.loads, always(tt.outcome))
+				all := s.runUntil(from.Add(q.Left+cfg.Rules.AnswerSlack), tt.loads, alwaysEndWith(tt.outcome))
 				if n := s.count(all, "refuse") + s.count(all, "fail"); n != 1 {
 					t.Errorf("%d final answers", n)
 				}
 				if n := s.count(all, "send"); n > cfg.MaxAttempts {
 					t.Errorf("%d attempts", n)
 				}
-				all = s.drive(from.Add(60*sec), tt.loads, always(tt.outcome))
+				all = s.runUntil(from.Add(60*sec), tt.loads, alwaysEndWith(tt.outcome))
 				if n := s.count(all, "send") + s.count(all, "refuse") + s.count(all, "fail"); n != 0 {
 					t.Errorf("%d actions after the final answer", n)
 				}
-				if len(s.b.requests) != 0 || len(s.b.scanning) != 0 {
+				if len(s.b.requests) != 0 || len(s.b.awaitingReports) != 0 {
 					t.Error("the request is still held")
 				}
 			})
@@ -112,13 +112,13 @@
 }
 
 // A backend that accepts and stays silent leaves time for another try inside the aim.
-func TestStuckAttemptLeavesTimeForAnother(t *testing.T) {
-	s := start(t, config(), 1, 4)
-	s.take()
-	s.b.Request(s.now, ask(1))
+func TestStuckAttemptLeavesTimeForRetry(t *testing.T) {
+	s := startBalancer(t, testConfig(), 1, 4)
+	s.takeActions()
+	s.b.Request(s.now, newRequest(1))
 	from := s.now
 	tries := 0
-	s.drive(from.Add(500*ms), idle, func(RequestID) (Outcome, bool) { tries++; return TimedOut, false })
+	s.runUntil(from.Add(500*ms), idleLoad, func(RequestID) (Outcome, bool) { tries++; return TimedOut, false })
 	if tries < 2 {
 		t.Errorf("%d tries inside the aim", tries)
 	}
@@ -126,15 +126,15 @@
 
 // The second attempt may take all the time that is left: where it is slow too, it is hardly the backend, and
 // with 200 relays quick retries kept a slow store failing.
-func TestSecondAttemptIsPatient(t *testing.T) {
-	s := start(t, config(), 1, 6)
+func TestSecondAttemptMayUseAllRemainingTime(t *testing.T) {
+	s := startBalancer(t, testConfig(), 1, 6)
 	from := s.now
-	s.place(ask(1), idle)
+	s.place(newRequest(1), idleLoad)
 	s.now = s.now.Add(200 * ms)
 	s.finish(1, false, TimedOut)
-	s.answer(s.take(), idle)
-	for _, a := range s.take() {
-		if a.what == "send" && a.d != from.Add(3*sec).Sub(s.now) {
+	s.answerProbes(s.takeActions(), idleLoad)
+	for _, a := range s.takeActions() {
+		if a.kind == "send" && a.d != from.Add(3*sec).Sub(s.now) {
 			t.Errorf("the second attempt may take %d ms of %d", a.d/ms, from.Add(3*sec).Sub(s.now)/ms)
 		}
 	}
@@ -145,55 +145,55 @@
 
 // Two attempts of a request are never out at once.
 func TestOneAttemptAtATime(t *testing.T) {
-	s := start(t, config(), 1, 6)
-	s.place(ask(1), idle)
+	s := startBalancer(t, testConfig(), 1, 6)
+	s.place(newRequest(1), idleLoad)
 	for range 20 {
 		s.now = s.now.Add(50 * ms)
-		s.b.Timer(s.now, 1<<timerBits|timerRequest)
+		s.b.Timer(s.now, 1<<timerKindBits|timerRequest)
 		s.b.Timer(s.now, timerProbe)
-		s.answer(s.take(), idle)
+		s.answerProbes(s.takeActions(), idleLoad)
 	}
-	if n := s.count(s.take(), "send"); n != 0 || s.sends[1] != 1 {
+	if n := s.count(s.takeActions(), "send"); n != 0 || s.sends[1] != 1 {
 		t.Errorf("%d sends while the first attempt is out", s.sends[1])
 	}
 }
 
 // An answer for a request that the client gave up is passed over, and its attempt is called off.
 func TestClientLeft(t *testing.T) {
-	s := start(t, config(), 1, 2)
-	s.place(ask(1), idle)
+	s := startBalancer(t, testConfig(), 1, 2)
+	s.place(newRequest(1), idleLoad)
 	s.b.ClientGone(s.now, 1)
 	s.b.ClientGone(s.now, 99)
-	if as := s.take(); s.count(as, "cancel") != 1 {
+	if as := s.takeActions(); s.count(as, "cancel") != 1 {
 		t.Errorf("attempt not called off: %v", as)
 	}
 	s.finish(1, false, TimedOut)
-	if as := s.take(); len(as) != 0 || len(s.b.requests) != 0 {
+	if as := s.takeActions(); len(as) != 0 || len(s.b.requests) != 0 {
 		t.Errorf("actions for a request that is over: %v", as)
 	}
 }
 
 // A request settled while an earlier look at the backends was still awaited was sent again.
 func TestSettledRequestIsNotSentAgain(t *testing.T) {
-	s := start(t, config(), 1, 3)
-	s.take()
-	s.b.Request(s.now, ask(1))
-	as := s.take()
+	s := startBalancer(t, testConfig(), 1, 3)
+	s.takeActions()
+	s.b.Request(s.now, newRequest(1))
+	as := s.takeActions()
 	for _, a := range as {
-		if a.what == "after" {
+		if a.kind == "after" {
 			s.now = s.now.Add(a.d)
 			s.b.Timer(s.now, a.token) // placed on what is known, its probes still out
 		}
 	}
 	s.finish(1, true, OK)
-	s.answer(as, idle)
+	s.answerProbes(as, idleLoad)
 	if s.sends[1] != 1 {
 		t.Errorf("sent %d times", s.sends[1])
 	}
 }
 
 // Rule 2.
-func TestNoEffectTwice(t *testing.T) {
+func TestRequestTakesEffectAtMostOnce(t *testing.T) {
 	tests := []struct {
 		name    string
 		repeat  Idempotency
@@ -216,20 +216,20 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			cfg := config()
+			cfg := testConfig()
 			cfg.Classes[0].Idempotency, cfg.Classes[0].DedupScope, cfg.Classes[0].DedupWindow = tt.repeat, tt.scope, sec
-			s := start(t, cfg, 2, 6)
-			list := backends(6)
+			s := startBalancer(t, cfg, 2, 6)
+			list := readyBackends(6)
 			for i := range list[:3] {
 				list[i].Zone = "there"
 			}
 			s.b.DiscoveryUpdate(s.now, ListWhole, list)
-			s.take()
-			s.b.Request(s.now, ask(1))
-			all := s.drive(s.now.Add(4*sec), idle, always(tt.outcome))
+			s.takeActions()
+			s.b.Request(s.now, newRequest(1))
+			all := s.runUntil(s.now.Add(4*sec), idleLoad, alwaysEndWith(tt.outcome))
 			var first *Backend
 			for _, a := range all {
-				if a.what != "send" {
+				if a.kind != "send" {
 					continue
 				}
 				k := &s.b.byID[a.backend].Backend
@@ -256,15 +256,15 @@
 
 // The window of a keyed request runs from the first attempt that may have run, and a later attempt that
 // proves not to have run does not wipe that one out.
-func TestKeyedWindow(t *testing.T) {
-	cfg := config()
+func TestDedupWindow(t *testing.T) {
+	cfg := testConfig()
 	cfg.Classes[0] = Class{SetupTarget: 500 * ms, Worth: 1, Idempotency: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: 400 * ms}
-	s := start(t, cfg, 1, 1)
-	s.take()
-	s.b.Request(s.now, ask(1))
+	s := startBalancer(t, cfg, 1, 1)
+	s.takeActions()
+	s.b.Request(s.now, newRequest(1))
 	from := s.now
 	tries := 0
-	all := s.drive(from.Add(4*sec), idle, func(RequestID) (Outcome, bool) {
+	all := s.runUntil(from.Add(4*sec), idleLoad, func(RequestID) (Outcome, bool) {
 		tries++
 		if s.now.After(from.Add(450 * ms)) {
 			t.Errorf("sent %v after the first attempt", s.now.Sub(from))
@@ -280,7 +280,7 @@
 }
 
 // Rule 3: nothing is sent to a backend that is told to drain or to be gone, from then on.
-func TestDrainsAreKept(t *testing.T) {
+func TestNothingSentToDrainingBackend(t *testing.T) {
 	tests := []struct {
 		name string
 		kind ListKind
@@ -288,24 +288,24 @@
 	}{
 		{"patch: draining", ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}}},
 		{"patch: gone", ListPatch, []Backend{{ID: "b0", Zone: "here", State: Gone}}},
-		{"whole list without it", ListWhole, backends(4)[1:]},
-		{"stale copy that drains it", ListStale, append(backends(4)[1:], Backend{ID: "b0", State: Draining})},
+		{"whole list without it", ListWhole, readyBackends(4)[1:]},
+		{"stale copy that drains it", ListStale, append(readyBackends(4)[1:], Backend{ID: "b0", State: Draining})},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := start(t, config(), 1, 4)
-			s.take()
-			s.b.Request(s.now, ask(100)) // waits for its probes as the news comes
-			asked := s.take()
+			s := startBalancer(t, testConfig(), 1, 4)
+			s.takeActions()
+			s.b.Request(s.now, newRequest(100)) // waits for its probes as the news comes
+			asked := s.takeActions()
 			s.b.DiscoveryUpdate(s.now, tt.kind, tt.list)
-			s.answer(asked, idle)
+			s.answerProbes(asked, idleLoad)
 			for id := range RequestID(40) {
 				s.now = s.now.Add(100 * ms)
-				s.place(ask(id+1), idle)
+				s.place(newRequest(id+1), idleLoad)
 				s.b.Established(s.now, id+1)
 			}
-			for _, a := range s.take() {
-				if a.what == "send" && a.backend == "b0" {
+			for _, a := range s.takeActions() {
+				if a.kind == "send" && a.backend == "b0" {
 					t.Fatal("sent to a backend that drains")
 				}
 			}
@@ -313,8 +313,8 @@
 				t.Errorf("%d requests placed, want 41", n)
 			}
 			for _, r := range s.b.requests {
-				if r.at == nil || r.at.ID == "b0" {
-					t.Errorf("request %d is at %v", r.ID, r.at)
+				if r.backend == nil || r.backend.ID == "b0" {
+					t.Errorf("request %d is at %v", r.ID, r.backend)
 				}
 			}
 		})
@@ -323,15 +323,15 @@
 
 // A backend that restarts under its id is new again: ready, cold, and nothing known of it.
 func TestRestartUnderTheSameID(t *testing.T) {
-	s := start(t, config(), 1, 1)
-	s.b.Probed(s.now, "b0", OK, load(0.9))
+	s := startBalancer(t, testConfig(), 1, 1)
+	s.b.Probed(s.now, "b0", OK, loadReport(0.9))
 	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}})
 	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", Boot: s.now}})
 	k := s.b.byID["b0"]
 	if k.weight != fullWeight || len(s.b.ready) != 1 {
 		t.Errorf("weight %v, %d ready", k.weight, len(s.b.ready))
 	}
-	if w := s.b.warmth(s.now, k); w != s.b.cfg.Rules.ColdFrom {
+	if w := s.b.warmUpFraction(s.now, k); w != s.b.cfg.Rules.InitialCapacity {
 		t.Errorf("warmth %v", w)
 	}
 }
@@ -339,7 +339,7 @@
 // Rule 4: an idle cold backend looks emptiest, but all relays together must not send it more than it can
 // take. Each relay keeps its part alone: against a warm backend's part of the connections that end well, a cold
 // one is sent no more than its warmth times a part (fallShare) of the multiple at which it falls.
-func TestColdBackendGetsItsWarmthsShare(t *testing.T) {
+func TestColdBackendShareFollowsWarmUp(t *testing.T) {
 	const n, requests = 10, 4000
 	tests := []struct {
 		name   string
@@ -352,14 +352,14 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := start(t, config(), 4, n)
+			s := startBalancer(t, testConfig(), 4, n)
 			got := 0
 			for id := range RequestID(requests) {
 				s.now = s.now.Add(250 * ms)
-				list := backends(n)
+				list := readyBackends(n)
 				list[0].Boot = s.now.Add(-tt.age)
 				s.b.DiscoveryUpdate(s.now, ListPatch, list[:1])
-				to := s.place(ask(id+1), func(b string) float64 {
+				to := s.place(newRequest(id+1), func(b string) float64 {
 					if b == "b0" {
 						return 0
 					}
@@ -372,7 +372,7 @@
 				s.finish(id+1, true, OK)
 			}
 			share := float64(got) / (requests / (n - 1 + tt.warmth))
-			want := tt.warmth * s.b.cfg.Rules.FallMultiple * offerFraction
+			want := tt.warmth * s.b.cfg.Rules.OverloadFactor * offerFraction
 			if share > want*1.2 || share < want*0.4 {
 				t.Errorf("%.2f of a warm backend's share, want about %.2f", share, want)
 			}
@@ -382,14 +382,14 @@
 
 // Clients that are refused or cut off come again and again: their number must not raise what a cold backend
 // is sent (a fleet over capacity pushed its only idle backend over).
-func TestStormSendsNothingToTheCold(t *testing.T) {
-	s := start(t, config(), 4, 6)
-	list := backends(1)
+func TestRetryStormSendsNothingToColdBackend(t *testing.T) {
+	s := startBalancer(t, testConfig(), 4, 6)
+	list := readyBackends(1)
 	list[0].Boot = s.now
 	s.b.DiscoveryUpdate(s.now, ListPatch, list)
 	for id := range RequestID(500) {
 		s.now = s.now.Add(10 * ms)
-		to := s.place(ask(id+1), func(b string) float64 {
+		to := s.place(newRequest(id+1), func(b string) float64 {
 			if b == "b0" {
 				return 0
 			}
@@ -406,9 +406,9 @@
 }
 
 // A fleet that starts as a whole has no warm backend to go by: it is used all the same.
-func TestAllCold(t *testing.T) {
-	s := start(t, config(), 4, 6)
-	list := backends(6)
+func TestAllBackendsCold(t *testing.T) {
+	s := startBalancer(t, testConfig(), 4, 6)
+	list := readyBackends(6)
 	for i := range list {
 		list[i].Boot = s.now.Add(-10 * sec)
 	}
@@ -416,7 +416,7 @@
 	placed := 0
 	for id := range RequestID(20) {
 		s.now = s.now.Add(500 * ms)
-		if s.place(ask(id+1), idle) != "" {
+		if s.place(newRequest(id+1), idleLoad) != "" {
 			placed++
 		}
 	}
@@ -428,41 +428,41 @@
 // Where discovery answers only when asked, a relay asks at once, and again after a failure, within the
 // time that the rules allow.
 func TestSubscription(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.Subscribe = true
-	s := start(t, cfg, 1, 2)
-	if s.count(s.take(), "watch") != 1 {
+	s := startBalancer(t, cfg, 1, 2)
+	if s.count(s.takeActions(), "watch") != 1 {
 		t.Fatal("no subscription at the start")
 	}
 	for range 6 {
 		s.b.DiscoveryUpdate(s.now, ListBroken, nil)
-		all := s.drive(s.now.Add(cfg.Rules.AskWithin), idle, always(OK))
+		all := s.runUntil(s.now.Add(cfg.Rules.MaxDiscoveryGap), idleLoad, alwaysEndWith(OK))
 		if n := s.count(all, "watch"); n < 1 || n > 3 {
 			t.Errorf("%d subscriptions within AskWithin of a failure", n)
 		}
 	}
 	s.b.DiscoveryUpdate(s.now, ListPatch, nil)
-	s.take()
-	if n := s.count(s.drive(s.now.Add(60*sec), idle, always(OK)), "watch"); n != 0 {
+	s.takeActions()
+	if n := s.count(s.runUntil(s.now.Add(60*sec), idleLoad, alwaysEndWith(OK)), "watch"); n != 0 {
 		t.Errorf("%d calls while subscribed", n)
 	}
 }
 
 // Packets of an open connection that left this relay and came back go to the backend that holds it.
-func TestMidFlowGoesHome(t *testing.T) {
-	cfg := config()
+func TestMidFlowReturnsToItsBackend(t *testing.T) {
+	cfg := testConfig()
 	cfg.Park = 5 * sec
-	s := start(t, cfg, 1, 8)
+	s := startBalancer(t, cfg, 1, 8)
 	for id := range RequestID(20) {
 		s.now = s.now.Add(200 * ms)
-		q := ask(2*id + 1)
+		q := newRequest(2*id + 1)
 		q.Key = string(rune('a' + id))
-		home := s.place(q, idle)
+		home := s.place(q, idleLoad)
 		s.b.Established(s.now, q.ID)
 		s.finish(q.ID, true, Cancelled)
 		q.ID++
 		q.MidFlow = true
-		if got := s.place(q, idle); got != home {
+		if got := s.place(q, idleLoad); got != home {
 			t.Errorf("sent to %s, held by %s", got, home)
 		}
 	}
@@ -470,9 +470,9 @@
 
 // A fleet that was enlarged is filled at the pace that rule 4 leaves to each cold backend, however many of them
 // there are: shared out among them, it left most of the new ones idle (i31f261).
-func TestEnlargedFleetIsFilled(t *testing.T) {
-	cfg := config()
-	s := start(t, cfg, 1, 4)
+func TestNewBackendsAreFilledAfterScaleUp(t *testing.T) {
+	cfg := testConfig()
+	s := startBalancer(t, cfg, 1, 4)
 	s.now = s.now.Add(100 * sec)
 	var list []Backend
 	for i := range 12 {
@@ -480,31 +480,31 @@
 	}
 	s.b.DiscoveryUpdate(s.now, ListPatch, list)
 	const ends = 1000
-	w := s.b.warmth(s.now, s.b.byID["cold0"])
+	w := s.b.warmUpFraction(s.now, s.b.byID["cold0"])
 	for range ends {
-		s.b.offer(s.now, s.b.byID["b0"])
-		s.b.offer(s.now, s.b.byID["cold0"]) // what ends there tells nothing of the warm ones
+		s.b.offerColdBackends(s.now, s.b.byID["b0"])
+		s.b.offerColdBackends(s.now, s.b.byID["cold0"]) // what ends there tells nothing of the warm ones
 	}
 	bears := float64(ends) / 4 // one warm backend's part of what ended
-	most := 12 * bears * w * cfg.Rules.FallMultiple
-	if n := float64(len(s.b.offers)); n > 0.9*most || n < 0.7*most {
+	most := 12 * bears * w * cfg.Rules.OverloadFactor
+	if n := float64(len(s.b.coldCredits)); n > 0.9*most || n < 0.7*most {
 		t.Errorf("%v offers, where the rule leaves room for %v", n, most)
 	}
 }
 
 // A connection that stood and ended with its client still owed an answer is a request again: while it passed for
 // one that stands, a note on it was a panic (found by fuzzing) and its next attempt was not counted as out.
-func TestEndedConnectionStandsNoMore(t *testing.T) {
-	s := start(t, config(), 1, 1)
-	s.place(ask(1), idle)
+func TestEndedConnectionIsNotEstablished(t *testing.T) {
+	s := startBalancer(t, testConfig(), 1, 1)
+	s.place(newRequest(1), idleLoad)
 	s.b.Established(s.now, 1)
 	s.finish(1, false, Broken)
-	s.take()
+	s.takeActions()
 	s.b.ConnectionMeasured(s.now, 1, NoteDelay, 1000)
-	if n := s.count(s.take(), "probe"); n != 0 {
+	if n := s.count(s.takeActions(), "probe"); n != 0 {
 		t.Errorf("%d probes for a connection that has ended", n)
 	}
-	if r := s.b.requests[1]; r == nil || r.open {
+	if r := s.b.requests[1]; r == nil || r.established {
 		t.Error("the request is not held, or passes for a connection")
 	}
 }
@@ -512,14 +512,14 @@
 // Hosts count timers in whole microseconds. One that the module meant to be longer by a fraction would go off
 // before its time, pass for stale, and leave its request without an answer.
 func TestTimersAreWholeMicroseconds(t *testing.T) {
-	s := start(t, config(), 3, 4)
+	s := startBalancer(t, testConfig(), 3, 4)
 	n := 0
 	for id := RequestID(1); id < 40; id++ {
-		q := ask(id)
+		q := newRequest(id)
 		q.Left = 3*sec + time.Duration(id)*7*time.Nanosecond // a real clock has fractions
 		s.b.Request(s.now.Add(time.Duration(id)), q)
-		for _, a := range s.take() {
-			if a.what != "after" {
+		for _, a := range s.takeActions() {
+			if a.kind != "after" {
 				continue
 			}
 			if n++; a.d%time.Microsecond != 0 {
@@ -535,22 +535,22 @@
 // A client must be told to move before its backend leaves: what stands on a backend that drains is moved, each
 // connection once, a few at a time, and nothing is moved off the others.
 func TestDrainingBackendIsEmptied(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.Classes = []Class{{SetupTarget: 500 * ms, Worth: 1}, {SetupTarget: 500 * ms, Worth: 3}}
-	s := start(t, cfg, 1, 2)
+	s := startBalancer(t, cfg, 1, 2)
 	for id := RequestID(1); id <= 12; id++ {
-		q := ask(id)
+		q := newRequest(id)
 		q.Class = int(id % 2)
 		s.b.RestoreConnection(s.now, q, "b"+strconv.Itoa(int(id%3)/2))
 	}
-	s.take()
+	s.takeActions()
 	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}})
 	moved, most, lasted := map[RequestID]bool{}, 0, time.Duration(0)
 	step := func() (timers int) {
 		n := 0
-		for _, a := range s.take() {
+		for _, a := range s.takeActions() {
 			switch {
-			case a.what == "move":
+			case a.kind == "move":
 				if moved[a.id] || a.id%3 == 2 {
 					t.Fatalf("moved %d", a.id)
 				}
@@ -559,7 +559,7 @@
 				}
 				n++
 				moved[a.id], s.sends[a.id] = true, 1
-			case a.what == "after" && a.token == timerLeave:
+			case a.kind == "after" && a.token == timerDrain:
 				timers++
 			}
 		}
@@ -571,17 +571,17 @@
 			t.Fatalf("%d timers at once", n)
 		}
 		s.now, lasted = s.now.Add(leaveStep), lasted+leaveStep
-		s.b.Timer(s.now, timerLeave)
+		s.b.Timer(s.now, timerDrain)
 	}
 	if len(moved) != 8 || most > 2 || lasted > leaveWithin+leaveStep {
 		t.Errorf("%d moved in %v, up to %d at once", len(moved), lasted, most)
 	}
 	for id := range moved {
-		s.b.Finished(s.now, id, 0, true, Cancelled, load(math.NaN()))
+		s.b.Finished(s.now, id, 0, true, Cancelled, loadReport(math.NaN()))
 	}
 	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", State: Gone}})
-	s.take()
-	s.b.Timer(s.now.Add(leaveStep), timerLeave)
+	s.takeActions()
+	s.b.Timer(s.now.Add(leaveStep), timerDrain)
 	if n := step(); n != 0 {
 		t.Errorf("%d timers with nothing that drains", n)
 	}
@@ -589,21 +589,21 @@
 
 // Where eighty relays hold one or two connections each on a backend that drains, a part that is rounded up is all of
 // them: they were moved at once, everywhere, and came back at once.
-func TestManyRelaysEmptyADrainingBackendEvenly(t *testing.T) {
+func TestManyRelaysDrainEvenly(t *testing.T) {
 	moved, first := 0, 0
 	for seed := range uint64(80) {
-		cfg := config()
+		cfg := testConfig()
 		cfg.Balancers = 80
-		s := start(t, cfg, seed, 2)
-		s.b.RestoreConnection(s.now, ask(1), "b0")
-		s.take()
+		s := startBalancer(t, cfg, seed, 2)
+		s.b.RestoreConnection(s.now, newRequest(1), "b0")
+		s.takeActions()
 		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}})
 		first += s.count(s.actions, "move")
 		for end := s.now.Add(leaveWithin); s.now.Before(end); {
 			s.now = s.now.Add(leaveStep)
-			s.b.Timer(s.now, timerLeave)
+			s.b.Timer(s.now, timerDrain)
 		}
-		moved += s.count(s.take(), "move")
+		moved += s.count(s.takeActions(), "move")
 	}
 	if moved != 80 || first > 16 {
 		t.Errorf("%d of 80 moved, %d of them in the first step", moved, first)
@@ -612,7 +612,7 @@
 
 // Cold backends take the groups that rank them at once, without an own connection having ended before, and all relays
 // together stay under what makes one fall, even where one group is half of the traffic. Clients that return come to less.
-func TestColdBackendsTakeTheirGroups(t *testing.T) {
+func TestColdBackendsReceiveGroupTraffic(t *testing.T) {
 	for _, again := range []bool{false, true} {
 		const asked, relays, each = 4000, 80, 10 * ms // one request after another, each at another relay
 		fleet := startFleet(t, relays, 4, 2000)
@@ -629,8 +629,8 @@
 				list[i].Boot = s.now.Add(-5 * sec)
 			}
 			s.b.DiscoveryUpdate(s.now, ListPatch, list)
-			warmth = s.b.warmth(s.now, s.b.byID["c0"])
-			q := ask(id)
+			warmth = s.b.warmUpFraction(s.now, s.b.byID["c0"])
+			q := newRequest(id)
 			if q.Again = again; id%2 == 0 {
 				q.Group = "half"
 			} else {
@@ -641,14 +641,14 @@
 			s.b.Established(s.now, id)
 			s.b.ClientGone(s.now, id)
 			s.finish(id, true, Cancelled)
-			s.b.byID[at].fresh = 0
+			s.b.byID[at].unreported = 0
 			if sent[at]++; at[0] == 'c' {
 				cold++
 			}
 		}
 		even := asked / (4 * 0.5) // what a relay can do: the warm ones bear the traffic at half load
 		for at, n := range sent {
-			if at[0] == 'c' && n > even*warmth*config().Rules.FallMultiple {
+			if at[0] == 'c' && n > even*warmth*testConfig().Rules.OverloadFactor {
 				t.Errorf("again %v: %v of %v to %s, which is at %.2f", again, n, even, at, warmth)
 			}
 		}
@@ -660,45 +660,45 @@
 
 // One that failed of late takes no place among those that a group's request looks at: with two of them ranking first, as
 // when a few drain at once, requests were held although the others had room.
-func TestFailedBackendsTakeNoRank(t *testing.T) {
-	cfg := config()
+func TestFailedBackendsAreNotRankedForGroups(t *testing.T) {
+	cfg := testConfig()
 	cfg.Groups = true
-	s := start(t, cfg, 1, 8)
-	q := ask(1)
+	s := startBalancer(t, cfg, 1, 8)
+	q := newRequest(1)
 	q.Group = "g"
-	first := s.place(q, idle)
+	first := s.place(q, idleLoad)
 	s.finish(1, true, Error)
 	r := s.b.requests[1]
 	if r != nil || first == "" {
 		t.Fatal("the first request is not settled")
 	}
 	for id := RequestID(2); id < 60; id++ {
-		q := ask(id)
+		q := newRequest(id)
 		q.Group = "g"
 		s.b.Request(s.now, q)
 		if len(s.b.requests[id].sample) > 0 && s.b.requests[id].sample[0].ID == first {
 			t.Fatalf("request %d looks at %s first, which has just failed", id, first)
 		}
 		s.b.ClientGone(s.now, id)
-		s.take()
+		s.takeActions()
 	}
 }
 
 // In a wave a cold backend that is about to fall answers no probe in time. It was sent what its weight of better times
 // allowed, by relays that had never had a word from it: seven times what it could do (join+vast, seed 9).
 func TestColdBackendWithoutReportGetsNothing(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.Groups = true
 	for seed := range uint64(20) {
-		s := start(t, cfg, seed, 0)
+		s := startBalancer(t, cfg, seed, 0)
 		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Boot: s.now.Add(-10 * sec)}})
-		s.take()
-		q := ask(1)
+		s.takeActions()
+		q := newRequest(1)
 		q.Group = "g"
 		s.b.Request(s.now, q)
 		for end := s.now.Add(q.Left + 100*ms); s.now.Before(end); s.now = s.now.Add(20 * ms) { // no probe is answered
-			s.b.Timer(s.now, q.ID<<timerBits|timerRequest)
-			if s.count(s.take(), "send") > 0 {
+			s.b.Timer(s.now, q.ID<<timerKindBits|timerRequest)
+			if s.count(s.takeActions(), "send") > 0 {
 				t.Fatalf("seed %d: sent to a cold backend that has not told its load", seed)
 			}
 		}
@@ -710,19 +710,19 @@
 
 // A request that was held found no room in its sample: it looks at more backends the next time. Where a part of the fleet
 // is lost, three drawn at random are often all full although others are not.
-func TestHeldRequestsLookFurther(t *testing.T) {
-	s := start(t, config(), 1, 12)
-	s.b.Request(s.now, ask(1))
+func TestHeldRequestsSampleMoreBackends(t *testing.T) {
+	s := startBalancer(t, testConfig(), 1, 12)
+	s.b.Request(s.now, newRequest(1))
 	if n := len(s.b.requests[1].sample); n != sampleSize {
 		t.Fatalf("%d looked at first", n)
 	}
-	s.answer(s.take(), func(string) float64 { return 0.99 })
+	s.answerProbes(s.takeActions(), func(string) float64 { return 0.99 })
 	r := s.b.requests[1]
-	if r.at != nil || r.parks != 1 {
-		t.Fatalf("not held: %d parks", r.parks)
+	if r.backend != nil || r.holdCount != 1 {
+		t.Fatalf("not held: %d parks", r.holdCount)
 	}
-	s.now = r.due
-	s.b.Timer(s.now, r.ID<<timerBits|timerRequest)
+	s.now = r.timerAt
+	s.b.Timer(s.now, r.ID<<timerKindBits|timerRequest)
 	if n := len(r.sample); n != sampleSize+1 {
 		t.Errorf("%d looked at after it was held", n)
 	}
@@ -731,13 +731,13 @@
 // A cold backend is drawn by its idle part, and less for clients that return: of these, fifteen connections came
 // within 1.3 s to one that already told a load of 0.5 to 0.8. New clients find none of it while it bears more than a
 // steady use of its budget can have given it: half of its capacity 2 s after its start.
-func TestColdBackendIsDrawnByItsIdlePart(t *testing.T) {
-	s := start(t, config(), 1, 1)
+func TestColdBackendIsChosenByIdleCapacity(t *testing.T) {
+	s := startBalancer(t, testConfig(), 1, 1)
 	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Boot: s.now.Add(-2 * sec)}})
 	k := s.b.byID["cold"]
 	k.weight = fullWeight / 2
 	for range 1000 {
-		if s.b.mayTake(s.now, &request{}, k, 1) {
+		if s.b.mayTakeByRank(s.now, &request{}, k, 1) {
 			t.Fatal("a new client may go to one that is half full after 2 s")
 		}
 	}
@@ -747,7 +747,7 @@
 		k.weight = weight
 		for range 20000 {
 			k.permits = permits{} // each at another relay
-			if s.b.mayTake(s.now, &request{Request: Request{Again: again}}, k, 1) {
+			if s.b.mayTakeByRank(s.now, &request{Request: Request{Again: again}}, k, 1) {
 				n++
 			}
 		}
@@ -765,16 +765,16 @@
 
 // Four relays see who holds a group, and a spill needs much room; of eighty none can, and half as much will do: requests
 // were held with both homes full while others stood half idle.
-func TestGroupsSpillMoreEasilyAmongMany(t *testing.T) {
+func TestGroupsSpillMoreEasilyWithManyRelays(t *testing.T) {
 	for relays, want := range map[int]bool{4: false, 80: true} {
-		cfg := config()
+		cfg := testConfig()
 		cfg.Groups, cfg.Balancers = true, relays
-		q := ask(1)
+		q := newRequest(1)
 		q.Group = "g"
-		s := start(t, cfg, 1, 3)
-		s.b.startPlacement(s.now, s.b.add(q))
+		s := startBalancer(t, cfg, 1, 3)
+		s.b.startPlacement(s.now, s.b.addRequest(q))
 		home := s.b.requests[1].sample[0].ID
-		s = start(t, cfg, 1, 3)
+		s = startBalancer(t, cfg, 1, 3)
 		got := s.place(q, func(b string) float64 { return map[bool]float64{true: 0.99, false: 0.6}[b == home] })
 		if (got != "") != want {
 			t.Errorf("%d relays: sent to %q", relays, got)
--- a/balance/script_test.go
+++ b/balance/script_test.go
@@ -15,7 +15,7 @@
 
 // action is one thing a Balancer asked of its host.
 type action struct {
-	what    string // send, refuse, fail, cancel, move, probe, watch, after
+	kind    string // send, refuse, fail, cancel, move, probe, watch, after
 	id      RequestID
 	backend string
 	d       time.Duration // time-out, advice or delay
@@ -24,7 +24,7 @@
 }
 
 // script is a Host that records actions and helps a test feed events.
-type script struct {
+type recordingHost struct {
 	t       *testing.T
 	b       *Balancer
 	now     time.Time
@@ -32,28 +32,30 @@
 	sends   map[RequestID]int
 }
 
-func (s *script) do(a action) { s.actions = append(s.actions, a) }
+func (s *recordingHost) record(a action) { s.actions = append(s.actions, a) }
 
-func (s *script) Send(id RequestID, backend string, timeout time.Duration) {
+func (s *recordingHost) Send(id RequestID, backend string, timeout time.Duration) {
 	s.sends[id]++
-	s.do(action{what: "send", id: id, backend: backend, d: timeout})
+	s.record(action{kind: "send", id: id, backend: backend, d: timeout})
 }
-func (s *script) Refuse(id RequestID, d time.Duration) { s.do(action{what: "refuse", id: id, d: d}) }
-func (s *script) Fail(id RequestID)                    { s.do(action{what: "fail", id: id}) }
-func (s *script) Cancel(id RequestID, attempt int) {
-	s.do(action{what: "cancel", id: id, attempt: attempt})
+func (s *recordingHost) Refuse(id RequestID, d time.Duration) {
+	s.record(action{kind: "refuse", id: id, d: d})
 }
-func (s *script) Move(id RequestID)    { s.do(action{what: "move", id: id}) }
-func (s *script) Probe(backend string) { s.do(action{what: "probe", backend: backend}) }
-func (s *script) Watch()               { s.do(action{what: "watch"}) }
-func (s *script) After(d time.Duration, token uint64) {
-	s.do(action{what: "after", d: d, token: token})
+func (s *recordingHost) Fail(id RequestID) { s.record(action{kind: "fail", id: id}) }
+func (s *recordingHost) Cancel(id RequestID, attempt int) {
+	s.record(action{kind: "cancel", id: id, attempt: attempt})
 }
-func (s *script) take() []action { a := s.actions; s.actions = nil; return a }
-func (s *script) count(as []action, what string) int {
+func (s *recordingHost) Move(id RequestID)    { s.record(action{kind: "move", id: id}) }
+func (s *recordingHost) Probe(backend string) { s.record(action{kind: "probe", backend: backend}) }
+func (s *recordingHost) Watch()               { s.record(action{kind: "watch"}) }
+func (s *recordingHost) After(d time.Duration, token uint64) {
+	s.record(action{kind: "after", d: d, token: token})
+}
+func (s *recordingHost) takeActions() []action { a := s.actions; s.actions = nil; return a }
+func (s *recordingHost) count(as []action, what string) int {
 	n := 0
 	for _, a := range as {
-		if a.what == what {
+		if a.kind == what {
 			n++
 		}
 	}
@@ -61,7 +63,7 @@
 }
 
 // config is a plain deployment: one free class, no tenants, discovery by push.
-func config() Config {
+func testConfig() Config {
 	return Config{
 		Balancers:   10,
 		Zone:        "here",
@@ -71,27 +73,27 @@
 		MayProbe:    true,
 		MayCancel:   true,
 		Rules: Rules{
-			AnswerSlack: 8 * ms, AskWithin: 10 * sec, ColdFrom: 0.2, WarmWithin: 20 * sec,
-			FallMultiple: 3, FallWithin: 1500 * ms,
+			AnswerSlack: 8 * ms, MaxDiscoveryGap: 10 * sec, InitialCapacity: 0.2, WarmUpTime: 20 * sec,
+			OverloadFactor: 3, OverloadWindow: 1500 * ms,
 		},
 	}
 }
 
 // start returns a Balancer that knows n ready backends, b0 and on, all of one zone.
-func start(t *testing.T, cfg Config, seed uint64, n int) *script {
+func startBalancer(t *testing.T, cfg Config, seed uint64, n int) *recordingHost {
 	t.Helper()
-	s := &script{t: t, now: time.UnixMicro(0).Add(1000 * sec), sends: make(map[RequestID]int)}
+	s := &recordingHost{t: t, now: time.UnixMicro(0).Add(1000 * sec), sends: make(map[RequestID]int)}
 	b, err := New(cfg, seed, s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.b = b
 	b.Start(s.now)
-	b.DiscoveryUpdate(s.now, ListStale, backends(n))
+	b.DiscoveryUpdate(s.now, ListStale, readyBackends(n))
 	return s
 }
 
-func backends(n int) []Backend {
+func readyBackends(n int) []Backend {
 	var list []Backend
 	for i := range n {
 		list = append(list, Backend{ID: "b" + strconv.Itoa(i), Zone: "here", Cell: i / 2, Size: 1})
@@ -100,44 +102,44 @@
 }
 
 // load is a report of x0 alone.
-func load(x float64) Report {
+func loadReport(x float64) Report {
 	nan := math.NaN()
 	return Report{Load: x, CPU: nan, Active: nan, Waiting: nan, Latency: nan, Rate: nan, Errors: nan}
 }
 
 // answer lets every probe in as be answered with the load that loads gives its backend.
-func (s *script) answer(as []action, loads func(backend string) float64) {
+func (s *recordingHost) answerProbes(as []action, loads func(backend string) float64) {
 	for _, a := range as {
-		if a.what == "probe" {
-			s.b.Probed(s.now, a.backend, OK, load(loads(a.backend)))
+		if a.kind == "probe" {
+			s.b.Probed(s.now, a.backend, OK, loadReport(loads(a.backend)))
 		}
 	}
 }
 
 // place brings a request, answers its probes, and returns where it was sent, or "".
-func (s *script) place(q Request, loads func(string) float64) string {
+func (s *recordingHost) place(q Request, loads func(string) float64) string {
 	s.b.Request(s.now, q)
-	as := s.take()
-	s.answer(as, loads)
-	as = append(as, s.take()...)
+	as := s.takeActions()
+	s.answerProbes(as, loads)
+	as = append(as, s.takeActions()...)
 	for _, a := range as {
-		if a.what == "send" && a.id == q.ID {
+		if a.kind == "send" && a.id == q.ID {
 			return a.backend
 		}
 	}
 	return ""
 }
 
-func (s *script) finish(id RequestID, settled bool, o Outcome) {
-	s.b.Finished(s.now, id, s.sends[id]-1, settled, o, load(math.NaN()))
+func (s *recordingHost) finish(id RequestID, settled bool, o Outcome) {
+	s.b.Finished(s.now, id, s.sends[id]-1, settled, o, loadReport(math.NaN()))
 }
 
-func idle(string) float64 { return 0.1 }
+func idleLoad(string) float64 { return 0.1 }
 
-func ask(id RequestID) Request { return Request{ID: id, Tenant: -1, Left: 3 * sec} }
+func newRequest(id RequestID) Request { return Request{ID: id, Tenant: -1, Left: 3 * sec} }
 
 // sameActions fails the test where two runs differ.
-func sameActions(t *testing.T, a, b []action) {
+func requireSameActions(t *testing.T, a, b []action) {
 	t.Helper()
 	if len(a) != len(b) {
 		t.Fatalf("%d actions and %d", len(a), len(b))
@@ -150,5 +152,5 @@
 }
 
 func (a action) String() string {
-	return fmt.Sprintf("%s %d %s %d %d", a.what, a.id, a.backend, a.d, a.token)
+	return fmt.Sprintf("%s %d %s %d %d", a.kind, a.id, a.backend, a.d, a.token)
 }
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -38,8 +38,8 @@
 	if now.Before(last.expires) {
 		return
 	}
-	next := permits{expires: now.Add(b.cfg.Rules.FallWithin)}
-	if last.denied && now.Sub(last.expires) < b.cfg.Rules.FallWithin {
+	next := permits{expires: now.Add(b.cfg.Rules.OverloadWindow)}
+	if last.denied && now.Sub(last.expires) < b.cfg.Rules.OverloadWindow {
 		// By now reports show what all sent in the last term: the mean falls with the idle part.
 		next.doublings = min(last.doublings+1, maxPermitDoublings)
 	}
@@ -58,37 +58,37 @@
 // of them see a client of the largest return: these may use the permits of the others.
 func (b *Balancer) meanPermits(now time.Time, k *backend) float64 {
 	rules := b.cfg.Rules
-	if rules.WarmWithin <= 0 || len(b.ready) == 0 {
+	if rules.WarmUpTime <= 0 || len(b.ready) == 0 {
 		return 0
 	}
 	held, size := 0.0, 0.0
 	for _, other := range b.ready {
-		held += float64(len(other.held))
+		held += float64(len(other.requests))
 		size += other.Size
 	}
 	backends := float64(len(b.ready))
-	full := max(held/backends, 1/maxReturnSize) / b.borne(now)
+	full := max(held/backends, 1/maxReturnSize) / b.meanWarmLoad(now)
 	if size > 0 { // a small one is full with less; the size of a large one may only mean that it is idle
 		full *= min(k.Size*backends/size, 1)
 	}
-	budget := b.warmth(now, k) * rules.FallMultiple * float64(rules.FallWithin) / float64(rules.WarmWithin)
+	budget := b.warmUpFraction(now, k) * rules.OverloadFactor * float64(rules.OverloadWindow) / float64(rules.WarmUpTime)
 	return permitFactor * full * budget * k.weight / fullWeight
 }
 
 // filledEarly tells whether a cold backend has as much load as a steady use of its budget would have given it.
 // In a burst of new clients each of many relays sees one or none, while the reported load has their sum.
 func (b *Balancer) filledEarly(now time.Time, k *backend) bool {
-	w, rules := b.warmth(now, k), b.cfg.Rules
+	w, rules := b.warmUpFraction(now, k), b.cfg.Rules
 	if w >= 1 {
 		return false
 	}
-	steady := (rules.ColdFrom + w) / 2 * micros(now.Sub(k.Boot)) / w // its age, at the mean of its warmth
-	most := fillFraction * rules.FallMultiple * (steady + micros(rules.FallWithin)) / micros(rules.WarmWithin)
+	steady := (rules.InitialCapacity + w) / 2 * micros(now.Sub(k.Boot)) / w // its age, at the mean of its warmth
+	most := fillFraction * rules.OverloadFactor * (steady + micros(rules.OverloadWindow)) / micros(rules.WarmUpTime)
 	return 1-k.weight/fullWeight > most
 }
 
-// mayReturn tells whether a returning client's request may go to a cold backend.
-func (b *Balancer) mayReturn(now time.Time, k *backend) bool {
+// mayTakeReturning tells whether a returning client's request may go to a cold backend.
+func (b *Balancer) mayTakeReturning(now time.Time, k *backend) bool {
 	b.renewPermits(now, k)
 	if k.permits.used < k.permits.returnLimit {
 		return true
@@ -97,42 +97,42 @@
 	return false
 }
 
-// withinLimit tells whether this relay may send a backend one more request, whatever its path: to a cold one
+// withinPermits tells whether this relay may send a backend one more request, whatever its path: to a cold one
 // at most one, or as many as it drew permits.
-func (b *Balancer) withinLimit(now time.Time, k *backend) bool {
-	if b.warmth(now, k) >= 1 {
+func (b *Balancer) withinPermits(now time.Time, k *backend) bool {
+	if b.warmUpFraction(now, k) >= 1 {
 		return true
 	}
 	b.renewPermits(now, k)
 	return k.permits.used < k.permits.totalLimit
 }
 
-// warmth is the part of its capacity that a backend must have by now.
-func (b *Balancer) warmth(now time.Time, k *backend) float64 {
+// warmUpFraction is the part of its capacity that a backend must have by now.
+func (b *Balancer) warmUpFraction(now time.Time, k *backend) float64 {
 	r := b.cfg.Rules
 	age := now.Sub(k.Boot)
-	if k.Boot.IsZero() || age >= r.WarmWithin {
+	if k.Boot.IsZero() || age >= r.WarmUpTime {
 		return 1
 	}
-	return r.ColdFrom + (1-r.ColdFrom)*float64(max(age, 0))/float64(r.WarmWithin)
+	return r.InitialCapacity + (1-r.InitialCapacity)*float64(max(age, 0))/float64(r.WarmUpTime)
 }
 
 // countWarm is the number of warm backends that take new connections.
 func (b *Balancer) countWarm(now time.Time) int {
 	warm := 0
 	for _, k := range b.ready {
-		if b.warmth(now, k) >= 1 {
+		if b.warmUpFraction(now, k) >= 1 {
 			warm++
 		}
 	}
 	return warm
 }
 
-// borne is the mean load of the warm backends of which a report is known, 1 where there is none.
-func (b *Balancer) borne(now time.Time) float64 {
+// meanWarmLoad is the mean load of the warm backends of which a report is known, 1 where there is none.
+func (b *Balancer) meanWarmLoad(now time.Time) float64 {
 	seen, load := 0.0, 0.0
 	for _, k := range b.ready {
-		if !k.seen.IsZero() && b.warmth(now, k) >= 1 {
+		if !k.lastReport.IsZero() && b.warmUpFraction(now, k) >= 1 {
 			seen++
 			load += 1 - k.weight/fullWeight
 		}
@@ -143,41 +143,41 @@
 	return max(load/seen, minWarmLoad)
 }
 
-// mayTake draws whether a request may go to a backend by its group's rank; a warm one always may. The even
+// mayTakeByRank draws whether a request may go to a backend by its group's rank; a warm one always may. The even
 // part of the new connections fills a warm one to the load that is reported; a cold one gets as many times
 // that as its warmth allows for, at a part of the fall multiple, at all relays together. Clients that
 // return need permits.
-func (b *Balancer) mayTake(now time.Time, r *request, k *backend, load float64) bool {
-	w := b.warmth(now, k)
+func (b *Balancer) mayTakeByRank(now time.Time, r *request, k *backend, load float64) bool {
+	w := b.warmUpFraction(now, k)
 	if w >= 1 {
 		return true
 	}
 	if r.Again {
-		return b.mayReturn(now, k)
+		return b.mayTakeReturning(now, k)
 	}
 	if b.filledEarly(now, k) {
 		return false
 	}
-	p := w / load * b.cfg.Rules.FallMultiple * groupColdFraction * k.weight / fullWeight // what it has already counts
-	if r.parks > 0 {
+	p := w / load * b.cfg.Rules.OverloadFactor * groupColdFraction * k.weight / fullWeight // what it has already counts
+	if r.holdCount > 0 {
 		p *= retriedFraction
 	}
 	return b.rng.Float64() < p
 }
 
-// offer follows an own connection that ended well at a warm backend. Outside groups a cold one gets new
+// offerColdBackends follows an own connection that ended well at a warm backend. Outside groups a cold one gets new
 // connections in no other way: it looks emptiest to every relay at once. What ends well was borne by the
 // warm ones, and the part that one of them bears, times a cold one's warmth, is within what that may be
 // sent, at each relay alone.
-func (b *Balancer) offer(now time.Time, ended *backend) {
-	if b.warmth(now, ended) < 1 {
+func (b *Balancer) offerColdBackends(now time.Time, ended *backend) {
+	if b.warmUpFraction(now, ended) < 1 {
 		return
 	}
 	warm := float64(b.countWarm(now))
 	for _, k := range b.ready {
-		w := b.warmth(now, k)
-		if w < 1 && b.rng.Float64() < w/max(warm, 1)*b.cfg.Rules.FallMultiple*offerFraction {
-			b.offers = append(b.offers, offer{k, now})
+		w := b.warmUpFraction(now, k)
+		if w < 1 && b.rng.Float64() < w/max(warm, 1)*b.cfg.Rules.OverloadFactor*offerFraction {
+			b.coldCredits = append(b.coldCredits, coldCredit{k, now})
 		}
 	}
 }
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -8,20 +8,20 @@
 )
 
 // startFleet returns the Balancers of relays that share n warm backends at half load, which hold so many connections.
-func startFleet(t *testing.T, relays, n, connections int) []*script {
+func startFleet(t *testing.T, relays, n, connections int) []*recordingHost {
 	t.Helper()
-	fleet := make([]*script, relays)
+	fleet := make([]*recordingHost, relays)
 	for i := range fleet {
-		cfg := config()
+		cfg := testConfig()
 		cfg.Balancers, cfg.Groups = relays, true
-		s := start(t, cfg, uint64(i)+1, n)
+		s := startBalancer(t, cfg, uint64(i)+1, n)
 		for j := range n {
-			s.b.Probed(s.now, "b"+strconv.Itoa(j), OK, load(0.5))
+			s.b.Probed(s.now, "b"+strconv.Itoa(j), OK, loadReport(0.5))
 		}
 		fleet[i] = s
 	}
 	for c := range connections {
-		q := ask(RequestID(1)<<40 + RequestID(c))
+		q := newRequest(RequestID(1)<<40 + RequestID(c))
 		q.Group = strconv.Itoa(c)
 		fleet[c%relays].b.RestoreConnection(fleet[0].now, q, "b"+strconv.Itoa(c/relays%n))
 	}
@@ -33,7 +33,7 @@
 	for i := 0; ; i++ {
 		group, best := "g"+strconv.Itoa(i), b.ready[0]
 		for _, k := range b.ready {
-			if mix(hash(group)^k.hash) > mix(hash(group)^best.hash) {
+			if mix(hash(group)^k.idHash) > mix(hash(group)^best.idHash) {
 				best = k
 			}
 		}
@@ -59,7 +59,7 @@
 	for id := RequestID(1); id <= RequestID(clients); id++ {
 		s := fleet[rng.IntN(relays)]
 		s.now = s.now.Add(100 * ms / 100)
-		q := ask(id)
+		q := newRequest(id)
 		q.Group, q.Again = group, again
 		if s.place(q, func(at string) float64 { return map[bool]float64{true: 0, false: 0.5}[at == "cold"] }) == "cold" {
 			sent++
@@ -71,8 +71,8 @@
 // budget is what the rules allow a cold backend within FallWithin: one that is full with 30 connections, and is at 0.6 of that
 // after half of its warm-up.
 func budget() (mean, most float64) {
-	rules := config().Rules
-	mean = rules.FallMultiple * 0.6 * 30 * float64(rules.FallWithin) / float64(rules.WarmWithin)
+	rules := testConfig().Rules
+	mean = rules.OverloadFactor * 0.6 * 30 * float64(rules.OverloadWindow) / float64(rules.WarmUpTime)
 	return mean, mean + 2*math.Sqrt(mean) + 2
 }
 
@@ -138,13 +138,13 @@
 			s := fleet[(seed*clients+i)%relays]
 			s.b.DiscoveryUpdate(s.now, ListPatch, cold)
 			k := s.b.byID["cold"]
-			if w := s.b.warmth(s.now, k); w < 0.55 || w > 0.65 {
+			if w := s.b.warmUpFraction(s.now, k); w < 0.55 || w > 0.65 {
 				t.Fatalf("it is at %.2f", w)
 			}
 			k.permits = permits{}
 			k.weight = fullWeight * (0.8 - 0.03*took[max(i-lag, 0)])
 			took[i+1] = took[i]
-			if s.b.mayTake(s.now, &request{Request: Request{Again: true}}, k, s.b.borne(s.now)) {
+			if s.b.mayTakeByRank(s.now, &request{Request: Request{Again: true}}, k, s.b.meanWarmLoad(s.now)) {
 				took[i+1]++
 			}
 		}
@@ -158,10 +158,10 @@
 // Where all backends are cold, clients that return are served all the same.
 func TestReturnWhereAllAreCold(t *testing.T) {
 	for _, relays := range []int{1, 10, 300} {
-		cfg := config()
+		cfg := testConfig()
 		cfg.Balancers, cfg.Groups = relays, true
-		s := start(t, cfg, 4, 6)
-		list := backends(6)
+		s := startBalancer(t, cfg, 4, 6)
+		list := readyBackends(6)
 		for i := range list {
 			list[i].Boot = s.now.Add(-10 * sec)
 		}
@@ -169,9 +169,9 @@
 		placed := 0
 		for id := range RequestID(20) {
 			s.now = s.now.Add(100 * ms)
-			q := ask(id + 1)
+			q := newRequest(id + 1)
 			q.Again, q.Group = true, "g"+strconv.Itoa(int(id))
-			if s.place(q, idle) != "" {
+			if s.place(q, idleLoad) != "" {
 				placed++
 			}
 		}
@@ -187,13 +187,13 @@
 	s := startFleet(t, 1, 4, 64)[0]
 	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Size: 1, Boot: s.now.Add(-10 * sec)}})
 	k := s.b.byID["cold"]
-	term := s.b.cfg.Rules.FallWithin
+	term := s.b.cfg.Rules.OverloadWindow
 	for _, tt := range []struct {
 		denied    bool
 		wait      int // terms
 		doublings int
 	}{{false, 0, 0}, {true, 1, 1}, {true, 1, 2}, {true, 1, 3}, {true, 1, 3}, {false, 1, 0}, {true, 3, 0}} {
-		s.b.mayReturn(s.now, k)
+		s.b.mayTakeReturning(s.now, k)
 		k.permits.denied = tt.denied
 		s.now = k.permits.expires
 		if tt.wait > 1 {
@@ -217,12 +217,12 @@
 		if group == "" {
 			group = groupOf(s.b, "cold")
 		}
-		q := ask(RequestID(i + 1))
+		q := newRequest(RequestID(i + 1))
 		q.Group, q.Again = group, true
 		s.b.Request(s.now, q)
 		full := func(at string) float64 { return map[bool]float64{true: 0, false: 0.99}[at == "cold"] }
-		for _, a := range s.drive(s.now.Add(config().Rules.FallWithin-ms), full, always(OK)) {
-			if a.what == "send" && a.backend == "cold" {
+		for _, a := range s.runUntil(s.now.Add(testConfig().Rules.OverloadWindow-ms), full, alwaysEndWith(OK)) {
+			if a.kind == "send" && a.backend == "cold" {
 				sent++
 			}
 		}
--- a/balance/troubles_test.go
+++ b/balance/troubles_test.go
@@ -9,31 +9,31 @@
 
 // world feeds a relay one request every gap and lets each attempt end as end says; a connection that is set
 // up lasts until the end of the test. It returns where the requests went.
-func (s *script) world(n int, gap time.Duration, loads func(string) float64, end func(backend string) Outcome) map[string]int {
+func (s *recordingHost) world(n int, gap time.Duration, loads func(string) float64, end func(backend string) Outcome) map[string]int {
 	got := map[string]int{}
 	for id := range RequestID(n) {
 		id += 1 + RequestID(s.now.UnixMicro())
 		s.now = s.now.Add(gap)
 		s.b.Timer(s.now, timerProbe)
-		s.answer(s.take(), loads)
-		s.b.Request(s.now, ask(id))
+		s.answerProbes(s.takeActions(), loads)
+		s.b.Request(s.now, newRequest(id))
 		for range 12 {
-			as := s.take()
+			as := s.takeActions()
 			if len(as) == 0 {
 				break
 			}
 			for _, a := range as {
 				switch {
-				case a.what == "probe":
-					s.b.Probed(s.now, a.backend, OK, load(loads(a.backend)))
-				case a.what == "send":
+				case a.kind == "probe":
+					s.b.Probed(s.now, a.backend, OK, loadReport(loads(a.backend)))
+				case a.kind == "send":
 					got[a.backend]++
 					if o := end(a.backend); o == OK {
 						s.b.Established(s.now, a.id)
 					} else {
 						s.finish(a.id, false, o)
 					}
-				case a.what == "after" && a.token == id<<timerBits|timerRequest:
+				case a.kind == "after" && a.token == id<<timerKindBits|timerRequest:
 					s.b.Timer(s.now.Add(a.d), a.token)
 				}
 			}
@@ -46,9 +46,9 @@
 
 // With no word on load at all the paper's count alone decides, and still spreads.
 func TestReportsAbsent(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.Balancers = 1
-	s := start(t, cfg, 1, 5)
+	s := startBalancer(t, cfg, 1, 5)
 	got := s.world(100, 300*ms, func(string) float64 { return math.NaN() }, served)
 	for i := range 5 {
 		if n := got["b"+strconv.Itoa(i)]; n < 10 || n > 30 {
@@ -59,7 +59,7 @@
 
 // A frozen report must not draw everything to one backend for good.
 func TestReportsFrozen(t *testing.T) {
-	s := start(t, config(), 1, 6)
+	s := startBalancer(t, testConfig(), 1, 6)
 	got := s.world(200, 300*ms, func(b string) float64 {
 		if b == "b0" {
 			return 0.3
@@ -73,7 +73,7 @@
 
 // A backend that reports idle and fails fast must not win every sample.
 func TestFastErrors(t *testing.T) {
-	s := start(t, config(), 1, 6)
+	s := startBalancer(t, testConfig(), 1, 6)
 	loads := func(b string) float64 {
 		if b == "b0" {
 			return 0
@@ -100,8 +100,8 @@
 
 // A backend that connects and never answers costs few attempts, and a request's other attempts go elsewhere.
 func TestSilentBackend(t *testing.T) {
-	s := start(t, config(), 1, 6)
-	got := s.world(200, 300*ms, idle, func(b string) Outcome {
+	s := startBalancer(t, testConfig(), 1, 6)
+	got := s.world(200, 300*ms, idleLoad, func(b string) Outcome {
 		if b == "b0" {
 			return TimedOut
 		}
@@ -114,23 +114,23 @@
 
 // However many backends failed of late, requests are still sent: one is passed over only for another.
 func TestAllFailedOfLate(t *testing.T) {
-	s := start(t, config(), 1, 10)
+	s := startBalancer(t, testConfig(), 1, 10)
 	for _, k := range s.b.ready {
 		s.b.recordOutcome(s.now, k, NoConnect)
 	}
-	if s.place(ask(1), idle) == "" {
+	if s.place(newRequest(1), idleLoad) == "" {
 		t.Error("held, with all of the list ejected")
 	}
 	for _, k := range s.b.ready[1:] {
-		k.until = s.now.Add(100 * sec)
+		k.ejectedUntil = s.now.Add(100 * sec)
 	}
 	fit := s.b.ready[0]
-	fit.until = time.Time{}
+	fit.ejectedUntil = time.Time{}
 	seen := 0
 	for id := RequestID(2); id < 32; id++ {
 		s.now = s.now.Add(sec)
-		got := s.place(ask(id), idle)
-		if fit.seen.Equal(s.now) { // it was in the sample
+		got := s.place(newRequest(id), idleLoad)
+		if fit.lastReport.Equal(s.now) { // it was in the sample
 			seen++
 			if got != fit.ID {
 				t.Errorf("request %d went to %q, not to the one that is fit", id, got)
@@ -149,21 +149,21 @@
 		level float64
 		want  int
 	}{{NoteDelay, 400, 1}, {NoteDelay, 20, 0}, {NoteLoad, 4000, 0}} {
-		cfg := config()
+		cfg := testConfig()
 		cfg.Classes[0].MessageTarget = 100 * ms
-		s := start(t, cfg, 1, 3)
-		s.b.RestoreConnection(s.now, ask(1), "b1")
-		s.take()
+		s := startBalancer(t, cfg, 1, 3)
+		s.b.RestoreConnection(s.now, newRequest(1), "b1")
+		s.takeActions()
 		for range 5 {
 			s.b.ConnectionMeasured(s.now, 1, tt.note, tt.level)
 		}
-		if n := s.count(s.take(), "probe"); n != tt.want {
+		if n := s.count(s.takeActions(), "probe"); n != tt.want {
 			t.Errorf("note %d of %v: %d probes, want %d", tt.note, tt.level, n, tt.want)
 		}
-		s.b.Probed(s.now, "b1", OK, load(0.5))
+		s.b.Probed(s.now, "b1", OK, loadReport(0.5))
 		s.now = s.now.Add(100 * ms)
 		s.b.ConnectionMeasured(s.now, 1, tt.note, tt.level)
-		if n := s.count(s.take(), "probe"); n != 0 {
+		if n := s.count(s.takeActions(), "probe"); n != 0 {
 			t.Errorf("note %d of %v: probed again at once", tt.note, tt.level)
 		}
 	}
@@ -171,12 +171,12 @@
 
 // With all at or over capacity requests are held and refused, at a bounded cost in probes.
 func TestAllOverCapacity(t *testing.T) {
-	s := start(t, config(), 1, 10)
-	s.take()
+	s := startBalancer(t, testConfig(), 1, 10)
+	s.takeActions()
 	probes, refused := 0, 0
 	for id := range RequestID(50) {
-		s.b.Request(s.now, ask(id+1))
-		all := s.drive(s.now.Add(3*sec), func(string) float64 { return 1.1 }, always(OK))
+		s.b.Request(s.now, newRequest(id+1))
+		all := s.runUntil(s.now.Add(3*sec), func(string) float64 { return 1.1 }, alwaysEndWith(OK))
 		probes += s.count(all, "probe")
 		refused += s.count(all, "refuse")
 	}
@@ -190,15 +190,15 @@
 
 // Half of the list goes at once: their connections' clients come back and find a place in the other half.
 func TestHalfGoneAtOnce(t *testing.T) {
-	s := start(t, config(), 1, 10)
-	s.world(50, 200*ms, idle, served)
-	s.b.DiscoveryUpdate(s.now, ListWhole, backends(10)[5:])
+	s := startBalancer(t, testConfig(), 1, 10)
+	s.world(50, 200*ms, idleLoad, served)
+	s.b.DiscoveryUpdate(s.now, ListWhole, readyBackends(10)[5:])
 	for _, r := range s.b.requests {
-		if r.at.State == Gone {
+		if r.backend.State == Gone {
 			s.finish(r.ID, true, Broken)
 		}
 	}
-	got := s.world(50, 50*ms, idle, served)
+	got := s.world(50, 50*ms, idleLoad, served)
 	for i := range 5 {
 		if n := got["b"+strconv.Itoa(i)]; n != 0 {
 			t.Errorf("%d sent to b%d, which is gone", n, i)
@@ -211,8 +211,8 @@
 
 // A rolling deploy: many cold successors at once. The warm ones carry on and the cold ones are let in slowly.
 func TestRollingDeploy(t *testing.T) {
-	s := start(t, config(), 1, 6)
-	list := backends(12)
+	s := startBalancer(t, testConfig(), 1, 6)
+	list := readyBackends(12)
 	for i := 6; i < 12; i++ {
 		list[i].Boot = s.now
 	}
@@ -220,9 +220,9 @@
 	cold, warm, budget := 0, 0, 0.0
 	for id := range RequestID(80) {
 		s.now = s.now.Add(250 * ms)
-		w := s.b.warmth(s.now, s.b.byID["b6"])
-		budget += 6 * w / (6 + 6*w) * s.b.cfg.Rules.FallMultiple * offerFraction
-		to := s.place(ask(id+1), func(b string) float64 {
+		w := s.b.warmUpFraction(s.now, s.b.byID["b6"])
+		budget += 6 * w / (6 + 6*w) * s.b.cfg.Rules.OverloadFactor * offerFraction
+		to := s.place(newRequest(id+1), func(b string) float64 {
 			if len(b) > 2 || b > "b5" {
 				return 0
 			}
@@ -230,7 +230,7 @@
 		})
 		switch {
 		case to == "":
-		case s.b.warmth(s.now, s.b.byID[to]) < 1:
+		case s.b.warmUpFraction(s.now, s.b.byID[to]) < 1:
 			cold++
 		default:
 			warm++
@@ -245,37 +245,37 @@
 
 // All clients come back within a second: each request is answered, and the attempts that are out are bounded.
 func TestMassReconnect(t *testing.T) {
-	s := start(t, config(), 1, 10)
-	s.take()
+	s := startBalancer(t, testConfig(), 1, 10)
+	s.takeActions()
 	most := 0
 	for id := range RequestID(300) {
 		s.now = s.now.Add(3 * ms)
-		s.b.Request(s.now, ask(id+1))
-		s.answer(s.take(), idle)
-		most = max(most, s.b.out)
+		s.b.Request(s.now, newRequest(id+1))
+		s.answerProbes(s.takeActions(), idleLoad)
+		most = max(most, s.b.pendingAttempts)
 	}
-	if most > maxWindow {
+	if most > maxAttemptWindow {
 		t.Errorf("%d attempts out at once", most)
 	}
 	// The store behind all backends has stalled: every attempt fails.
 	for id := range RequestID(300) {
 		s.finish(id+1, false, Error)
 	}
-	if s.b.window > 2 {
-		t.Errorf("window %v after failures", s.b.window)
+	if s.b.attemptWindow > 2 {
+		t.Errorf("window %v after failures", s.b.attemptWindow)
 	}
 	for id := range RequestID(300) {
 		s.b.ClientGone(s.now, id+1)
 	}
-	if s.b.out < 0 || s.b.out > maxWindow {
-		t.Errorf("%d attempts out", s.b.out)
+	if s.b.pendingAttempts < 0 || s.b.pendingAttempts > maxAttemptWindow {
+		t.Errorf("%d attempts out", s.b.pendingAttempts)
 	}
 }
 
 // A relay that starts with an old list finds that half of it is not there any more.
 func TestStartsWithAnOldList(t *testing.T) {
-	s := start(t, config(), 1, 8)
-	got := s.world(100, 200*ms, idle, func(b string) Outcome {
+	s := startBalancer(t, testConfig(), 1, 8)
+	got := s.world(100, 200*ms, idleLoad, func(b string) Outcome {
 		if b < "b4" {
 			return NoConnect
 		}
@@ -289,31 +289,31 @@
 
 // The clock jumps far forward: nothing panics, what is held ends, and requests are placed again.
 func TestClockJump(t *testing.T) {
-	s := start(t, config(), 1, 4)
-	s.b.Request(s.now, ask(1))
+	s := startBalancer(t, testConfig(), 1, 4)
+	s.b.Request(s.now, newRequest(1))
 	s.now = s.now.Add(3600 * sec)
-	s.b.Timer(s.now, 1<<timerBits|timerRequest)
+	s.b.Timer(s.now, 1<<timerKindBits|timerRequest)
 	s.b.Timer(s.now, timerProbe)
-	s.answer(s.take(), idle)
+	s.answerProbes(s.takeActions(), idleLoad)
 	for id, r := range s.b.requests {
-		if r.at == nil {
+		if r.backend == nil {
 			t.Errorf("request %d is still held", id)
 		}
 	}
-	if s.place(ask(2), idle) == "" {
+	if s.place(newRequest(2), idleLoad) == "" {
 		t.Error("not placed after the jump")
 	}
 }
 
 // Looks of held requests are most of all looks in a bad time: they make do with reports that others asked for.
 func TestHeldRequestsProbeLess(t *testing.T) {
-	s := start(t, config(), 1, 3)
+	s := startBalancer(t, testConfig(), 1, 3)
 	full := func(string) float64 { return 0.99 }
-	s.take()
+	s.takeActions()
 	for id := RequestID(1); id <= 10; id++ {
-		s.b.Request(s.now, ask(id))
+		s.b.Request(s.now, newRequest(id))
 	}
-	probes := s.count(s.drive(s.now.Add(sec), full, always(OK)), "probe")
+	probes := s.count(s.runUntil(s.now.Add(sec), full, alwaysEndWith(OK)), "probe")
 	if probes < 3 || probes > 9 {
 		t.Errorf("%d probes of 3 backends within a second", probes)
 	}
@@ -327,12 +327,12 @@
 		placed bool
 	}{{"loaded", 0.6, false}, {"idle", 0, true}} {
 		t.Run(tt.name, func(t *testing.T) {
-			cfg := config()
+			cfg := testConfig()
 			cfg.Tenants = []Tenant{{ConnectionQuota: 50}, {ConnectionQuota: 50}} // 5 at this relay
-			s := start(t, cfg, 1, 10)
+			s := startBalancer(t, cfg, 1, 10)
 			place := func(id RequestID, tenant int) bool {
 				s.now = s.now.Add(sec)
-				q := ask(id)
+				q := newRequest(id)
 				q.Tenant = tenant
 				to := s.place(q, func(string) float64 { return tt.load })
 				s.b.Established(s.now, id)
@@ -354,7 +354,7 @@
 
 // A zone with more traffic than its own backends carry spills to others; with room at home it stays there.
 func TestZoneSpills(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.Prices.CrossZone = 0.08
 	for _, tt := range []struct {
 		name string
@@ -362,8 +362,8 @@
 		far  bool
 	}{{"room at home", 0.3, false}, {"full at home", 0.95, true}} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := start(t, cfg, 1, 12)
-			list := backends(12)
+			s := startBalancer(t, cfg, 1, 12)
+			list := readyBackends(12)
 			for i := range list[:6] {
 				list[i].Zone = "there"
 			}
@@ -388,22 +388,22 @@
 
 // Overload is relieved by moving connections off, a bounded part, and not again before reports can show it.
 func TestRelief(t *testing.T) {
-	s := start(t, config(), 1, 1)
+	s := startBalancer(t, testConfig(), 1, 1)
 	for id := range RequestID(40) {
-		s.b.RestoreConnection(s.now, ask(id+1), "b0")
+		s.b.RestoreConnection(s.now, newRequest(id+1), "b0")
 	}
-	s.take()
-	s.b.Probed(s.now, "b0", OK, load(0.90))
-	if n := s.count(s.take(), "move"); n != 0 {
+	s.takeActions()
+	s.b.Probed(s.now, "b0", OK, loadReport(0.90))
+	if n := s.count(s.takeActions(), "move"); n != 0 {
 		t.Errorf("%d moved below the mark", n)
 	}
-	s.b.Probed(s.now, "b0", OK, load(1.3))
-	if n := s.count(s.take(), "move"); n < 19 || n > 21 {
+	s.b.Probed(s.now, "b0", OK, loadReport(1.3))
+	if n := s.count(s.takeActions(), "move"); n < 19 || n > 21 {
 		t.Errorf("%d of 40 moved at twice the load of the bar, want half", n)
 	}
 	s.now = s.now.Add(sec)
-	s.b.Probed(s.now, "b0", OK, load(1.3))
-	if n := s.count(s.take(), "move"); n != 0 {
+	s.b.Probed(s.now, "b0", OK, loadReport(1.3))
+	if n := s.count(s.takeActions(), "move"); n != 0 {
 		t.Errorf("%d moved again at once", n)
 	}
 }
@@ -412,19 +412,19 @@
 func TestReliefTakesOneGroupFirst(t *testing.T) {
 	var first string
 	for seed := range uint64(5) {
-		cfg := config()
+		cfg := testConfig()
 		cfg.Groups = true
-		s := start(t, cfg, seed, 1)
+		s := startBalancer(t, cfg, seed, 1)
 		for id := range RequestID(40) {
-			q := ask(id + 1)
+			q := newRequest(id + 1)
 			q.Group = string(rune('a' + (id+RequestID(seed))%2))
 			s.b.RestoreConnection(s.now, q, "b0")
 		}
-		s.take()
-		s.b.Probed(s.now, "b0", OK, load(1.1)) // some 16 of 40 go
+		s.takeActions()
+		s.b.Probed(s.now, "b0", OK, loadReport(1.1)) // some 16 of 40 go
 		moved := 0
-		for _, a := range s.take() {
-			if a.what != "move" {
+		for _, a := range s.takeActions() {
+			if a.kind != "move" {
 				continue
 			}
 			moved++
@@ -448,24 +448,24 @@
 	const relays = 50
 	sent := 0
 	for seed := range uint64(relays) {
-		cfg := config()
+		cfg := testConfig()
 		cfg.Balancers = relays
-		s := start(t, cfg, seed, 1)
-		rep := load(0.95)
+		s := startBalancer(t, cfg, seed, 1)
+		rep := loadReport(0.95)
 		rep.Active = 19
 		for id := RequestID(1); id <= 20; id++ {
 			s.now = s.now.Add(250 * ms)
 			if id > 16 { // a second with room for 5
-				rep = load(0.5)
+				rep = loadReport(0.5)
 				rep.Active = 10
 			}
-			s.b.Request(s.now, ask(id))
-			for _, a := range s.take() {
-				if a.what == "probe" {
+			s.b.Request(s.now, newRequest(id))
+			for _, a := range s.takeActions() {
+				if a.kind == "probe" {
 					s.b.Probed(s.now, a.backend, OK, rep)
 				}
 			}
-			sent += s.count(s.take(), "send")
+			sent += s.count(s.takeActions(), "send")
 		}
 	}
 	if sent < 1 || sent > 15 {
@@ -475,29 +475,29 @@
 
 // Odd but legal input is taken without a panic.
 func TestOddInput(t *testing.T) {
-	for _, cfg := range []Config{{}, config()} {
-		s := start(t, cfg, 1, 0)
+	for _, cfg := range []Config{{}, testConfig()} {
+		s := startBalancer(t, cfg, 1, 0)
 		s.b.Request(s.now, Request{ID: 1, Class: 99, Tenant: 99})
 		s.b.Request(s.now, Request{ID: 2, Class: -1, Tenant: -1, Left: -5})
-		s.b.Finished(s.now, 77, 0, true, OK, load(0.5))
+		s.b.Finished(s.now, 77, 0, true, OK, loadReport(0.5))
 		s.b.Established(s.now, 77)
 		s.b.ClientGone(s.now, 77)
-		s.b.Probed(s.now, "nobody", OK, load(0.5))
+		s.b.Probed(s.now, "nobody", OK, loadReport(0.5))
 		s.b.DiscoveryUpdate(s.now, ListWhole, nil)
 		s.b.DiscoveryUpdate(s.now, ListWhole, []Backend{{ID: "b0", State: Draining}})
 		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b9", State: Gone}})
-		s.b.Request(s.now, ask(3))
+		s.b.Request(s.now, newRequest(3))
 		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0"}, {ID: "b0"}})
 		if n := len(s.b.ready); n != 1 {
 			t.Errorf("%d ready", n)
 		}
 		for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -3, 1e300} {
-			s.b.Probed(s.now, "b0", OK, load(x))
+			s.b.Probed(s.now, "b0", OK, loadReport(x))
 			if w := s.b.byID["b0"].weight; !(w >= floorWeight && w <= fullWeight) {
 				t.Errorf("load %v made the weight %v", x, w)
 			}
 		}
-		s.drive(s.now.Add(60*sec), idle, always(OK))
+		s.runUntil(s.now.Add(60*sec), idleLoad, alwaysEndWith(OK))
 	}
 }
 
@@ -507,11 +507,11 @@
 		cfg  Config
 		host Host
 	}{
-		{"no host", config(), nil},
-		{"relays", Config{Balancers: -1}, &script{}},
-		{"attempts", Config{MaxAttempts: -1}, &script{}},
-		{"cold share", Config{Rules: Rules{ColdFrom: 1.5}}, &script{}},
-		{"warm-up", Config{Rules: Rules{WarmWithin: -1}}, &script{}},
+		{"no host", testConfig(), nil},
+		{"relays", Config{Balancers: -1}, &recordingHost{}},
+		{"attempts", Config{MaxAttempts: -1}, &recordingHost{}},
+		{"cold share", Config{Rules: Rules{InitialCapacity: 1.5}}, &recordingHost{}},
+		{"warm-up", Config{Rules: Rules{WarmUpTime: -1}}, &recordingHost{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -525,20 +525,20 @@
 // A backend that leaves probes unanswered takes nothing while others answer theirs: slow ones kept the W of
 // better times and so won every sample (h1de8d8: 27% of the attempts timed out).
 func TestUnansweredProbes(t *testing.T) {
-	s := start(t, config(), 1, 5)
+	s := startBalancer(t, testConfig(), 1, 5)
 	for id := RequestID(1); id <= 40; id++ {
 		s.now = s.now.Add(sec)
-		s.b.Request(s.now, ask(id))
-		for _, a := range s.take() {
+		s.b.Request(s.now, newRequest(id))
+		for _, a := range s.takeActions() {
 			switch {
-			case a.what == "probe" && a.backend == "b0":
-				s.b.Probed(s.now, a.backend, TimedOut, load(math.NaN()))
-			case a.what == "probe":
-				s.b.Probed(s.now, a.backend, OK, load(0.7))
+			case a.kind == "probe" && a.backend == "b0":
+				s.b.Probed(s.now, a.backend, TimedOut, loadReport(math.NaN()))
+			case a.kind == "probe":
+				s.b.Probed(s.now, a.backend, OK, loadReport(0.7))
 			}
 		}
-		for _, a := range s.take() {
-			if a.what == "send" && a.backend == "b0" {
+		for _, a := range s.takeActions() {
+			if a.kind == "send" && a.backend == "b0" {
 				t.Fatalf("request %d went to the silent backend", id)
 			}
 		}
@@ -550,16 +550,16 @@
 
 // A probe that the host could not send, for want of a descriptor, says nothing: the backend stays in use.
 func TestUnsentProbes(t *testing.T) {
-	s := start(t, config(), 1, 2)
+	s := startBalancer(t, testConfig(), 1, 2)
 	for id := RequestID(1); id <= 20; id++ {
 		s.now = s.now.Add(sec)
-		s.b.Request(s.now, ask(id))
-		for _, a := range s.take() {
+		s.b.Request(s.now, newRequest(id))
+		for _, a := range s.takeActions() {
 			switch {
-			case a.what == "probe" && a.backend == "b0":
-				s.b.Probed(s.now, a.backend, NotSent, load(math.NaN()))
-			case a.what == "probe":
-				s.b.Probed(s.now, a.backend, OK, load(0.7))
+			case a.kind == "probe" && a.backend == "b0":
+				s.b.Probed(s.now, a.backend, NotSent, loadReport(math.NaN()))
+			case a.kind == "probe":
+				s.b.Probed(s.now, a.backend, OK, loadReport(0.7))
 			}
 		}
 	}
@@ -574,17 +574,17 @@
 		load   float64
 		placed [2]bool
 	}{{0.2, [2]bool{true, true}}, {0.65, [2]bool{true, false}}, {0.9, [2]bool{false, false}}} {
-		cfg := config()
+		cfg := testConfig()
 		cfg.Classes = []Class{{SetupTarget: 500 * ms, Worth: 5}, {SetupTarget: 500 * ms, Worth: 1}}
-		s := start(t, cfg, 1, 10)
+		s := startBalancer(t, cfg, 1, 10)
 		loads := func(string) float64 { return tt.load }
 		for id := RequestID(1); id <= 30; id++ { // the mean worth is learnt
 			s.now = s.now.Add(sec)
-			s.place(ask(id), idle)
+			s.place(newRequest(id), idleLoad)
 		}
 		for class, want := range tt.placed {
 			s.now = s.now.Add(sec)
-			q := ask(RequestID(100 + class))
+			q := newRequest(RequestID(100 + class))
 			q.Class = class
 			if got := s.place(q, loads) != ""; got != want {
 				t.Errorf("load %v, class %d: placed %v, want %v", tt.load, class, got, want)
@@ -596,10 +596,10 @@
 // A process that dies breaks all its connections in one turn. That is one failure: counted one by one, five of
 // them kept a backend that was back at once, and empty, out of use for 48 s.
 func TestOneCauseIsOneFailure(t *testing.T) {
-	s := start(t, config(), 1, 1)
+	s := startBalancer(t, testConfig(), 1, 1)
 	for id := RequestID(1); id <= 6; id++ {
 		s.now = s.now.Add(sec)
-		if s.place(ask(id), idle) != "b0" {
+		if s.place(newRequest(id), idleLoad) != "b0" {
 			t.Fatalf("request %d was held", id)
 		}
 		s.b.Established(s.now, id)
@@ -608,26 +608,26 @@
 		s.finish(id, true, Broken)
 	}
 	k := s.b.byID["b0"]
-	if out := k.until.Sub(s.now); k.strikes != 1 || out < 2*sec || out > 4*sec {
-		t.Errorf("%d strikes, ejected for %v", k.strikes, out)
+	if out := k.ejectedUntil.Sub(s.now); k.consecutiveFailures != 1 || out < 2*sec || out > 4*sec {
+		t.Errorf("%d strikes, ejected for %v", k.consecutiveFailures, out)
 	}
-	s.now = k.until // what fails after that is another failure
+	s.now = k.ejectedUntil // what fails after that is another failure
 	s.b.recordOutcome(s.now, k, NoConnect)
-	if out := k.until.Sub(s.now); k.strikes != 2 || out < 5*sec {
-		t.Errorf("then %d strikes, ejected for %v", k.strikes, out)
+	if out := k.ejectedUntil.Sub(s.now); k.consecutiveFailures != 2 || out < 5*sec {
+		t.Errorf("then %d strikes, ejected for %v", k.consecutiveFailures, out)
 	}
 }
 
 // Clients that come back together find room as long as a backend has idle points: what one of them takes until
 // the next report is little. As much for each as a new one must find refused them at half the load.
 func TestManyFitBetweenReports(t *testing.T) {
-	s := start(t, config(), 1, 1)
+	s := startBalancer(t, testConfig(), 1, 1)
 	k := s.b.byID["b0"]
-	s.b.Probed(s.now, "b0", OK, load(0.5))
+	s.b.Probed(s.now, "b0", OK, loadReport(0.5))
 	placed := 0
 	for id := RequestID(1); id <= 40; id++ {
-		s.b.Request(s.now, ask(id)) // all before the next report
-		placed += s.count(s.take(), "send")
+		s.b.Request(s.now, newRequest(id)) // all before the next report
+		placed += s.count(s.takeActions(), "send")
 	}
 	if placed < 8 || placed > 20 {
 		t.Errorf("%d placed on a backend with %v idle points", placed, k.weight)
@@ -637,16 +637,16 @@
 // A refused client comes back after a part of the longest advice: room is found long before that is over, and
 // until it is back its connection is worth nothing.
 func TestAdviceIsShort(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.MaxAdvice = 2 * sec
-	s := start(t, cfg, 1, 1)
-	s.b.Probed(s.now, "b0", OK, load(1))
-	q := ask(1)
+	s := startBalancer(t, cfg, 1, 1)
+	s.b.Probed(s.now, "b0", OK, loadReport(1))
+	q := newRequest(1)
 	q.Left = 10 * ms
 	s.b.Request(s.now, q)
 	var refused []action
-	for _, a := range s.take() {
-		if a.what == "refuse" {
+	for _, a := range s.takeActions() {
+		if a.kind == "refuse" {
 			refused = append(refused, a)
 		}
 	}
@@ -658,10 +658,10 @@
 // What other relays know of a backend counts like an own failure: it is passed over wherever there is another, and no further;
 // it is over at its time, with the word that takes it back, and when the backend has started anew.
 func TestToldByOthers(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.Balancers = 1
 	idle := func(string) float64 { return 0.1 }
-	s := start(t, cfg, 1, 4)
+	s := startBalancer(t, cfg, 1, 4)
 	s.b.EjectUntil("b2", s.now.Add(time.Minute))
 	if got := s.world(40, 10*ms, idle, served); got["b2"] != 0 || got["b0"] == 0 {
 		t.Errorf("told of b2, placed %v", got)
@@ -682,25 +682,25 @@
 		t.Errorf("told of all, which can't all be at fault, placed %v", got)
 	}
 	s.b.EjectUntil("nobody", s.now.Add(time.Minute))
-	list := backends(4)
+	list := readyBackends(4)
 	list[1].Boot = s.now.Add(-30 * sec)
 	s.b.DiscoveryUpdate(s.now, ListWhole, list)
-	if s.b.byID["b1"].shunned(s.now) {
+	if s.b.byID["b1"].unhealthy(s.now) {
 		t.Error("a process that started anew is told of still")
 	}
 }
 
 // A request for which all relays together have no room is refused at once, whoever is idle, and costs no attempt and no probe.
 func TestBeyondTheLimitOfAll(t *testing.T) {
-	s := start(t, config(), 1, 3)
-	s.take()
+	s := startBalancer(t, testConfig(), 1, 3)
+	s.takeActions()
 	told := map[time.Duration]bool{}
 	for id := range RequestID(20) {
-		q := ask(id + 1)
+		q := newRequest(id + 1)
 		q.Beyond = true
 		s.b.Request(s.now, q)
-		as := s.take()
-		if len(as) != 1 || as[0].what != "refuse" || as[0].d < sec/2 || as[0].d > sec {
+		as := s.takeActions()
+		if len(as) != 1 || as[0].kind != "refuse" || as[0].d < sec/2 || as[0].d > sec {
 			t.Fatalf("it asked for %+v", as)
 		}
 		told[as[0].d] = true
@@ -717,7 +717,7 @@
 // is tried elsewhere.
 func TestThrifty(t *testing.T) {
 	for _, thrifty := range []bool{false, true} {
-		s := start(t, config(), 1, 4)
+		s := startBalancer(t, testConfig(), 1, 4)
 		s.b.DisableRetries(thrifty)
 		sent := s.world(1, 10*ms, func(string) float64 { return 0.1 }, func(string) Outcome { return Error })
 		n := 0
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -16,11 +16,11 @@
 
 // probe asks for a report unless there is one younger than age. It tells whether one is to come.
 func (b *Balancer) probe(now time.Time, k *backend, age time.Duration) bool {
-	if !b.cfg.MayProbe || !k.seen.IsZero() && now.Sub(k.seen) < age {
+	if !b.cfg.MayProbe || !k.lastReport.IsZero() && now.Sub(k.lastReport) < age {
 		return false
 	}
-	if !k.asked {
-		k.asked = true
+	if !k.probePending {
+		k.probePending = true
 		b.host.Probe(k.ID)
 	}
 	return true
@@ -35,8 +35,8 @@
 	if !(load >= 0) {
 		return // no word on its load: W stays
 	}
-	k.fresh = 0
-	k.each = rep.Load / rep.Active
+	k.unreported = 0
+	k.loadPerConnection = rep.Load / rep.Active
 	w := max(fullWeight*(1-min(load, 1)), floorWeight)
 	if math.Abs(w-k.weight) >= step {
 		k.weight = w
@@ -49,28 +49,28 @@
 	if k == nil {
 		return
 	}
-	if k.asked = false; o != NotSent { // a shortage at the host tells nothing of the backend
-		k.missed = o != OK
+	if k.probePending = false; o != NotSent { // a shortage at the host tells nothing of the backend
+		k.probeFailed = o != OK
 	}
 	if o == OK {
-		k.seen, k.fresh = now, 0 // also if it tells no load: the bar must not shut out what it cannot judge
+		k.lastReport, k.unreported = now, 0 // also if it tells no load: the bar must not shut out what it cannot judge
 		b.report(k, rep)
 		b.relieve(now, k, rep.Load)
 	} else if o == NoConnect {
 		b.recordOutcome(now, k, o) // the process is down, which discovery learns much later
 	}
-	held := b.scanning
-	b.scanning = b.scanning[:0]
+	held := b.awaitingReports
+	b.awaitingReports = b.awaitingReports[:0]
 	for _, r := range held {
 		if slices.Contains(r.sample, k) {
-			r.awaited--
+			r.pendingReports--
 		}
 		switch {
-		case r.over: // the client left meanwhile
-		case r.awaited <= 0:
+		case r.answered: // the client left meanwhile
+		case r.pendingReports <= 0:
 			b.place(now, r)
 		default:
-			b.scanning = append(b.scanning, r)
+			b.awaitingReports = append(b.awaitingReports, r)
 		}
 	}
 }
@@ -78,10 +78,10 @@
 // ConnectionMeasured takes word on an open connection. Late messages there are a reason to look at its backend at once.
 func (b *Balancer) ConnectionMeasured(now time.Time, id RequestID, n Note, level float64) {
 	r := b.requests[id]
-	if r == nil || !r.open || n != NoteDelay || now.Sub(r.at.seen) < reportLifetime {
+	if r == nil || !r.established || n != NoteDelay || now.Sub(r.backend.lastReport) < reportLifetime {
 		return
 	}
 	if c := b.class(r.Class); level*1000 >= micros(c.MessageTarget) {
-		b.probe(now, r.at, sampleReportMaxAge)
+		b.probe(now, r.backend, sampleReportMaxAge)
 	}
 }
--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -63,7 +63,7 @@
 )
 
 func newFleet(i *Instance, loop *poll.Loop, c Config) (*fleet, error) {
-	f := &fleet{i: i, loop: loop, session: c.Fleet.Mesh.Session, lease: c.Fleet.Mesh.Terms.Lease, begun: loop.Now(), same: c.Fleet.SameAddresses, askWithin: min(c.Settings.Config.Rules.AskWithin, routes.ListLease)}
+	f := &fleet{i: i, loop: loop, session: c.Fleet.Mesh.Session, lease: c.Fleet.Mesh.Terms.Lease, begun: loop.Now(), same: c.Fleet.SameAddresses, askWithin: min(c.Settings.Config.Rules.MaxDiscoveryGap, routes.ListLease)}
 	m := c.Fleet.Mesh
 	tell := m.Tell
 	m.Loop, m.OnAnnouncement = loop, f.heard
--- a/internal/lab/decisions.go
+++ b/internal/lab/decisions.go
@@ -34,7 +34,7 @@
 		Balancers: 3, Zone: "a", Groups: true, MaxAttempts: 5, MaxAdvice: 2 * time.Second, MayProbe: true, MayCancel: true,
 		Classes: []balance.Class{{SetupTarget: 800 * time.Millisecond, Worth: 3, MessageTarget: 60 * time.Millisecond}},
 		Rules: balance.Rules{
-			AskWithin: 10 * time.Second, ColdFrom: 0.13, WarmWithin: 24 * time.Second, FallMultiple: 3, FallWithin: 1500 * time.Millisecond,
+			MaxDiscoveryGap: 10 * time.Second, InitialCapacity: 0.13, WarmUpTime: 24 * time.Second, OverloadFactor: 3, OverloadWindow: 1500 * time.Millisecond,
 		},
 		Prices: balance.Prices{CrossZone: 0.022},
 	}, 1, d)
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -111,7 +111,7 @@
 		from = routes.FromNothing // nobody can be served until a list is there
 	}
 	e.watch = routes.NewWatch(routes.WatchConfig{
-		Loop: c.Loop, Addr: c.Discovery, Seq: from, Processes: c.Settings.Config.Balancers, AskWithin: c.Settings.Config.Rules.AskWithin,
+		Loop: c.Loop, Addr: c.Discovery, Seq: from, Processes: c.Settings.Config.Balancers, AskWithin: c.Settings.Config.Rules.MaxDiscoveryGap,
 		Pushed: pushed, Rand: rand.New(rand.NewPCG(c.Seed, 1)), Calls: &c.Count.Watches, News: e.news,
 	})
 	e.startedAt = e.loop.Now()
@@ -326,7 +326,7 @@
 		}
 	}
 	e.count.Aged(e.loop.Now().Sub(known))
-	if !to.Boot.IsZero() && e.loop.Now().Sub(to.Boot) < e.set.Config.Rules.WarmWithin {
+	if !to.Boot.IsZero() && e.loop.Now().Sub(to.Boot) < e.set.Config.Rules.WarmUpTime {
 		e.count.HopsCold++
 	}
 	x.client.Hop(to, wait)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -57,8 +57,8 @@
 		t.Errorf("config %+v", c)
 	}
 	if want := (balance.Rules{
-		AnswerSlack: 8 * time.Millisecond, AskWithin: 10 * time.Second, ColdFrom: 0.12, WarmWithin: 22 * time.Second, FallMultiple: 3,
-		FallWithin: 1500 * time.Millisecond,
+		AnswerSlack: 8 * time.Millisecond, MaxDiscoveryGap: 10 * time.Second, InitialCapacity: 0.12, WarmUpTime: 22 * time.Second, OverloadFactor: 3,
+		OverloadWindow: 1500 * time.Millisecond,
 	}); c.Rules != want {
 		t.Errorf("rules %+v", c.Rules)
 	}
