--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,4 +1,4 @@
-// The events that a relay takes, and its timers. Their types are in interface.go.
+// Event handlers and timers of the Balancer. interface.go declares the types of the events.
 
 package balance
 
@@ -8,15 +8,15 @@
 )
 
 const (
-	probeInterval = 3 * time.Second // t of the paper
+	probeInterval = 3 * time.Second // mean time between rounds of probes
 
-	timerJitter           = 0.2  // part of a timer that is drawn, so that relays do not act in step
-	maxAttemptWindow      = 32.0 // attempts that may be out at once, not counting connections that stand
-	widespreadFailureRate = 0.5  // part of the attempts that fail when it is no single backend's fault
-	ewmaWeight            = 0.25 // of one attempt or request in a mean: three failures in a row bring it over half
+	timerJitter           = 0.2  // random fraction of a timer's length, so that relays do not act in step
+	maxAttemptWindow      = 32.0 // most attempts without a result; established connections are not counted
+	widespreadFailureRate = 0.5  // fraction of failed attempts from which no single backend is the cause
+	ewmaWeight            = 0.25 // of a new sample in a moving average: three failures in a row exceed 0.5
 )
 
-// Kinds of timer, in the low bits of a token; a request's id is above them.
+// Kinds of timers. A token holds the kind in its low timerKindBits bits, a request ID in the others.
 const (
 	timerProbe = iota
 	timerRequest
@@ -25,7 +25,7 @@
 	timerKindBits = 2
 )
 
-// Start begins the relay's work; it comes before every other event.
+// Start sets the first timers. It must be called before any other event.
 func (b *Balancer) Start(now time.Time) {
 	b.host.After(fromMicros(b.rng.Float64()*micros(probeInterval)*timerJitter), timerProbe)
 	if b.cfg.Subscribe {
@@ -33,24 +33,27 @@
 	}
 }
 
-// watch subscribes to discovery, and looks after it later: an answer may be long in coming.
+// subscribe subscribes to discovery, and sets a timer to do so again if no list has come by then.
 func (b *Balancer) subscribe() {
 	b.host.Watch()
 	b.host.After(b.withJitter(max(b.cfg.Rules.MaxDiscoveryGap, probeInterval)), timerWatch)
 }
 
-// spread draws a time near d.
+// withJitter returns d with a random deviation of up to half of timerJitter either way.
 func (b *Balancer) withJitter(d time.Duration) time.Duration {
 	return fromMicros(micros(d) * (1 + timerJitter*(b.rng.Float64()-0.5)))
 }
 
-// DiscoveryUpdate takes discovery's news.
+// DiscoveryUpdate handles a list of backends from discovery, or the news that discovery failed.
 func (b *Balancer) DiscoveryUpdate(now time.Time, kind ListKind, list []Backend) {
 	if kind == ListBroken {
-		// All relays lose discovery together: what they ask again must not come together too.
+		// All relays lose discovery at the same time: random delays keep their retries apart.
 		b.subscribed = false
 		b.discoveryFailures++
-		wait := micros(min(probeInterval<<min(b.discoveryFailures-1, maxBackoffDoublings), max(b.cfg.Rules.MaxDiscoveryGap, probeInterval)))
+		wait := micros(min(
+			probeInterval<<min(b.discoveryFailures-1, maxBackoffDoublings),
+			max(b.cfg.Rules.MaxDiscoveryGap, probeInterval),
+		))
 		b.host.After(fromMicros(wait*(1+b.rng.Float64())/2), timerWatch)
 		return
 	}
@@ -59,19 +62,21 @@
 	}
 	b.mergeBackends(kind, list)
 	if !b.drainTimerSet {
-		b.leave(now)
+		b.moveOffDraining(now)
 	}
 }
 
-// Request takes a client's request: it is placed at once, or held while no backend may take it.
+// Request handles a new request. It is placed at once, or held while no backend may take it.
 func (b *Balancer) Request(now time.Time, q Request) {
 	r := b.addRequest(q)
 	r.deadline = now.Add(max(q.Left, 0))
 	b.arrivals++
 	b.meanWorth += (b.class(q.Class).Worth - b.meanWorth) * ewmaWeight
-	if q.Beyond { // room comes as clients leave, not soon: they are told to come late, and not together
+	if q.Beyond {
+		// Capacity is freed only as clients leave: the advised delay is long, and random to spread
+		// the retries.
 		b.removeRequest(r)
-		b.host.Refuse(r.ID, fromMicros(micros(b.cfg.MaxAdvice)*(1+b.rng.Float64())/2))
+		b.host.Refuse(r.ID, fromMicros(micros(b.cfg.MaxRetryAfter)*(1+b.rng.Float64())/2))
 		return
 	}
 	if k := b.detached[q.Key]; q.MidFlow && k != nil && k.State == Ready {
@@ -81,13 +86,13 @@
 	b.startPlacement(now, r)
 }
 
-// wake sets a request's timer; the last one set counts.
+// setRequestTimer sets the timer of a request. It replaces any timer that was set before.
 func (b *Balancer) setRequestTimer(now time.Time, r *request, d time.Duration) {
 	r.timerAt = now.Add(d)
 	b.host.After(d, r.ID<<timerKindBits|timerRequest)
 }
 
-// Established tells that a connection stands.
+// Established handles the news that a request's connection is established.
 func (b *Balancer) Established(now time.Time, id RequestID) {
 	if r := b.requests[id]; r != nil && r.backend != nil && !r.established {
 		r.established = true
@@ -98,14 +103,15 @@
 	}
 }
 
-// Finished tells how an attempt or its connection ended; settled: nothing is owed to the client any more.
+// Finished handles the end of an attempt or of its connection. If settled is true, the client needs
+// no further answer.
 func (b *Balancer) Finished(now time.Time, id RequestID, attempt int, settled bool, o Outcome, rep Report) {
 	r := b.requests[id]
 	if r == nil || r.backend == nil || attempt != r.attempts-1 {
 		return
 	}
 	k, stood := r.backend, r.established
-	r.established = false // else a request that is tried again would pass for a connection that stands
+	r.established = false // a retried request must not pass for an established connection
 	b.unassign(r)
 	b.report(k, rep)
 	if !stood {
@@ -126,40 +132,43 @@
 	case settled || r.answered:
 		b.removeRequest(r)
 		if o == Cancelled {
-			b.recordDetached(now, r, k) // its packets may come back here
+			b.recordDetached(now, r, k) // its packets may come back to this relay
 		}
 	case b.retriesDisabled:
-		b.conclude(r) // all relays together have made the further attempts that they may
+		b.conclude(r) // the retry budget of all relays together is used up
 	case b.failureRate >= widespreadFailureRate:
-		// What fails everywhere is kept failing by the load of quick retries.
+		// Quick retries would keep up the overload that makes all backends fail.
 		b.retryLater(now, r)
 	default:
 		b.place(now, r)
 	}
 }
 
-// Timer takes a timer that is due.
+// Timer handles an expired timer.
 func (b *Balancer) Timer(now time.Time, token uint64) {
 	switch token & (1<<timerKindBits - 1) {
 	case timerProbe:
 		b.host.After(b.withJitter(probeInterval), timerProbe)
-		// What is spent on watching own connections stays a part of what requests cost in any case.
+		// Probes that watch the backends of own connections are limited to a fraction of the probes
+		// that requests cause anyway.
 		budget := 1 + b.arrivals*sampleSize/2
 		b.arrivals = 0
 		for i, at := 0, b.rng.IntN(len(b.backends)+1); i < len(b.backends) && budget > 0; i++ {
 			k := b.backends[(at+i)%len(b.backends)]
-			if len(k.requests) > 0 && now.Sub(k.lastReport) >= probeInterval && b.probe(now, k, sampleReportMaxAge) {
+			if len(k.requests) > 0 && now.Sub(k.lastReport) >= probeInterval &&
+				b.probe(now, k, sampleReportMaxAge) {
 				budget--
 			}
 		}
 	case timerDrain:
-		b.leave(now)
+		b.moveOffDraining(now)
 	case timerWatch:
 		if b.cfg.Subscribe && !b.subscribed {
 			b.subscribe()
 		}
 	case timerRequest:
-		if r := b.requests[token>>timerKindBits]; r != nil && r.backend == nil && !r.answered && !now.Before(r.timerAt) {
+		if r := b.requests[token>>timerKindBits]; r != nil && r.backend == nil && !r.answered &&
+			!now.Before(r.timerAt) {
 			if i := slices.Index(b.awaitingReports, r); i >= 0 {
 				b.awaitingReports = slices.Delete(b.awaitingReports, i, i+1)
 				b.place(now, r)
@@ -170,7 +179,7 @@
 	}
 }
 
-// ClientGone tells that a client left: nothing more is owed, but an attempt that is out still ends.
+// ClientGone handles a client that left. It needs no answer, but a pending attempt still finishes.
 func (b *Balancer) ClientGone(now time.Time, id RequestID) {
 	r := b.requests[id]
 	if r == nil {
--- a/balance/design_test.go
+++ b/balance/design_test.go
@@ -75,7 +75,7 @@
 
 func TestSingleRelayCountsConnectionsInFull(t *testing.T) {
 	cfg := testConfig()
-	cfg.Balancers = 1
+	cfg.Relays = 1
 	s := startBalancer(t, cfg, 1, 2)
 	for id := range RequestID(20) {
 		s.place(newRequest(id+1), idleLoad)
@@ -198,7 +198,7 @@
 // A group's connections are placed together by every relay, whatever its seed.
 func TestRelaysAgreeOnGroupBackend(t *testing.T) {
 	cfg := testConfig()
-	cfg.Groups = true
+	cfg.GroupAffinity = true
 	first := map[string]string{}
 	spread := map[string]bool{}
 	for seed := range uint64(20) {
@@ -224,7 +224,7 @@
 // A group that has filled its backend spills to another one.
 func TestGroupSpillsWhenBackendFull(t *testing.T) {
 	cfg := testConfig()
-	cfg.Groups = true
+	cfg.GroupAffinity = true
 	s := startBalancer(t, cfg, 1, 12)
 	q := newRequest(1)
 	q.Group = "g"
@@ -246,7 +246,7 @@
 // with many relays a spill to drawn backends made nearly all of them pay for the group.
 func TestRelaysAgreeOnSpillBackends(t *testing.T) {
 	cfg := testConfig()
-	cfg.Groups = true
+	cfg.GroupAffinity = true
 	homes := map[string]int{}
 	for seed := range uint64(30) {
 		s := startBalancer(t, cfg, seed, 30)
@@ -285,7 +285,7 @@
 // counted as wanting them, four of them stood at 0.6 while 75% were refused (ibf684b).
 func TestHeldRequestCountsDemandOnlyWhereAllowed(t *testing.T) {
 	cfg := testConfig()
-	cfg.Groups, cfg.Balancers = true, 3
+	cfg.GroupAffinity, cfg.Relays = true, 3
 	s := startBalancer(t, cfg, 1, 3)
 	s.takeActions()
 	q := newRequest(1)
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -25,9 +25,9 @@
 // A relay tells its Balancer each event with its time, and carries out what the Balancer asks of it.
 func Example() {
 	cfg := balance.Config{
-		Balancers: 1,
-		Classes:   []balance.Class{{SetupTarget: 500 * time.Millisecond, Worth: 1}},
-		MayProbe:  true,
+		Relays:   1,
+		Classes:  []balance.Class{{SetupTarget: 500 * time.Millisecond, Worth: 1}},
+		MayProbe: true,
 	}
 	b, err := balance.New(cfg, 1, printer{})
 	if err != nil {
--- a/balance/fuzz_test.go
+++ b/balance/fuzz_test.go
@@ -15,9 +15,9 @@
 	f.Add(uint64(4), []byte{})
 	f.Fuzz(func(t *testing.T, seed uint64, data []byte) {
 		cfg := testConfig()
-		cfg.Groups = seed%2 == 0
+		cfg.GroupAffinity = seed%2 == 0
 		cfg.Subscribe = seed%3 == 0
-		cfg.Park = time.Duration(seed%5) * sec
+		cfg.DetachedTimeout = time.Duration(seed%5) * sec
 		cfg.Classes = []Class{
 			{SetupTarget: 500 * ms, Worth: 1},
 			{SetupTarget: 300 * ms, Worth: 5, Idempotency: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: sec},
--- a/balance/interface.go
+++ b/balance/interface.go
@@ -64,19 +64,19 @@
 
 // Config is what a relay is told at its start.
 type Config struct {
-	Balancers   int // relays that serve the same backends, this one included
-	Zone        string
-	Classes     []Class
-	Tenants     []Tenant
-	Rules       Rules
-	Prices      Prices
-	MaxAttempts int           // for one request; 0: no limit
-	MaxAdvice   time.Duration // longest advice to stay away that a client may heed; 0: none is passed on
-	MayProbe    bool
-	MayCancel   bool
-	Subscribe   bool          // discovery answers only when asked
-	Park        time.Duration // a backend keeps a connection whose packets stay away for this; 0: not at all
-	Groups      bool          // a backend pays once for all connections of a group that it holds
+	Relays          int // relays that serve the same backends, this one included
+	Zone            string
+	Classes         []Class
+	Tenants         []Tenant
+	Rules           Rules
+	Prices          Prices
+	MaxAttempts     int           // for one request; 0: no limit
+	MaxRetryAfter   time.Duration // longest advice to stay away that a client may heed; 0: none is passed on
+	MayProbe        bool
+	MayCancel       bool
+	Subscribe       bool          // discovery answers only when asked
+	DetachedTimeout time.Duration // a backend keeps a connection whose packets stay away for this; 0: not at all
+	GroupAffinity   bool          // a backend pays once for all connections of a group that it holds
 }
 
 // State is what discovery says of a backend.
--- a/balance/moves.go
+++ b/balance/moves.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	leaveWithin = 5 * time.Second        // own connections are moved off a backend that drains within this...
-	leaveStep   = 200 * time.Millisecond // ...a few at a time
+	drainMoveWithin   = 5 * time.Second        // own connections are moved off a backend that drains within this...
+	drainMoveInterval = 200 * time.Millisecond // ...a few at a time
 
-	reliefAt = 0.95 // load of a backend from which its connections are moved...
-	reliefTo = 0.65 // ...down to this, well under the bar, so that it is not full again at once
+	overloadThreshold = 0.95 // load of a backend from which its connections are moved...
+	overloadTarget    = 0.65 // ...down to this, well under the bar, so that it is not full again at once
 )
 
-// leave moves own connections off the backends that drain, evenly over leaveWithin, since all relays hear of
+// moveOffDraining moves own connections off the backends that drain, evenly over leaveWithin, since all relays hear of
 // a drain in the same moment. Those of most worth go first, while there is surely time.
-func (b *Balancer) leave(now time.Time) {
+func (b *Balancer) moveOffDraining(now time.Time) {
 	b.drainTimerSet = false
 	for _, k := range b.backends {
 		if k.State != Draining {
@@ -27,7 +27,7 @@
 		}
 		b.drainTimerSet = true
 		if k.drainBy.IsZero() {
-			k.drainBy = now.Add(leaveWithin)
+			k.drainBy = now.Add(drainMoveWithin)
 		}
 		var open []*request
 		for _, r := range k.requests {
@@ -38,7 +38,7 @@
 		slices.SortStableFunc(open, func(r, than *request) int {
 			return cmp.Compare(b.class(than.Class).Worth, b.class(r.Class).Worth)
 		})
-		steps := max(int(k.drainBy.Sub(now)/leaveStep), 1)
+		steps := max(int(k.drainBy.Sub(now)/drainMoveInterval), 1)
 		// A part that is no whole number is drawn: rounded up, one each of many relays would go at once.
 		part := float64(len(open))/float64(steps) + b.rng.Float64()
 		for _, r := range open[:min(int(part), len(open))] {
@@ -47,18 +47,18 @@
 		}
 	}
 	if b.drainTimerSet {
-		b.host.After(leaveStep, timerDrain)
+		b.host.After(drainMoveInterval, timerDrain)
 	}
 }
 
 // relieve moves own connections off an overloaded backend, the same part at every relay, drawn so that small
 // numbers add up, and then waits until reports can show what that did.
 func (b *Balancer) relieve(now time.Time, k *backend, load float64) {
-	if !(load > reliefAt) || now.Sub(k.rebalancedAt) < probeInterval {
+	if !(load > overloadThreshold) || now.Sub(k.rebalancedAt) < probeInterval {
 		return
 	}
 	k.rebalancedAt = now
-	excess := (1 - reliefTo/load) * float64(len(k.requests))
+	excess := (1 - overloadTarget/load) * float64(len(k.requests))
 	for n := int(excess + b.rng.Float64()); n > 0; n-- {
 		var least *request
 		for _, r := range k.requests {
@@ -77,7 +77,7 @@
 // firstOff orders connections for relief: the group that ranks the backend lowest goes first, at all relays
 // alike, so that it soon pays for one group less; then the least worth.
 func (b *Balancer) firstOff(k *backend, r, than *request) bool {
-	if b.cfg.Groups && r.Group != than.Group {
+	if b.cfg.GroupAffinity && r.Group != than.Group {
 		return mix(hash(r.Group)^k.idHash) < mix(hash(than.Group)^k.idHash)
 	}
 	return b.class(r.Class).Worth < b.class(than.Class).Worth
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -40,7 +40,7 @@
 		return
 	}
 	r.pendingReports = 0
-	if r.sample = r.sample[:0]; r.Group != "" && b.cfg.Groups {
+	if r.sample = r.sample[:0]; r.Group != "" && b.cfg.GroupAffinity {
 		b.drawGroupSample(now, r)
 	}
 	b.drawSample(now, r)
@@ -157,7 +157,7 @@
 	other := slices.ContainsFunc(r.sample, func(k *backend) bool {
 		return b.usable(now, r, k) && !k.unhealthy(now)
 	})
-	spill := groupSpillMargin * min(max(fullSpillRelays/float64(b.cfg.Balancers), minSpillFraction), 1)
+	spill := groupSpillMargin * min(max(fullSpillRelays/float64(b.cfg.Relays), minSpillFraction), 1)
 	bar := minPlacementWeight * min(max(b.quotaUsage(r)/quotaSlack, 1), maxQuotaFactor)
 	if w := b.class(r.Class).Worth; w > 0 { // what is worth less than most leaves the last room to them
 		bar *= min(max(math.Sqrt(b.meanWorth/w), 1), maxWorthFactor)
@@ -168,14 +168,14 @@
 		}
 		// What it held when it was last seen is in its weight: only what went there since counts in full. The
 		// one added, as in the shortest expected delay, lets weights tell idle backends apart.
-		old := float64(len(k.requests)-k.unreported) / float64(b.cfg.Balancers)
+		old := float64(len(k.requests)-k.unreported) / float64(b.cfg.Relays)
 		added := 1 + float64(k.unreported)
 		count := (added + old) / k.weight
 		if k.Zone != b.cfg.Zone {
 			count /= max(1-crossZoneFactor*b.cfg.Prices.CrossZone, 1/crossZoneFactor) // local work is worth its price
 		}
 		need := bar
-		if r.Group != "" && b.cfg.Groups && !k.hasGroup(r.Group) {
+		if r.Group != "" && b.cfg.GroupAffinity && !k.hasGroup(r.Group) {
 			// It would pay for the group anew: later in the sample, only with ever more room.
 			need += spill * float64(i)
 			count *= math.Pow(groupRankFactor, float64(i))
@@ -207,7 +207,7 @@
 // admissionProbability is the part of the requests that want a backend which may go there before its next report: own
 // wants times the relays tell how many to expect, its head admissionProbability how many it bears.
 func (b *Balancer) admissionProbability(now time.Time, k *backend) float64 {
-	wants := k.decayedDemand(now) * float64(b.cfg.Balancers) * micros(reportLifetime) / micros(probeInterval)
+	wants := k.decayedDemand(now) * float64(b.cfg.Relays) * micros(reportLifetime) / micros(probeInterval)
 	if !(k.loadPerConnection > 0) || wants <= 0 {
 		return 1
 	}
@@ -219,7 +219,7 @@
 	if r.Tenant < 0 || r.Tenant >= len(b.cfg.Tenants) || b.cfg.Tenants[r.Tenant].ConnectionQuota <= 0 {
 		return 0
 	}
-	return float64(b.tenantConnections[r.Tenant]) * float64(b.cfg.Balancers) / b.cfg.Tenants[r.Tenant].ConnectionQuota
+	return float64(b.tenantConnections[r.Tenant]) * float64(b.cfg.Relays) / b.cfg.Tenants[r.Tenant].ConnectionQuota
 }
 
 // usable tells whether a request may go to a backend. A cold one must have told its load just now.
--- a/balance/restrict_test.go
+++ b/balance/restrict_test.go
@@ -7,7 +7,7 @@
 func TestRestrict(t *testing.T) {
 	for _, groups := range []bool{false, true} {
 		cfg := testConfig()
-		cfg.Groups = groups
+		cfg.GroupAffinity = groups
 		s := startBalancer(t, cfg, 5, 20)
 		request := func(id RequestID) string {
 			s.now = s.now.Add(100 * ms)
--- a/balance/retries.go
+++ b/balance/retries.go
@@ -43,7 +43,7 @@
 	c := b.class(r.Class)
 	b.removeRequest(r)
 	if r.ranOn == nil || c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DedupScope == ScopeAll {
-		b.host.Refuse(r.ID, time.Duration(float64(b.cfg.MaxAdvice)*adviceFraction))
+		b.host.Refuse(r.ID, time.Duration(float64(b.cfg.MaxRetryAfter)*adviceFraction))
 	} else {
 		b.host.Fail(r.ID)
 	}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -451,7 +451,7 @@
 // Packets of an open connection that left this relay and came back go to the backend that holds it.
 func TestMidFlowReturnsToItsBackend(t *testing.T) {
 	cfg := testConfig()
-	cfg.Park = 5 * sec
+	cfg.DetachedTimeout = 5 * sec
 	s := startBalancer(t, cfg, 1, 8)
 	for id := range RequestID(20) {
 		s.now = s.now.Add(200 * ms)
@@ -566,14 +566,14 @@
 		most = max(most, n)
 		return timers
 	}
-	for len(moved) < 8 && lasted < 2*leaveWithin {
+	for len(moved) < 8 && lasted < 2*drainMoveWithin {
 		if n := step(); n != 1 {
 			t.Fatalf("%d timers at once", n)
 		}
-		s.now, lasted = s.now.Add(leaveStep), lasted+leaveStep
+		s.now, lasted = s.now.Add(drainMoveInterval), lasted+drainMoveInterval
 		s.b.Timer(s.now, timerDrain)
 	}
-	if len(moved) != 8 || most > 2 || lasted > leaveWithin+leaveStep {
+	if len(moved) != 8 || most > 2 || lasted > drainMoveWithin+drainMoveInterval {
 		t.Errorf("%d moved in %v, up to %d at once", len(moved), lasted, most)
 	}
 	for id := range moved {
@@ -581,7 +581,7 @@
 	}
 	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", State: Gone}})
 	s.takeActions()
-	s.b.Timer(s.now.Add(leaveStep), timerDrain)
+	s.b.Timer(s.now.Add(drainMoveInterval), timerDrain)
 	if n := step(); n != 0 {
 		t.Errorf("%d timers with nothing that drains", n)
 	}
@@ -593,14 +593,14 @@
 	moved, first := 0, 0
 	for seed := range uint64(80) {
 		cfg := testConfig()
-		cfg.Balancers = 80
+		cfg.Relays = 80
 		s := startBalancer(t, cfg, seed, 2)
 		s.b.RestoreConnection(s.now, newRequest(1), "b0")
 		s.takeActions()
 		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}})
 		first += s.count(s.actions, "move")
-		for end := s.now.Add(leaveWithin); s.now.Before(end); {
-			s.now = s.now.Add(leaveStep)
+		for end := s.now.Add(drainMoveWithin); s.now.Before(end); {
+			s.now = s.now.Add(drainMoveInterval)
 			s.b.Timer(s.now, timerDrain)
 		}
 		moved += s.count(s.takeActions(), "move")
@@ -662,7 +662,7 @@
 // when a few drain at once, requests were held although the others had room.
 func TestFailedBackendsAreNotRankedForGroups(t *testing.T) {
 	cfg := testConfig()
-	cfg.Groups = true
+	cfg.GroupAffinity = true
 	s := startBalancer(t, cfg, 1, 8)
 	q := newRequest(1)
 	q.Group = "g"
@@ -688,7 +688,7 @@
 // allowed, by relays that had never had a word from it: seven times what it could do (join+vast, seed 9).
 func TestColdBackendWithoutReportGetsNothing(t *testing.T) {
 	cfg := testConfig()
-	cfg.Groups = true
+	cfg.GroupAffinity = true
 	for seed := range uint64(20) {
 		s := startBalancer(t, cfg, seed, 0)
 		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Boot: s.now.Add(-10 * sec)}})
@@ -768,7 +768,7 @@
 func TestGroupsSpillMoreEasilyWithManyRelays(t *testing.T) {
 	for relays, want := range map[int]bool{4: false, 80: true} {
 		cfg := testConfig()
-		cfg.Groups, cfg.Balancers = true, relays
+		cfg.GroupAffinity, cfg.Relays = true, relays
 		q := newRequest(1)
 		q.Group = "g"
 		s := startBalancer(t, cfg, 1, 3)
--- a/balance/script_test.go
+++ b/balance/script_test.go
@@ -65,13 +65,13 @@
 // config is a plain deployment: one free class, no tenants, discovery by push.
 func testConfig() Config {
 	return Config{
-		Balancers:   10,
-		Zone:        "here",
-		Classes:     []Class{{SetupTarget: 500 * ms, Worth: 1}},
-		MaxAttempts: 5,
-		MaxAdvice:   sec,
-		MayProbe:    true,
-		MayCancel:   true,
+		Relays:        10,
+		Zone:          "here",
+		Classes:       []Class{{SetupTarget: 500 * ms, Worth: 1}},
+		MaxAttempts:   5,
+		MaxRetryAfter: sec,
+		MayProbe:      true,
+		MayCancel:     true,
 		Rules: Rules{
 			AnswerSlack: 8 * ms, MaxDiscoveryGap: 10 * sec, InitialCapacity: 0.2, WarmUpTime: 20 * sec,
 			OverloadFactor: 3, OverloadWindow: 1500 * ms,
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -13,7 +13,7 @@
 	fleet := make([]*recordingHost, relays)
 	for i := range fleet {
 		cfg := testConfig()
-		cfg.Balancers, cfg.Groups = relays, true
+		cfg.Relays, cfg.GroupAffinity = relays, true
 		s := startBalancer(t, cfg, uint64(i)+1, n)
 		for j := range n {
 			s.b.Probed(s.now, "b"+strconv.Itoa(j), OK, loadReport(0.5))
@@ -159,7 +159,7 @@
 func TestReturnWhereAllAreCold(t *testing.T) {
 	for _, relays := range []int{1, 10, 300} {
 		cfg := testConfig()
-		cfg.Balancers, cfg.Groups = relays, true
+		cfg.Relays, cfg.GroupAffinity = relays, true
 		s := startBalancer(t, cfg, 4, 6)
 		list := readyBackends(6)
 		for i := range list {
--- a/balance/state.go
+++ b/balance/state.go
@@ -8,93 +8,93 @@
 	"time"
 )
 
-// What a relay keeps in mind, and its bookkeeping. Nothing is decided here.
+// The state of a Balancer and the functions that maintain it. The decisions are in the other files.
 
-// backend is what a relay knows of one backend.
+// backend is the state of one backend as this relay knows it.
 type backend struct {
 	Backend
-	weight              float64    // W of the design
-	requests            []*request // own connections and attempts there; their number is the design's count
-	unreported          int        // own placements since its last report
-	idHash              uint64     // of its id
-	probePending        bool       // a probe is out
-	probeFailed         bool       // its last probe was not answered
-	lastReport          time.Time  // last report
-	loadPerConnection   float64    // load of one of its connections, by its last report; NaN: not told
-	demand              float64    // own requests that wanted it of late, older ones counting less
-	demandAt            time.Time
-	rebalancedAt        time.Time // connections were last moved away then
-	consecutiveFailures int       // failures in a row
-	ejectedUntil        time.Time // ejected until then
-	peerEjectedUntil    time.Time // likewise by what others know of it; see Told
-	permits             permits   // while it is cold
-	drainBy             time.Time // it drains, and own connections are to be off it by then; zero: it does not
+	weight              float64    // idle capacity in points, floorWeight to fullWeight
+	requests            []*request // connections and attempts of this relay on the backend
+	unreported          int        // placements by this relay since its last report
+	idHash              uint64     // hash of its ID
+	probePending        bool       // a probe has been sent and not answered
+	probeFailed         bool       // its last probe failed
+	lastReport          time.Time  // zero: none yet
+	loadPerConnection   float64    // mean load per connection in its last report; NaN: not reported
+	demand              float64    // recent requests of this relay for it, with exponential decay
+	demandAt            time.Time  // when demand was last updated
+	rebalancedAt        time.Time  // when connections were last moved off it because of its load
+	consecutiveFailures int        // reset by a success
+	ejectedUntil        time.Time  // until then it is avoided because of failures seen by this relay
+	peerEjectedUntil    time.Time  // likewise because of failures seen by other relays; see EjectUntil
+	permits             permits    // used while it is cold
+	drainBy             time.Time  // when this relay's connections must be off it; zero: it is not draining
 }
 
-// request is one that this relay holds, from its arrival to the end of its last attempt.
+// request is the state of a request, from its arrival to the end of its last attempt or its connection.
 type request struct {
 	Request
 	deadline       time.Time
 	attempts       int
-	backend        *backend  // where its attempt or connection is; nil: none is out
-	index          int       // index in at.held
-	established    bool      // the connection stands
-	moveSent       bool      // its client was asked to come again
-	answered       bool      // nothing more is owed to the client
-	sentAt         time.Time // its last attempt
-	ranOn          *backend  // where the first attempt that may have run went; nil: none may have
-	ranAt          time.Time
-	tried          []*backend
-	sample         []*backend // the backends looked at for it
-	holdCount      int        // times it was held
-	pendingReports int        // their reports that are still to come
-	timerAt        time.Time  // of its timer; an earlier one is stale
+	backend        *backend   // backend of its attempt or connection; nil: it has neither
+	index          int        // position in backend.requests
+	established    bool       // the connection is open
+	moveSent       bool       // its client has been asked to reconnect
+	answered       bool       // the client needs no further answer
+	sentAt         time.Time  // when its last attempt was sent
+	ranOn          *backend   // backend of its first attempt that may have run; nil: none may have
+	ranAt          time.Time  // when that attempt was sent
+	tried          []*backend // backends not to be tried again
+	sample         []*backend // backends considered for it
+	holdCount      int        // number of times that it was held for a later try
+	pendingReports int        // reports of the sample that are outstanding
+	timerAt        time.Time  // when its timer expires; a timer that expires earlier is stale
 }
 
-// offer lets a cold backend be sent one connection, soon.
+// coldCredit permits one new connection to a cold backend; it lapses soon.
 type coldCredit struct {
 	backend   *backend
 	grantedAt time.Time
 }
 
-// Balancer decides for one relay. See the package's comment for how to use it.
+// Balancer makes the decisions of one relay. The package comment describes its use.
 type Balancer struct {
 	cfg               Config
 	host              Host
 	rng               *rand.Rand
 	byID              map[string]*backend
-	backends          []*backend // in discovery's order
-	ready             []*backend // those of them that take new connections
-	allowedIDs        []string   // the only ones that may be sent new connections; nil: all; see Restrict
+	backends          []*backend // in the order of discovery's lists
+	ready             []*backend // the backends that accept new connections
+	allowedIDs        []string   // IDs that may get new connections; nil: all; see Restrict
 	requests          map[RequestID]*request
-	awaitingReports   []*request          // held until the reports of their samples are in
-	arrivals          int                 // requests since the probe timer last went off
-	failureRate       float64             // part of the recent attempts that failed, wherever they went
-	coldCredits       []coldCredit        // what may be sent to cold backends
-	meanWorth         float64             // mean of late requests
-	pendingAttempts   int                 // attempts that are out, without the connections that stand
-	attemptWindow     float64             // how many of these there may be
-	tenantConnections []int               // own connections of each tenant
-	detached          map[string]*backend // by key: where connections are whose packets go elsewhere
-	detachedClearedAt time.Time           // left was last emptied then
-	drainTimerSet     bool                // a timer for backends that drain is set
-	retriesDisabled   bool                // see Thrifty
-	subscribed        bool
-	discoveryFailures int // questions to discovery that failed, in a row
+	awaitingReports   []*request          // requests that wait for reports of their samples
+	arrivals          int                 // requests since the probe timer last expired
+	failureRate       float64             // moving average: fraction of attempts that failed, over all backends
+	coldCredits       []coldCredit        // connections that may be sent to cold backends, oldest first
+	meanWorth         float64             // moving average of the worth of requests
+	pendingAttempts   int                 // attempts without a result, not counting established connections
+	attemptWindow     float64             // limit of pendingAttempts
+	tenantConnections []int               // connections and attempts of this relay, by tenant
+	detached          map[string]*backend // by key: backends of connections whose packets go to another relay
+	detachedClearedAt time.Time           // when detached was last emptied
+	drainTimerSet     bool                // the timer for draining backends is set
+	retriesDisabled   bool                // see DisableRetries
+	subscribed        bool                // a list has come since discovery last failed
+	discoveryFailures int                 // consecutive
 }
 
-// New returns a Balancer for one relay. All its draws come from the seed.
+// New returns a Balancer for one relay. Its random numbers depend on the seed alone.
 func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
 	r := cfg.Rules
 	switch {
 	case host == nil:
-		return nil, errors.New("balance: no host")
-	case cfg.Balancers < 0 || cfg.MaxAttempts < 0:
-		return nil, errors.New("balance: a number of relays or attempts below 0")
+		return nil, errors.New("balance: host is nil")
+	case cfg.Relays < 0 || cfg.MaxAttempts < 0:
+		return nil, errors.New("balance: negative Relays or MaxAttempts in the configuration")
 	case r.InitialCapacity < 0 || r.InitialCapacity > 1 || r.WarmUpTime < 0 || r.OverloadWindow < 0 || r.MaxDiscoveryGap < 0:
-		return nil, errors.New("balance: a figure of the rules is out of its range")
+		return nil, errors.New("balance: InitialCapacity is not from 0 to 1, or a time in the rules is negative")
 	}
-	cfg.Balancers = max(cfg.Balancers, 1)
+	cfg.Relays = max(cfg.Relays, 1)
 	return &Balancer{
 		cfg: cfg, host: host, rng: rand.New(rand.NewPCG(seed, 0)),
 		byID: make(map[string]*backend), requests: make(map[RequestID]*request),
@@ -109,18 +109,18 @@
 	return r
 }
 
-// RestoreConnection takes a connection that runs through this relay at its start.
+// RestoreConnection adds a connection that was already open through this relay at its start.
 func (b *Balancer) RestoreConnection(now time.Time, q Request, id string) {
 	r := b.addRequest(q)
 	r.attempts, r.established = 1, true
 	k := b.byID[id]
-	if k == nil { // not in the list any more, but the connection runs
+	if k == nil { // removed from the list, but the connection is open
 		k = &backend{Backend: Backend{ID: id, State: Gone}}
 	}
 	b.assign(r, k)
 }
 
-// ConnectionCount tells how many own connections and attempts a backend has by the relay's count.
+// ConnectionCount returns the number of connections and attempts that this relay has on a backend.
 func (b *Balancer) ConnectionCount(id string) int {
 	if k := b.byID[id]; k != nil {
 		return len(k.requests)
@@ -128,7 +128,7 @@
 	return 0
 }
 
-// class returns what is known of a class; one that is unknown is treated with the most care.
+// class returns the class with an index. An unknown class is treated as not idempotent.
 func (b *Balancer) class(i int) Class {
 	if i < 0 || i >= len(b.cfg.Classes) {
 		return Class{SetupTarget: probeInterval, Idempotency: NotIdempotent}
@@ -136,7 +136,7 @@
 	return b.cfg.Classes[i]
 }
 
-// merge brings the lists of backends up to date with discovery's news.
+// mergeBackends updates the backends from a list of discovery.
 func (b *Balancer) mergeBackends(kind ListKind, list []Backend) {
 	if kind != ListPatch {
 		named := make(map[string]bool, len(list))
@@ -165,7 +165,7 @@
 	b.updateReady()
 }
 
-// listReady lists the backends that take new connections.
+// updateReady computes the list of the backends that accept new connections.
 func (b *Balancer) updateReady() {
 	b.ready = b.ready[:0]
 	for _, k := range b.backends {
@@ -175,19 +175,20 @@
 	}
 }
 
-// takesNew tells whether a backend takes new connections, by the list and by Restrict.
+// acceptsNew reports whether a backend is ready and Restrict allows new connections to it.
 func (b *Balancer) acceptsNew(k *backend) bool {
 	return k.State == Ready && (b.allowedIDs == nil || slices.Contains(b.allowedIDs, k.ID))
 }
 
-// Restrict has new connections go to these backends only, until it is called again: the list may be out of
-// date, and just these have shown since that they take new work. An empty list leaves none; nil lifts it.
+// Restrict limits new connections to the backends with these IDs until the next call. It is for a list
+// that may be out of date, when only these backends are known to accept new work since then. An empty
+// slice allows no backend, nil allows all.
 func (b *Balancer) Restrict(to []string) {
 	b.allowedIDs = to
 	b.updateReady()
 }
 
-// member takes one entry of a list.
+// updateBackend adds or updates the backend of one entry of a list.
 func (b *Balancer) updateBackend(m *Backend) {
 	k := b.byID[m.ID]
 	if k == nil {
@@ -200,13 +201,13 @@
 		return
 	}
 	if m.Boot.After(k.Boot) {
-		// A process that restarted under its id is another backend: what was known of it is void.
+		// After a restart nothing that was known of the backend holds any more.
 		k.weight, k.consecutiveFailures, k.ejectedUntil, k.peerEjectedUntil = fullWeight, 0, time.Time{}, time.Time{}
 	}
 	k.Backend = *m
 }
 
-// hold adds one to a backend's own count, drop takes it off again.
+// assign adds a request to the connections and attempts of a backend; unassign removes it again.
 func (b *Balancer) assign(r *request, k *backend) {
 	r.backend, r.index = k, len(k.requests)
 	b.countTenant(r, 1)
@@ -230,27 +231,28 @@
 	}
 }
 
-// DisableRetries says whether a request whose attempt failed has its final answer at once.
+// DisableRetries sets whether a request whose attempt failed gets its final answer at once, without a
+// further attempt.
 func (b *Balancer) DisableRetries(on bool) { b.retriesDisabled = on }
 
-// shunned tells whether it failed of late, or left its last probe unanswered.
+// unhealthy reports whether the backend is ejected or its last probe failed.
 func (k *backend) unhealthy(now time.Time) bool {
 	return k.probeFailed || now.Before(k.ejectedUntil) || now.Before(k.peerEjectedUntil)
 }
 
-// EjectUntil has a backend count as one that failed of late until then, by what other relays know of it.
+// EjectUntil marks a backend as failing until a time, because of failures that other relays saw.
 func (b *Balancer) EjectUntil(id string, until time.Time) {
 	if k := b.byID[id]; k != nil {
 		k.peerEjectedUntil = until
 	}
 }
 
-// wantsBy returns the backend's recent wants, which fade within a probe period or so.
+// decayedDemand returns the demand for the backend, which decays with a time constant of probeInterval.
 func (k *backend) decayedDemand(now time.Time) float64 {
 	return k.demand * math.Exp(-micros(now.Sub(k.demandAt))/micros(probeInterval))
 }
 
-// holds tells whether a connection of the group is known to be there.
+// hasGroup reports whether this relay has an open connection of the group on the backend.
 func (k *backend) hasGroup(group string) bool {
 	for _, r := range k.requests {
 		if r.established && r.Group == group {
@@ -260,29 +262,29 @@
 	return false
 }
 
-// parted keeps in mind for a while where a connection is whose packets go elsewhere.
+// recordDetached records for a while the backend of a connection whose packets go to another relay.
 func (b *Balancer) recordDetached(now time.Time, r *request, k *backend) {
-	if b.cfg.Park <= 0 || r.Key == "" {
+	if b.cfg.DetachedTimeout <= 0 || r.Key == "" {
 		return
 	}
-	if now.Sub(b.detachedClearedAt) > b.cfg.Park {
+	if now.Sub(b.detachedClearedAt) > b.cfg.DetachedTimeout {
 		clear(b.detached)
 		b.detachedClearedAt = now
 	}
 	b.detached[r.Key] = k
 }
 
-// forget ends a request to which nothing more happens.
+// removeRequest drops the state of a request that is over.
 func (b *Balancer) removeRequest(r *request) {
 	r.answered = true
 	delete(b.requests, r.ID)
 }
 
-// micros and span turn spans into numbers and back, in whole microseconds, in which hosts count timers.
+// micros and fromMicros convert durations to and from whole microseconds, the unit of the host's timers.
 func micros(d time.Duration) float64      { return float64(d / time.Microsecond) }
 func fromMicros(us float64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// hash is FNV-1a; mix spreads its bits (the finalizer of SplitMix64).
+// hash is FNV-1a; mix spreads its bits with the finalizer of SplitMix64.
 func hash(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := 0; i < len(s); i++ {
--- a/balance/troubles_test.go
+++ b/balance/troubles_test.go
@@ -47,7 +47,7 @@
 // With no word on load at all the paper's count alone decides, and still spreads.
 func TestReportsAbsent(t *testing.T) {
 	cfg := testConfig()
-	cfg.Balancers = 1
+	cfg.Relays = 1
 	s := startBalancer(t, cfg, 1, 5)
 	got := s.world(100, 300*ms, func(string) float64 { return math.NaN() }, served)
 	for i := range 5 {
@@ -413,7 +413,7 @@
 	var first string
 	for seed := range uint64(5) {
 		cfg := testConfig()
-		cfg.Groups = true
+		cfg.GroupAffinity = true
 		s := startBalancer(t, cfg, seed, 1)
 		for id := range RequestID(40) {
 			q := newRequest(id + 1)
@@ -449,7 +449,7 @@
 	sent := 0
 	for seed := range uint64(relays) {
 		cfg := testConfig()
-		cfg.Balancers = relays
+		cfg.Relays = relays
 		s := startBalancer(t, cfg, seed, 1)
 		rep := loadReport(0.95)
 		rep.Active = 19
@@ -508,7 +508,7 @@
 		host Host
 	}{
 		{"no host", testConfig(), nil},
-		{"relays", Config{Balancers: -1}, &recordingHost{}},
+		{"relays", Config{Relays: -1}, &recordingHost{}},
 		{"attempts", Config{MaxAttempts: -1}, &recordingHost{}},
 		{"cold share", Config{Rules: Rules{InitialCapacity: 1.5}}, &recordingHost{}},
 		{"warm-up", Config{Rules: Rules{WarmUpTime: -1}}, &recordingHost{}},
@@ -638,7 +638,7 @@
 // until it is back its connection is worth nothing.
 func TestAdviceIsShort(t *testing.T) {
 	cfg := testConfig()
-	cfg.MaxAdvice = 2 * sec
+	cfg.MaxRetryAfter = 2 * sec
 	s := startBalancer(t, cfg, 1, 1)
 	s.b.Probed(s.now, "b0", OK, loadReport(1))
 	q := newRequest(1)
@@ -659,7 +659,7 @@
 // it is over at its time, with the word that takes it back, and when the backend has started anew.
 func TestToldByOthers(t *testing.T) {
 	cfg := testConfig()
-	cfg.Balancers = 1
+	cfg.Relays = 1
 	idle := func(string) float64 { return 0.1 }
 	s := startBalancer(t, cfg, 1, 4)
 	s.b.EjectUntil("b2", s.now.Add(time.Minute))
--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -73,7 +73,7 @@
 		}
 		f.changed(e)
 	}
-	if c.Settings.Config.Balancers > smallFleet {
+	if c.Settings.Config.Relays > smallFleet {
 		f.patience = time.Duration(patiencePart * float64(f.askWithin))
 	}
 	var share bool
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -53,7 +53,7 @@
 
 func newLimits(f *fleet, c Limits, conf Config) *limits {
 	l := &limits{f: f, conf: c, begun: f.loop.Now()}
-	l.conf.Soft.Expect = max(c.Soft.Expect, conf.Settings.Config.Balancers)
+	l.conf.Soft.Expect = max(c.Soft.Expect, conf.Settings.Config.Relays)
 	for _, x := range c.List {
 		li := &limited{Limit: x, key: evidence.LimitKey(x.Name), class: index(x.Class, conf.Settings.Classes), tenant: index(x.Tenant, conf.Settings.Tenants)}
 		li.gate = limit.Gate{Soft: l.conf.Soft, Limit: &li.Limit}
--- a/internal/lab/decisions.go
+++ b/internal/lab/decisions.go
@@ -31,7 +31,7 @@
 func NewDecider(relays int) (*Decider, error) {
 	d := &Decider{now: time.Unix(1e9, 0), most: max(relays, 30)}
 	module, err := balance.New(balance.Config{
-		Balancers: 3, Zone: "a", Groups: true, MaxAttempts: 5, MaxAdvice: 2 * time.Second, MayProbe: true, MayCancel: true,
+		Relays: 3, Zone: "a", GroupAffinity: true, MaxAttempts: 5, MaxRetryAfter: 2 * time.Second, MayProbe: true, MayCancel: true,
 		Classes: []balance.Class{{SetupTarget: 800 * time.Millisecond, Worth: 3, MessageTarget: 60 * time.Millisecond}},
 		Rules: balance.Rules{
 			MaxDiscoveryGap: 10 * time.Second, InitialCapacity: 0.13, WarmUpTime: 24 * time.Second, OverloadFactor: 3, OverloadWindow: 1500 * time.Millisecond,
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -111,7 +111,7 @@
 		from = routes.FromNothing // nobody can be served until a list is there
 	}
 	e.watch = routes.NewWatch(routes.WatchConfig{
-		Loop: c.Loop, Addr: c.Discovery, Seq: from, Processes: c.Settings.Config.Balancers, AskWithin: c.Settings.Config.Rules.MaxDiscoveryGap,
+		Loop: c.Loop, Addr: c.Discovery, Seq: from, Processes: c.Settings.Config.Relays, AskWithin: c.Settings.Config.Rules.MaxDiscoveryGap,
 		Pushed: pushed, Rand: rand.New(rand.NewPCG(c.Seed, 1)), Calls: &c.Count.Watches, News: e.news,
 	})
 	e.startedAt = e.loop.Now()
@@ -215,7 +215,7 @@
 		ID: x.id, Class: class, Tenant: tenant, Key: o.Key, Again: o.Again,
 		Left: o.Wait - e.margin(o.Wait),
 	}
-	if e.set.Config.Groups {
+	if e.set.Config.GroupAffinity {
 		x.request.Group = o.Group
 	}
 	e.exchanges[x.id] = x
@@ -263,12 +263,14 @@
 	}
 	e.count.Overdue++
 	e.log.Printf("exchange %d: no answer from the module in time", x.id)
-	e.cutShort(x, e.set.Config.MaxAdvice)
+	e.cutShort(x, e.set.Config.MaxRetryAfter)
 }
 
 // Advice is what a refused client may be told of when to come again: not longer than the settings have it heeded, and nothing where
 // they do not pass it on.
-func (e *Engine) Advice(most time.Duration) time.Duration { return min(most, e.set.Config.MaxAdvice) }
+func (e *Engine) Advice(most time.Duration) time.Duration {
+	return min(most, e.set.Config.MaxRetryAfter)
+}
 
 // inOrder returns all exchanges, the first one first: what is done to many must not depend on the order of a map.
 func (e *Engine) inOrder() []*Exchange {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -112,8 +112,8 @@
 		return nil, fmt.Errorf("options: %w", err)
 	}
 	cfg := balance.Config{
-		Balancers: s.Balancers,
-		Zone:      s.Zone,
+		Relays: s.Balancers,
+		Zone:   s.Zone,
 		Rules: balance.Rules{
 			AnswerSlack:     span(s.Invariants.AnswerSlackUs),
 			MaxDiscoveryGap: span(s.Invariants.AskWithinUs),
@@ -122,16 +122,16 @@
 			OverloadFactor:  s.Invariants.TipMultiple,
 			OverloadWindow:  span(s.Invariants.FallUs),
 		},
-		Prices:      balance.Prices{CrossZone: s.Prices.CrossZone},
-		MaxAttempts: s.Permissions.AttemptsCap,
-		MayProbe:    s.Permissions.Probing,
-		MayCancel:   s.Permissions.Cancel,
-		Subscribe:   s.Discovery == "subscribe",
-		Groups:      s.Domain.Groups,
-		Park:        span(s.Domain.ParkUs),
+		Prices:          balance.Prices{CrossZone: s.Prices.CrossZone},
+		MaxAttempts:     s.Permissions.AttemptsCap,
+		MayProbe:        s.Permissions.Probing,
+		MayCancel:       s.Permissions.Cancel,
+		Subscribe:       s.Discovery == "subscribe",
+		GroupAffinity:   s.Domain.Groups,
+		DetachedTimeout: span(s.Domain.ParkUs),
 	}
 	if s.Permissions.RetryAfter {
-		cfg.MaxAdvice = span(s.Permissions.MaxRetryAfterUs)
+		cfg.MaxRetryAfter = span(s.Permissions.MaxRetryAfterUs)
 	}
 	r := &Settings{
 		Classes: make(map[string]int), Tenants: make(map[string]int), Fields: s.Report.Fields,
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -31,8 +31,8 @@
 		t.Fatal(err)
 	}
 	const last = n - 1
-	if s.Config.Balancers != n || len(s.Config.Classes) != n || len(s.Config.Tenants) != n || s.Classes["c1023"] != last ||
+	if s.Config.Relays != n || len(s.Config.Classes) != n || len(s.Config.Tenants) != n || s.Classes["c1023"] != last ||
 		s.Waits[last] != n*time.Millisecond || s.Config.Tenants[s.Tenants["t1023"]].ConnectionQuota != n {
-		t.Errorf("%d processes, %d classes, %d tenants", s.Config.Balancers, len(s.Config.Classes), len(s.Config.Tenants))
+		t.Errorf("%d processes, %d classes, %d tenants", s.Config.Relays, len(s.Config.Classes), len(s.Config.Tenants))
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -52,8 +52,8 @@
 		t.Fatalf("got %+v", e)
 	}
 	c := e.Config
-	if c.Balancers != 4 || c.Zone != "z" || !c.Subscribe || !c.Groups || c.MaxAttempts != 5 ||
-		!c.MayProbe || !c.MayCancel || c.MaxAdvice != 1500*time.Millisecond || c.Park != 4*time.Second {
+	if c.Relays != 4 || c.Zone != "z" || !c.Subscribe || !c.GroupAffinity || c.MaxAttempts != 5 ||
+		!c.MayProbe || !c.MayCancel || c.MaxRetryAfter != 1500*time.Millisecond || c.DetachedTimeout != 4*time.Second {
 		t.Errorf("config %+v", c)
 	}
 	if want := (balance.Rules{
@@ -199,7 +199,7 @@
 func TestLongLines(t *testing.T) {
 	long := strings.Replace(options, `"Unheard":{"of":[1]}`, `"Unheard":"`+strings.Repeat("x", 1<<18)+`"`, 1)
 	all, err := readAll("FRAME 1\nCONFIGURE 3 77 " + long + "\nYOUR_TURN\nFRAME 2\nYOUR_TURN\n")
-	if err != nil || len(all) != 5 || all[1].Config.Balancers != 4 {
+	if err != nil || len(all) != 5 || all[1].Config.Relays != 4 {
 		t.Errorf("read %d events, error %v", len(all), err)
 	}
 }
