--- a/balance/fuzz_test.go
+++ b/balance/fuzz_test.go
@@ -78,7 +78,7 @@
 				list := readyBackends(9)[arg%9:]
 				for j := range list {
 					list[j].State = State((int(arg) + j) % 3)
-					list[j].Boot = s.now.Add(-time.Duration(j) * sec)
+					list[j].StartTime = s.now.Add(-time.Duration(j) * sec)
 				}
 				s.b.DiscoveryUpdate(s.now, ListKind(arg%4), list)
 			case 4, 5:
--- a/balance/interface.go
+++ b/balance/interface.go
@@ -91,12 +91,12 @@
 
 // Backend is one entry of discovery's list.
 type Backend struct {
-	ID    string
-	Zone  string
-	Cell  int
-	State State
-	Size  float64
-	Boot  time.Time // when its process last started; the zero time: long ago
+	ID        string
+	Zone      string
+	Cell      int
+	State     State
+	Size      float64
+	StartTime time.Time // when its process last started; the zero time: long ago
 }
 
 // ListKind tells what a list of backends is.
--- a/balance/moves.go
+++ b/balance/moves.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// relieve moves own connections off an overloaded backend, the same part at every relay, drawn so that small
+// moveOffOverloaded moves own connections off an overloaded backend, the same part at every relay, drawn so that small
 // numbers add up, and then waits until reports can show what that did.
-func (b *Balancer) relieve(now time.Time, k *backend, load float64) {
+func (b *Balancer) moveOffOverloaded(now time.Time, k *backend, load float64) {
 	if !(load > overloadThreshold) || now.Sub(k.rebalancedAt) < probeInterval {
 		return
 	}
@@ -62,7 +62,7 @@
 	for n := int(excess + b.rng.Float64()); n > 0; n-- {
 		var least *request
 		for _, r := range k.requests {
-			if r.established && !r.moveSent && (least == nil || b.firstOff(k, r, least)) {
+			if r.established && !r.moveSent && (least == nil || b.movesBefore(k, r, least)) {
 				least = r
 			}
 		}
@@ -74,9 +74,9 @@
 	}
 }
 
-// firstOff orders connections for relief: the group that ranks the backend lowest goes first, at all relays
+// movesBefore orders connections for relief: the group that ranks the backend lowest goes first, at all relays
 // alike, so that it soon pays for one group less; then the least worth.
-func (b *Balancer) firstOff(k *backend, r, than *request) bool {
+func (b *Balancer) movesBefore(k *backend, r, than *request) bool {
 	if b.cfg.GroupAffinity && r.Group != than.Group {
 		return mix(hash(r.Group)^k.idHash) < mix(hash(than.Group)^k.idHash)
 	}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -326,7 +326,7 @@
 	s := startBalancer(t, testConfig(), 1, 1)
 	s.b.Probed(s.now, "b0", OK, loadReport(0.9))
 	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}})
-	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", Boot: s.now}})
+	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", StartTime: s.now}})
 	k := s.b.byID["b0"]
 	if k.weight != fullWeight || len(s.b.ready) != 1 {
 		t.Errorf("weight %v, %d ready", k.weight, len(s.b.ready))
@@ -357,7 +357,7 @@
 			for id := range RequestID(requests) {
 				s.now = s.now.Add(250 * ms)
 				list := readyBackends(n)
-				list[0].Boot = s.now.Add(-tt.age)
+				list[0].StartTime = s.now.Add(-tt.age)
 				s.b.DiscoveryUpdate(s.now, ListPatch, list[:1])
 				to := s.place(newRequest(id+1), func(b string) float64 {
 					if b == "b0" {
@@ -385,7 +385,7 @@
 func TestRetryStormSendsNothingToColdBackend(t *testing.T) {
 	s := startBalancer(t, testConfig(), 4, 6)
 	list := readyBackends(1)
-	list[0].Boot = s.now
+	list[0].StartTime = s.now
 	s.b.DiscoveryUpdate(s.now, ListPatch, list)
 	for id := range RequestID(500) {
 		s.now = s.now.Add(10 * ms)
@@ -410,7 +410,7 @@
 	s := startBalancer(t, testConfig(), 4, 6)
 	list := readyBackends(6)
 	for i := range list {
-		list[i].Boot = s.now.Add(-10 * sec)
+		list[i].StartTime = s.now.Add(-10 * sec)
 	}
 	s.b.DiscoveryUpdate(s.now, ListPatch, list)
 	placed := 0
@@ -476,7 +476,7 @@
 	s.now = s.now.Add(100 * sec)
 	var list []Backend
 	for i := range 12 {
-		list = append(list, Backend{ID: "cold" + strconv.Itoa(i), Boot: s.now.Add(-10 * sec)})
+		list = append(list, Backend{ID: "cold" + strconv.Itoa(i), StartTime: s.now.Add(-10 * sec)})
 	}
 	s.b.DiscoveryUpdate(s.now, ListPatch, list)
 	const ends = 1000
@@ -618,7 +618,7 @@
 		fleet := startFleet(t, relays, 4, 2000)
 		var list []Backend
 		for i := range 6 {
-			list = append(list, Backend{ID: "c" + strconv.Itoa(i), Zone: "here", Size: 1, Boot: fleet[0].now.Add(-5 * sec)})
+			list = append(list, Backend{ID: "c" + strconv.Itoa(i), Zone: "here", Size: 1, StartTime: fleet[0].now.Add(-5 * sec)})
 		}
 		sent := map[string]float64{}
 		cold, warmth := 0.0, 0.0
@@ -626,7 +626,7 @@
 			s := fleet[id%relays]
 			s.now = fleet[0].now.Add(time.Duration(id) * each)
 			for i := range list { // they stay as cold as they are
-				list[i].Boot = s.now.Add(-5 * sec)
+				list[i].StartTime = s.now.Add(-5 * sec)
 			}
 			s.b.DiscoveryUpdate(s.now, ListPatch, list)
 			warmth = s.b.warmUpFraction(s.now, s.b.byID["c0"])
@@ -691,7 +691,7 @@
 	cfg.GroupAffinity = true
 	for seed := range uint64(20) {
 		s := startBalancer(t, cfg, seed, 0)
-		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Boot: s.now.Add(-10 * sec)}})
+		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", StartTime: s.now.Add(-10 * sec)}})
 		s.takeActions()
 		q := newRequest(1)
 		q.Group = "g"
@@ -733,7 +733,7 @@
 // steady use of its budget can have given it: half of its capacity 2 s after its start.
 func TestColdBackendIsChosenByIdleCapacity(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 1)
-	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Boot: s.now.Add(-2 * sec)}})
+	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", StartTime: s.now.Add(-2 * sec)}})
 	k := s.b.byID["cold"]
 	k.weight = fullWeight / 2
 	for range 1000 {
@@ -741,7 +741,7 @@
 			t.Fatal("a new client may go to one that is half full after 2 s")
 		}
 	}
-	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Boot: s.now.Add(-8 * sec)}})
+	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", StartTime: s.now.Add(-8 * sec)}})
 	part := func(weight float64, again bool) float64 {
 		n := 0.0
 		k.weight = weight
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -82,7 +82,7 @@
 	if w >= 1 {
 		return false
 	}
-	steady := (rules.InitialCapacity + w) / 2 * micros(now.Sub(k.Boot)) / w // its age, at the mean of its warmth
+	steady := (rules.InitialCapacity + w) / 2 * micros(now.Sub(k.StartTime)) / w // its age, at the mean of its warmth
 	most := fillFraction * rules.OverloadFactor * (steady + micros(rules.OverloadWindow)) / micros(rules.WarmUpTime)
 	return 1-k.weight/fullWeight > most
 }
@@ -110,8 +110,8 @@
 // warmUpFraction is the part of its capacity that a backend must have by now.
 func (b *Balancer) warmUpFraction(now time.Time, k *backend) float64 {
 	r := b.cfg.Rules
-	age := now.Sub(k.Boot)
-	if k.Boot.IsZero() || age >= r.WarmUpTime {
+	age := now.Sub(k.StartTime)
+	if k.StartTime.IsZero() || age >= r.WarmUpTime {
 		return 1
 	}
 	return r.InitialCapacity + (1-r.InitialCapacity)*float64(max(age, 0))/float64(r.WarmUpTime)
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -50,7 +50,7 @@
 	const warm, held = 12, 15 // connections of each warm backend, at half load: it is full with 30
 	fleet := startFleet(t, relays, warm, warm*held)
 	rng := rand.New(rand.NewPCG(seed, 1))
-	cold := Backend{ID: "cold", Zone: "here", Size: 1, Boot: fleet[0].now.Add(-10 * sec)}
+	cold := Backend{ID: "cold", Zone: "here", Size: 1, StartTime: fleet[0].now.Add(-10 * sec)}
 	for i, s := range fleet {
 		s.b.rng = rand.New(rand.NewPCG(seed, uint64(i)))
 		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{cold})
@@ -130,7 +130,7 @@
 	const clients, lag, most = 45, 10, 4 + 3*2 + 3
 	const relays, seeds = 300, 200
 	fleet := startFleet(t, relays, 12, 12*15) // full with 30, which is one and a half a second over the warm-up
-	cold := []Backend{{ID: "cold", Zone: "here", Size: 1, Boot: fleet[0].now.Add(-10 * sec)}}
+	cold := []Backend{{ID: "cold", Zone: "here", Size: 1, StartTime: fleet[0].now.Add(-10 * sec)}}
 	total := 0.0
 	for seed := range seeds {
 		var took [clients + 1]float64 // before each
@@ -163,7 +163,7 @@
 		s := startBalancer(t, cfg, 4, 6)
 		list := readyBackends(6)
 		for i := range list {
-			list[i].Boot = s.now.Add(-10 * sec)
+			list[i].StartTime = s.now.Add(-10 * sec)
 		}
 		s.b.DiscoveryUpdate(s.now, ListPatch, list)
 		placed := 0
@@ -185,7 +185,7 @@
 // and as before when none was denied.
 func TestPermitsGrowWhileReturnsAreDenied(t *testing.T) {
 	s := startFleet(t, 1, 4, 64)[0]
-	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Size: 1, Boot: s.now.Add(-10 * sec)}})
+	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Size: 1, StartTime: s.now.Add(-10 * sec)}})
 	k := s.b.byID["cold"]
 	term := s.b.cfg.Rules.OverloadWindow
 	for _, tt := range []struct {
@@ -213,7 +213,7 @@
 	group := ""
 	sent := 0
 	for i, s := range fleet {
-		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Size: 1, Boot: s.now.Add(-10 * sec)}})
+		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Size: 1, StartTime: s.now.Add(-10 * sec)}})
 		if group == "" {
 			group = groupOf(s.b, "cold")
 		}
--- a/balance/state.go
+++ b/balance/state.go
@@ -31,7 +31,7 @@
 	drainBy             time.Time  // when this relay's connections must be off it; zero: it is not draining
 }
 
-// request is the state of a request, from its arrival to the end of its last attempt or its connection.
+// request is the state of a request, from its arrival to the end of its last attempt or connection.
 type request struct {
 	Request
 	deadline       time.Time
@@ -69,7 +69,7 @@
 	requests          map[RequestID]*request
 	awaitingReports   []*request          // requests that wait for reports of their samples
 	arrivals          int                 // requests since the probe timer last expired
-	failureRate       float64             // moving average: fraction of attempts that failed, over all backends
+	failureRate       float64             // moving average: failed fraction of the attempts on all backends
 	coldCredits       []coldCredit        // connections that may be sent to cold backends, oldest first
 	meanWorth         float64             // moving average of the worth of requests
 	pendingAttempts   int                 // attempts without a result, not counting established connections
@@ -91,8 +91,9 @@
 		return nil, errors.New("balance: host is nil")
 	case cfg.Relays < 0 || cfg.MaxAttempts < 0:
 		return nil, errors.New("balance: negative Relays or MaxAttempts in the configuration")
-	case r.InitialCapacity < 0 || r.InitialCapacity > 1 || r.WarmUpTime < 0 || r.OverloadWindow < 0 || r.MaxDiscoveryGap < 0:
-		return nil, errors.New("balance: InitialCapacity is not from 0 to 1, or a time in the rules is negative")
+	case r.InitialCapacity < 0 || r.InitialCapacity > 1 ||
+		r.WarmUpTime < 0 || r.OverloadWindow < 0 || r.MaxDiscoveryGap < 0:
+		return nil, errors.New("balance: InitialCapacity outside 0 to 1, or negative time in Rules")
 	}
 	cfg.Relays = max(cfg.Relays, 1)
 	return &Balancer{
@@ -180,9 +181,9 @@
 	return k.State == Ready && (b.allowedIDs == nil || slices.Contains(b.allowedIDs, k.ID))
 }
 
-// Restrict limits new connections to the backends with these IDs until the next call. It is for a list
-// that may be out of date, when only these backends are known to accept new work since then. An empty
-// slice allows no backend, nil allows all.
+// Restrict limits new connections to the backends with these IDs until the next call: the list may be
+// out of date, and only these are known to have accepted new work since. An empty slice allows no
+// backend, nil allows all.
 func (b *Balancer) Restrict(to []string) {
 	b.allowedIDs = to
 	b.updateReady()
@@ -200,9 +201,10 @@
 		b.backends = append(b.backends, k)
 		return
 	}
-	if m.Boot.After(k.Boot) {
+	if m.StartTime.After(k.StartTime) {
 		// After a restart nothing that was known of the backend holds any more.
-		k.weight, k.consecutiveFailures, k.ejectedUntil, k.peerEjectedUntil = fullWeight, 0, time.Time{}, time.Time{}
+		k.weight, k.consecutiveFailures, k.ejectedUntil, k.peerEjectedUntil =
+			fullWeight, 0, time.Time{}, time.Time{}
 	}
 	k.Backend = *m
 }
@@ -231,7 +233,7 @@
 	}
 }
 
-// DisableRetries sets whether a request whose attempt failed gets its final answer at once, without a
+// DisableRetries sets whether a request whose attempt failed gets its final answer at once, with no
 // further attempt.
 func (b *Balancer) DisableRetries(on bool) { b.retriesDisabled = on }
 
@@ -247,7 +249,7 @@
 	}
 }
 
-// decayedDemand returns the demand for the backend, which decays with a time constant of probeInterval.
+// decayedDemand returns the demand at a time; it decays with a time constant of probeInterval.
 func (k *backend) decayedDemand(now time.Time) float64 {
 	return k.demand * math.Exp(-micros(now.Sub(k.demandAt))/micros(probeInterval))
 }
@@ -280,7 +282,7 @@
 	delete(b.requests, r.ID)
 }
 
-// micros and fromMicros convert durations to and from whole microseconds, the unit of the host's timers.
+// micros and fromMicros convert to and from whole microseconds, the unit of the host's timers.
 func micros(d time.Duration) float64      { return float64(d / time.Microsecond) }
 func fromMicros(us float64) time.Duration { return time.Duration(us) * time.Microsecond }
 
--- a/balance/troubles_test.go
+++ b/balance/troubles_test.go
@@ -214,7 +214,7 @@
 	s := startBalancer(t, testConfig(), 1, 6)
 	list := readyBackends(12)
 	for i := 6; i < 12; i++ {
-		list[i].Boot = s.now
+		list[i].StartTime = s.now
 	}
 	s.b.DiscoveryUpdate(s.now, ListPatch, list[6:])
 	cold, warm, budget := 0, 0, 0.0
@@ -683,7 +683,7 @@
 	}
 	s.b.EjectUntil("nobody", s.now.Add(time.Minute))
 	list := readyBackends(4)
-	list[1].Boot = s.now.Add(-30 * sec)
+	list[1].StartTime = s.now.Add(-30 * sec)
 	s.b.DiscoveryUpdate(s.now, ListWhole, list)
 	if s.b.byID["b1"].unhealthy(s.now) {
 		t.Error("a process that started anew is told of still")
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -55,7 +55,7 @@
 	if o == OK {
 		k.lastReport, k.unreported = now, 0 // also if it tells no load: the bar must not shut out what it cannot judge
 		b.report(k, rep)
-		b.relieve(now, k, rep.Load)
+		b.moveOffOverloaded(now, k, rep.Load)
 	} else if o == NoConnect {
 		b.recordOutcome(now, k, o) // the process is down, which discovery learns much later
 	}
--- a/internal/proxy/translate.go
+++ b/internal/proxy/translate.go
@@ -17,7 +17,7 @@
 	list := make([]balance.Backend, len(hosts))
 	for i, t := range hosts {
 		list[i] = balance.Backend{
-			ID: t.ID, Zone: t.Site, Cell: t.Block, State: states[t.Health], Size: t.Share, Boot: t.Boot,
+			ID: t.ID, Zone: t.Site, Cell: t.Block, State: states[t.Health], Size: t.Share, StartTime: t.Boot,
 		}
 	}
 	return list
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -330,7 +330,7 @@
 			Size:  1,
 		}
 		if boot := r.optional(6); boot != 0 {
-			b.Boot = time.UnixMicro(boot)
+			b.StartTime = time.UnixMicro(boot)
 		}
 		if !absent(r.parts[5]) {
 			b.Size = r.number(r.parts[5])
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -145,8 +145,8 @@
 		t.Fatal(err)
 	}
 	first, second := all[2].Backends, all[3].Backends
-	want := balance.Backend{ID: "b0", Zone: "z", Cell: 4, State: balance.Ready, Size: 1.5, Boot: time.UnixMicro(6100000)}
-	if len(first) != 2 || first[0] != want || first[1].State != balance.Draining || !first[1].Boot.IsZero() {
+	want := balance.Backend{ID: "b0", Zone: "z", Cell: 4, State: balance.Ready, Size: 1.5, StartTime: time.UnixMicro(6100000)}
+	if len(first) != 2 || first[0] != want || first[1].State != balance.Draining || !first[1].StartTime.IsZero() {
 		t.Errorf("first list %+v", first)
 	}
 	if len(second) != 1 || second[0].ID != "b2" || second[0].State != balance.Gone {
