--- a/balance/balance.go
+++ b/balance/balance.go
@@ -16,7 +16,7 @@
 	ewmaWeight            = 0.25 // of a new sample in a moving average: three failures in a row exceed 0.5
 )
 
-// Kinds of timers. A token holds the kind in its low timerKindBits bits, a request ID in the others.
+// Kinds of timers. A token has the kind in its low timerKindBits bits, a request ID in the others.
 const (
 	timerProbe = iota
 	timerRequest
@@ -69,10 +69,10 @@
 // Request handles a new request. It is placed at once, or held while no backend may take it.
 func (b *Balancer) Request(now time.Time, q Request) {
 	r := b.addRequest(q)
-	r.deadline = now.Add(max(q.Left, 0))
+	r.deadline = now.Add(max(q.Timeout, 0))
 	b.arrivals++
 	b.meanWorth += (b.class(q.Class).Worth - b.meanWorth) * ewmaWeight
-	if q.Beyond {
+	if q.OverLimit {
 		// Capacity is freed only as clients leave: the advised delay is long, and random to spread
 		// the retries.
 		b.removeRequest(r)
@@ -113,7 +113,7 @@
 	k, stood := r.backend, r.established
 	r.established = false // a retried request must not pass for an established connection
 	b.unassign(r)
-	b.report(k, rep)
+	b.applyReport(k, rep)
 	if !stood {
 		b.pendingAttempts--
 		if o != OK && o != Cancelled && o != NotSent {
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -37,7 +37,7 @@
 	at := func(us int64) time.Time { return time.UnixMicro(us) }
 	b.Start(at(0))
 	b.DiscoveryUpdate(at(0), balance.ListWhole, []balance.Backend{{ID: "east"}, {ID: "west"}})
-	b.Request(at(10), balance.Request{ID: 1, Left: 3 * time.Second})
+	b.Request(at(10), balance.Request{ID: 1, Timeout: 3 * time.Second})
 
 	none := balance.Report{Load: math.NaN(), CPU: math.NaN()}
 	east, west := none, none
--- a/balance/fuzz_test.go
+++ b/balance/fuzz_test.go
@@ -69,9 +69,9 @@
 			case 0, 1, 2:
 				q := Request{
 					ID: next, Class: int(arg%5) - 1, Tenant: int(arg%3) - 1, Group: string(rune('a' + arg%3)),
-					Key: string(rune('a' + arg%7)), Left: time.Duration(arg) * 10 * ms, MidFlow: arg%4 == 0,
+					Key: string(rune('a' + arg%7)), Timeout: time.Duration(arg) * 10 * ms, MidFlow: arg%4 == 0,
 				}
-				live[next] = s.now.Add(q.Left)
+				live[next] = s.now.Add(q.Timeout)
 				next++
 				s.b.Request(s.now, q)
 			case 3:
--- a/balance/interface.go
+++ b/balance/interface.go
@@ -112,15 +112,15 @@
 
 // Request is a client's request for a connection.
 type Request struct {
-	ID      RequestID
-	Class   int           // index in Config.Classes; -1: unknown
-	Tenant  int           // index in Config.Tenants; -1: none
-	Group   string        // connections of one group share work; empty: none
-	Key     string        // what the request is about; empty: unknown
-	Left    time.Duration // until the client gives up
-	MidFlow bool          // packets of an open connection that another relay carried before
-	Again   bool          // the client came back after a break or a move
-	Beyond  bool          // all relays together have what they may take: it is refused
+	ID        RequestID
+	Class     int           // index in Config.Classes; -1: unknown
+	Tenant    int           // index in Config.Tenants; -1: none
+	Group     string        // connections of one group share work; empty: none
+	Key       string        // what the request is about; empty: unknown
+	Timeout   time.Duration // until the client gives up
+	MidFlow   bool          // packets of an open connection that another relay carried before
+	Reconnect bool          // the client came back after a break or a move
+	OverLimit bool          // all relays together have what they may take: it is refused
 }
 
 // Outcome is how an attempt or a probe ended.
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -225,6 +225,6 @@
 // usable tells whether a request may go to a backend. A cold one must have told its load just now.
 func (b *Balancer) usable(now time.Time, r *request, k *backend) bool {
 	told := !b.cfg.MayProbe || now.Sub(k.lastReport) < reportLifetime || b.warmUpFraction(now, k) >= 1
-	takes := told && b.acceptsNew(k) && b.withinPermits(now, k) && (r.Again || !b.filledEarly(now, k))
+	takes := told && b.acceptsNew(k) && b.withinPermits(now, k) && (r.Reconnect || !b.filledEarly(now, k))
 	return takes && !slices.Contains(r.tried, k) && b.repeatable(now, r, k)
 }
--- a/balance/restrict_test.go
+++ b/balance/restrict_test.go
@@ -59,7 +59,7 @@
 		if lifted {
 			s.b.Restrict(nil)
 		}
-		all := s.runUntil(from.Add(q.Left), idleLoad, alwaysEndWith(OK))
+		all := s.runUntil(from.Add(q.Timeout), idleLoad, alwaysEndWith(OK))
 		if sends, refusals := s.count(all, "send"), s.count(all, "refuse"); lifted && sends == 0 || !lifted && (sends != 0 || refusals != 1) {
 			t.Errorf("lifted %v: %d sends, %d refusals", lifted, sends, refusals)
 		}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// drive runs timers and answers probes until t, letting attempts end by outcome (not at all if it is nil).
+// runUntil runs timers and answers probes until a time. Each attempt has the outcome that end returns for
+// it, at once if end also returns true, else when it times out. If loads is nil, no probe is answered.
 func (s *recordingHost) runUntil(until time.Time, loads func(string) float64, end func(id RequestID) (Outcome, bool)) []action {
 	type due struct {
 		at time.Time
@@ -64,7 +65,8 @@
 	return func(RequestID) (Outcome, bool) { return o, o != TimedOut }
 }
 
-// Rule 1: whatever happens to its attempts, a request ends once and in time.
+// Whatever happens to its attempts, a request gets exactly one final answer, within its deadline and
+// the answer slack.
 func TestEachRequestGetsOneAnswerInTime(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -73,10 +75,10 @@
 		outcome Outcome
 	}{
 		{"no backend at all", 0, idleLoad, OK},
-		{"all time out", 4, idleLoad, TimedOut},
-		{"all turn away", 4, idleLoad, Full},
-		{"all fail", 4, idleLoad, Error},
-		{"none can be reached", 4, idleLoad, NoConnect},
+		{"all attempts time out", 4, idleLoad, TimedOut},
+		{"all reject", 4, idleLoad, Full},
+		{"all answer with an error", 4, idleLoad, Error},
+		{"no connection to any", 4, idleLoad, NoConnect},
 		{"all over capacity", 4, func(string) float64 { return 1.4 }, Full},
 		{"no probe is answered", 4, nil, TimedOut},
 		{"not sent by the host", 4, idleLoad, NotSent},
@@ -90,28 +92,29 @@
 				s.takeActions()
 				from := s.now
 				q := newRequest(1)
-				q.Left = 1200 * ms // less than the class gives: this counts
+				q.Timeout = 1200 * ms // overrides the longer wait of other requests in these tests
 				s.b.Request(s.now, q)
-				all := s.runUntil(from.Add(q.Left+cfg.Rules.AnswerSlack), tt.loads, alwaysEndWith(tt.outcome))
+				all := s.runUntil(from.Add(q.Timeout+cfg.Rules.AnswerSlack), tt.loads, alwaysEndWith(tt.outcome))
 				if n := s.count(all, "refuse") + s.count(all, "fail"); n != 1 {
-					t.Errorf("%d final answers", n)
+					t.Errorf("got %d final answers, want 1", n)
 				}
 				if n := s.count(all, "send"); n > cfg.MaxAttempts {
-					t.Errorf("%d attempts", n)
+					t.Errorf("got %d attempts, want at most %d", n, cfg.MaxAttempts)
 				}
 				all = s.runUntil(from.Add(60*sec), tt.loads, alwaysEndWith(tt.outcome))
 				if n := s.count(all, "send") + s.count(all, "refuse") + s.count(all, "fail"); n != 0 {
-					t.Errorf("%d actions after the final answer", n)
+					t.Errorf("got %d actions after the final answer, want 0", n)
 				}
 				if len(s.b.requests) != 0 || len(s.b.awaitingReports) != 0 {
-					t.Error("the request is still held")
+					t.Error("the request is still stored")
 				}
 			})
 		}
 	}
 }
 
-// A backend that accepts and stays silent leaves time for another try inside the aim.
+// A first attempt on a backend that accepts the connection and does not answer must end early enough
+// for another attempt within the setup target.
 func TestStuckAttemptLeavesTimeForRetry(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 4)
 	s.takeActions()
@@ -120,12 +123,12 @@
 	tries := 0
 	s.runUntil(from.Add(500*ms), idleLoad, func(RequestID) (Outcome, bool) { tries++; return TimedOut, false })
 	if tries < 2 {
-		t.Errorf("%d tries inside the aim", tries)
+		t.Errorf("got %d attempts within the setup target, want at least 2", tries)
 	}
 }
 
-// The second attempt may take all the time that is left: where it is slow too, it is hardly the backend, and
-// with 200 relays quick retries kept a slow store failing.
+// The second attempt may use all the remaining time: if it is slow as well, a single backend is hardly
+// the cause. With 200 relays, quick retries kept a slow backend store failing.
 func TestSecondAttemptMayUseAllRemainingTime(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 6)
 	from := s.now
@@ -135,15 +138,15 @@
 	s.answerProbes(s.takeActions(), idleLoad)
 	for _, a := range s.takeActions() {
 		if a.kind == "send" && a.d != from.Add(3*sec).Sub(s.now) {
-			t.Errorf("the second attempt may take %d ms of %d", a.d/ms, from.Add(3*sec).Sub(s.now)/ms)
+			t.Errorf("the timeout of the second attempt is %d ms, want %d ms", a.d/ms, from.Add(3*sec).Sub(s.now)/ms)
 		}
 	}
 	if s.sends[1] != 2 {
-		t.Errorf("%d attempts", s.sends[1])
+		t.Errorf("got %d attempts, want 2", s.sends[1])
 	}
 }
 
-// Two attempts of a request are never out at once.
+// Two attempts of a request are never pending at the same time.
 func TestOneAttemptAtATime(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 6)
 	s.place(newRequest(1), idleLoad)
@@ -154,26 +157,28 @@
 		s.answerProbes(s.takeActions(), idleLoad)
 	}
 	if n := s.count(s.takeActions(), "send"); n != 0 || s.sends[1] != 1 {
-		t.Errorf("%d sends while the first attempt is out", s.sends[1])
+		t.Errorf("got %d attempts while the first one is pending, want 1", s.sends[1])
 	}
 }
 
-// An answer for a request that the client gave up is passed over, and its attempt is called off.
+// If the client leaves, the pending attempt of its request is cancelled, and the result of that attempt
+// causes no action.
 func TestClientLeft(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 2)
 	s.place(newRequest(1), idleLoad)
 	s.b.ClientGone(s.now, 1)
 	s.b.ClientGone(s.now, 99)
 	if as := s.takeActions(); s.count(as, "cancel") != 1 {
-		t.Errorf("attempt not called off: %v", as)
+		t.Errorf("the attempt was not cancelled: %v", as)
 	}
 	s.finish(1, false, TimedOut)
 	if as := s.takeActions(); len(as) != 0 || len(s.b.requests) != 0 {
-		t.Errorf("actions for a request that is over: %v", as)
+		t.Errorf("got actions for a request that is over: %v", as)
 	}
 }
 
-// A request settled while an earlier look at the backends was still awaited was sent again.
+// A request that is settled while probes from before its placement are still pending must not be sent
+// again when their answers come.
 func TestSettledRequestIsNotSentAgain(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 3)
 	s.takeActions()
@@ -182,17 +187,18 @@
 	for _, a := range as {
 		if a.kind == "after" {
 			s.now = s.now.Add(a.d)
-			s.b.Timer(s.now, a.token) // placed on what is known, its probes still out
+			s.b.Timer(s.now, a.token) // placed with the reports at hand; its probes are pending
 		}
 	}
 	s.finish(1, true, OK)
 	s.answerProbes(as, idleLoad)
 	if s.sends[1] != 1 {
-		t.Errorf("sent %d times", s.sends[1])
+		t.Errorf("sent %d times, want 1", s.sends[1])
 	}
 }
 
-// Rule 2.
+// A request that may not be repeated takes effect at most once: it is sent again only where its class
+// allows that, and refused only if it cannot have run or the client may safely repeat it.
 func TestRequestTakesEffectAtMostOnce(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -202,17 +208,17 @@
 		resends bool // a second attempt may be made somewhere
 		refuses bool // the final answer may be a refusal
 	}{
-		{"free, may have run", Idempotent, ScopeAll, Error, true, true},
-		{"never, may have run", NotIdempotent, ScopeAll, Error, false, false},
-		{"never, timed out", NotIdempotent, ScopeAll, TimedOut, false, false},
-		{"never, broke", NotIdempotent, ScopeAll, Broken, false, false},
-		{"never, called off", NotIdempotent, ScopeAll, Cancelled, false, false},
-		{"never, turned away", NotIdempotent, ScopeAll, Full, true, true},
-		{"never, not connected", NotIdempotent, ScopeAll, NoConnect, true, true},
-		{"keyed to all", IdempotentByKey, ScopeAll, Error, true, true},
-		{"keyed to a zone", IdempotentByKey, ScopeZone, Error, true, false},
-		{"keyed to a cell", IdempotentByKey, ScopeCell, Error, true, false},
-		{"keyed to a cell, turned away", IdempotentByKey, ScopeCell, Full, true, true},
+		{"idempotent, may have run", Idempotent, ScopeAll, Error, true, true},
+		{"not idempotent, may have run", NotIdempotent, ScopeAll, Error, false, false},
+		{"not idempotent, timed out", NotIdempotent, ScopeAll, TimedOut, false, false},
+		{"not idempotent, connection broke", NotIdempotent, ScopeAll, Broken, false, false},
+		{"not idempotent, cancelled", NotIdempotent, ScopeAll, Cancelled, false, false},
+		{"not idempotent, rejected", NotIdempotent, ScopeAll, Full, true, true},
+		{"not idempotent, not connected", NotIdempotent, ScopeAll, NoConnect, true, true},
+		{"deduplicated by all", IdempotentByKey, ScopeAll, Error, true, true},
+		{"deduplicated in a zone", IdempotentByKey, ScopeZone, Error, true, false},
+		{"deduplicated in a cell", IdempotentByKey, ScopeCell, Error, true, false},
+		{"deduplicated in a cell, rejected", IdempotentByKey, ScopeCell, Full, true, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -238,24 +244,24 @@
 				}
 				if tt.outcome == Error && tt.repeat == IdempotentByKey &&
 					(tt.scope == ScopeZone && k.Zone != first.Zone || tt.scope == ScopeCell && k.Cell != first.Cell) {
-					t.Errorf("resent to %v after %v", k, first)
+					t.Errorf("sent to %v after %v, outside the deduplication scope", k, first)
 				}
 			}
 			if n := s.sends[1]; n > 1 && !tt.resends || n == 0 {
-				t.Errorf("%d attempts", n)
+				t.Errorf("got %d attempts, further ones allowed: %v", n, tt.resends)
 			}
 			if n := s.count(all, "refuse"); n > 0 && !tt.refuses {
-				t.Error("refused though it may have run")
+				t.Error("refused although it may have run")
 			}
 			if s.count(all, "refuse")+s.count(all, "fail") != 1 {
-				t.Error("not ended once")
+				t.Error("the number of final answers is not 1")
 			}
 		})
 	}
 }
 
-// The window of a keyed request runs from the first attempt that may have run, and a later attempt that
-// proves not to have run does not wipe that one out.
+// The deduplication window of a request starts with its first attempt that may have run. A later attempt
+// that is known not to have run does not change that.
 func TestDedupWindow(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0] = Class{SetupTarget: 500 * ms, Worth: 1, Idempotency: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: 400 * ms}
@@ -275,11 +281,11 @@
 		return Full, true
 	})
 	if s.count(all, "fail") != 1 {
-		t.Error("not failed in the end: an attempt may have run")
+		t.Error("the request did not fail in the end, although an attempt may have run")
 	}
 }
 
-// Rule 3: nothing is sent to a backend that is told to drain or to be gone, from then on.
+// From the moment that discovery reports a backend as draining or removed, nothing is sent to it.
 func TestNothingSentToDrainingBackend(t *testing.T) {
 	tests := []struct {
 		name string
@@ -289,13 +295,13 @@
 		{"patch: draining", ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}}},
 		{"patch: gone", ListPatch, []Backend{{ID: "b0", Zone: "here", State: Gone}}},
 		{"whole list without it", ListWhole, readyBackends(4)[1:]},
-		{"stale copy that drains it", ListStale, append(readyBackends(4)[1:], Backend{ID: "b0", State: Draining})},
+		{"stale copy: draining", ListStale, append(readyBackends(4)[1:], Backend{ID: "b0", State: Draining})},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := startBalancer(t, testConfig(), 1, 4)
 			s.takeActions()
-			s.b.Request(s.now, newRequest(100)) // waits for its probes as the news comes
+			s.b.Request(s.now, newRequest(100)) // waits for its probes when the list comes
 			asked := s.takeActions()
 			s.b.DiscoveryUpdate(s.now, tt.kind, tt.list)
 			s.answerProbes(asked, idleLoad)
@@ -306,7 +312,7 @@
 			}
 			for _, a := range s.takeActions() {
 				if a.kind == "send" && a.backend == "b0" {
-					t.Fatal("sent to a backend that drains")
+					t.Fatal("sent to a draining backend")
 				}
 			}
 			if n := len(s.b.requests); n != 41 {
@@ -314,14 +320,14 @@
 			}
 			for _, r := range s.b.requests {
 				if r.backend == nil || r.backend.ID == "b0" {
-					t.Errorf("request %d is at %v", r.ID, r.backend)
+					t.Errorf("request %d is on backend %v", r.ID, r.backend)
 				}
 			}
 		})
 	}
 }
 
-// A backend that restarts under its id is new again: ready, cold, and nothing known of it.
+// A backend that restarts with the same ID is treated as a new one: ready, cold, and with no known load.
 func TestRestartUnderTheSameID(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 1)
 	s.b.Probed(s.now, "b0", OK, loadReport(0.9))
@@ -329,16 +335,17 @@
 	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", StartTime: s.now}})
 	k := s.b.byID["b0"]
 	if k.weight != fullWeight || len(s.b.ready) != 1 {
-		t.Errorf("weight %v, %d ready", k.weight, len(s.b.ready))
+		t.Errorf("got weight %v and %d ready backends", k.weight, len(s.b.ready))
 	}
 	if w := s.b.warmUpFraction(s.now, k); w != s.b.cfg.Rules.InitialCapacity {
-		t.Errorf("warmth %v", w)
+		t.Errorf("got warmth %v at the start", w)
 	}
 }
 
-// Rule 4: an idle cold backend looks emptiest, but all relays together must not send it more than it can
-// take. Each relay keeps its part alone: against a warm backend's part of the connections that end well, a cold
-// one is sent no more than its warmth times a part (fallShare) of the multiple at which it falls.
+// An idle cold backend looks the least loaded, but all relays together must not send it more than its
+// present capacity allows. Each relay keeps its part on its own: relative to a warm backend's share of the
+// connections that end well, a cold one gets at most its warmth times a fraction (fallShare) of
+// Rules.OverloadFactor.
 func TestColdBackendShareFollowsWarmUp(t *testing.T) {
 	const n, requests = 10, 4000
 	tests := []struct {
@@ -347,7 +354,7 @@
 		warmth float64
 	}{
 		{"just started", 0, 0.2},
-		{"half way", 10 * sec, 0.6},
+		{"halfway", 10 * sec, 0.6},
 		{"nearly warm", 19 * sec, 0.96},
 	}
 	for _, tt := range tests {
@@ -374,14 +381,14 @@
 			share := float64(got) / (requests / (n - 1 + tt.warmth))
 			want := tt.warmth * s.b.cfg.Rules.OverloadFactor * offerFraction
 			if share > want*1.2 || share < want*0.4 {
-				t.Errorf("%.2f of a warm backend's share, want about %.2f", share, want)
+				t.Errorf("got %.2f of a warm backend's share, want about %.2f", share, want)
 			}
 		})
 	}
 }
 
-// Clients that are refused or cut off come again and again: their number must not raise what a cold backend
-// is sent (a fleet over capacity pushed its only idle backend over).
+// Clients that are refused or disconnected retry many times. Their number must not raise the load that is
+// sent to a cold backend: with all others over capacity, this overloaded the only idle one.
 func TestRetryStormSendsNothingToColdBackend(t *testing.T) {
 	s := startBalancer(t, testConfig(), 4, 6)
 	list := readyBackends(1)
@@ -396,7 +403,7 @@
 			return 0.6
 		})
 		if to == "b0" {
-			t.Fatalf("request %d went to the cold backend", id)
+			t.Fatalf("request %d was sent to the cold backend", id)
 		}
 		if to != "" {
 			s.b.Established(s.now, id+1)
@@ -405,7 +412,7 @@
 	}
 }
 
-// A fleet that starts as a whole has no warm backend to go by: it is used all the same.
+// If all backends have just started, there is no warm one for comparison; requests are placed all the same.
 func TestAllBackendsCold(t *testing.T) {
 	s := startBalancer(t, testConfig(), 4, 6)
 	list := readyBackends(6)
@@ -421,18 +428,18 @@
 		}
 	}
 	if placed < 10 {
-		t.Errorf("%d of 20 requests were placed at once", placed)
+		t.Errorf("%d of 20 requests were placed at once, want at least 10", placed)
 	}
 }
 
-// Where discovery answers only when asked, a relay asks at once, and again after a failure, within the
-// time that the rules allow.
+// Where discovery requires subscriptions, a relay subscribes at its start, and again after each failure
+// within MaxDiscoveryGap.
 func TestSubscription(t *testing.T) {
 	cfg := testConfig()
 	cfg.Subscribe = true
 	s := startBalancer(t, cfg, 1, 2)
 	if s.count(s.takeActions(), "watch") != 1 {
-		t.Fatal("no subscription at the start")
+		t.Fatal("got no single subscription at the start")
 	}
 	for range 6 {
 		s.b.DiscoveryUpdate(s.now, ListBroken, nil)
@@ -444,11 +451,12 @@
 	s.b.DiscoveryUpdate(s.now, ListPatch, nil)
 	s.takeActions()
 	if n := s.count(s.runUntil(s.now.Add(60*sec), idleLoad, alwaysEndWith(OK)), "watch"); n != 0 {
-		t.Errorf("%d calls while subscribed", n)
+		t.Errorf("got %d subscriptions while subscribed, want 0", n)
 	}
 }
 
-// Packets of an open connection that left this relay and came back go to the backend that holds it.
+// If the packets of an open connection go to another relay and come back, they go to the backend that
+// has the connection.
 func TestMidFlowReturnsToItsBackend(t *testing.T) {
 	cfg := testConfig()
 	cfg.DetachedTimeout = 5 * sec
@@ -463,13 +471,13 @@
 		q.ID++
 		q.MidFlow = true
 		if got := s.place(q, idleLoad); got != home {
-			t.Errorf("sent to %s, held by %s", got, home)
+			t.Errorf("sent to %s, want %s, which has the connection", got, home)
 		}
 	}
 }
 
-// A fleet that was enlarged is filled at the pace that rule 4 leaves to each cold backend, however many of them
-// there are: shared out among them, it left most of the new ones idle (i31f261).
+// Each new backend is filled as fast as a cold one may be, however many there are. When that rate was
+// divided among them, most of the new backends stayed idle.
 func TestNewBackendsAreFilledAfterScaleUp(t *testing.T) {
 	cfg := testConfig()
 	s := startBalancer(t, cfg, 1, 4)
@@ -483,17 +491,18 @@
 	w := s.b.warmUpFraction(s.now, s.b.byID["cold0"])
 	for range ends {
 		s.b.offerColdBackends(s.now, s.b.byID["b0"])
-		s.b.offerColdBackends(s.now, s.b.byID["cold0"]) // what ends there tells nothing of the warm ones
+		s.b.offerColdBackends(s.now, s.b.byID["cold0"]) // a connection that ends on a cold backend grants no credit
 	}
-	bears := float64(ends) / 4 // one warm backend's part of what ended
+	bears := float64(ends) / 4 // one warm backend's share of the ended connections
 	most := 12 * bears * w * cfg.Rules.OverloadFactor
 	if n := float64(len(s.b.coldCredits)); n > 0.9*most || n < 0.7*most {
-		t.Errorf("%v offers, where the rule leaves room for %v", n, most)
+		t.Errorf("got %v credits, want 0.7 to 0.9 of the %v that cold backends can bear", n, most)
 	}
 }
 
-// A connection that stood and ended with its client still owed an answer is a request again: while it passed for
-// one that stands, a note on it was a panic (found by fuzzing) and its next attempt was not counted as out.
+// A connection that was established and ended while its client still needs an answer is a pending request
+// again. When it still counted as established, a measurement for it caused a panic (found by fuzzing), and
+// its next attempt was not counted as pending.
 func TestEndedConnectionIsNotEstablished(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 1)
 	s.place(newRequest(1), idleLoad)
@@ -502,28 +511,28 @@
 	s.takeActions()
 	s.b.ConnectionMeasured(s.now, 1, NoteDelay, 1000)
 	if n := s.count(s.takeActions(), "probe"); n != 0 {
-		t.Errorf("%d probes for a connection that has ended", n)
+		t.Errorf("got %d probes for a connection that has ended, want 0", n)
 	}
 	if r := s.b.requests[1]; r == nil || r.established {
-		t.Error("the request is not held, or passes for a connection")
+		t.Error("the request is not stored, or counts as established")
 	}
 }
 
-// Hosts count timers in whole microseconds. One that the module meant to be longer by a fraction would go off
-// before its time, pass for stale, and leave its request without an answer.
+// Hosts count timers in whole microseconds. A timer with a fraction of a microsecond would expire too
+// early, count as stale, and leave its request without an answer.
 func TestTimersAreWholeMicroseconds(t *testing.T) {
 	s := startBalancer(t, testConfig(), 3, 4)
 	n := 0
 	for id := RequestID(1); id < 40; id++ {
 		q := newRequest(id)
-		q.Left = 3*sec + time.Duration(id)*7*time.Nanosecond // a real clock has fractions
+		q.Timeout = 3*sec + time.Duration(id)*7*time.Nanosecond // a real clock has fractions of a microsecond
 		s.b.Request(s.now.Add(time.Duration(id)), q)
 		for _, a := range s.takeActions() {
 			if a.kind != "after" {
 				continue
 			}
 			if n++; a.d%time.Microsecond != 0 {
-				t.Fatalf("a timer of %v", a.d)
+				t.Fatalf("got a timer of %v, want whole microseconds", a.d)
 			}
 		}
 	}
@@ -532,8 +541,8 @@
 	}
 }
 
-// A client must be told to move before its backend leaves: what stands on a backend that drains is moved, each
-// connection once, a few at a time, and nothing is moved off the others.
+// Connections on a draining backend are moved before the backend stops: each once, a few at a time, those
+// of most worth first. Nothing is moved off the other backends.
 func TestDrainingBackendIsEmptied(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = []Class{{SetupTarget: 500 * ms, Worth: 1}, {SetupTarget: 500 * ms, Worth: 3}}
@@ -552,10 +561,10 @@
 			switch {
 			case a.kind == "move":
 				if moved[a.id] || a.id%3 == 2 {
-					t.Fatalf("moved %d", a.id)
+					t.Fatalf("request %d was moved twice, or off a ready backend", a.id)
 				}
 				if len(moved) < 4 && a.id%2 != 1 {
-					t.Errorf("%d of the lesser worth went early", a.id)
+					t.Errorf("request %d of the lesser worth was moved among the first", a.id)
 				}
 				n++
 				moved[a.id], s.sends[a.id] = true, 1
@@ -568,13 +577,13 @@
 	}
 	for len(moved) < 8 && lasted < 2*drainMoveWithin {
 		if n := step(); n != 1 {
-			t.Fatalf("%d timers at once", n)
+			t.Fatalf("got %d drain timers, want 1", n)
 		}
 		s.now, lasted = s.now.Add(drainMoveInterval), lasted+drainMoveInterval
 		s.b.Timer(s.now, timerDrain)
 	}
 	if len(moved) != 8 || most > 2 || lasted > drainMoveWithin+drainMoveInterval {
-		t.Errorf("%d moved in %v, up to %d at once", len(moved), lasted, most)
+		t.Errorf("got %d moves in %v and up to %d at once, want 8 and up to 2", len(moved), lasted, most)
 	}
 	for id := range moved {
 		s.b.Finished(s.now, id, 0, true, Cancelled, loadReport(math.NaN()))
@@ -583,12 +592,12 @@
 	s.takeActions()
 	s.b.Timer(s.now.Add(drainMoveInterval), timerDrain)
 	if n := step(); n != 0 {
-		t.Errorf("%d timers with nothing that drains", n)
+		t.Errorf("got %d drain timers without a draining backend, want 0", n)
 	}
 }
 
-// Where eighty relays hold one or two connections each on a backend that drains, a part that is rounded up is all of
-// them: they were moved at once, everywhere, and came back at once.
+// If 80 relays have one or two connections each on a draining backend, a share that is rounded up is all
+// of them: they were all moved at once, and reconnected at once.
 func TestManyRelaysDrainEvenly(t *testing.T) {
 	moved, first := 0, 0
 	for seed := range uint64(80) {
@@ -606,7 +615,7 @@
 		moved += s.count(s.takeActions(), "move")
 	}
 	if moved != 80 || first > 16 {
-		t.Errorf("%d of 80 moved, %d of them in the first step", moved, first)
+		t.Errorf("%d of 80 were moved, want all; %d of them in the first step, want at most 16", moved, first)
 	}
 }
 
@@ -631,7 +640,7 @@
 			s.b.DiscoveryUpdate(s.now, ListPatch, list)
 			warmth = s.b.warmUpFraction(s.now, s.b.byID["c0"])
 			q := newRequest(id)
-			if q.Again = again; id%2 == 0 {
+			if q.Reconnect = again; id%2 == 0 {
 				q.Group = "half"
 			} else {
 				q.Group = strconv.Itoa(int(id % 101))
@@ -696,7 +705,7 @@
 		q := newRequest(1)
 		q.Group = "g"
 		s.b.Request(s.now, q)
-		for end := s.now.Add(q.Left + 100*ms); s.now.Before(end); s.now = s.now.Add(20 * ms) { // no probe is answered
+		for end := s.now.Add(q.Timeout + 100*ms); s.now.Before(end); s.now = s.now.Add(20 * ms) { // no probe is answered
 			s.b.Timer(s.now, q.ID<<timerKindBits|timerRequest)
 			if s.count(s.takeActions(), "send") > 0 {
 				t.Fatalf("seed %d: sent to a cold backend that has not told its load", seed)
@@ -747,7 +756,7 @@
 		k.weight = weight
 		for range 20000 {
 			k.permits = permits{} // each at another relay
-			if s.b.mayTakeByRank(s.now, &request{Request: Request{Again: again}}, k, 1) {
+			if s.b.mayTakeByRank(s.now, &request{Request: Request{Reconnect: again}}, k, 1) {
 				n++
 			}
 		}
--- a/balance/script_test.go
+++ b/balance/script_test.go
@@ -13,17 +13,17 @@
 	sec = time.Second
 )
 
-// action is one thing a Balancer asked of its host.
+// action is one call of a Host method.
 type action struct {
-	kind    string // send, refuse, fail, cancel, move, probe, watch, after
+	kind    string // send, refuse, fail, cancel, move, probe, watch or after
 	id      RequestID
 	backend string
-	d       time.Duration // time-out, advice or delay
+	d       time.Duration // timeout, advised delay or timer delay
 	token   uint64
 	attempt int
 }
 
-// script is a Host that records actions and helps a test feed events.
+// recordingHost is a Host that records the actions of its Balancer, and passes events to it for a test.
 type recordingHost struct {
 	t       *testing.T
 	b       *Balancer
@@ -62,7 +62,8 @@
 	return n
 }
 
-// config is a plain deployment: one free class, no tenants, discovery by push.
+// testConfig returns a simple configuration: one idempotent class, no tenants, discovery without
+// subscriptions.
 func testConfig() Config {
 	return Config{
 		Relays:        10,
@@ -79,7 +80,7 @@
 	}
 }
 
-// start returns a Balancer that knows n ready backends, b0 and on, all of one zone.
+// startBalancer starts a Balancer that has n ready backends, b0 and up, all in its own zone.
 func startBalancer(t *testing.T, cfg Config, seed uint64, n int) *recordingHost {
 	t.Helper()
 	s := &recordingHost{t: t, now: time.UnixMicro(0).Add(1000 * sec), sends: make(map[RequestID]int)}
@@ -101,13 +102,13 @@
 	return list
 }
 
-// load is a report of x0 alone.
+// loadReport returns a report that has no value but the load.
 func loadReport(x float64) Report {
 	nan := math.NaN()
 	return Report{Load: x, CPU: nan, Active: nan, Waiting: nan, Latency: nan, Rate: nan, Errors: nan}
 }
 
-// answer lets every probe in as be answered with the load that loads gives its backend.
+// answerProbes answers each probe among the actions with the load that loads returns for its backend.
 func (s *recordingHost) answerProbes(as []action, loads func(backend string) float64) {
 	for _, a := range as {
 		if a.kind == "probe" {
@@ -116,7 +117,8 @@
 	}
 }
 
-// place brings a request, answers its probes, and returns where it was sent, or "".
+// place passes a request to the Balancer, answers its probes, and returns the backend to which the
+// request was sent, or "" if it was not sent.
 func (s *recordingHost) place(q Request, loads func(string) float64) string {
 	s.b.Request(s.now, q)
 	as := s.takeActions()
@@ -136,17 +138,17 @@
 
 func idleLoad(string) float64 { return 0.1 }
 
-func newRequest(id RequestID) Request { return Request{ID: id, Tenant: -1, Left: 3 * sec} }
+func newRequest(id RequestID) Request { return Request{ID: id, Tenant: -1, Timeout: 3 * sec} }
 
-// sameActions fails the test where two runs differ.
+// requireSameActions fails the test if two sequences of actions differ.
 func requireSameActions(t *testing.T, a, b []action) {
 	t.Helper()
 	if len(a) != len(b) {
-		t.Fatalf("%d actions and %d", len(a), len(b))
+		t.Fatalf("got %d actions, want %d", len(a), len(b))
 	}
 	for i := range a {
 		if a[i] != b[i] {
-			t.Fatalf("action %d: %v and %v", i, a[i], b[i])
+			t.Fatalf("action %d: got %v, want %v", i, a[i], b[i])
 		}
 	}
 }
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -152,7 +152,7 @@
 	if w >= 1 {
 		return true
 	}
-	if r.Again {
+	if r.Reconnect {
 		return b.mayTakeReturning(now, k)
 	}
 	if b.filledEarly(now, k) {
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -60,7 +60,7 @@
 		s := fleet[rng.IntN(relays)]
 		s.now = s.now.Add(100 * ms / 100)
 		q := newRequest(id)
-		q.Group, q.Again = group, again
+		q.Group, q.Reconnect = group, again
 		if s.place(q, func(at string) float64 { return map[bool]float64{true: 0, false: 0.5}[at == "cold"] }) == "cold" {
 			sent++
 		}
@@ -144,7 +144,7 @@
 			k.permits = permits{}
 			k.weight = fullWeight * (0.8 - 0.03*took[max(i-lag, 0)])
 			took[i+1] = took[i]
-			if s.b.mayTakeByRank(s.now, &request{Request: Request{Again: true}}, k, s.b.meanWarmLoad(s.now)) {
+			if s.b.mayTakeByRank(s.now, &request{Request: Request{Reconnect: true}}, k, s.b.meanWarmLoad(s.now)) {
 				took[i+1]++
 			}
 		}
@@ -170,7 +170,7 @@
 		for id := range RequestID(20) {
 			s.now = s.now.Add(100 * ms)
 			q := newRequest(id + 1)
-			q.Again, q.Group = true, "g"+strconv.Itoa(int(id))
+			q.Reconnect, q.Group = true, "g"+strconv.Itoa(int(id))
 			if s.place(q, idleLoad) != "" {
 				placed++
 			}
@@ -218,7 +218,7 @@
 			group = groupOf(s.b, "cold")
 		}
 		q := newRequest(RequestID(i + 1))
-		q.Group, q.Again = group, true
+		q.Group, q.Reconnect = group, true
 		s.b.Request(s.now, q)
 		full := func(at string) float64 { return map[bool]float64{true: 0, false: 0.99}[at == "cold"] }
 		for _, a := range s.runUntil(s.now.Add(testConfig().Rules.OverloadWindow-ms), full, alwaysEndWith(OK)) {
--- a/balance/troubles_test.go
+++ b/balance/troubles_test.go
@@ -478,7 +478,7 @@
 	for _, cfg := range []Config{{}, testConfig()} {
 		s := startBalancer(t, cfg, 1, 0)
 		s.b.Request(s.now, Request{ID: 1, Class: 99, Tenant: 99})
-		s.b.Request(s.now, Request{ID: 2, Class: -1, Tenant: -1, Left: -5})
+		s.b.Request(s.now, Request{ID: 2, Class: -1, Tenant: -1, Timeout: -5})
 		s.b.Finished(s.now, 77, 0, true, OK, loadReport(0.5))
 		s.b.Established(s.now, 77)
 		s.b.ClientGone(s.now, 77)
@@ -642,7 +642,7 @@
 	s := startBalancer(t, cfg, 1, 1)
 	s.b.Probed(s.now, "b0", OK, loadReport(1))
 	q := newRequest(1)
-	q.Left = 10 * ms
+	q.Timeout = 10 * ms
 	s.b.Request(s.now, q)
 	var refused []action
 	for _, a := range s.takeActions() {
@@ -697,7 +697,7 @@
 	told := map[time.Duration]bool{}
 	for id := range RequestID(20) {
 		q := newRequest(id + 1)
-		q.Beyond = true
+		q.OverLimit = true
 		s.b.Request(s.now, q)
 		as := s.takeActions()
 		if len(as) != 1 || as[0].kind != "refuse" || as[0].d < sec/2 || as[0].d > sec {
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	step        = 5   // A of the paper: a smaller change of a weight is noise
+	weightStep  = 5   // A of the paper: a smaller change of a weight is noise
 	fullWeight  = 100 // W of a backend that joins
 	floorWeight = 1   // keeps W positive, so that a full backend is still the last resort
 )
@@ -26,8 +26,8 @@
 	return true
 }
 
-// report sets a backend's weight: W = 100 - L, unless it moves by less than the step.
-func (b *Balancer) report(k *backend, rep Report) {
+// applyReport sets a backend's weight: W = 100 - L, unless it moves by less than the step.
+func (b *Balancer) applyReport(k *backend, rep Report) {
 	load := rep.Load
 	if !(load >= 0) {
 		load = rep.CPU
@@ -38,7 +38,7 @@
 	k.unreported = 0
 	k.loadPerConnection = rep.Load / rep.Active
 	w := max(fullWeight*(1-min(load, 1)), floorWeight)
-	if math.Abs(w-k.weight) >= step {
+	if math.Abs(w-k.weight) >= weightStep {
 		k.weight = w
 	}
 }
@@ -54,7 +54,7 @@
 	}
 	if o == OK {
 		k.lastReport, k.unreported = now, 0 // also if it tells no load: the bar must not shut out what it cannot judge
-		b.report(k, rep)
+		b.applyReport(k, rep)
 		b.moveOffOverloaded(now, k, rep.Load)
 	} else if o == NoConnect {
 		b.recordOutcome(now, k, o) // the process is down, which discovery learns much later
--- a/internal/lab/decisions.go
+++ b/internal/lab/decisions.go
@@ -61,7 +61,7 @@
 	d.next++
 	d.sent = 0
 	d.module.Request(d.now, balance.Request{
-		ID: d.next, Key: "k", Group: "g" + strconv.Itoa(int(d.next)%97), Left: 4 * time.Second, Tenant: -1,
+		ID: d.next, Key: "k", Group: "g" + strconv.Itoa(int(d.next)%97), Timeout: 4 * time.Second, Tenant: -1,
 	})
 	for len(d.probes) > 0 {
 		id := d.probes[len(d.probes)-1]
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -166,7 +166,7 @@
 	if e.limits != nil {
 		var ok bool
 		x.under, ok = e.limits.Take(x.request.Class, x.request.Tenant, true)
-		if x.request.Beyond = !ok; !ok {
+		if x.request.OverLimit = !ok; !ok {
 			e.count.Beyond++
 		}
 	}
@@ -212,8 +212,8 @@
 	e.count.Exchanges++
 	x := &Exchange{id: e.last, name: o.ID, engine: e, client: c, deadline: e.loop.Now().Add(o.Wait)}
 	x.request = balance.Request{
-		ID: x.id, Class: class, Tenant: tenant, Key: o.Key, Again: o.Again,
-		Left: o.Wait - e.margin(o.Wait),
+		ID: x.id, Class: class, Tenant: tenant, Key: o.Key, Reconnect: o.Again,
+		Timeout: o.Wait - e.margin(o.Wait),
 	}
 	if e.set.Config.GroupAffinity {
 		x.request.Group = o.Group
@@ -319,7 +319,7 @@
 	x.hops++
 	e.count.Hops++
 	if e.onHop != nil && x.adopt == "" {
-		e.onHop(x.request.Class, x.hops == 1 && !x.request.Again)
+		e.onHop(x.request.Class, x.hops == 1 && !x.request.Reconnect)
 	}
 	known := e.heardAt
 	if e.vouched != nil {
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -17,11 +17,11 @@
 func TestAnswerLeavesInTime(t *testing.T) {
 	b := newBed(t, 0, false)
 	x, _ := b.engine.add(nil, Offer{Class: "c", Wait: 2 * time.Second})
-	if left := x.request.Left; left > 1850*time.Millisecond || left < 1500*time.Millisecond {
+	if left := x.request.Timeout; left > 1850*time.Millisecond || left < 1500*time.Millisecond {
 		t.Errorf("of 2 s the module may use %v", left)
 	}
 	x, _ = b.engine.add(nil, Offer{Class: "c", Wait: 80 * time.Millisecond})
-	if left := x.request.Left; left < 60*time.Millisecond {
+	if left := x.request.Timeout; left < 60*time.Millisecond {
 		t.Errorf("of 80 ms the module may use %v", left)
 	}
 }
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -283,12 +283,12 @@
 	if !absent(r.parts[4]) {
 		q.Key = string(r.parts[4])
 	}
-	q.Left = time.Duration(r.optional(5)) * time.Microsecond
+	q.Timeout = time.Duration(r.optional(5)) * time.Microsecond
 	if !absent(r.parts[7]) {
 		q.Group = string(r.parts[7])
 	}
 	bits := r.optional(8)
-	q.MidFlow, q.Again = bits&bitMidFlow != 0, bits&bitAgain != 0
+	q.MidFlow, q.Reconnect = bits&bitMidFlow != 0, bits&bitAgain != 0
 	if e.Kind == Handover {
 		e.Backend = r.backend(9)
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -79,12 +79,12 @@
 	}{
 		{"INGRESS 3 2322303265968580 c1 t0 91f0 240000 12000 2b8e 24", func(e Event) bool {
 			return e.Kind == Ingress && e.Request == balance.Request{
-				ID: 2322303265968580, Class: 1, Tenant: 0, Key: "91f0", Group: "2b8e", Left: 240 * time.Millisecond,
-				MidFlow: true, Again: true,
+				ID: 2322303265968580, Class: 1, Tenant: 0, Key: "91f0", Group: "2b8e", Timeout: 240 * time.Millisecond,
+				MidFlow: true, Reconnect: true,
 			}
 		}},
 		{"INGRESS 3 1 other 0 - 5 - - 0", func(e Event) bool {
-			return e.Request == balance.Request{ID: 1, Class: -1, Tenant: -1, Left: 5 * time.Microsecond}
+			return e.Request == balance.Request{ID: 1, Class: -1, Tenant: -1, Timeout: 5 * time.Microsecond}
 		}},
 		{"HANDOVER 3 9 c0 - - 5 - - - b1", func(e Event) bool {
 			return e.Kind == Handover && e.Request.ID == 9 && e.Backend == "b1"
