--- a/balance/design_test.go
+++ b/balance/design_test.go
@@ -8,15 +8,15 @@
 		loads []float64
 		want  float64
 	}{
-		{"joins at full", nil, 100},
-		{"just under the step stays", []float64{0.0499}, 100},
-		{"at the step moves", []float64{0.05}, 95},
-		{"over the step moves", []float64{0.0501}, 94.99},
-		{"the step counts from the weight in force", []float64{0.30, 0.34, 0.26}, 70},
-		{"small steps add up", []float64{0.30, 0.34, 0.36}, 64},
-		{"full load keeps a floor", []float64{1}, floorWeight},
-		{"over full is clamped to the floor", []float64{3.5}, floorWeight},
-		{"no word leaves it", []float64{0.5, -1}, 50},
+		{"a new backend has full weight", nil, 100},
+		{"a change just below the step is ignored", []float64{0.0499}, 100},
+		{"a change of one step counts", []float64{0.05}, 95},
+		{"a change above the step counts", []float64{0.0501}, 94.99},
+		{"the step is measured from the weight in use", []float64{0.30, 0.34, 0.26}, 70},
+		{"small changes add up", []float64{0.30, 0.34, 0.36}, 64},
+		{"full load leaves the minimum weight", []float64{1}, floorWeight},
+		{"a load above 1 leaves the minimum weight", []float64{3.5}, floorWeight},
+		{"a report without load changes nothing", []float64{0.5, -1}, 50},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -56,11 +56,12 @@
 		got[startBalancer(t, testConfig(), seed, 2).place(newRequest(1), idleLoad)]++
 	}
 	if got["b0"] < 60 || got["b1"] < 60 || got["b0"]+got["b1"] != 200 {
-		t.Errorf("200 equal choices went %v", got)
+		t.Errorf("200 choices between equal backends went to %v", got)
 	}
 }
 
-// With many relays own counts are 0 nearly everywhere: 0/W ties, and weights would say nothing.
+// With many relays most backends have no connection of this relay. The quotient of 0 connections and the
+// weight is the same for all of them, so that weights would not count.
 func TestWeightDecidesBetweenIdleBackends(t *testing.T) {
 	for seed := range uint64(50) {
 		s := startBalancer(t, testConfig(), seed, 3)
@@ -68,7 +69,7 @@
 			return map[string]float64{"b0": 0.5, "b1": 0.3, "b2": 0.4}[id]
 		})
 		if got != "b1" {
-			t.Fatalf("seed %d: sent to %s, not the one with the most idle points", seed, got)
+			t.Fatalf("seed %d: sent to %s, want b1, which has the most idle capacity", seed, got)
 		}
 	}
 }
@@ -79,14 +80,15 @@
 	s := startBalancer(t, cfg, 1, 2)
 	for id := range RequestID(20) {
 		s.place(newRequest(id+1), idleLoad)
-		s.now = s.now.Add(sec) // so that reports are asked again
+		s.now = s.now.Add(sec) // so that the reports are too old and backends are probed again
 	}
 	if a, b := len(s.b.byID["b0"].requests), len(s.b.byID["b1"].requests); a != 10 || b != 10 {
-		t.Errorf("20 connections went %d and %d", a, b)
+		t.Errorf("20 connections were split %d and %d, want 10 and 10", a, b)
 	}
 }
 
-// Relays read the same reports: what this one has sent since must keep it from sending all to one.
+// Between two reports, a relay must count the requests that it has placed since the last one, so that it does
+// not send all of them to the same backend.
 func TestBurstSpreadsOverTheSample(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 6)
 	got := map[string]int{}
@@ -95,7 +97,7 @@
 	}
 	for id, n := range got {
 		if n > 2 {
-			t.Errorf("%d of 6 requests within one report went to %s", n, id)
+			t.Errorf("%d of 6 requests between two reports went to %s, want at most 2", n, id)
 		}
 	}
 }
@@ -108,10 +110,10 @@
 		outcome Outcome
 	}{
 		{"served", true, true, OK},
-		{"client left an open stream", true, true, Cancelled},
-		{"settled break", true, true, Broken},
+		{"client left an open connection", true, true, Cancelled},
+		{"connection broke, settled", true, true, Broken},
 		{"error", false, false, Error},
-		{"turned away", false, false, Full},
+		{"rejected", false, false, Rejected},
 		{"no answer", false, false, TimedOut},
 		{"no connection", false, false, NoConnect},
 		{"not sent", false, true, NotSent},
@@ -123,14 +125,14 @@
 				t.Fatal("not placed")
 			}
 			if n := len(s.b.byID["b0"].requests); n != 1 {
-				t.Fatalf("count %d after a send", n)
+				t.Fatalf("count is %d after a send, want 1", n)
 			}
 			if tt.open {
 				s.b.Established(s.now, 7)
 			}
 			s.finish(7, tt.settled, tt.outcome)
 			if n := len(s.b.byID["b0"].requests); n != 0 {
-				t.Errorf("count %d after the end", n)
+				t.Errorf("count is %d after the end, want 0", n)
 			}
 		})
 	}
@@ -141,13 +143,13 @@
 	s.b.RestoreConnection(s.now, newRequest(3), "b1")
 	s.b.RestoreConnection(s.now, newRequest(4), "unlisted")
 	if n := len(s.b.byID["b1"].requests); n != 1 {
-		t.Errorf("count %d, want 1", n)
+		t.Errorf("count is %d, want 1", n)
 	}
 	s.sends[3], s.sends[4] = 1, 1
 	s.finish(3, true, OK)
 	s.finish(4, true, Broken)
 	if n := len(s.b.byID["b1"].requests) + len(s.b.requests); n != 0 {
-		t.Errorf("%d left after the ends", n)
+		t.Errorf("%d connections and requests are left after the ends, want 0", n)
 	}
 }
 
@@ -171,12 +173,13 @@
 			same = same && a[i] == b[i]
 		}
 		if same {
-			t.Error("another seed brought the same actions")
+			t.Error("another seed produced the same actions")
 		}
 	}
 }
 
-// Two instances in one process share nothing: interleaved or alone, each acts the same.
+// Two Balancers in one process share no state: each acts the same whether its events are interleaved with
+// those of the other or not.
 func TestInstancesAreIndependent(t *testing.T) {
 	step := func(s *recordingHost, id RequestID) []action {
 		s.now = s.now.Add(200 * ms)
@@ -195,7 +198,7 @@
 	}
 }
 
-// A group's connections are placed together by every relay, whatever its seed.
+// All relays place the connections of a group on the same backend, whatever their seeds.
 func TestRelaysAgreeOnGroupBackend(t *testing.T) {
 	cfg := testConfig()
 	cfg.GroupAffinity = true
@@ -211,17 +214,17 @@
 				first[group] = got
 			}
 			if got != first[group] {
-				t.Fatalf("group %s: %s at one relay, %s at another", group, first[group], got)
+				t.Fatalf("group %s: one relay sends it to %s, another to %s", group, first[group], got)
 			}
 			spread[got] = true
 		}
 	}
 	if len(spread) < 3 {
-		t.Errorf("6 groups share %d backends of 12", len(spread))
+		t.Errorf("6 groups use %d of 12 backends, want at least 3", len(spread))
 	}
 }
 
-// A group that has filled its backend spills to another one.
+// If the preferred backend of a group is full, its requests go to another one.
 func TestGroupSpillsWhenBackendFull(t *testing.T) {
 	cfg := testConfig()
 	cfg.GroupAffinity = true
@@ -238,12 +241,13 @@
 		return 0.1
 	})
 	if got == "" || got == home {
-		t.Errorf("sent to %q with its home %q full", got, home)
+		t.Errorf("sent to %q although its preferred backend %q is full, want another one", got, home)
 	}
 }
 
-// Where a group's first backends are full, held requests look at later ranks, on which all relays agree too:
-// with many relays a spill to drawn backends made nearly all of them pay for the group.
+// If the first backends of a group are full, held requests consider backends of lower ranks, which are the same
+// at all relays. When they went to random backends instead, with many relays nearly every backend had the cost
+// of the group.
 func TestRelaysAgreeOnSpillBackends(t *testing.T) {
 	cfg := testConfig()
 	cfg.GroupAffinity = true
@@ -277,12 +281,13 @@
 		most = max(most, n)
 	}
 	if most < 15 {
-		t.Errorf("30 relays spilled a group to %v", homes)
+		t.Errorf("30 relays spread a group over %v, want at least 15 on one backend", homes)
 	}
 }
 
-// A held request leaves the room on backends where its group may not spill to those that may go there: when it
-// counted as wanting them, four of them stood at 0.6 while 75% were refused (ibf684b).
+// A held request is not counted as demand for backends that its group may not use yet, so that their idle
+// capacity is left to other requests. When it was counted, four such backends stayed at a load of 0.6 while
+// 75% of the requests were refused.
 func TestHeldRequestCountsDemandOnlyWhereAllowed(t *testing.T) {
 	cfg := testConfig()
 	cfg.GroupAffinity, cfg.Relays = true, 3
@@ -300,11 +305,11 @@
 		}
 		return 0.6
 	}); got != "" {
-		t.Fatalf("sent to %q", got)
+		t.Fatalf("sent to %q, want held", got)
 	}
 	for _, k := range s.b.ready {
 		if want := k.ID == home; (k.demand > 0) != want {
-			t.Errorf("%s is wanted %v times; its home is %s", k.ID, k.demand, home)
+			t.Errorf("demand for %s is %v; the preferred backend is %s", k.ID, k.demand, home)
 		}
 	}
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -8,7 +8,7 @@
 	"ospreyspan/balance"
 )
 
-// printer is a relay that prints what it is asked to do.
+// printer is a Host that prints its actions.
 type printer struct{}
 
 func (printer) Send(id balance.RequestID, backend string, timeout time.Duration) {
@@ -20,9 +20,10 @@
 func (printer) Move(id balance.RequestID)                         { fmt.Println("move", id) }
 func (printer) Probe(backend string)                              { fmt.Println("probe", backend) }
 func (printer) Watch()                                            { fmt.Println("watch") }
-func (printer) After(d time.Duration, token uint64)               {} // a real relay sets a timer
+func (printer) After(d time.Duration, token uint64)               {} // a real host sets a timer
 
-// A relay tells its Balancer each event with its time, and carries out what the Balancer asks of it.
+// A relay passes each event, with its time, to its Balancer, and carries out the actions that the Balancer
+// calls for through the Host.
 func Example() {
 	cfg := balance.Config{
 		Relays:   1,
--- a/balance/fuzz_test.go
+++ b/balance/fuzz_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// FuzzEvents feeds any sequence of legal events and checks the rules that a script can see: one final answer
-// for each request and none after it, one attempt at a time, nothing to a backend that is not ready.
+// FuzzEvents passes arbitrary sequences of valid events to a Balancer and checks what its host can see: at
+// most one final answer for each request, no action for it afterwards, one attempt at a time, and nothing
+// sent to a backend that is not ready.
 func FuzzEvents(f *testing.F) {
 	f.Add(uint64(1), []byte("abcdefghijklmnopqrstuvwxyz0123456789"))
 	f.Add(uint64(2), []byte{0, 0, 0, 1, 9, 3, 9, 2, 200, 7, 7, 7, 4, 4, 5, 5, 6, 6, 8, 8})
@@ -24,17 +25,17 @@
 			{SetupTarget: 300 * ms, Idempotency: NotIdempotent},
 		}
 		s := startBalancer(t, cfg, seed, int(seed%7))
-		live := map[RequestID]time.Time{} // deadline of those that are owed an answer
-		out := map[RequestID]bool{}       // an attempt or connection is out
+		live := map[RequestID]time.Time{} // deadlines of the requests that need an answer
+		out := map[RequestID]bool{}       // requests with a pending attempt or open connection
 		check := func() {
 			for _, a := range s.takeActions() {
 				switch a.kind {
 				case "send":
 					if _, ok := live[a.id]; !ok || out[a.id] {
-						t.Fatalf("send of %d, owed %v, out %v", a.id, ok, out[a.id])
+						t.Fatalf("request %d was sent: needs an answer %v, attempt pending %v", a.id, ok, out[a.id])
 					}
 					if s.sends[a.id] > cfg.MaxAttempts {
-						t.Fatalf("%d attempts", s.sends[a.id])
+						t.Fatalf("got %d attempts, more than MaxAttempts", s.sends[a.id])
 					}
 					if k := s.b.byID[a.backend]; k == nil || k.State != Ready {
 						t.Fatalf("sent to %s, which is not ready", a.backend)
@@ -42,7 +43,7 @@
 					out[a.id] = true
 				case "refuse", "fail":
 					if _, ok := live[a.id]; !ok || out[a.id] {
-						t.Fatalf("answer for %d, owed %v, out %v", a.id, ok, out[a.id])
+						t.Fatalf("request %d was answered: needs an answer %v, attempt pending %v", a.id, ok, out[a.id])
 					}
 					delete(live, a.id)
 				}
--- a/balance/interface.go
+++ b/balance/interface.go
@@ -130,7 +130,7 @@
 const (
 	OK        Outcome = iota
 	Error             // answered with an error
-	Full              // turned away unseen
+	Rejected          // turned away unseen
 	TimedOut          // no answer in time
 	NoConnect         // no connection could be made
 	Broken            // the connection broke
@@ -139,7 +139,7 @@
 )
 
 // NeverRan tells whether the outcome proves that the attempt had no effect.
-func (o Outcome) NeverRan() bool { return o == Full || o == NoConnect || o == NotSent }
+func (o Outcome) NeverRan() bool { return o == Rejected || o == NoConnect || o == NotSent }
 
 // Report is a backend's word on its load. A value that is not reported is NaN or below 0.
 type Report struct {
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The operators print the module and file its pages. It is made of files with one job each: none may outgrow its pages.
+// The source files of the package are printed and filed, so each is limited in lines and columns. balance.go
+// must refer to interface.go in its first line.
 func TestSourceFileSizeLimits(t *testing.T) {
 	const maxLines, maxColumns = 300, 110
 	files, err := filepath.Glob("*.go")
@@ -28,11 +29,11 @@
 				lines++
 			}
 			if n := len([]rune(strings.ReplaceAll(line, "\t", "    "))); n > maxColumns {
-				t.Errorf("%s:%d: %d columns, over %d", file, i+1, n, maxColumns)
+				t.Errorf("%s:%d: got %d columns, want at most %d", file, i+1, n, maxColumns)
 			}
 		}
 		if lines > maxLines {
-			t.Errorf("%s: %d lines that are not blank, over %d", file, lines, maxLines)
+			t.Errorf("%s: got %d lines that are not blank, want at most %d", file, lines, maxLines)
 		}
 	}
 	text, err := os.ReadFile("balance.go")
@@ -40,6 +41,6 @@
 		t.Fatal(err)
 	}
 	if head, _, _ := strings.Cut(string(text), "\n"); !strings.Contains(head, "interface.go") {
-		t.Errorf("balance.go: its first line does not name interface.go")
+		t.Errorf("balance.go: the first line does not contain interface.go")
 	}
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -76,10 +76,10 @@
 	}{
 		{"no backend at all", 0, idleLoad, OK},
 		{"all attempts time out", 4, idleLoad, TimedOut},
-		{"all reject", 4, idleLoad, Full},
+		{"all reject", 4, idleLoad, Rejected},
 		{"all answer with an error", 4, idleLoad, Error},
 		{"no connection to any", 4, idleLoad, NoConnect},
-		{"all over capacity", 4, func(string) float64 { return 1.4 }, Full},
+		{"all over capacity", 4, func(string) float64 { return 1.4 }, Rejected},
 		{"no probe is answered", 4, nil, TimedOut},
 		{"not sent by the host", 4, idleLoad, NotSent},
 	}
@@ -92,7 +92,7 @@
 				s.takeActions()
 				from := s.now
 				q := newRequest(1)
-				q.Timeout = 1200 * ms // overrides the longer wait of other requests in these tests
+				q.Timeout = 1200 * ms // shorter than that of newRequest
 				s.b.Request(s.now, q)
 				all := s.runUntil(from.Add(q.Timeout+cfg.Rules.AnswerSlack), tt.loads, alwaysEndWith(tt.outcome))
 				if n := s.count(all, "refuse") + s.count(all, "fail"); n != 1 {
@@ -213,12 +213,12 @@
 		{"not idempotent, timed out", NotIdempotent, ScopeAll, TimedOut, false, false},
 		{"not idempotent, connection broke", NotIdempotent, ScopeAll, Broken, false, false},
 		{"not idempotent, cancelled", NotIdempotent, ScopeAll, Cancelled, false, false},
-		{"not idempotent, rejected", NotIdempotent, ScopeAll, Full, true, true},
+		{"not idempotent, rejected", NotIdempotent, ScopeAll, Rejected, true, true},
 		{"not idempotent, not connected", NotIdempotent, ScopeAll, NoConnect, true, true},
 		{"deduplicated by all", IdempotentByKey, ScopeAll, Error, true, true},
 		{"deduplicated in a zone", IdempotentByKey, ScopeZone, Error, true, false},
 		{"deduplicated in a cell", IdempotentByKey, ScopeCell, Error, true, false},
-		{"deduplicated in a cell, rejected", IdempotentByKey, ScopeCell, Full, true, true},
+		{"deduplicated in a cell, rejected", IdempotentByKey, ScopeCell, Rejected, true, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -278,7 +278,7 @@
 		if tries == 1 {
 			return Error, true
 		}
-		return Full, true
+		return Rejected, true
 	})
 	if s.count(all, "fail") != 1 {
 		t.Error("the request did not fail in the end, although an attempt may have run")
@@ -439,7 +439,7 @@
 	cfg.Subscribe = true
 	s := startBalancer(t, cfg, 1, 2)
 	if s.count(s.takeActions(), "watch") != 1 {
-		t.Fatal("got no single subscription at the start")
+		t.Fatal("the number of subscriptions at the start is not 1")
 	}
 	for range 6 {
 		s.b.DiscoveryUpdate(s.now, ListBroken, nil)
@@ -619,11 +619,12 @@
 	}
 }
 
-// Cold backends take the groups that rank them at once, without an own connection having ended before, and all relays
-// together stay under what makes one fall, even where one group is half of the traffic. Clients that return come to less.
+// Cold backends get requests of the groups that rank them first at once, without an earlier connection having
+// ended. All relays together stay below the load that overloads a cold backend, even if one group is half of
+// the traffic. Reconnecting clients get a smaller share.
 func TestColdBackendsReceiveGroupTraffic(t *testing.T) {
 	for _, again := range []bool{false, true} {
-		const asked, relays, each = 4000, 80, 10 * ms // one request after another, each at another relay
+		const asked, relays, each = 4000, 80, 10 * ms // the requests go to the relays in turn, one each 10 ms
 		fleet := startFleet(t, relays, 4, 2000)
 		var list []Backend
 		for i := range 6 {
@@ -634,7 +635,7 @@
 		for id := RequestID(1); id <= asked; id++ {
 			s := fleet[id%relays]
 			s.now = fleet[0].now.Add(time.Duration(id) * each)
-			for i := range list { // they stay as cold as they are
+			for i := range list { // the backends stay equally cold
 				list[i].StartTime = s.now.Add(-5 * sec)
 			}
 			s.b.DiscoveryUpdate(s.now, ListPatch, list)
@@ -645,7 +646,8 @@
 			} else {
 				q.Group = strconv.Itoa(int(id % 101))
 			}
-			// The cold ones bear what a steady use of their budget has given them in 5 s; at more they take no new clients.
+			// The cold backends report the load that a steady use of their budget brings in 5 s. With more they
+			// would take no new clients.
 			at := s.place(q, func(at string) float64 { return map[bool]float64{false: 0.5, true: 0.35}[at[0] == 'c'] })
 			s.b.Established(s.now, id)
 			s.b.ClientGone(s.now, id)
@@ -655,20 +657,20 @@
 				cold++
 			}
 		}
-		even := asked / (4 * 0.5) // what a relay can do: the warm ones bear the traffic at half load
+		even := asked / (4 * 0.5) // capacity of a backend: the four warm ones carry the traffic at half load
 		for at, n := range sent {
 			if at[0] == 'c' && n > even*warmth*testConfig().Rules.OverloadFactor {
-				t.Errorf("again %v: %v of %v to %s, which is at %.2f", again, n, even, at, warmth)
+				t.Errorf("reconnect %v: %v requests, with a capacity of %v, went to %s at warmth %.2f", again, n, even, at, warmth)
 			}
 		}
 		if least := map[bool]float64{false: 0.15, true: 0.05}[again]; cold < least*asked {
-			t.Errorf("again %v: %v of %d to cold ones", again, cold, asked)
+			t.Errorf("reconnect %v: %v of %d requests went to cold backends, too few", again, cold, asked)
 		}
 	}
 }
 
-// One that failed of late takes no place among those that a group's request looks at: with two of them ranking first, as
-// when a few drain at once, requests were held although the others had room.
+// A backend that failed recently is not among those considered for a group's request. With two such backends
+// ranked first, as when a few drain at once, requests were held although other backends had room.
 func TestFailedBackendsAreNotRankedForGroups(t *testing.T) {
 	cfg := testConfig()
 	cfg.GroupAffinity = true
@@ -679,22 +681,22 @@
 	s.finish(1, true, Error)
 	r := s.b.requests[1]
 	if r != nil || first == "" {
-		t.Fatal("the first request is not settled")
+		t.Fatal("the first request was not sent, or is not settled")
 	}
 	for id := RequestID(2); id < 60; id++ {
 		q := newRequest(id)
 		q.Group = "g"
 		s.b.Request(s.now, q)
 		if len(s.b.requests[id].sample) > 0 && s.b.requests[id].sample[0].ID == first {
-			t.Fatalf("request %d looks at %s first, which has just failed", id, first)
+			t.Fatalf("request %d considers %s first, which has just failed", id, first)
 		}
 		s.b.ClientGone(s.now, id)
 		s.takeActions()
 	}
 }
 
-// In a wave a cold backend that is about to fall answers no probe in time. It was sent what its weight of better times
-// allowed, by relays that had never had a word from it: seven times what it could do (join+vast, seed 9).
+// A cold backend close to overload answers no probe in time. Relays without a report from it sent it as much as
+// the weight of a new backend allows: seven times its capacity.
 func TestColdBackendWithoutReportGetsNothing(t *testing.T) {
 	cfg := testConfig()
 	cfg.GroupAffinity = true
@@ -708,38 +710,39 @@
 		for end := s.now.Add(q.Timeout + 100*ms); s.now.Before(end); s.now = s.now.Add(20 * ms) { // no probe is answered
 			s.b.Timer(s.now, q.ID<<timerKindBits|timerRequest)
 			if s.count(s.takeActions(), "send") > 0 {
-				t.Fatalf("seed %d: sent to a cold backend that has not told its load", seed)
+				t.Fatalf("seed %d: sent to a cold backend that has not reported its load", seed)
 			}
 		}
 		if s.b.requests[1] != nil {
-			t.Fatalf("seed %d: the request has no answer", seed)
+			t.Fatalf("seed %d: the request got no answer", seed)
 		}
 	}
 }
 
-// A request that was held found no room in its sample: it looks at more backends the next time. Where a part of the fleet
-// is lost, three drawn at random are often all full although others are not.
+// A request that was held, because no backend of its sample had room, considers more backends the next time.
+// After the loss of a part of the backends, three chosen at random are often full although others are not.
 func TestHeldRequestsSampleMoreBackends(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 12)
 	s.b.Request(s.now, newRequest(1))
 	if n := len(s.b.requests[1].sample); n != sampleSize {
-		t.Fatalf("%d looked at first", n)
+		t.Fatalf("got a first sample of %d backends", n)
 	}
 	s.answerProbes(s.takeActions(), func(string) float64 { return 0.99 })
 	r := s.b.requests[1]
 	if r.backend != nil || r.holdCount != 1 {
-		t.Fatalf("not held: %d parks", r.holdCount)
+		t.Fatalf("the request was not held once but %d times, or is on a backend", r.holdCount)
 	}
 	s.now = r.timerAt
 	s.b.Timer(s.now, r.ID<<timerKindBits|timerRequest)
 	if n := len(r.sample); n != sampleSize+1 {
-		t.Errorf("%d looked at after it was held", n)
+		t.Errorf("got a sample of %d backends after it was held", n)
 	}
 }
 
-// A cold backend is drawn by its idle part, and less for clients that return: of these, fifteen connections came
-// within 1.3 s to one that already told a load of 0.5 to 0.8. New clients find none of it while it bears more than a
-// steady use of its budget can have given it: half of its capacity 2 s after its start.
+// A cold backend is chosen with a probability proportional to its idle capacity, and less often for
+// reconnecting clients: 15 connections of such clients came within 1.3 s to a backend that already reported a
+// load of 0.5 to 0.8. New clients do not get it at all while its load is higher than a steady use of its budget
+// can have made it: half of its capacity 2 s after its start.
 func TestColdBackendIsChosenByIdleCapacity(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 1)
 	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", StartTime: s.now.Add(-2 * sec)}})
@@ -747,7 +750,7 @@
 	k.weight = fullWeight / 2
 	for range 1000 {
 		if s.b.mayTakeByRank(s.now, &request{}, k, 1) {
-			t.Fatal("a new client may go to one that is half full after 2 s")
+			t.Fatal("a new client may go to a backend at half load 2 s after its start")
 		}
 	}
 	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", StartTime: s.now.Add(-8 * sec)}})
@@ -755,7 +758,7 @@
 		n := 0.0
 		k.weight = weight
 		for range 20000 {
-			k.permits = permits{} // each at another relay
+			k.permits = permits{} // as at another relay
 			if s.b.mayTakeByRank(s.now, &request{Request: Request{Reconnect: again}}, k, 1) {
 				n++
 			}
@@ -764,16 +767,17 @@
 	}
 	for _, again := range []bool{false, true} {
 		if r := part(fullWeight/2, again) / part(fullWeight, again); r < 0.45 || r > 0.55 {
-			t.Errorf("again %v: %.2f of an idle one's part at half load", again, r)
+			t.Errorf("reconnect %v: at half load, got %.2f of an idle backend's share, want 0.45 to 0.55", again, r)
 		}
 	}
 	if r := part(fullWeight, true) / part(fullWeight, false); r > 0.7 {
-		t.Errorf("%.2f of the part for clients that return", r)
+		t.Errorf("reconnecting clients got %.2f of the share of new ones, want at most 0.7", r)
 	}
 }
 
-// Four relays see who holds a group, and a spill needs much room; of eighty none can, and half as much will do: requests
-// were held with both homes full while others stood half idle.
+// With four relays each knows which backends serve a group, and sending it to another one needs much idle
+// capacity. With 80 relays none knows, and half as much is enough: otherwise requests were held while both
+// preferred backends were full and others half idle.
 func TestGroupsSpillMoreEasilyWithManyRelays(t *testing.T) {
 	for relays, want := range map[int]bool{4: false, 80: true} {
 		cfg := testConfig()
@@ -786,7 +790,7 @@
 		s = startBalancer(t, cfg, 1, 3)
 		got := s.place(q, func(b string) float64 { return map[bool]float64{true: 0.99, false: 0.6}[b == home] })
 		if (got != "") != want {
-			t.Errorf("%d relays: sent to %q", relays, got)
+			t.Errorf("%d relays: sent to %q, want sent: %v", relays, got, want)
 		}
 	}
 }
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -414,7 +414,7 @@
 		e.count.HopOK++
 	case balance.Error:
 		e.count.HopError++
-	case balance.Full:
+	case balance.Rejected:
 		e.count.HopFull++
 	case balance.TimedOut:
 		e.count.HopTimeout++
--- a/internal/proxy/hop.go
+++ b/internal/proxy/hop.go
@@ -212,7 +212,7 @@
 			h.over(balance.Error, noReport)
 			return
 		}
-		h.over(balance.Full, h.report(rest))
+		h.over(balance.Rejected, h.report(rest))
 	default:
 		if word != line.Err {
 			h.peer.complain("unknown answer", text)
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -73,7 +73,7 @@
 }
 
 var outcomes = map[string]balance.Outcome{
-	"pass": balance.OK, "fault": balance.Error, "no_room": balance.Full, "too_slow": balance.TimedOut,
+	"pass": balance.OK, "fault": balance.Error, "no_room": balance.Rejected, "too_slow": balance.TimedOut,
 	"no_route": balance.NoConnect, "cut": balance.Broken, "undone": balance.Cancelled,
 	"stale_send": balance.NotSent,
 }
