--- a/balance/balance.go
+++ b/balance/balance.go
@@ -123,7 +123,7 @@
 	}
 	b.recordOutcome(now, k, o)
 	if stood && o == OK {
-		b.offerColdBackends(now, k)
+		b.grantColdCredits(now, k)
 	}
 	if !o.NeverRan() && r.ranOn == nil {
 		r.ranOn, r.ranAt = k, r.sentAt
--- a/balance/design_test.go
+++ b/balance/design_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// With many relays most backends have no connection of this relay. The quotient of 0 connections and the
-// weight is the same for all of them, so that weights would not count.
+// With many relays most backends have no connection of this relay. The quotient of 0 connections
+// and the weight is the same for all of them, so that weights would not count.
 func TestWeightDecidesBetweenIdleBackends(t *testing.T) {
 	for seed := range uint64(50) {
 		s := startBalancer(t, testConfig(), seed, 3)
@@ -87,8 +87,8 @@
 	}
 }
 
-// Between two reports, a relay must count the requests that it has placed since the last one, so that it does
-// not send all of them to the same backend.
+// Between two reports, a relay must count the requests that it has placed since the last one, so
+// that it does not send all of them to the same backend.
 func TestBurstSpreadsOverTheSample(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 6)
 	got := map[string]int{}
@@ -178,8 +178,8 @@
 	}
 }
 
-// Two Balancers in one process share no state: each acts the same whether its events are interleaved with
-// those of the other or not.
+// Two Balancers in one process share no state: each acts the same whether its events are
+// interleaved with those of the other or not.
 func TestInstancesAreIndependent(t *testing.T) {
 	step := func(s *recordingHost, id RequestID) []action {
 		s.now = s.now.Add(200 * ms)
@@ -245,9 +245,9 @@
 	}
 }
 
-// If the first backends of a group are full, held requests consider backends of lower ranks, which are the same
-// at all relays. When they went to random backends instead, with many relays nearly every backend had the cost
-// of the group.
+// If the first backends of a group are full, held requests consider backends of lower ranks, which
+// are the same at all relays. When they went to random backends instead, with many relays nearly
+// every backend had the cost of the group.
 func TestRelaysAgreeOnSpillBackends(t *testing.T) {
 	cfg := testConfig()
 	cfg.GroupAffinity = true
@@ -285,9 +285,9 @@
 	}
 }
 
-// A held request is not counted as demand for backends that its group may not use yet, so that their idle
-// capacity is left to other requests. When it was counted, four such backends stayed at a load of 0.6 while
-// 75% of the requests were refused.
+// A held request is not counted as demand for backends that its group may not use yet, so that
+// their idle capacity is left to other requests. When it was counted, four such backends stayed at
+// a load of 0.6 while 75% of the requests were refused.
 func TestHeldRequestCountsDemandOnlyWhereAllowed(t *testing.T) {
 	cfg := testConfig()
 	cfg.GroupAffinity, cfg.Relays = true, 3
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -22,8 +22,8 @@
 func (printer) Watch()                                            { fmt.Println("watch") }
 func (printer) After(d time.Duration, token uint64)               {} // a real host sets a timer
 
-// A relay passes each event, with its time, to its Balancer, and carries out the actions that the Balancer
-// calls for through the Host.
+// A relay passes each event, with its time, to its Balancer, and carries out the actions that the
+// Balancer calls for through the Host.
 func Example() {
 	cfg := balance.Config{
 		Relays:   1,
--- a/balance/fuzz_test.go
+++ b/balance/fuzz_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// FuzzEvents passes arbitrary sequences of valid events to a Balancer and checks what its host can see: at
-// most one final answer for each request, no action for it afterwards, one attempt at a time, and nothing
-// sent to a backend that is not ready.
+// FuzzEvents passes arbitrary sequences of valid events to a Balancer and checks what its host can
+// see: at most one final answer for each request, no action for it afterwards, one attempt at a
+// time, and nothing sent to a backend that is not ready.
 func FuzzEvents(f *testing.F) {
 	f.Add(uint64(1), []byte("abcdefghijklmnopqrstuvwxyz0123456789"))
 	f.Add(uint64(2), []byte{0, 0, 0, 1, 9, 3, 9, 2, 200, 7, 7, 7, 4, 4, 5, 5, 6, 6, 8, 8})
@@ -103,7 +103,7 @@
 			case 14:
 				s.b.Timer(s.now, timerWatch)
 			case 15:
-				s.b.ConnectionMeasured(s.now, id, Note(arg%2), float64(arg))
+				s.b.ConnectionMeasured(s.now, id, Metric(arg%2), float64(arg))
 			}
 			check()
 		}
--- a/balance/interface.go
+++ b/balance/interface.go
@@ -1,9 +1,9 @@
 // Package balance decides for one relay where its long-lived connections go.
 //
 // This file is the whole interface: settings, events' values and the actions asked of the host. The
-// decisions are in the other files, one job each. A Balancer has no clock, does no I/O and starts no
-// goroutine: every event carries its time, every action goes to a [Host], and the same events with the same
-// seed bring the same actions. It is not safe for concurrent use.
+// decisions are in the other files, one job each. A Balancer has no clock, does no I/O and starts
+// no goroutine: every event carries its time, every action goes to a [Host], and the same events
+// with the same seed bring the same actions. It is not safe for concurrent use.
 package balance
 
 import "time"
@@ -152,20 +152,21 @@
 	Errors  float64 // errors a second
 }
 
-// Note is word on an open connection.
-type Note uint8
+// Metric is word on an open connection.
+type Metric uint8
 
 // The kinds of Note.
 const (
-	NoteLoad  Note = iota // its load, in microseconds of work a second
-	NoteDelay             // milliseconds that a message takes at its backend
+	MetricLoad  Metric = iota // its load, in microseconds of work a second
+	MetricDelay               // milliseconds that a message takes at its backend
 )
 
 // Host carries out what a Balancer decides. Its methods must not call back into the Balancer.
 type Host interface {
 	// Send starts the next attempt of a request; attempts are numbered from 0.
 	Send(id RequestID, backend string, timeout time.Duration)
-	// Refuse is a final answer: turned away, and harmless to try again (after the advice, if not 0).
+	// Refuse is a final answer: turned away, and harmless to try again (after the advice, if not
+	// 0).
 	Refuse(id RequestID, advice time.Duration)
 	// Fail is a final answer: failed, with no word on its effect.
 	Fail(id RequestID)
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The source files of the package are printed and filed, so each is limited in lines and columns. balance.go
-// must refer to interface.go in its first line.
+// The source files of the package are printed and filed, so each is limited in lines and columns.
+// balance.go must refer to interface.go in its first line.
 func TestSourceFileSizeLimits(t *testing.T) {
 	const maxLines, maxColumns = 300, 110
 	files, err := filepath.Glob("*.go")
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// runUntil runs timers and answers probes until a time. Each attempt has the outcome that end returns for
-// it, at once if end also returns true, else when it times out. If loads is nil, no probe is answered.
+// runUntil runs timers and answers probes until a time. Each attempt has the outcome that end
+// returns for it, at once if end also returns true, else when it times out. If loads is nil, no
+// probe is answered.
 func (s *recordingHost) runUntil(until time.Time, loads func(string) float64, end func(id RequestID) (Outcome, bool)) []action {
 	type due struct {
 		at time.Time
@@ -65,8 +66,8 @@
 	return func(RequestID) (Outcome, bool) { return o, o != TimedOut }
 }
 
-// Whatever happens to its attempts, a request gets exactly one final answer, within its deadline and
-// the answer slack.
+// Whatever happens to its attempts, a request gets exactly one final answer, within its deadline
+// and the answer slack.
 func TestEachRequestGetsOneAnswerInTime(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -113,8 +114,8 @@
 	}
 }
 
-// A first attempt on a backend that accepts the connection and does not answer must end early enough
-// for another attempt within the setup target.
+// A first attempt on a backend that accepts the connection and does not answer must end early
+// enough for another attempt within the setup target.
 func TestStuckAttemptLeavesTimeForRetry(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 4)
 	s.takeActions()
@@ -127,8 +128,8 @@
 	}
 }
 
-// The second attempt may use all the remaining time: if it is slow as well, a single backend is hardly
-// the cause. With 200 relays, quick retries kept a slow backend store failing.
+// The second attempt may use all the remaining time: if it is slow as well, a single backend is
+// hardly the cause. With 200 relays, quick retries kept a slow backend store failing.
 func TestSecondAttemptMayUseAllRemainingTime(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 6)
 	from := s.now
@@ -161,8 +162,8 @@
 	}
 }
 
-// If the client leaves, the pending attempt of its request is cancelled, and the result of that attempt
-// causes no action.
+// If the client leaves, the pending attempt of its request is cancelled, and the result of that
+// attempt causes no action.
 func TestClientLeft(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 2)
 	s.place(newRequest(1), idleLoad)
@@ -177,8 +178,8 @@
 	}
 }
 
-// A request that is settled while probes from before its placement are still pending must not be sent
-// again when their answers come.
+// A request that is settled while probes from before its placement are still pending must not be
+// sent again when their answers come.
 func TestSettledRequestIsNotSentAgain(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 3)
 	s.takeActions()
@@ -197,8 +198,8 @@
 	}
 }
 
-// A request that may not be repeated takes effect at most once: it is sent again only where its class
-// allows that, and refused only if it cannot have run or the client may safely repeat it.
+// A request that may not be repeated takes effect at most once: it is sent again only where its
+// class allows that, and refused only if it cannot have run or the client may safely repeat it.
 func TestRequestTakesEffectAtMostOnce(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -260,8 +261,8 @@
 	}
 }
 
-// The deduplication window of a request starts with its first attempt that may have run. A later attempt
-// that is known not to have run does not change that.
+// The deduplication window of a request starts with its first attempt that may have run. A later
+// attempt that is known not to have run does not change that.
 func TestDedupWindow(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0] = Class{SetupTarget: 500 * ms, Worth: 1, Idempotency: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: 400 * ms}
@@ -327,7 +328,8 @@
 	}
 }
 
-// A backend that restarts with the same ID is treated as a new one: ready, cold, and with no known load.
+// A backend that restarts with the same ID is treated as a new one: ready, cold, and with no known
+// load.
 func TestRestartUnderTheSameID(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 1)
 	s.b.Probed(s.now, "b0", OK, loadReport(0.9))
@@ -342,10 +344,10 @@
 	}
 }
 
-// An idle cold backend looks the least loaded, but all relays together must not send it more than its
-// present capacity allows. Each relay keeps its part on its own: relative to a warm backend's share of the
-// connections that end well, a cold one gets at most its warmth times a fraction (fallShare) of
-// Rules.OverloadFactor.
+// An idle cold backend looks the least loaded, but all relays together must not send it more than
+// its present capacity allows. Each relay keeps its part on its own: relative to a warm backend's
+// share of the connections that end well, a cold one gets at most its warmth times a fraction
+// (fallShare) of Rules.OverloadFactor.
 func TestColdBackendShareFollowsWarmUp(t *testing.T) {
 	const n, requests = 10, 4000
 	tests := []struct {
@@ -379,7 +381,7 @@
 				s.finish(id+1, true, OK)
 			}
 			share := float64(got) / (requests / (n - 1 + tt.warmth))
-			want := tt.warmth * s.b.cfg.Rules.OverloadFactor * offerFraction
+			want := tt.warmth * s.b.cfg.Rules.OverloadFactor * coldCreditFraction
 			if share > want*1.2 || share < want*0.4 {
 				t.Errorf("got %.2f of a warm backend's share, want about %.2f", share, want)
 			}
@@ -387,8 +389,8 @@
 	}
 }
 
-// Clients that are refused or disconnected retry many times. Their number must not raise the load that is
-// sent to a cold backend: with all others over capacity, this overloaded the only idle one.
+// Clients that are refused or disconnected retry many times. Their number must not raise the load
+// that is sent to a cold backend: with all others over capacity, this overloaded the only idle one.
 func TestRetryStormSendsNothingToColdBackend(t *testing.T) {
 	s := startBalancer(t, testConfig(), 4, 6)
 	list := readyBackends(1)
@@ -412,7 +414,8 @@
 	}
 }
 
-// If all backends have just started, there is no warm one for comparison; requests are placed all the same.
+// If all backends have just started, there is no warm one for comparison; requests are placed all
+// the same.
 func TestAllBackendsCold(t *testing.T) {
 	s := startBalancer(t, testConfig(), 4, 6)
 	list := readyBackends(6)
@@ -432,8 +435,8 @@
 	}
 }
 
-// Where discovery requires subscriptions, a relay subscribes at its start, and again after each failure
-// within MaxDiscoveryGap.
+// Where discovery requires subscriptions, a relay subscribes at its start, and again after each
+// failure within MaxDiscoveryGap.
 func TestSubscription(t *testing.T) {
 	cfg := testConfig()
 	cfg.Subscribe = true
@@ -455,8 +458,8 @@
 	}
 }
 
-// If the packets of an open connection go to another relay and come back, they go to the backend that
-// has the connection.
+// If the packets of an open connection go to another relay and come back, they go to the backend
+// that has the connection.
 func TestMidFlowReturnsToItsBackend(t *testing.T) {
 	cfg := testConfig()
 	cfg.DetachedTimeout = 5 * sec
@@ -476,8 +479,8 @@
 	}
 }
 
-// Each new backend is filled as fast as a cold one may be, however many there are. When that rate was
-// divided among them, most of the new backends stayed idle.
+// Each new backend is filled as fast as a cold one may be, however many there are. When that rate
+// was divided among them, most of the new backends stayed idle.
 func TestNewBackendsAreFilledAfterScaleUp(t *testing.T) {
 	cfg := testConfig()
 	s := startBalancer(t, cfg, 1, 4)
@@ -490,8 +493,8 @@
 	const ends = 1000
 	w := s.b.warmUpFraction(s.now, s.b.byID["cold0"])
 	for range ends {
-		s.b.offerColdBackends(s.now, s.b.byID["b0"])
-		s.b.offerColdBackends(s.now, s.b.byID["cold0"]) // a connection that ends on a cold backend grants no credit
+		s.b.grantColdCredits(s.now, s.b.byID["b0"])
+		s.b.grantColdCredits(s.now, s.b.byID["cold0"]) // a connection that ends on a cold backend grants no credit
 	}
 	bears := float64(ends) / 4 // one warm backend's share of the ended connections
 	most := 12 * bears * w * cfg.Rules.OverloadFactor
@@ -500,16 +503,16 @@
 	}
 }
 
-// A connection that was established and ended while its client still needs an answer is a pending request
-// again. When it still counted as established, a measurement for it caused a panic (found by fuzzing), and
-// its next attempt was not counted as pending.
+// A connection that was established and ended while its client still needs an answer is a pending
+// request again. When it still counted as established, a measurement for it caused a panic (found
+// by fuzzing), and its next attempt was not counted as pending.
 func TestEndedConnectionIsNotEstablished(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 1)
 	s.place(newRequest(1), idleLoad)
 	s.b.Established(s.now, 1)
 	s.finish(1, false, Broken)
 	s.takeActions()
-	s.b.ConnectionMeasured(s.now, 1, NoteDelay, 1000)
+	s.b.ConnectionMeasured(s.now, 1, MetricDelay, 1000)
 	if n := s.count(s.takeActions(), "probe"); n != 0 {
 		t.Errorf("got %d probes for a connection that has ended, want 0", n)
 	}
@@ -518,8 +521,8 @@
 	}
 }
 
-// Hosts count timers in whole microseconds. A timer with a fraction of a microsecond would expire too
-// early, count as stale, and leave its request without an answer.
+// Hosts count timers in whole microseconds. A timer with a fraction of a microsecond would expire
+// too early, count as stale, and leave its request without an answer.
 func TestTimersAreWholeMicroseconds(t *testing.T) {
 	s := startBalancer(t, testConfig(), 3, 4)
 	n := 0
@@ -541,8 +544,8 @@
 	}
 }
 
-// Connections on a draining backend are moved before the backend stops: each once, a few at a time, those
-// of most worth first. Nothing is moved off the other backends.
+// Connections on a draining backend are moved before the backend stops: each once, a few at a time,
+// those of most worth first. Nothing is moved off the other backends.
 func TestDrainingBackendIsEmptied(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = []Class{{SetupTarget: 500 * ms, Worth: 1}, {SetupTarget: 500 * ms, Worth: 3}}
@@ -596,8 +599,8 @@
 	}
 }
 
-// If 80 relays have one or two connections each on a draining backend, a share that is rounded up is all
-// of them: they were all moved at once, and reconnected at once.
+// If 80 relays have one or two connections each on a draining backend, a share that is rounded up
+// is all of them: they were all moved at once, and reconnected at once.
 func TestManyRelaysDrainEvenly(t *testing.T) {
 	moved, first := 0, 0
 	for seed := range uint64(80) {
@@ -619,9 +622,9 @@
 	}
 }
 
-// Cold backends get requests of the groups that rank them first at once, without an earlier connection having
-// ended. All relays together stay below the load that overloads a cold backend, even if one group is half of
-// the traffic. Reconnecting clients get a smaller share.
+// Cold backends get requests of the groups that rank them first at once, without an earlier
+// connection having ended. All relays together stay below the load that overloads a cold backend,
+// even if one group is half of the traffic. Reconnecting clients get a smaller share.
 func TestColdBackendsReceiveGroupTraffic(t *testing.T) {
 	for _, again := range []bool{false, true} {
 		const asked, relays, each = 4000, 80, 10 * ms // the requests go to the relays in turn, one each 10 ms
@@ -646,8 +649,8 @@
 			} else {
 				q.Group = strconv.Itoa(int(id % 101))
 			}
-			// The cold backends report the load that a steady use of their budget brings in 5 s. With more they
-			// would take no new clients.
+			// The cold backends report the load that a steady use of their budget brings in 5 s.
+			// With more they would take no new clients.
 			at := s.place(q, func(at string) float64 { return map[bool]float64{false: 0.5, true: 0.35}[at[0] == 'c'] })
 			s.b.Established(s.now, id)
 			s.b.ClientGone(s.now, id)
@@ -669,8 +672,9 @@
 	}
 }
 
-// A backend that failed recently is not among those considered for a group's request. With two such backends
-// ranked first, as when a few drain at once, requests were held although other backends had room.
+// A backend that failed recently is not among those considered for a group's request. With two such
+// backends ranked first, as when a few drain at once, requests were held although other backends
+// had room.
 func TestFailedBackendsAreNotRankedForGroups(t *testing.T) {
 	cfg := testConfig()
 	cfg.GroupAffinity = true
@@ -695,8 +699,8 @@
 	}
 }
 
-// A cold backend close to overload answers no probe in time. Relays without a report from it sent it as much as
-// the weight of a new backend allows: seven times its capacity.
+// A cold backend close to overload answers no probe in time. Relays without a report from it sent
+// it as much as the weight of a new backend allows: seven times its capacity.
 func TestColdBackendWithoutReportGetsNothing(t *testing.T) {
 	cfg := testConfig()
 	cfg.GroupAffinity = true
@@ -719,8 +723,9 @@
 	}
 }
 
-// A request that was held, because no backend of its sample had room, considers more backends the next time.
-// After the loss of a part of the backends, three chosen at random are often full although others are not.
+// A request that was held, because no backend of its sample had room, considers more backends the
+// next time. After the loss of a part of the backends, three chosen at random are often full
+// although others are not.
 func TestHeldRequestsSampleMoreBackends(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 12)
 	s.b.Request(s.now, newRequest(1))
@@ -740,9 +745,9 @@
 }
 
 // A cold backend is chosen with a probability proportional to its idle capacity, and less often for
-// reconnecting clients: 15 connections of such clients came within 1.3 s to a backend that already reported a
-// load of 0.5 to 0.8. New clients do not get it at all while its load is higher than a steady use of its budget
-// can have made it: half of its capacity 2 s after its start.
+// reconnecting clients: 15 connections of such clients came within 1.3 s to a backend that already
+// reported a load of 0.5 to 0.8. New clients do not get it at all while its load is higher than a
+// steady use of its budget can have made it: half of its capacity 2 s after its start.
 func TestColdBackendIsChosenByIdleCapacity(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 1)
 	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", StartTime: s.now.Add(-2 * sec)}})
@@ -775,9 +780,9 @@
 	}
 }
 
-// With four relays each knows which backends serve a group, and sending it to another one needs much idle
-// capacity. With 80 relays none knows, and half as much is enough: otherwise requests were held while both
-// preferred backends were full and others half idle.
+// With four relays each knows which backends serve a group, and sending it to another one needs
+// much idle capacity. With 80 relays none knows, and half as much is enough: otherwise requests
+// were held while both preferred backends were full and others half idle.
 func TestGroupsSpillMoreEasilyWithManyRelays(t *testing.T) {
 	for relays, want := range map[int]bool{4: false, 80: true} {
 		cfg := testConfig()
--- a/balance/script_test.go
+++ b/balance/script_test.go
@@ -23,7 +23,8 @@
 	attempt int
 }
 
-// recordingHost is a Host that records the actions of its Balancer, and passes events to it for a test.
+// recordingHost is a Host that records the actions of its Balancer, and passes events to it for a
+// test.
 type recordingHost struct {
 	t       *testing.T
 	b       *Balancer
@@ -108,7 +109,8 @@
 	return Report{Load: x, CPU: nan, Active: nan, Waiting: nan, Latency: nan, Rate: nan, Errors: nan}
 }
 
-// answerProbes answers each probe among the actions with the load that loads returns for its backend.
+// answerProbes answers each probe among the actions with the load that loads returns for its
+// backend.
 func (s *recordingHost) answerProbes(as []action, loads func(backend string) float64) {
 	for _, a := range as {
 		if a.kind == "probe" {
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -15,7 +15,7 @@
 	permitFactor       = 1.5  // of the settings' budget, computed from the slowest warm-up that they allow
 	maxReturnSize      = 2.0  // largest mass return to a backend, in connections that one holds in the mean
 	maxPermitDoublings = 3    // of the permits, while returning clients are denied at a backend that stays idle
-	offerFraction      = 0.8  // part of the fall multiple that all relays mean to send a cold backend
+	coldCreditFraction = 0.8  // part of the fall multiple that all relays mean to send a cold backend
 	groupColdFraction  = 0.6  // likewise by the ranks of groups, of which a large one brings several even parts
 	retriedFraction    = 0.7  // of that for requests that were held: they come in waves
 	minWarmLoad        = 0.25 // load that the warm backends are taken to bear at the least
@@ -87,8 +87,8 @@
 	return 1-k.weight/fullWeight > most
 }
 
-// mayTakeReturning tells whether a returning client's request may go to a cold backend.
-func (b *Balancer) mayTakeReturning(now time.Time, k *backend) bool {
+// mayTakeReconnect tells whether a returning client's request may go to a cold backend.
+func (b *Balancer) mayTakeReconnect(now time.Time, k *backend) bool {
 	b.renewPermits(now, k)
 	if k.permits.used < k.permits.returnLimit {
 		return true
@@ -153,7 +153,7 @@
 		return true
 	}
 	if r.Reconnect {
-		return b.mayTakeReturning(now, k)
+		return b.mayTakeReconnect(now, k)
 	}
 	if b.filledEarly(now, k) {
 		return false
@@ -165,18 +165,18 @@
 	return b.rng.Float64() < p
 }
 
-// offerColdBackends follows an own connection that ended well at a warm backend. Outside groups a cold one gets new
+// grantColdCredits follows an own connection that ended well at a warm backend. Outside groups a cold one gets new
 // connections in no other way: it looks emptiest to every relay at once. What ends well was borne by the
 // warm ones, and the part that one of them bears, times a cold one's warmth, is within what that may be
 // sent, at each relay alone.
-func (b *Balancer) offerColdBackends(now time.Time, ended *backend) {
+func (b *Balancer) grantColdCredits(now time.Time, ended *backend) {
 	if b.warmUpFraction(now, ended) < 1 {
 		return
 	}
 	warm := float64(b.countWarm(now))
 	for _, k := range b.ready {
 		w := b.warmUpFraction(now, k)
-		if w < 1 && b.rng.Float64() < w/max(warm, 1)*b.cfg.Rules.OverloadFactor*offerFraction {
+		if w < 1 && b.rng.Float64() < w/max(warm, 1)*b.cfg.Rules.OverloadFactor*coldCreditFraction {
 			b.coldCredits = append(b.coldCredits, coldCredit{k, now})
 		}
 	}
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -193,7 +193,7 @@
 		wait      int // terms
 		doublings int
 	}{{false, 0, 0}, {true, 1, 1}, {true, 1, 2}, {true, 1, 3}, {true, 1, 3}, {false, 1, 0}, {true, 3, 0}} {
-		s.b.mayTakeReturning(s.now, k)
+		s.b.mayTakeReconnect(s.now, k)
 		k.permits.denied = tt.denied
 		s.now = k.permits.expires
 		if tt.wait > 1 {
--- a/balance/state.go
+++ b/balance/state.go
@@ -182,8 +182,8 @@
 }
 
 // Restrict limits new connections to the backends with these IDs until the next call: the list may
-// be out of date, and only these are known to have accepted new work since. An empty slice allows no
-// backend, nil allows all.
+// be out of date, and only these are known to have accepted new work since. An empty slice allows
+// no backend, nil allows all.
 func (b *Balancer) Restrict(to []string) {
 	b.allowedIDs = to
 	b.updateReady()
--- a/balance/troubles_test.go
+++ b/balance/troubles_test.go
@@ -145,10 +145,10 @@
 // A note of late messages makes the relay look at that backend, at most once in a while.
 func TestLateMessagesAreLookedInto(t *testing.T) {
 	for _, tt := range []struct {
-		note  Note
+		note  Metric
 		level float64
 		want  int
-	}{{NoteDelay, 400, 1}, {NoteDelay, 20, 0}, {NoteLoad, 4000, 0}} {
+	}{{MetricDelay, 400, 1}, {MetricDelay, 20, 0}, {MetricLoad, 4000, 0}} {
 		cfg := testConfig()
 		cfg.Classes[0].MessageTarget = 100 * ms
 		s := startBalancer(t, cfg, 1, 3)
@@ -221,7 +221,7 @@
 	for id := range RequestID(80) {
 		s.now = s.now.Add(250 * ms)
 		w := s.b.warmUpFraction(s.now, s.b.byID["b6"])
-		budget += 6 * w / (6 + 6*w) * s.b.cfg.Rules.OverloadFactor * offerFraction
+		budget += 6 * w / (6 + 6*w) * s.b.cfg.Rules.OverloadFactor * coldCreditFraction
 		to := s.place(newRequest(id+1), func(b string) float64 {
 			if len(b) > 2 || b > "b5" {
 				return 0
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -76,9 +76,9 @@
 }
 
 // ConnectionMeasured takes word on an open connection. Late messages there are a reason to look at its backend at once.
-func (b *Balancer) ConnectionMeasured(now time.Time, id RequestID, n Note, level float64) {
+func (b *Balancer) ConnectionMeasured(now time.Time, id RequestID, n Metric, level float64) {
 	r := b.requests[id]
-	if r == nil || !r.established || n != NoteDelay || now.Sub(r.backend.lastReport) < reportLifetime {
+	if r == nil || !r.established || n != MetricDelay || now.Sub(r.backend.lastReport) < reportLifetime {
 		return
 	}
 	if c := b.class(r.Class); level*1000 >= micros(c.MessageTarget) {
--- a/internal/proxy/batch.go
+++ b/internal/proxy/batch.go
@@ -40,7 +40,7 @@
 	settled bool
 	outcome balance.Outcome
 	report  balance.Report
-	note    balance.Note
+	note    balance.Metric
 	level   float64
 	list    balance.ListKind
 	entries []balance.Backend
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -146,11 +146,11 @@
 
 // Delay tells how long a message takes at the standing connection's egress target.
 func (x *Exchange) Delay(d time.Duration) {
-	x.engine.push(event{kind: evNote, x: x, note: balance.NoteDelay,
+	x.engine.push(event{kind: evNote, x: x, note: balance.MetricDelay,
 		level: float64(d) / float64(time.Millisecond)})
 }
 
 // Load tells the standing connection's load, in microseconds of work a second.
 func (x *Exchange) Load(level float64) {
-	x.engine.push(event{kind: evNote, x: x, note: balance.NoteLoad, level: level})
+	x.engine.push(event{kind: evNote, x: x, note: balance.MetricLoad, level: level})
 }
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -50,7 +50,7 @@
 	Backend  string
 	Outcome  balance.Outcome
 	Report   balance.Report
-	Note     balance.Note
+	Note     balance.Metric
 	Known    bool // the kind of note is known
 	Level    float64
 	Token    uint64
@@ -245,7 +245,7 @@
 		sort := r.integer(4)
 		e.Known = sort == 1 || sort == 2
 		if sort == 2 {
-			e.Note = balance.NoteDelay
+			e.Note = balance.MetricDelay
 		}
 		e.Level = r.number(r.parts[5])
 	case Finished:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -96,9 +96,9 @@
 			return e.Kind == Streaming && e.Request.ID == 9 && e.Backend == "b1"
 		}},
 		{"HEARTBEAT 3 9 0 b1 1 12.5", func(e Event) bool {
-			return e.Kind == Heartbeat && e.Known && e.Note == balance.NoteLoad && e.Level == 12.5
+			return e.Kind == Heartbeat && e.Known && e.Note == balance.MetricLoad && e.Level == 12.5
 		}},
-		{"HEARTBEAT 3 9 0 b1 2 80", func(e Event) bool { return e.Known && e.Note == balance.NoteDelay }},
+		{"HEARTBEAT 3 9 0 b1 2 80", func(e Event) bool { return e.Known && e.Note == balance.MetricDelay }},
 		{"HEARTBEAT 3 9 0 b1 7 80", func(e Event) bool { return !e.Known }},
 		{"FINISHED 3 9 1 b1 pass 0 18500 -", func(e Event) bool {
 			return e.Kind == Finished && e.Settled && e.Outcome == balance.OK && e.Attempt == 0 &&
