--- a/balance/fuzz_test.go
+++ b/balance/fuzz_test.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// FuzzEvents feeds any sequence of legal events and checks the rules that a script can see: one final answer
-// for each request and none after it, one attempt at a time, nothing to a backend that is not ready.
+// FuzzEvents passes arbitrary sequences of valid events to a Balancer and checks what its host can
+// see: at most one final answer for each request, no action for it afterwards, one attempt at a
+// time, and nothing sent to a backend that is not ready.
 func FuzzEvents(f *testing.F) {
 	f.Add(uint64(1), []byte("abcdefghijklmnopqrstuvwxyz0123456789"))
 	f.Add(uint64(2), []byte{0, 0, 0, 1, 9, 3, 9, 2, 200, 7, 7, 7, 4, 4, 5, 5, 6, 6, 8, 8})
 	f.Add(uint64(3), []byte("\x01\x11\x21\x31\x41\x51\x61\x71\x02\x12\x22\x32\x43\x53\x63\x73"))
 	f.Add(uint64(4), []byte{})
 	f.Fuzz(func(t *testing.T, seed uint64, data []byte) {
-		cfg := config()
-		cfg.Groups = seed%2 == 0
+		cfg := testConfig()
+		cfg.GroupAffinity = seed%2 == 0
 		cfg.Subscribe = seed%3 == 0
-		cfg.Park = time.Duration(seed%5) * sec
+		cfg.DetachedTimeout = time.Duration(seed%5) * sec
 		cfg.Classes = []Class{
-			{Aim: 500 * ms, Worth: 1},
-			{Aim: 300 * ms, Worth: 5, Repeat: RepeatKeyed, Scope: ScopeCell, Window: sec},
-			{Aim: 300 * ms, Repeat: RepeatNever},
+			{SetupTarget: 500 * ms, Worth: 1},
+			{SetupTarget: 300 * ms, Worth: 5, Idempotency: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: sec},
+			{SetupTarget: 300 * ms, Idempotency: NotIdempotent},
 		}
-		s := start(t, cfg, seed, int(seed%7))
-		live := map[RequestID]time.Time{} // deadline of those that are owed an answer
-		out := map[RequestID]bool{}       // an attempt or connection is out
+		s := startBalancer(t, cfg, seed, int(seed%7))
+		live := map[RequestID]time.Time{} // deadlines of the requests that need an answer
+		out := map[RequestID]bool{}       // requests with a pending attempt or open connection
 		check := func() {
-			for _, a := range s.take() {
-				switch a.what {
+			for _, a := range s.takeActions() {
+				switch a.kind {
 				case "send":
 					if _, ok := live[a.id]; !ok || out[a.id] {
-						t.Fatalf("send of %d, owed %v, out %v", a.id, ok, out[a.id])
+						t.Fatalf("request %d was sent: needs an answer %v, attempt pending %v", a.id, ok, out[a.id])
 					}
 					if s.sends[a.id] > cfg.MaxAttempts {
-						t.Fatalf("%d attempts", s.sends[a.id])
+						t.Fatalf("got %d attempts, more than MaxAttempts", s.sends[a.id])
 					}
 					if k := s.b.byID[a.backend]; k == nil || k.State != Ready {
 						t.Fatalf("sent to %s, which is not ready", a.backend)
@@ -42,7 +43,7 @@
 					out[a.id] = true
 				case "refuse", "fail":
 					if _, ok := live[a.id]; !ok || out[a.id] {
-						t.Fatalf("answer for %d, owed %v, out %v", a.id, ok, out[a.id])
+						t.Fatalf("request %d was answered: needs an answer %v, attempt pending %v", a.id, ok, out[a.id])
 					}
 					delete(live, a.id)
 				}
@@ -69,40 +70,40 @@
 			case 0, 1, 2:
 				q := Request{
 					ID: next, Class: int(arg%5) - 1, Tenant: int(arg%3) - 1, Group: string(rune('a' + arg%3)),
-					Key: string(rune('a' + arg%7)), Left: time.Duration(arg) * 10 * ms, MidFlow: arg%4 == 0,
+					Key: string(rune('a' + arg%7)), Timeout: time.Duration(arg) * 10 * ms, MidFlow: arg%4 == 0,
 				}
-				live[next] = s.now.Add(q.Left)
+				live[next] = s.now.Add(q.Timeout)
 				next++
 				s.b.Request(s.now, q)
 			case 3:
-				list := backends(9)[arg%9:]
+				list := readyBackends(9)[arg%9:]
 				for j := range list {
 					list[j].State = State((int(arg) + j) % 3)
-					list[j].Boot = s.now.Add(-time.Duration(j) * sec)
+					list[j].StartTime = s.now.Add(-time.Duration(j) * sec)
 				}
-				s.b.Members(s.now, ListKind(arg%4), list)
+				s.b.DiscoveryUpdate(s.now, ListKind(arg%4), list)
 			case 4, 5:
-				s.b.Probed(s.now, "b"+string(rune('0'+arg%10)), Outcome(arg%8), load(float64(arg)/100-0.2))
+				s.b.Probed(s.now, "b"+string(rune('0'+arg%10)), Outcome(arg%8), loadReport(float64(arg)/100-0.2))
 			case 6:
-				s.b.Probed(s.now, "b0", OK, load(math.Inf(int(arg%3)-1)))
+				s.b.Probed(s.now, "b0", OK, loadReport(math.Inf(int(arg%3)-1)))
 			case 7, 8:
 				end(id, arg%2 == 0, Outcome(arg%8))
 			case 9:
-				s.b.Started(s.now, id)
+				s.b.Established(s.now, id)
 			case 10:
 				_, owed := live[id]
 				if owed {
 					delete(live, id)
-					s.b.Gone(s.now, id)
+					s.b.ClientGone(s.now, id)
 				}
 			case 11, 12:
-				s.b.Timer(s.now, uint64(id)<<timerBits|timerRequest)
+				s.b.Timer(s.now, uint64(id)<<timerKindBits|timerRequest)
 			case 13:
 				s.b.Timer(s.now, timerProbe)
 			case 14:
 				s.b.Timer(s.now, timerWatch)
 			case 15:
-				s.b.Note(s.now, id, Note(arg%2), float64(arg))
+				s.b.ConnectionMeasured(s.now, id, Metric(arg%2), float64(arg))
 			}
 			check()
 		}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -7,8 +7,10 @@
 	"time"
 )
 
-// drive runs timers and answers probes until t, letting attempts end by outcome (not at all if it is nil).
-func (s *script) drive(until time.Time, loads func(string) float64, end func(id RequestID) (Outcome, bool)) []action {
+// runUntil runs timers and answers probes until a time. Each attempt has the outcome that end
+// returns for it, at once if end also returns true, else when it times out. If loads is nil, no
+// probe is answered.
+func (s *recordingHost) runUntil(until time.Time, loads func(string) float64, end func(id RequestID) (Outcome, bool)) []action {
 	type due struct {
 		at time.Time
 		a  action
@@ -16,9 +18,9 @@
 	var queue []due
 	var all []action
 	push := func() {
-		for _, a := range s.take() {
+		for _, a := range s.takeActions() {
 			all = append(all, a)
-			switch a.what {
+			switch a.kind {
 			case "after", "probe":
 				queue = append(queue, due{s.now.Add(a.d), a})
 			case "send":
@@ -27,7 +29,7 @@
 				if !now {
 					d = a.d
 				}
-				queue = append(queue, due{s.now.Add(d), action{what: "end", id: a.id, attempt: int(o)}})
+				queue = append(queue, due{s.now.Add(d), action{kind: "end", id: a.id, attempt: int(o)}})
 			}
 		}
 	}
@@ -46,10 +48,10 @@
 		d := queue[best]
 		queue = append(queue[:best], queue[best+1:]...)
 		s.now = d.at
-		switch d.a.what {
+		switch d.a.kind {
 		case "probe":
 			if loads != nil {
-				s.b.Probed(s.now, d.a.backend, OK, load(loads(d.a.backend)))
+				s.b.Probed(s.now, d.a.backend, OK, loadReport(loads(d.a.backend)))
 			}
 		case "after":
 			s.b.Timer(s.now, d.a.token)
@@ -60,211 +62,216 @@
 	}
 }
 
-func always(o Outcome) func(RequestID) (Outcome, bool) {
+func alwaysEndWith(o Outcome) func(RequestID) (Outcome, bool) {
 	return func(RequestID) (Outcome, bool) { return o, o != TimedOut }
 }
 
-// Rule 1: whatever happens to its attempts, a request ends once and in time.
-func TestEveryRequestEndsOnceInTime(t *testing.T) {
+// Whatever happens to its attempts, a request gets exactly one final answer, within its deadline
+// and the answer slack.
+func TestEachRequestGetsOneAnswerInTime(t *testing.T) {
 	tests := []struct {
 		name    string
 		n       int
 		loads   func(string) float64
 		outcome Outcome
 	}{
-		{"no backend at all", 0, idle, OK},
-		{"all time out", 4, idle, TimedOut},
-		{"all turn away", 4, idle, Full},
-		{"all fail", 4, idle, Error},
-		{"none can be reached", 4, idle, NoConnect},
-		{"all over capacity", 4, func(string) float64 { return 1.4 }, Full},
+		{"no backend at all", 0, idleLoad, OK},
+		{"all attempts time out", 4, idleLoad, TimedOut},
+		{"all reject", 4, idleLoad, Rejected},
+		{"all answer with an error", 4, idleLoad, Error},
+		{"no connection to any", 4, idleLoad, NoConnect},
+		{"all over capacity", 4, func(string) float64 { return 1.4 }, Rejected},
 		{"no probe is answered", 4, nil, TimedOut},
-		{"not sent by the host", 4, idle, NotSent},
+		{"not sent by the host", 4, idleLoad, NotSent},
 	}
 	for _, tt := range tests {
-		for _, repeat := range []Repeat{RepeatFree, RepeatKeyed, RepeatNever} {
+		for _, repeat := range []Idempotency{Idempotent, IdempotentByKey, NotIdempotent} {
 			t.Run(tt.name, func(t *testing.T) {
-				cfg := config()
-				cfg.Classes[0].Repeat, cfg.Classes[0].Window = repeat, 5*sec
-				s := start(t, cfg, 3, tt.n)
-				s.take()
+				cfg := testConfig()
+				cfg.Classes[0].Idempotency, cfg.Classes[0].DedupWindow = repeat, 5*sec
+				s := startBalancer(t, cfg, 3, tt.n)
+				s.takeActions()
 				from := s.now
-				q := ask(1)
-				q.Left = 1200 * ms // less than the class gives: this counts
+				q := newRequest(1)
+				q.Timeout = 1200 * ms // shorter than that of newRequest
 				s.b.Request(s.now, q)
-				all := s.drive(from.Add(q.Left+cfg.Rules.AnswerSlack), tt.loads, always(tt.outcome))
+				all := s.runUntil(from.Add(q.Timeout+cfg.Rules.AnswerSlack), tt.loads, alwaysEndWith(tt.outcome))
 				if n := s.count(all, "refuse") + s.count(all, "fail"); n != 1 {
-					t.Errorf("%d final answers", n)
+					t.Errorf("got %d final answers, want 1", n)
 				}
 				if n := s.count(all, "send"); n > cfg.MaxAttempts {
-					t.Errorf("%d attempts", n)
+					t.Errorf("got %d attempts, want at most %d", n, cfg.MaxAttempts)
 				}
-				all = s.drive(from.Add(60*sec), tt.loads, always(tt.outcome))
+				all = s.runUntil(from.Add(60*sec), tt.loads, alwaysEndWith(tt.outcome))
 				if n := s.count(all, "send") + s.count(all, "refuse") + s.count(all, "fail"); n != 0 {
-					t.Errorf("%d actions after the final answer", n)
+					t.Errorf("got %d actions after the final answer, want 0", n)
 				}
-				if len(s.b.requests) != 0 || len(s.b.scanning) != 0 {
-					t.Error("the request is still held")
+				if len(s.b.requests) != 0 || len(s.b.awaitingReports) != 0 {
+					t.Error("the request is still stored")
 				}
 			})
 		}
 	}
 }
 
-// A backend that accepts and stays silent leaves time for another try inside the aim.
-func TestStuckAttemptLeavesTimeForAnother(t *testing.T) {
-	s := start(t, config(), 1, 4)
-	s.take()
-	s.b.Request(s.now, ask(1))
+// A first attempt on a backend that accepts the connection and does not answer must end early
+// enough for another attempt within the setup target.
+func TestStuckAttemptLeavesTimeForRetry(t *testing.T) {
+	s := startBalancer(t, testConfig(), 1, 4)
+	s.takeActions()
+	s.b.Request(s.now, newRequest(1))
 	from := s.now
 	tries := 0
-	s.drive(from.Add(500*ms), idle, func(RequestID) (Outcome, bool) { tries++; return TimedOut, false })
+	s.runUntil(from.Add(500*ms), idleLoad, func(RequestID) (Outcome, bool) { tries++; return TimedOut, false })
 	if tries < 2 {
-		t.Errorf("%d tries inside the aim", tries)
+		t.Errorf("got %d attempts within the setup target, want at least 2", tries)
 	}
 }
 
-// The second attempt may take all the time that is left: where it is slow too, it is hardly the backend, and
-// with 200 relays quick retries kept a slow store failing.
-func TestSecondAttemptIsPatient(t *testing.T) {
-	s := start(t, config(), 1, 6)
+// The second attempt may use all the remaining time: if it is slow as well, a single backend is
+// hardly the cause. With 200 relays, quick retries kept a slow backend store failing.
+func TestSecondAttemptMayUseAllRemainingTime(t *testing.T) {
+	s := startBalancer(t, testConfig(), 1, 6)
 	from := s.now
-	s.place(ask(1), idle)
+	s.place(newRequest(1), idleLoad)
 	s.now = s.now.Add(200 * ms)
 	s.finish(1, false, TimedOut)
-	s.answer(s.take(), idle)
-	for _, a := range s.take() {
-		if a.what == "send" && a.d != from.Add(3*sec).Sub(s.now) {
-			t.Errorf("the second attempt may take %d ms of %d", a.d/ms, from.Add(3*sec).Sub(s.now)/ms)
+	s.answerProbes(s.takeActions(), idleLoad)
+	for _, a := range s.takeActions() {
+		if a.kind == "send" && a.d != from.Add(3*sec).Sub(s.now) {
+			t.Errorf("the timeout of the second attempt is %d ms, want %d ms", a.d/ms, from.Add(3*sec).Sub(s.now)/ms)
 		}
 	}
 	if s.sends[1] != 2 {
-		t.Errorf("%d attempts", s.sends[1])
+		t.Errorf("got %d attempts, want 2", s.sends[1])
 	}
 }
 
-// Two attempts of a request are never out at once.
+// Two attempts of a request are never pending at the same time.
 func TestOneAttemptAtATime(t *testing.T) {
-	s := start(t, config(), 1, 6)
-	s.place(ask(1), idle)
+	s := startBalancer(t, testConfig(), 1, 6)
+	s.place(newRequest(1), idleLoad)
 	for range 20 {
 		s.now = s.now.Add(50 * ms)
-		s.b.Timer(s.now, 1<<timerBits|timerRequest)
+		s.b.Timer(s.now, 1<<timerKindBits|timerRequest)
 		s.b.Timer(s.now, timerProbe)
-		s.answer(s.take(), idle)
+		s.answerProbes(s.takeActions(), idleLoad)
 	}
-	if n := s.count(s.take(), "send"); n != 0 || s.sends[1] != 1 {
-		t.Errorf("%d sends while the first attempt is out", s.sends[1])
+	if n := s.count(s.takeActions(), "send"); n != 0 || s.sends[1] != 1 {
+		t.Errorf("got %d attempts while the first one is pending, want 1", s.sends[1])
 	}
 }
 
-// An answer for a request that the client gave up is passed over, and its attempt is called off.
+// If the client leaves, the pending attempt of its request is cancelled, and the result of that
+// attempt causes no action.
 func TestClientLeft(t *testing.T) {
-	s := start(t, config(), 1, 2)
-	s.place(ask(1), idle)
-	s.b.Gone(s.now, 1)
-	s.b.Gone(s.now, 99)
-	if as := s.take(); s.count(as, "cancel") != 1 {
-		t.Errorf("attempt not called off: %v", as)
+	s := startBalancer(t, testConfig(), 1, 2)
+	s.place(newRequest(1), idleLoad)
+	s.b.ClientGone(s.now, 1)
+	s.b.ClientGone(s.now, 99)
+	if as := s.takeActions(); s.count(as, "cancel") != 1 {
+		t.Errorf("the attempt was not cancelled: %v", as)
 	}
 	s.finish(1, false, TimedOut)
-	if as := s.take(); len(as) != 0 || len(s.b.requests) != 0 {
-		t.Errorf("actions for a request that is over: %v", as)
+	if as := s.takeActions(); len(as) != 0 || len(s.b.requests) != 0 {
+		t.Errorf("got actions for a request that is over: %v", as)
 	}
 }
 
-// A request settled while an earlier look at the backends was still awaited was sent again.
+// A request that is settled while probes from before its placement are still pending must not be
+// sent again when their answers come.
 func TestSettledRequestIsNotSentAgain(t *testing.T) {
-	s := start(t, config(), 1, 3)
-	s.take()
-	s.b.Request(s.now, ask(1))
-	as := s.take()
+	s := startBalancer(t, testConfig(), 1, 3)
+	s.takeActions()
+	s.b.Request(s.now, newRequest(1))
+	as := s.takeActions()
 	for _, a := range as {
-		if a.what == "after" {
+		if a.kind == "after" {
 			s.now = s.now.Add(a.d)
-			s.b.Timer(s.now, a.token) // placed on what is known, its probes still out
+			s.b.Timer(s.now, a.token) // placed with the reports at hand; its probes are pending
 		}
 	}
 	s.finish(1, true, OK)
-	s.answer(as, idle)
+	s.answerProbes(as, idleLoad)
 	if s.sends[1] != 1 {
-		t.Errorf("sent %d times", s.sends[1])
+		t.Errorf("sent %d times, want 1", s.sends[1])
 	}
 }
 
-// Rule 2.
-func TestNoEffectTwice(t *testing.T) {
+// A request that may not be repeated takes effect at most once: it is sent again only where its
+// class allows that, and refused only if it cannot have run or the client may safely repeat it.
+func TestRequestTakesEffectAtMostOnce(t *testing.T) {
 	tests := []struct {
 		name    string
-		repeat  Repeat
-		scope   Scope
+		repeat  Idempotency
+		scope   DedupScope
 		outcome Outcome
 		resends bool // a second attempt may be made somewhere
 		refuses bool // the final answer may be a refusal
 	}{
-		{"free, may have run", RepeatFree, ScopeAll, Error, true, true},
-		{"never, may have run", RepeatNever, ScopeAll, Error, false, false},
-		{"never, timed out", RepeatNever, ScopeAll, TimedOut, false, false},
-		{"never, broke", RepeatNever, ScopeAll, Broken, false, false},
-		{"never, called off", RepeatNever, ScopeAll, Cancelled, false, false},
-		{"never, turned away", RepeatNever, ScopeAll, Full, true, true},
-		{"never, not connected", RepeatNever, ScopeAll, NoConnect, true, true},
-		{"keyed to all", RepeatKeyed, ScopeAll, Error, true, true},
-		{"keyed to a zone", RepeatKeyed, ScopeZone, Error, true, false},
-		{"keyed to a cell", RepeatKeyed, ScopeCell, Error, true, false},
-		{"keyed to a cell, turned away", RepeatKeyed, ScopeCell, Full, true, true},
+		{"idempotent, may have run", Idempotent, ScopeAll, Error, true, true},
+		{"not idempotent, may have run", NotIdempotent, ScopeAll, Error, false, false},
+		{"not idempotent, timed out", NotIdempotent, ScopeAll, TimedOut, false, false},
+		{"not idempotent, connection broke", NotIdempotent, ScopeAll, Broken, false, false},
+		{"not idempotent, cancelled", NotIdempotent, ScopeAll, Cancelled, false, false},
+		{"not idempotent, rejected", NotIdempotent, ScopeAll, Rejected, true, true},
+		{"not idempotent, not connected", NotIdempotent, ScopeAll, NoConnect, true, true},
+		{"deduplicated by all", IdempotentByKey, ScopeAll, Error, true, true},
+		{"deduplicated in a zone", IdempotentByKey, ScopeZone, Error, true, false},
+		{"deduplicated in a cell", IdempotentByKey, ScopeCell, Error, true, false},
+		{"deduplicated in a cell, rejected", IdempotentByKey, ScopeCell, Rejected, true, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			cfg := config()
-			cfg.Classes[0].Repeat, cfg.Classes[0].Scope, cfg.Classes[0].Window = tt.repeat, tt.scope, sec
-			s := start(t, cfg, 2, 6)
-			list := backends(6)
+			cfg := testConfig()
+			cfg.Classes[0].Idempotency, cfg.Classes[0].DedupScope, cfg.Classes[0].DedupWindow = tt.repeat, tt.scope, sec
+			s := startBalancer(t, cfg, 2, 6)
+			list := readyBackends(6)
 			for i := range list[:3] {
 				list[i].Zone = "there"
 			}
-			s.b.Members(s.now, ListWhole, list)
-			s.take()
-			s.b.Request(s.now, ask(1))
-			all := s.drive(s.now.Add(4*sec), idle, always(tt.outcome))
+			s.b.DiscoveryUpdate(s.now, ListWhole, list)
+			s.takeActions()
+			s.b.Request(s.now, newRequest(1))
+			all := s.runUntil(s.now.Add(4*sec), idleLoad, alwaysEndWith(tt.outcome))
 			var first *Backend
 			for _, a := range all {
-				if a.what != "send" {
+				if a.kind != "send" {
 					continue
 				}
 				k := &s.b.byID[a.backend].Backend
 				if first == nil {
 					first = k
 				}
-				if tt.outcome == Error && tt.repeat == RepeatKeyed &&
+				if tt.outcome == Error && tt.repeat == IdempotentByKey &&
 					(tt.scope == ScopeZone && k.Zone != first.Zone || tt.scope == ScopeCell && k.Cell != first.Cell) {
-					t.Errorf("resent to %v after %v", k, first)
+					t.Errorf("sent to %v after %v, outside the deduplication scope", k, first)
 				}
 			}
 			if n := s.sends[1]; n > 1 && !tt.resends || n == 0 {
-				t.Errorf("%d attempts", n)
+				t.Errorf("got %d attempts, further ones allowed: %v", n, tt.resends)
 			}
 			if n := s.count(all, "refuse"); n > 0 && !tt.refuses {
-				t.Error("refused though it may have run")
+				t.Error("refused although it may have run")
 			}
 			if s.count(all, "refuse")+s.count(all, "fail") != 1 {
-				t.Error("not ended once")
+				t.Error("the number of final answers is not 1")
 			}
 		})
 	}
 }
 
-// The window of a keyed request runs from the first attempt that may have run, and a later attempt that
-// proves not to have run does not wipe that one out.
-func TestKeyedWindow(t *testing.T) {
-	cfg := config()
-	cfg.Classes[0] = Class{Aim: 500 * ms, Worth: 1, Repeat: RepeatKeyed, Scope: ScopeCell, Window: 400 * ms}
-	s := start(t, cfg, 1, 1)
-	s.take()
-	s.b.Request(s.now, ask(1))
+// The deduplication window of a request starts with its first attempt that may have run. A later
+// attempt that is known not to have run does not change that.
+func TestDedupWindow(t *testing.T) {
+	cfg := testConfig()
+	cfg.Classes[0] = Class{SetupTarget: 500 * ms, Worth: 1, Idempotency: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: 400 * ms}
+	s := startBalancer(t, cfg, 1, 1)
+	s.takeActions()
+	s.b.Request(s.now, newRequest(1))
 	from := s.now
 	tries := 0
-	all := s.drive(from.Add(4*sec), idle, func(RequestID) (Outcome, bool) {
+	all := s.runUntil(from.Add(4*sec), idleLoad, func(RequestID) (Outcome, bool) {
 		tries++
 		if s.now.After(from.Add(450 * ms)) {
 			t.Errorf("sent %v after the first attempt", s.now.Sub(from))
@@ -272,15 +279,15 @@
 		if tries == 1 {
 			return Error, true
 		}
-		return Full, true
+		return Rejected, true
 	})
 	if s.count(all, "fail") != 1 {
-		t.Error("not failed in the end: an attempt may have run")
+		t.Error("the request did not fail in the end, although an attempt may have run")
 	}
 }
 
-// Rule 3: nothing is sent to a backend that is told to drain or to be gone, from then on.
-func TestDrainsAreKept(t *testing.T) {
+// From the moment that discovery reports a backend as draining or removed, nothing is sent to it.
+func TestNothingSentToDrainingBackend(t *testing.T) {
 	tests := []struct {
 		name string
 		kind ListKind
@@ -288,58 +295,60 @@
 	}{
 		{"patch: draining", ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}}},
 		{"patch: gone", ListPatch, []Backend{{ID: "b0", Zone: "here", State: Gone}}},
-		{"whole list without it", ListWhole, backends(4)[1:]},
-		{"stale copy that drains it", ListStale, append(backends(4)[1:], Backend{ID: "b0", State: Draining})},
+		{"whole list without it", ListWhole, readyBackends(4)[1:]},
+		{"stale copy: draining", ListStale, append(readyBackends(4)[1:], Backend{ID: "b0", State: Draining})},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := start(t, config(), 1, 4)
-			s.take()
-			s.b.Request(s.now, ask(100)) // waits for its probes as the news comes
-			asked := s.take()
-			s.b.Members(s.now, tt.kind, tt.list)
-			s.answer(asked, idle)
+			s := startBalancer(t, testConfig(), 1, 4)
+			s.takeActions()
+			s.b.Request(s.now, newRequest(100)) // waits for its probes when the list comes
+			asked := s.takeActions()
+			s.b.DiscoveryUpdate(s.now, tt.kind, tt.list)
+			s.answerProbes(asked, idleLoad)
 			for id := range RequestID(40) {
 				s.now = s.now.Add(100 * ms)
-				s.place(ask(id+1), idle)
-				s.b.Started(s.now, id+1)
+				s.place(newRequest(id+1), idleLoad)
+				s.b.Established(s.now, id+1)
 			}
-			for _, a := range s.take() {
-				if a.what == "send" && a.backend == "b0" {
-					t.Fatal("sent to a backend that drains")
+			for _, a := range s.takeActions() {
+				if a.kind == "send" && a.backend == "b0" {
+					t.Fatal("sent to a draining backend")
 				}
 			}
 			if n := len(s.b.requests); n != 41 {
 				t.Errorf("%d requests placed, want 41", n)
 			}
 			for _, r := range s.b.requests {
-				if r.at == nil || r.at.ID == "b0" {
-					t.Errorf("request %d is at %v", r.ID, r.at)
+				if r.backend == nil || r.backend.ID == "b0" {
+					t.Errorf("request %d is on backend %v", r.ID, r.backend)
 				}
 			}
 		})
 	}
 }
 
-// A backend that restarts under its id is new again: ready, cold, and nothing known of it.
+// A backend that restarts with the same ID is treated as a new one: ready, cold, and with no known
+// load.
 func TestRestartUnderTheSameID(t *testing.T) {
-	s := start(t, config(), 1, 1)
-	s.b.Probed(s.now, "b0", OK, load(0.9))
-	s.b.Members(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}})
-	s.b.Members(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", Boot: s.now}})
+	s := startBalancer(t, testConfig(), 1, 1)
+	s.b.Probed(s.now, "b0", OK, loadReport(0.9))
+	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}})
+	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", StartTime: s.now}})
 	k := s.b.byID["b0"]
 	if k.weight != fullWeight || len(s.b.ready) != 1 {
-		t.Errorf("weight %v, %d ready", k.weight, len(s.b.ready))
+		t.Errorf("got weight %v and %d ready backends", k.weight, len(s.b.ready))
 	}
-	if w := s.b.warmth(s.now, k); w != s.b.cfg.Rules.ColdFrom {
-		t.Errorf("warmth %v", w)
+	if w := s.b.warmUpFraction(s.now, k); w != s.b.cfg.Rules.InitialCapacity {
+		t.Errorf("got warmth %v at the start", w)
 	}
 }
 
-// Rule 4: an idle cold backend looks emptiest, but all relays together must not send it more than it can
-// take. Each relay keeps its part alone: against a warm backend's part of the connections that end well, a cold
-// one is sent no more than its warmth times a part (fallShare) of the multiple at which it falls.
-func TestColdBackendGetsItsWarmthsShare(t *testing.T) {
+// An idle cold backend looks the least loaded, but all relays together must not send it more than
+// its present capacity allows. Each relay keeps its part on its own: relative to a warm backend's
+// share of the connections that end well, a cold one gets at most its warmth times a fraction
+// (fallShare) of Rules.OverloadFactor.
+func TestColdBackendShareFollowsWarmUp(t *testing.T) {
 	const n, requests = 10, 4000
 	tests := []struct {
 		name   string
@@ -347,19 +356,19 @@
 		warmth float64
 	}{
 		{"just started", 0, 0.2},
-		{"half way", 10 * sec, 0.6},
+		{"halfway", 10 * sec, 0.6},
 		{"nearly warm", 19 * sec, 0.96},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := start(t, config(), 4, n)
+			s := startBalancer(t, testConfig(), 4, n)
 			got := 0
 			for id := range RequestID(requests) {
 				s.now = s.now.Add(250 * ms)
-				list := backends(n)
-				list[0].Boot = s.now.Add(-tt.age)
-				s.b.Members(s.now, ListPatch, list[:1])
-				to := s.place(ask(id+1), func(b string) float64 {
+				list := readyBackends(n)
+				list[0].StartTime = s.now.Add(-tt.age)
+				s.b.DiscoveryUpdate(s.now, ListPatch, list[:1])
+				to := s.place(newRequest(id+1), func(b string) float64 {
 					if b == "b0" {
 						return 0
 					}
@@ -368,162 +377,165 @@
 				if to == "b0" {
 					got++
 				}
-				s.b.Started(s.now, id+1)
+				s.b.Established(s.now, id+1)
 				s.finish(id+1, true, OK)
 			}
 			share := float64(got) / (requests / (n - 1 + tt.warmth))
-			want := tt.warmth * s.b.cfg.Rules.FallMultiple * fallShare
+			want := tt.warmth * s.b.cfg.Rules.OverloadFactor * coldCreditFraction
 			if share > want*1.2 || share < want*0.4 {
-				t.Errorf("%.2f of a warm backend's share, want about %.2f", share, want)
+				t.Errorf("got %.2f of a warm backend's share, want about %.2f", share, want)
 			}
 		})
 	}
 }
 
-// Clients that are refused or cut off come again and again: their number must not raise what a cold backend
-// is sent (a fleet over capacity pushed its only idle backend over).
-func TestStormSendsNothingToTheCold(t *testing.T) {
-	s := start(t, config(), 4, 6)
-	list := backends(1)
-	list[0].Boot = s.now
-	s.b.Members(s.now, ListPatch, list)
+// Clients that are refused or disconnected retry many times. Their number must not raise the load
+// that is sent to a cold backend: with all others over capacity, this overloaded the only idle one.
+func TestRetryStormSendsNothingToColdBackend(t *testing.T) {
+	s := startBalancer(t, testConfig(), 4, 6)
+	list := readyBackends(1)
+	list[0].StartTime = s.now
+	s.b.DiscoveryUpdate(s.now, ListPatch, list)
 	for id := range RequestID(500) {
 		s.now = s.now.Add(10 * ms)
-		to := s.place(ask(id+1), func(b string) float64 {
+		to := s.place(newRequest(id+1), func(b string) float64 {
 			if b == "b0" {
 				return 0
 			}
 			return 0.6
 		})
 		if to == "b0" {
-			t.Fatalf("request %d went to the cold backend", id)
+			t.Fatalf("request %d was sent to the cold backend", id)
 		}
 		if to != "" {
-			s.b.Started(s.now, id+1)
+			s.b.Established(s.now, id+1)
 			s.finish(id+1, true, Broken)
 		}
 	}
 }
 
-// A fleet that starts as a whole has no warm backend to go by: it is used all the same.
-func TestAllCold(t *testing.T) {
-	s := start(t, config(), 4, 6)
-	list := backends(6)
+// If all backends have just started, there is no warm one for comparison; requests are placed all
+// the same.
+func TestAllBackendsCold(t *testing.T) {
+	s := startBalancer(t, testConfig(), 4, 6)
+	list := readyBackends(6)
 	for i := range list {
-		list[i].Boot = s.now.Add(-10 * sec)
+		list[i].StartTime = s.now.Add(-10 * sec)
 	}
-	s.b.Members(s.now, ListPatch, list)
+	s.b.DiscoveryUpdate(s.now, ListPatch, list)
 	placed := 0
 	for id := range RequestID(20) {
 		s.now = s.now.Add(500 * ms)
-		if s.place(ask(id+1), idle) != "" {
+		if s.place(newRequest(id+1), idleLoad) != "" {
 			placed++
 		}
 	}
 	if placed < 10 {
-		t.Errorf("%d of 20 requests were placed at once", placed)
+		t.Errorf("%d of 20 requests were placed at once, want at least 10", placed)
 	}
 }
 
-// Where discovery answers only when asked, a relay asks at once, and again after a failure, within the
-// time that the rules allow.
+// Where discovery requires subscriptions, a relay subscribes at its start, and again after each
+// failure within MaxDiscoveryGap.
 func TestSubscription(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.Subscribe = true
-	s := start(t, cfg, 1, 2)
-	if s.count(s.take(), "watch") != 1 {
-		t.Fatal("no subscription at the start")
+	s := startBalancer(t, cfg, 1, 2)
+	if s.count(s.takeActions(), "watch") != 1 {
+		t.Fatal("the number of subscriptions at the start is not 1")
 	}
 	for range 6 {
-		s.b.Members(s.now, ListBroken, nil)
-		all := s.drive(s.now.Add(cfg.Rules.AskWithin), idle, always(OK))
+		s.b.DiscoveryUpdate(s.now, ListBroken, nil)
+		all := s.runUntil(s.now.Add(cfg.Rules.MaxDiscoveryGap), idleLoad, alwaysEndWith(OK))
 		if n := s.count(all, "watch"); n < 1 || n > 3 {
 			t.Errorf("%d subscriptions within AskWithin of a failure", n)
 		}
 	}
-	s.b.Members(s.now, ListPatch, nil)
-	s.take()
-	if n := s.count(s.drive(s.now.Add(60*sec), idle, always(OK)), "watch"); n != 0 {
-		t.Errorf("%d calls while subscribed", n)
+	s.b.DiscoveryUpdate(s.now, ListPatch, nil)
+	s.takeActions()
+	if n := s.count(s.runUntil(s.now.Add(60*sec), idleLoad, alwaysEndWith(OK)), "watch"); n != 0 {
+		t.Errorf("got %d subscriptions while subscribed, want 0", n)
 	}
 }
 
-// Packets of an open connection that left this relay and came back go to the backend that holds it.
-func TestMidFlowGoesHome(t *testing.T) {
-	cfg := config()
-	cfg.Park = 5 * sec
-	s := start(t, cfg, 1, 8)
+// If the packets of an open connection go to another relay and come back, they go to the backend
+// that has the connection.
+func TestMidFlowReturnsToItsBackend(t *testing.T) {
+	cfg := testConfig()
+	cfg.DetachedTimeout = 5 * sec
+	s := startBalancer(t, cfg, 1, 8)
 	for id := range RequestID(20) {
 		s.now = s.now.Add(200 * ms)
-		q := ask(2*id + 1)
+		q := newRequest(2*id + 1)
 		q.Key = string(rune('a' + id))
-		home := s.place(q, idle)
-		s.b.Started(s.now, q.ID)
+		home := s.place(q, idleLoad)
+		s.b.Established(s.now, q.ID)
 		s.finish(q.ID, true, Cancelled)
 		q.ID++
 		q.MidFlow = true
-		if got := s.place(q, idle); got != home {
-			t.Errorf("sent to %s, held by %s", got, home)
+		if got := s.place(q, idleLoad); got != home {
+			t.Errorf("sent to %s, want %s, which has the connection", got, home)
 		}
 	}
 }
 
-// A fleet that was enlarged is filled at the pace that rule 4 leaves to each cold backend, however many of them
-// there are: shared out among them, it left most of the new ones idle (i31f261).
-func TestEnlargedFleetIsFilled(t *testing.T) {
-	cfg := config()
-	s := start(t, cfg, 1, 4)
+// Each new backend is filled as fast as a cold one may be, however many there are. When that rate
+// was divided among them, most of the new backends stayed idle.
+func TestNewBackendsAreFilledAfterScaleUp(t *testing.T) {
+	cfg := testConfig()
+	s := startBalancer(t, cfg, 1, 4)
 	s.now = s.now.Add(100 * sec)
 	var list []Backend
 	for i := range 12 {
-		list = append(list, Backend{ID: "cold" + strconv.Itoa(i), Boot: s.now.Add(-10 * sec)})
+		list = append(list, Backend{ID: "cold" + strconv.Itoa(i), StartTime: s.now.Add(-10 * sec)})
 	}
-	s.b.Members(s.now, ListPatch, list)
+	s.b.DiscoveryUpdate(s.now, ListPatch, list)
 	const ends = 1000
-	w := s.b.warmth(s.now, s.b.byID["cold0"])
+	w := s.b.warmUpFraction(s.now, s.b.byID["cold0"])
 	for range ends {
-		s.b.offer(s.now, s.b.byID["b0"])
-		s.b.offer(s.now, s.b.byID["cold0"]) // what ends there tells nothing of the warm ones
+		s.b.grantColdCredits(s.now, s.b.byID["b0"])
+		s.b.grantColdCredits(s.now, s.b.byID["cold0"]) // a connection that ends on a cold backend grants no credit
 	}
-	bears := float64(ends) / 4 // one warm backend's part of what ended
-	most := 12 * bears * w * cfg.Rules.FallMultiple
-	if n := float64(len(s.b.offers)); n > 0.9*most || n < 0.7*most {
-		t.Errorf("%v offers, where the rule leaves room for %v", n, most)
+	bears := float64(ends) / 4 // one warm backend's share of the ended connections
+	most := 12 * bears * w * cfg.Rules.OverloadFactor
+	if n := float64(len(s.b.coldCredits)); n > 0.9*most || n < 0.7*most {
+		t.Errorf("got %v credits, want 0.7 to 0.9 of the %v that cold backends can bear", n, most)
 	}
 }
 
-// A connection that stood and ended with its client still owed an answer is a request again: while it passed for
-// one that stands, a note on it was a panic (found by fuzzing) and its next attempt was not counted as out.
-func TestEndedConnectionStandsNoMore(t *testing.T) {
-	s := start(t, config(), 1, 1)
-	s.place(ask(1), idle)
-	s.b.Started(s.now, 1)
+// A connection that was established and ended while its client still needs an answer is a pending
+// request again. When it still counted as established, a measurement for it caused a panic (found
+// by fuzzing), and its next attempt was not counted as pending.
+func TestEndedConnectionIsNotEstablished(t *testing.T) {
+	s := startBalancer(t, testConfig(), 1, 1)
+	s.place(newRequest(1), idleLoad)
+	s.b.Established(s.now, 1)
 	s.finish(1, false, Broken)
-	s.take()
-	s.b.Note(s.now, 1, NoteDelay, 1000)
-	if n := s.count(s.take(), "probe"); n != 0 {
-		t.Errorf("%d probes for a connection that has ended", n)
+	s.takeActions()
+	s.b.ConnectionMeasured(s.now, 1, MetricDelay, 1000)
+	if n := s.count(s.takeActions(), "probe"); n != 0 {
+		t.Errorf("got %d probes for a connection that has ended, want 0", n)
 	}
-	if r := s.b.requests[1]; r == nil || r.open {
-		t.Error("the request is not held, or passes for a connection")
+	if r := s.b.requests[1]; r == nil || r.established {
+		t.Error("the request is not stored, or counts as established")
 	}
 }
 
-// Hosts count timers in whole microseconds. One that the module meant to be longer by a fraction would go off
-// before its time, pass for stale, and leave its request without an answer.
+// Hosts count timers in whole microseconds. A timer with a fraction of a microsecond would expire
+// too early, count as stale, and leave its request without an answer.
 func TestTimersAreWholeMicroseconds(t *testing.T) {
-	s := start(t, config(), 3, 4)
+	s := startBalancer(t, testConfig(), 3, 4)
 	n := 0
 	for id := RequestID(1); id < 40; id++ {
-		q := ask(id)
-		q.Left = 3*sec + time.Duration(id)*7*time.Nanosecond // a real clock has fractions
+		q := newRequest(id)
+		q.Timeout = 3*sec + time.Duration(id)*7*time.Nanosecond // a real clock has fractions of a microsecond
 		s.b.Request(s.now.Add(time.Duration(id)), q)
-		for _, a := range s.take() {
-			if a.what != "after" {
+		for _, a := range s.takeActions() {
+			if a.kind != "after" {
 				continue
 			}
 			if n++; a.d%time.Microsecond != 0 {
-				t.Fatalf("a timer of %v", a.d)
+				t.Fatalf("got a timer of %v, want whole microseconds", a.d)
 			}
 		}
 	}
@@ -532,222 +544,227 @@
 	}
 }
 
-// A client must be told to move before its backend leaves: what stands on a backend that drains is moved, each
-// connection once, a few at a time, and nothing is moved off the others.
+// Connections on a draining backend are moved before the backend stops: each once, a few at a time,
+// those of most worth first. Nothing is moved off the other backends.
 func TestDrainingBackendIsEmptied(t *testing.T) {
-	cfg := config()
-	cfg.Classes = []Class{{Aim: 500 * ms, Worth: 1}, {Aim: 500 * ms, Worth: 3}}
-	s := start(t, cfg, 1, 2)
+	cfg := testConfig()
+	cfg.Classes = []Class{{SetupTarget: 500 * ms, Worth: 1}, {SetupTarget: 500 * ms, Worth: 3}}
+	s := startBalancer(t, cfg, 1, 2)
 	for id := RequestID(1); id <= 12; id++ {
-		q := ask(id)
+		q := newRequest(id)
 		q.Class = int(id % 2)
-		s.b.Open(s.now, q, "b"+strconv.Itoa(int(id%3)/2))
+		s.b.RestoreConnection(s.now, q, "b"+strconv.Itoa(int(id%3)/2))
 	}
-	s.take()
-	s.b.Members(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}})
+	s.takeActions()
+	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}})
 	moved, most, lasted := map[RequestID]bool{}, 0, time.Duration(0)
 	step := func() (timers int) {
 		n := 0
-		for _, a := range s.take() {
+		for _, a := range s.takeActions() {
 			switch {
-			case a.what == "move":
+			case a.kind == "move":
 				if moved[a.id] || a.id%3 == 2 {
-					t.Fatalf("moved %d", a.id)
+					t.Fatalf("request %d was moved twice, or off a ready backend", a.id)
 				}
 				if len(moved) < 4 && a.id%2 != 1 {
-					t.Errorf("%d of the lesser worth went early", a.id)
+					t.Errorf("request %d of the lesser worth was moved among the first", a.id)
 				}
 				n++
 				moved[a.id], s.sends[a.id] = true, 1
-			case a.what == "after" && a.token == timerLeave:
+			case a.kind == "after" && a.token == timerDrain:
 				timers++
 			}
 		}
 		most = max(most, n)
 		return timers
 	}
-	for len(moved) < 8 && lasted < 2*leaveWithin {
+	for len(moved) < 8 && lasted < 2*drainMoveWithin {
 		if n := step(); n != 1 {
-			t.Fatalf("%d timers at once", n)
+			t.Fatalf("got %d drain timers, want 1", n)
 		}
-		s.now, lasted = s.now.Add(leaveStep), lasted+leaveStep
-		s.b.Timer(s.now, timerLeave)
+		s.now, lasted = s.now.Add(drainMoveInterval), lasted+drainMoveInterval
+		s.b.Timer(s.now, timerDrain)
 	}
-	if len(moved) != 8 || most > 2 || lasted > leaveWithin+leaveStep {
-		t.Errorf("%d moved in %v, up to %d at once", len(moved), lasted, most)
+	if len(moved) != 8 || most > 2 || lasted > drainMoveWithin+drainMoveInterval {
+		t.Errorf("got %d moves in %v and up to %d at once, want 8 and up to 2", len(moved), lasted, most)
 	}
 	for id := range moved {
-		s.b.Finished(s.now, id, 0, true, Cancelled, load(math.NaN()))
+		s.b.Finished(s.now, id, 0, true, Cancelled, loadReport(math.NaN()))
 	}
-	s.b.Members(s.now, ListPatch, []Backend{{ID: "b0", State: Gone}})
-	s.take()
-	s.b.Timer(s.now.Add(leaveStep), timerLeave)
+	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", State: Gone}})
+	s.takeActions()
+	s.b.Timer(s.now.Add(drainMoveInterval), timerDrain)
 	if n := step(); n != 0 {
-		t.Errorf("%d timers with nothing that drains", n)
+		t.Errorf("got %d drain timers without a draining backend, want 0", n)
 	}
 }
 
-// Where eighty relays hold one or two connections each on a backend that drains, a part that is rounded up is all of
-// them: they were moved at once, everywhere, and came back at once.
-func TestManyRelaysEmptyADrainingBackendEvenly(t *testing.T) {
+// If 80 relays have one or two connections each on a draining backend, a share that is rounded up
+// is all of them: they were all moved at once, and reconnected at once.
+func TestManyRelaysDrainEvenly(t *testing.T) {
 	moved, first := 0, 0
 	for seed := range uint64(80) {
-		cfg := config()
-		cfg.Balancers = 80
-		s := start(t, cfg, seed, 2)
-		s.b.Open(s.now, ask(1), "b0")
-		s.take()
-		s.b.Members(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}})
+		cfg := testConfig()
+		cfg.Relays = 80
+		s := startBalancer(t, cfg, seed, 2)
+		s.b.RestoreConnection(s.now, newRequest(1), "b0")
+		s.takeActions()
+		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0", Zone: "here", State: Draining}})
 		first += s.count(s.actions, "move")
-		for end := s.now.Add(leaveWithin); s.now.Before(end); {
-			s.now = s.now.Add(leaveStep)
-			s.b.Timer(s.now, timerLeave)
+		for end := s.now.Add(drainMoveWithin); s.now.Before(end); {
+			s.now = s.now.Add(drainMoveInterval)
+			s.b.Timer(s.now, timerDrain)
 		}
-		moved += s.count(s.take(), "move")
+		moved += s.count(s.takeActions(), "move")
 	}
 	if moved != 80 || first > 16 {
-		t.Errorf("%d of 80 moved, %d of them in the first step", moved, first)
+		t.Errorf("%d of 80 were moved, want all; %d of them in the first step, want at most 16", moved, first)
 	}
 }
 
-// Cold backends take the groups that rank them at once, without an own connection having ended before, and all relays
-// together stay under what makes one fall, even where one group is half of the traffic. Clients that return come to less.
-func TestColdBackendsTakeTheirGroups(t *testing.T) {
+// Cold backends get requests of the groups that rank them first at once, without an earlier
+// connection having ended. All relays together stay below the load that overloads a cold backend,
+// even if one group is half of the traffic. Reconnecting clients get a smaller share.
+func TestColdBackendsReceiveGroupTraffic(t *testing.T) {
 	for _, again := range []bool{false, true} {
-		const asked, relays, each = 4000, 80, 10 * ms // one request after another, each at another relay
+		const asked, relays, each = 4000, 80, 10 * ms // the requests go to the relays in turn, one each 10 ms
 		fleet := startFleet(t, relays, 4, 2000)
 		var list []Backend
 		for i := range 6 {
-			list = append(list, Backend{ID: "c" + strconv.Itoa(i), Zone: "here", Size: 1, Boot: fleet[0].now.Add(-5 * sec)})
+			list = append(list, Backend{ID: "c" + strconv.Itoa(i), Zone: "here", Size: 1, StartTime: fleet[0].now.Add(-5 * sec)})
 		}
 		sent := map[string]float64{}
 		cold, warmth := 0.0, 0.0
 		for id := RequestID(1); id <= asked; id++ {
 			s := fleet[id%relays]
 			s.now = fleet[0].now.Add(time.Duration(id) * each)
-			for i := range list { // they stay as cold as they are
-				list[i].Boot = s.now.Add(-5 * sec)
+			for i := range list { // the backends stay equally cold
+				list[i].StartTime = s.now.Add(-5 * sec)
 			}
-			s.b.Members(s.now, ListPatch, list)
-			warmth = s.b.warmth(s.now, s.b.byID["c0"])
-			q := ask(id)
-			if q.Again = again; id%2 == 0 {
+			s.b.DiscoveryUpdate(s.now, ListPatch, list)
+			warmth = s.b.warmUpFraction(s.now, s.b.byID["c0"])
+			q := newRequest(id)
+			if q.Reconnect = again; id%2 == 0 {
 				q.Group = "half"
 			} else {
 				q.Group = strconv.Itoa(int(id % 101))
 			}
-			// The cold ones bear what a steady use of their budget has given them in 5 s; at more they take no new clients.
+			// The cold backends report the load that a steady use of their budget brings in 5 s.
+			// With more they would take no new clients.
 			at := s.place(q, func(at string) float64 { return map[bool]float64{false: 0.5, true: 0.35}[at[0] == 'c'] })
-			s.b.Started(s.now, id)
-			s.b.Gone(s.now, id)
+			s.b.Established(s.now, id)
+			s.b.ClientGone(s.now, id)
 			s.finish(id, true, Cancelled)
-			s.b.byID[at].fresh = 0
+			s.b.byID[at].unreported = 0
 			if sent[at]++; at[0] == 'c' {
 				cold++
 			}
 		}
-		even := asked / (4 * 0.5) // what a relay can do: the warm ones bear the traffic at half load
+		even := asked / (4 * 0.5) // capacity of a backend: the four warm ones carry the traffic at half load
 		for at, n := range sent {
-			if at[0] == 'c' && n > even*warmth*config().Rules.FallMultiple {
-				t.Errorf("again %v: %v of %v to %s, which is at %.2f", again, n, even, at, warmth)
+			if at[0] == 'c' && n > even*warmth*testConfig().Rules.OverloadFactor {
+				t.Errorf("reconnect %v: %v requests, with a capacity of %v, went to %s at warmth %.2f", again, n, even, at, warmth)
 			}
 		}
 		if least := map[bool]float64{false: 0.15, true: 0.05}[again]; cold < least*asked {
-			t.Errorf("again %v: %v of %d to cold ones", again, cold, asked)
+			t.Errorf("reconnect %v: %v of %d requests went to cold backends, too few", again, cold, asked)
 		}
 	}
 }
 
-// One that failed of late takes no place among those that a group's request looks at: with two of them ranking first, as
-// when a few drain at once, requests were held although the others had room.
-func TestFailedBackendsTakeNoRank(t *testing.T) {
-	cfg := config()
-	cfg.Groups = true
-	s := start(t, cfg, 1, 8)
-	q := ask(1)
+// A backend that failed recently is not among those considered for a group's request. With two such
+// backends ranked first, as when a few drain at once, requests were held although other backends
+// had room.
+func TestFailedBackendsAreNotRankedForGroups(t *testing.T) {
+	cfg := testConfig()
+	cfg.GroupAffinity = true
+	s := startBalancer(t, cfg, 1, 8)
+	q := newRequest(1)
 	q.Group = "g"
-	first := s.place(q, idle)
+	first := s.place(q, idleLoad)
 	s.finish(1, true, Error)
 	r := s.b.requests[1]
 	if r != nil || first == "" {
-		t.Fatal("the first request is not settled")
+		t.Fatal("the first request was not sent, or is not settled")
 	}
 	for id := RequestID(2); id < 60; id++ {
-		q := ask(id)
+		q := newRequest(id)
 		q.Group = "g"
 		s.b.Request(s.now, q)
 		if len(s.b.requests[id].sample) > 0 && s.b.requests[id].sample[0].ID == first {
-			t.Fatalf("request %d looks at %s first, which has just failed", id, first)
+			t.Fatalf("request %d considers %s first, which has just failed", id, first)
 		}
-		s.b.Gone(s.now, id)
-		s.take()
+		s.b.ClientGone(s.now, id)
+		s.takeActions()
 	}
 }
 
-// In a wave a cold backend that is about to fall answers no probe in time. It was sent what its weight of better times
-// allowed, by relays that had never had a word from it: seven times what it could do (join+vast, seed 9).
+// A cold backend close to overload answers no probe in time. Relays without a report from it sent
+// it as much as the weight of a new backend allows: seven times its capacity.
 func TestColdBackendWithoutReportGetsNothing(t *testing.T) {
-	cfg := config()
-	cfg.Groups = true
+	cfg := testConfig()
+	cfg.GroupAffinity = true
 	for seed := range uint64(20) {
-		s := start(t, cfg, seed, 0)
-		s.b.Members(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Boot: s.now.Add(-10 * sec)}})
-		s.take()
-		q := ask(1)
+		s := startBalancer(t, cfg, seed, 0)
+		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", StartTime: s.now.Add(-10 * sec)}})
+		s.takeActions()
+		q := newRequest(1)
 		q.Group = "g"
 		s.b.Request(s.now, q)
-		for end := s.now.Add(q.Left + 100*ms); s.now.Before(end); s.now = s.now.Add(20 * ms) { // no probe is answered
-			s.b.Timer(s.now, q.ID<<timerBits|timerRequest)
-			if s.count(s.take(), "send") > 0 {
-				t.Fatalf("seed %d: sent to a cold backend that has not told its load", seed)
+		for end := s.now.Add(q.Timeout + 100*ms); s.now.Before(end); s.now = s.now.Add(20 * ms) { // no probe is answered
+			s.b.Timer(s.now, q.ID<<timerKindBits|timerRequest)
+			if s.count(s.takeActions(), "send") > 0 {
+				t.Fatalf("seed %d: sent to a cold backend that has not reported its load", seed)
 			}
 		}
 		if s.b.requests[1] != nil {
-			t.Fatalf("seed %d: the request has no answer", seed)
+			t.Fatalf("seed %d: the request got no answer", seed)
 		}
 	}
 }
 
-// A request that was held found no room in its sample: it looks at more backends the next time. Where a part of the fleet
-// is lost, three drawn at random are often all full although others are not.
-func TestHeldRequestsLookFurther(t *testing.T) {
-	s := start(t, config(), 1, 12)
-	s.b.Request(s.now, ask(1))
-	if n := len(s.b.requests[1].sample); n != scanSize {
-		t.Fatalf("%d looked at first", n)
-	}
-	s.answer(s.take(), func(string) float64 { return 0.99 })
+// A request that was held, because no backend of its sample had room, considers more backends the
+// next time. After the loss of a part of the backends, three chosen at random are often full
+// although others are not.
+func TestHeldRequestsSampleMoreBackends(t *testing.T) {
+	s := startBalancer(t, testConfig(), 1, 12)
+	s.b.Request(s.now, newRequest(1))
+	if n := len(s.b.requests[1].sample); n != sampleSize {
+		t.Fatalf("got a first sample of %d backends", n)
+	}
+	s.answerProbes(s.takeActions(), func(string) float64 { return 0.99 })
 	r := s.b.requests[1]
-	if r.at != nil || r.parks != 1 {
-		t.Fatalf("not held: %d parks", r.parks)
+	if r.backend != nil || r.holdCount != 1 {
+		t.Fatalf("the request was not held once but %d times, or is on a backend", r.holdCount)
 	}
-	s.now = r.due
-	s.b.Timer(s.now, r.ID<<timerBits|timerRequest)
-	if n := len(r.sample); n != scanSize+1 {
-		t.Errorf("%d looked at after it was held", n)
+	s.now = r.timerAt
+	s.b.Timer(s.now, r.ID<<timerKindBits|timerRequest)
+	if n := len(r.sample); n != sampleSize+1 {
+		t.Errorf("got a sample of %d backends after it was held", n)
 	}
 }
 
-// A cold backend is drawn by its idle part, and less for clients that return: of these, fifteen connections came
-// within 1.3 s to one that already told a load of 0.5 to 0.8. New clients find none of it while it bears more than a
-// steady use of its budget can have given it: half of its capacity 2 s after its start.
-func TestColdBackendIsDrawnByItsIdlePart(t *testing.T) {
-	s := start(t, config(), 1, 1)
-	s.b.Members(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Boot: s.now.Add(-2 * sec)}})
+// A cold backend is chosen with a probability proportional to its idle capacity, and less often for
+// reconnecting clients: 15 connections of such clients came within 1.3 s to a backend that already
+// reported a load of 0.5 to 0.8. New clients do not get it at all while its load is higher than a
+// steady use of its budget can have made it: half of its capacity 2 s after its start.
+func TestColdBackendIsChosenByIdleCapacity(t *testing.T) {
+	s := startBalancer(t, testConfig(), 1, 1)
+	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", StartTime: s.now.Add(-2 * sec)}})
 	k := s.b.byID["cold"]
 	k.weight = fullWeight / 2
 	for range 1000 {
-		if s.b.mayTake(s.now, &request{}, k, 1) {
-			t.Fatal("a new client may go to one that is half full after 2 s")
+		if s.b.mayTakeByRank(s.now, &request{}, k, 1) {
+			t.Fatal("a new client may go to a backend at half load 2 s after its start")
 		}
 	}
-	s.b.Members(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Boot: s.now.Add(-8 * sec)}})
+	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", StartTime: s.now.Add(-8 * sec)}})
 	part := func(weight float64, again bool) float64 {
 		n := 0.0
 		k.weight = weight
 		for range 20000 {
-			k.permits = permits{} // each at another relay
-			if s.b.mayTake(s.now, &request{Request: Request{Again: again}}, k, 1) {
+			k.permits = permits{} // as at another relay
+			if s.b.mayTakeByRank(s.now, &request{Request: Request{Reconnect: again}}, k, 1) {
 				n++
 			}
 		}
@@ -755,29 +772,30 @@
 	}
 	for _, again := range []bool{false, true} {
 		if r := part(fullWeight/2, again) / part(fullWeight, again); r < 0.45 || r > 0.55 {
-			t.Errorf("again %v: %.2f of an idle one's part at half load", again, r)
+			t.Errorf("reconnect %v: at half load, got %.2f of an idle backend's share, want 0.45 to 0.55", again, r)
 		}
 	}
 	if r := part(fullWeight, true) / part(fullWeight, false); r > 0.7 {
-		t.Errorf("%.2f of the part for clients that return", r)
+		t.Errorf("reconnecting clients got %.2f of the share of new ones, want at most 0.7", r)
 	}
 }
 
-// Four relays see who holds a group, and a spill needs much room; of eighty none can, and half as much will do: requests
-// were held with both homes full while others stood half idle.
-func TestGroupsSpillMoreEasilyAmongMany(t *testing.T) {
+// With four relays each knows which backends serve a group, and sending it to another one needs
+// much idle capacity. With 80 relays none knows, and half as much is enough: otherwise requests
+// were held while both preferred backends were full and others half idle.
+func TestGroupsSpillMoreEasilyWithManyRelays(t *testing.T) {
 	for relays, want := range map[int]bool{4: false, 80: true} {
-		cfg := config()
-		cfg.Groups, cfg.Balancers = true, relays
-		q := ask(1)
+		cfg := testConfig()
+		cfg.GroupAffinity, cfg.Relays = true, relays
+		q := newRequest(1)
 		q.Group = "g"
-		s := start(t, cfg, 1, 3)
-		s.b.seek(s.now, s.b.add(q))
+		s := startBalancer(t, cfg, 1, 3)
+		s.b.startPlacement(s.now, s.b.addRequest(q))
 		home := s.b.requests[1].sample[0].ID
-		s = start(t, cfg, 1, 3)
+		s = startBalancer(t, cfg, 1, 3)
 		got := s.place(q, func(b string) float64 { return map[bool]float64{true: 0.99, false: 0.6}[b == home] })
 		if (got != "") != want {
-			t.Errorf("%d relays: sent to %q", relays, got)
+			t.Errorf("%d relays: sent to %q, want sent: %v", relays, got, want)
 		}
 	}
 }
--- a/balance/state.go
+++ b/balance/state.go
@@ -8,281 +8,285 @@
 	"time"
 )
 
-// What a relay keeps in mind, and its bookkeeping. Nothing is decided here.
+// The state of a Balancer and the functions that maintain it. The decisions are in the other files.
 
-// backend is what a relay knows of one backend.
+// backend is the state of one backend as this relay knows it.
 type backend struct {
 	Backend
-	weight  float64    // W of the design
-	held    []*request // own connections and attempts there; their number is the design's count
-	fresh   int        // own placements since its last report
-	hash    uint64     // of its id
-	asked   bool       // a probe is out
-	missed  bool       // its last probe was not answered
-	seen    time.Time  // last report
-	each    float64    // load of one of its connections, by its last report; NaN: not told
-	wants   float64    // own requests that wanted it of late, older ones counting less
-	wanted  time.Time
-	relief  time.Time // connections were last moved away then
-	strikes int       // failures in a row
-	until   time.Time // ejected until then
-	told    time.Time // likewise by what others know of it; see Told
-	permits permits   // while it is cold
-	empty   time.Time // it drains, and own connections are to be off it by then; zero: it does not
+	weight              float64    // idle capacity in points, floorWeight to fullWeight
+	requests            []*request // connections and attempts of this relay on the backend
+	unreported          int        // placements by this relay since its last report
+	idHash              uint64     // hash of its ID
+	probePending        bool       // a probe has been sent and not answered
+	probeFailed         bool       // its last probe failed
+	lastReport          time.Time  // zero: none yet
+	loadPerConnection   float64    // mean load per connection in its last report; NaN: not reported
+	demand              float64    // recent requests of this relay for it, with exponential decay
+	demandAt            time.Time  // when demand was last updated
+	rebalancedAt        time.Time  // when connections were last moved off it because of its load
+	consecutiveFailures int        // reset by a success
+	ejectedUntil        time.Time  // until then it is avoided because of failures seen by this relay
+	peerEjectedUntil    time.Time  // likewise because of failures seen by other relays; see EjectUntil
+	permits             permits    // used while it is cold
+	drainBy             time.Time  // when this relay's connections must be off it; zero: it is not draining
 }
 
-// request is one that this relay holds, from its arrival to the end of its last attempt.
+// request is the state of a request, from its arrival to the end of its last attempt or connection.
 type request struct {
 	Request
-	deadline time.Time
-	attempts int
-	at       *backend  // where its attempt or connection is; nil: none is out
-	pos      int       // index in at.held
-	open     bool      // the connection stands
-	moved    bool      // its client was asked to come again
-	over     bool      // nothing more is owed to the client
-	sent     time.Time // its last attempt
-	ran      *backend  // where the first attempt that may have run went; nil: none may have
-	ranSince time.Time
-	tried    []*backend
-	sample   []*backend // the backends looked at for it
-	parks    int        // times it was held
-	awaited  int        // their reports that are still to come
-	due      time.Time  // of its timer; an earlier one is stale
+	deadline       time.Time
+	attempts       int
+	backend        *backend   // backend of its attempt or connection; nil: it has neither
+	index          int        // position in backend.requests
+	established    bool       // the connection is open
+	moveSent       bool       // its client has been asked to reconnect
+	answered       bool       // the client needs no further answer
+	sentAt         time.Time  // when its last attempt was sent
+	ranOn          *backend   // backend of its first attempt that may have run; nil: none may have
+	ranAt          time.Time  // when that attempt was sent
+	tried          []*backend // backends not to be tried again
+	sample         []*backend // backends considered for it
+	holdCount      int        // number of times that it was held for a later try
+	pendingReports int        // reports of the sample that are outstanding
+	timerAt        time.Time  // when its timer expires; a timer that expires earlier is stale
 }
 
-// offer lets a cold backend be sent one connection, soon.
-type offer struct {
-	to *backend
-	at time.Time
+// coldCredit permits one new connection to a cold backend; it lapses soon.
+type coldCredit struct {
+	backend   *backend
+	grantedAt time.Time
 }
 
-// Balancer decides for one relay. See the package's comment for how to use it.
+// Balancer makes the decisions of one relay. The package comment describes its use.
 type Balancer struct {
-	cfg      Config
-	host     Host
-	rng      *rand.Rand
-	byID     map[string]*backend
-	all      []*backend // in discovery's order
-	ready    []*backend // those of them that take new connections
-	only     []string   // the only ones that may be sent new connections; nil: all; see Restrict
-	requests map[RequestID]*request
-	scanning []*request          // held until the reports of their samples are in
-	arrivals int                 // requests since the probe timer last went off
-	failing  float64             // part of the recent attempts that failed, wherever they went
-	offers   []offer             // what may be sent to cold backends
-	worth    float64             // mean of late requests
-	out      int                 // attempts that are out, without the connections that stand
-	window   float64             // how many of these there may be
-	tenants  []int               // own connections of each tenant
-	left     map[string]*backend // by key: where connections are whose packets go elsewhere
-	cleared  time.Time           // left was last emptied then
-	leaving  bool                // a timer for backends that drain is set
-	thrifty  bool                // see Thrifty
-	watching bool
-	broken   int // questions to discovery that failed, in a row
+	cfg               Config
+	host              Host
+	rng               *rand.Rand
+	byID              map[string]*backend
+	backends          []*backend // in the order of discovery's lists
+	ready             []*backend // the backends that accept new connections
+	allowedIDs        []string   // IDs that may get new connections; nil: all; see Restrict
+	requests          map[RequestID]*request
+	awaitingReports   []*request          // requests that wait for reports of their samples
+	arrivals          int                 // requests since the probe timer last expired
+	failureRate       float64             // moving average: failed fraction of the attempts on all backends
+	coldCredits       []coldCredit        // connections that may be sent to cold backends, oldest first
+	meanWorth         float64             // moving average of the worth of requests
+	pendingAttempts   int                 // attempts without a result, not counting established connections
+	attemptWindow     float64             // limit of pendingAttempts
+	tenantConnections []int               // connections and attempts of this relay, by tenant
+	detached          map[string]*backend // by key: backends of connections whose packets go to another relay
+	detachedClearedAt time.Time           // when detached was last emptied
+	drainTimerSet     bool                // the timer for draining backends is set
+	retriesDisabled   bool                // see DisableRetries
+	subscribed        bool                // a list has come since discovery last failed
+	discoveryFailures int                 // consecutive
 }
 
-// New returns a Balancer for one relay. All its draws come from the seed.
+// New returns a Balancer for one relay. Its random numbers depend on the seed alone.
 func New(cfg Config, seed uint64, host Host) (*Balancer, error) {
 	r := cfg.Rules
 	switch {
 	case host == nil:
-		return nil, errors.New("balance: no host")
-	case cfg.Balancers < 0 || cfg.MaxAttempts < 0:
-		return nil, errors.New("balance: a number of relays or attempts below 0")
-	case r.ColdFrom < 0 || r.ColdFrom > 1 || r.WarmWithin < 0 || r.FallWithin < 0 || r.AskWithin < 0:
-		return nil, errors.New("balance: a figure of the rules is out of its range")
+		return nil, errors.New("balance: host is nil")
+	case cfg.Relays < 0 || cfg.MaxAttempts < 0:
+		return nil, errors.New("balance: negative Relays or MaxAttempts in the configuration")
+	case r.InitialCapacity < 0 || r.InitialCapacity > 1 ||
+		r.WarmUpTime < 0 || r.OverloadWindow < 0 || r.MaxDiscoveryGap < 0:
+		return nil, errors.New("balance: InitialCapacity outside 0 to 1, or negative time in Rules")
 	}
-	cfg.Balancers = max(cfg.Balancers, 1)
+	cfg.Relays = max(cfg.Relays, 1)
 	return &Balancer{
 		cfg: cfg, host: host, rng: rand.New(rand.NewPCG(seed, 0)),
 		byID: make(map[string]*backend), requests: make(map[RequestID]*request),
-		window: maxWindow,
-		left:   make(map[string]*backend), tenants: make([]int, len(cfg.Tenants)),
+		attemptWindow: maxAttemptWindow,
+		detached:      make(map[string]*backend), tenantConnections: make([]int, len(cfg.Tenants)),
 	}, nil
 }
 
-func (b *Balancer) add(q Request) *request {
+func (b *Balancer) addRequest(q Request) *request {
 	r := &request{Request: q}
 	b.requests[q.ID] = r
 	return r
 }
 
-// Open takes a connection that runs through this relay at its start.
-func (b *Balancer) Open(now time.Time, q Request, id string) {
-	r := b.add(q)
-	r.attempts, r.open = 1, true
+// RestoreConnection adds a connection that was already open through this relay at its start.
+func (b *Balancer) RestoreConnection(now time.Time, q Request, id string) {
+	r := b.addRequest(q)
+	r.attempts, r.established = 1, true
 	k := b.byID[id]
-	if k == nil { // not in the list any more, but the connection runs
+	if k == nil { // removed from the list, but the connection is open
 		k = &backend{Backend: Backend{ID: id, State: Gone}}
 	}
-	b.hold(r, k)
+	b.assign(r, k)
 }
 
-// Held tells how many own connections and attempts a backend has by the relay's count.
-func (b *Balancer) Held(id string) int {
+// ConnectionCount returns the number of connections and attempts that this relay has on a backend.
+func (b *Balancer) ConnectionCount(id string) int {
 	if k := b.byID[id]; k != nil {
-		return len(k.held)
+		return len(k.requests)
 	}
 	return 0
 }
 
-// class returns what is known of a class; one that is unknown is treated with the most care.
+// class returns the class with an index. An unknown class is treated as not idempotent.
 func (b *Balancer) class(i int) Class {
 	if i < 0 || i >= len(b.cfg.Classes) {
-		return Class{Aim: probeEvery, Repeat: RepeatNever}
+		return Class{SetupTarget: probeInterval, Idempotency: NotIdempotent}
 	}
 	return b.cfg.Classes[i]
 }
 
-// merge brings the lists of backends up to date with discovery's news.
-func (b *Balancer) merge(kind ListKind, list []Backend) {
+// mergeBackends updates the backends from a list of discovery.
+func (b *Balancer) mergeBackends(kind ListKind, list []Backend) {
 	if kind != ListPatch {
 		named := make(map[string]bool, len(list))
 		for i := range list {
 			named[list[i].ID] = true
 		}
-		for _, k := range b.all {
+		for _, k := range b.backends {
 			if !named[k.ID] {
 				k.State = Gone
 			}
 		}
 	}
 	for i := range list {
-		b.member(&list[i])
+		b.updateBackend(&list[i])
 	}
-	kept := b.all[:0]
-	for _, k := range b.all {
+	kept := b.backends[:0]
+	for _, k := range b.backends {
 		if k.State == Gone {
 			delete(b.byID, k.ID)
 			continue
 		}
 		kept = append(kept, k)
 	}
-	clear(b.all[len(kept):])
-	b.all = kept
-	b.listReady()
+	clear(b.backends[len(kept):])
+	b.backends = kept
+	b.updateReady()
 }
 
-// listReady lists the backends that take new connections.
-func (b *Balancer) listReady() {
+// updateReady computes the list of the backends that accept new connections.
+func (b *Balancer) updateReady() {
 	b.ready = b.ready[:0]
-	for _, k := range b.all {
-		if b.takesNew(k) {
+	for _, k := range b.backends {
+		if b.acceptsNew(k) {
 			b.ready = append(b.ready, k)
 		}
 	}
 }
 
-// takesNew tells whether a backend takes new connections, by the list and by Restrict.
-func (b *Balancer) takesNew(k *backend) bool {
-	return k.State == Ready && (b.only == nil || slices.Contains(b.only, k.ID))
+// acceptsNew reports whether a backend is ready and Restrict allows new connections to it.
+func (b *Balancer) acceptsNew(k *backend) bool {
+	return k.State == Ready && (b.allowedIDs == nil || slices.Contains(b.allowedIDs, k.ID))
 }
 
-// Restrict has new connections go to these backends only, until it is called again: the list may be out of
-// date, and just these have shown since that they take new work. An empty list leaves none; nil lifts it.
+// Restrict limits new connections to the backends with these IDs until the next call: the list may
+// be out of date, and only these are known to have accepted new work since. An empty slice allows
+// no backend, nil allows all.
 func (b *Balancer) Restrict(to []string) {
-	b.only = to
-	b.listReady()
+	b.allowedIDs = to
+	b.updateReady()
 }
 
-// member takes one entry of a list.
-func (b *Balancer) member(m *Backend) {
+// updateBackend adds or updates the backend of one entry of a list.
+func (b *Balancer) updateBackend(m *Backend) {
 	k := b.byID[m.ID]
 	if k == nil {
 		if m.State == Gone {
 			return
 		}
-		k = &backend{Backend: *m, weight: fullWeight, hash: hash(m.ID)}
+		k = &backend{Backend: *m, weight: fullWeight, idHash: hash(m.ID)}
 		b.byID[m.ID] = k
-		b.all = append(b.all, k)
+		b.backends = append(b.backends, k)
 		return
 	}
-	if m.Boot.After(k.Boot) {
-		// A process that restarted under its id is another backend: what was known of it is void.
-		k.weight, k.strikes, k.until, k.told = fullWeight, 0, time.Time{}, time.Time{}
+	if m.StartTime.After(k.StartTime) {
+		// After a restart nothing that was known of the backend holds any more.
+		k.weight, k.consecutiveFailures, k.ejectedUntil, k.peerEjectedUntil =
+			fullWeight, 0, time.Time{}, time.Time{}
 	}
 	k.Backend = *m
 }
 
-// hold adds one to a backend's own count, drop takes it off again.
-func (b *Balancer) hold(r *request, k *backend) {
-	r.at, r.pos = k, len(k.held)
-	b.tenant(r, 1)
-	k.held = append(k.held, r)
+// assign adds a request to the connections and attempts of a backend; unassign removes it again.
+func (b *Balancer) assign(r *request, k *backend) {
+	r.backend, r.index = k, len(k.requests)
+	b.countTenant(r, 1)
+	k.requests = append(k.requests, r)
 }
 
-func (b *Balancer) drop(r *request) {
-	k, last := r.at, len(r.at.held)-1
-	k.held[r.pos] = k.held[last]
-	k.held[r.pos].pos = r.pos
-	k.held[last] = nil
-	k.held = k.held[:last]
-	k.fresh = min(k.fresh, last)
-	r.at = nil
-	b.tenant(r, -1)
+func (b *Balancer) unassign(r *request) {
+	k, last := r.backend, len(r.backend.requests)-1
+	k.requests[r.index] = k.requests[last]
+	k.requests[r.index].index = r.index
+	k.requests[last] = nil
+	k.requests = k.requests[:last]
+	k.unreported = min(k.unreported, last)
+	r.backend = nil
+	b.countTenant(r, -1)
 }
 
-func (b *Balancer) tenant(r *request, n int) {
-	if r.Tenant >= 0 && r.Tenant < len(b.tenants) {
-		b.tenants[r.Tenant] += n
+func (b *Balancer) countTenant(r *request, n int) {
+	if r.Tenant >= 0 && r.Tenant < len(b.tenantConnections) {
+		b.tenantConnections[r.Tenant] += n
 	}
 }
 
-// Thrifty says whether a request whose attempt failed has its final answer at once.
-func (b *Balancer) Thrifty(on bool) { b.thrifty = on }
+// DisableRetries sets whether a request whose attempt failed gets its final answer at once, with no
+// further attempt.
+func (b *Balancer) DisableRetries(on bool) { b.retriesDisabled = on }
 
-// shunned tells whether it failed of late, or left its last probe unanswered.
-func (k *backend) shunned(now time.Time) bool {
-	return k.missed || now.Before(k.until) || now.Before(k.told)
+// unhealthy reports whether the backend is ejected or its last probe failed.
+func (k *backend) unhealthy(now time.Time) bool {
+	return k.probeFailed || now.Before(k.ejectedUntil) || now.Before(k.peerEjectedUntil)
 }
 
-// Told has a backend count as one that failed of late until then, by what other relays know of it.
-func (b *Balancer) Told(id string, until time.Time) {
+// EjectUntil marks a backend as failing until a time, because of failures that other relays saw.
+func (b *Balancer) EjectUntil(id string, until time.Time) {
 	if k := b.byID[id]; k != nil {
-		k.told = until
+		k.peerEjectedUntil = until
 	}
 }
 
-// wantsBy returns the backend's recent wants, which fade within a probe period or so.
-func (k *backend) wantsBy(now time.Time) float64 {
-	return k.wants * math.Exp(-micros(now.Sub(k.wanted))/micros(probeEvery))
+// decayedDemand returns the demand at a time; it decays with a time constant of probeInterval.
+func (k *backend) decayedDemand(now time.Time) float64 {
+	return k.demand * math.Exp(-micros(now.Sub(k.demandAt))/micros(probeInterval))
 }
 
-// holds tells whether a connection of the group is known to be there.
-func (k *backend) holds(group string) bool {
-	for _, r := range k.held {
-		if r.open && r.Group == group {
+// hasGroup reports whether this relay has an open connection of the group on the backend.
+func (k *backend) hasGroup(group string) bool {
+	for _, r := range k.requests {
+		if r.established && r.Group == group {
 			return true
 		}
 	}
 	return false
 }
 
-// parted keeps in mind for a while where a connection is whose packets go elsewhere.
-func (b *Balancer) parted(now time.Time, r *request, k *backend) {
-	if b.cfg.Park <= 0 || r.Key == "" {
+// recordDetached records for a while the backend of a connection whose packets go to another relay.
+func (b *Balancer) recordDetached(now time.Time, r *request, k *backend) {
+	if b.cfg.DetachedTimeout <= 0 || r.Key == "" {
 		return
 	}
-	if now.Sub(b.cleared) > b.cfg.Park {
-		clear(b.left)
-		b.cleared = now
+	if now.Sub(b.detachedClearedAt) > b.cfg.DetachedTimeout {
+		clear(b.detached)
+		b.detachedClearedAt = now
 	}
-	b.left[r.Key] = k
+	b.detached[r.Key] = k
 }
 
-// forget ends a request to which nothing more happens.
-func (b *Balancer) forget(r *request) {
-	r.over = true
+// removeRequest drops the state of a request that is over.
+func (b *Balancer) removeRequest(r *request) {
+	r.answered = true
 	delete(b.requests, r.ID)
 }
 
-// micros and span turn spans into numbers and back, in whole microseconds, in which hosts count timers.
-func micros(d time.Duration) float64 { return float64(d / time.Microsecond) }
-func span(us float64) time.Duration  { return time.Duration(us) * time.Microsecond }
+// micros and fromMicros convert to and from whole microseconds, the unit of the host's timers.
+func micros(d time.Duration) float64      { return float64(d / time.Microsecond) }
+func fromMicros(us float64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// hash is FNV-1a; mix spreads its bits (the finalizer of SplitMix64).
+// hash is FNV-1a; mix spreads its bits with the finalizer of SplitMix64.
 func hash(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := 0; i < len(s); i++ {
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -111,7 +111,7 @@
 		from = routes.NoVersion // nobody can be served until a list is there
 	}
 	e.watch = routes.NewWatch(routes.WatchConfig{
-		Loop: c.Loop, Addr: c.Discovery, Seq: from, Processes: c.Settings.Config.Balancers, AskWithin: c.Settings.Config.Rules.AskWithin,
+		Loop: c.Loop, Addr: c.Discovery, Seq: from, Processes: c.Settings.Config.Relays, AskWithin: c.Settings.Config.Rules.MaxDiscoveryGap,
 		Pushed: pushed, Rand: rand.New(rand.NewPCG(c.Seed, 1)), Calls: &c.Count.Watches, OnResult: e.news,
 	})
 	e.startedAt = e.loop.Now()
@@ -166,7 +166,7 @@
 	if e.limits != nil {
 		var ok bool
 		x.under, ok = e.limits.Take(x.request.Class, x.request.Tenant, true)
-		if x.request.Beyond = !ok; !ok {
+		if x.request.OverLimit = !ok; !ok {
 			e.count.Beyond++
 		}
 	}
@@ -212,10 +212,10 @@
 	e.count.Exchanges++
 	x := &Exchange{id: e.last, name: o.ID, engine: e, client: c, deadline: e.loop.Now().Add(o.Wait)}
 	x.request = balance.Request{
-		ID: x.id, Class: class, Tenant: tenant, Key: o.Key, Again: o.Again,
-		Left: o.Wait - e.margin(o.Wait),
+		ID: x.id, Class: class, Tenant: tenant, Key: o.Key, Reconnect: o.Again,
+		Timeout: o.Wait - e.margin(o.Wait),
 	}
-	if e.set.Config.Groups {
+	if e.set.Config.GroupAffinity {
 		x.request.Group = o.Group
 	}
 	e.exchanges[x.id] = x
@@ -263,12 +263,14 @@
 	}
 	e.count.Overdue++
 	e.log.Printf("exchange %d: no answer from the module in time", x.id)
-	e.cutShort(x, e.set.Config.MaxAdvice)
+	e.cutShort(x, e.set.Config.MaxRetryAfter)
 }
 
 // Advice is what a refused client may be told of when to come again: not longer than the settings have it heeded, and nothing where
 // they do not pass it on.
-func (e *Engine) Advice(most time.Duration) time.Duration { return min(most, e.set.Config.MaxAdvice) }
+func (e *Engine) Advice(most time.Duration) time.Duration {
+	return min(most, e.set.Config.MaxRetryAfter)
+}
 
 // inOrder returns all exchanges, the first one first: what is done to many must not depend on the order of a map.
 func (e *Engine) inOrder() []*Exchange {
@@ -317,7 +319,7 @@
 	x.hops++
 	e.count.Hops++
 	if e.onHop != nil && x.adopt == "" {
-		e.onHop(x.request.Class, x.hops == 1 && !x.request.Again)
+		e.onHop(x.request.Class, x.hops == 1 && !x.request.Reconnect)
 	}
 	known := e.heardAt
 	if e.vouched != nil {
@@ -326,7 +328,7 @@
 		}
 	}
 	e.count.Aged(e.loop.Now().Sub(known))
-	if !to.StartedAt.IsZero() && e.loop.Now().Sub(to.StartedAt) < e.set.Config.Rules.WarmWithin {
+	if !to.StartedAt.IsZero() && e.loop.Now().Sub(to.StartedAt) < e.set.Config.Rules.WarmUpTime {
 		e.count.HopsCold++
 	}
 	x.client.Hop(to, wait)
@@ -412,7 +414,7 @@
 		e.count.HopOK++
 	case balance.Error:
 		e.count.HopError++
-	case balance.Full:
+	case balance.Rejected:
 		e.count.HopFull++
 	case balance.TimedOut:
 		e.count.HopTimeout++
