--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -98,9 +98,9 @@
 		f.look()
 	}
 	if slices.Contains(m.Duties, duty.Discovery) || len(m.Keepers) > 0 {
-		i.engine.OnNews(f.news)
+		i.engine.OnDiscoveryAnswer(f.news)
 		i.engine.Watch().SetGuide(f.guide)
-		i.engine.Vouched(func() time.Time {
+		i.engine.SetPeerConfirmation(func() time.Time {
 			_, at, _ := f.node.Latest(duty.Discovery)
 			return at
 		})
@@ -292,7 +292,7 @@
 		f.i.Count.ListsRefused++
 		return
 	}
-	f.i.engine.Hear(h.List)
+	f.i.engine.ApplyPeerList(h.List)
 	if h.Unknown > 0 {
 		f.i.engine.Watch().Soon()
 	}
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -38,7 +38,7 @@
 	Count  stats.Counters
 	loop   *poll.Loop
 	engine *proxy.Engine
-	front  *proxy.Lines
+	front  *proxy.LineFrontend
 	done   bool
 	fleet  *fleet
 }
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	i.front = proxy.NewLines(i.engine, c.Sockets)
+	i.front = proxy.NewLineFrontend(i.engine, c.Sockets)
 	listen := func() error { return i.front.Listen(c.Listen) }
 	if c.Retry != nil {
 		err = c.Retry(listen)
@@ -68,7 +68,7 @@
 		if i.fleet, err = newFleet(i, loop, c); err != nil {
 			return nil, err
 		}
-		i.front.SetShared(1)
+		i.front.SetSharedSockets(1)
 	}
 	c.Log.Printf("%s: serving at %s", c.Name, c.Listen)
 	return i, nil
@@ -91,7 +91,7 @@
 		if i.fleet != nil {
 			i.fleet.node.Leave() // what was kept for clients that stood
 			i.fleet.close()
-			i.front.SetShared(0)
+			i.front.SetSharedSockets(0)
 		}
 	})
 }
@@ -129,7 +129,7 @@
 
 // Reload moves the watch to another address of discovery and changes the limit of descriptors.
 func (i *Instance) Reload(discovery netip.AddrPort, sockets int) {
-	i.front.SetSockets(sockets)
+	i.front.SetMaxDescriptors(sockets)
 	i.engine.SetDiscovery(discovery)
 }
 
@@ -145,4 +145,4 @@
 func (i *Instance) Idle() bool { return i.front.Idle() }
 
 // Longest is the longest time that a planned stop may take.
-func Longest(s *settings.Settings) time.Duration { return proxy.Longest(s) }
+func Longest(s *settings.Settings) time.Duration { return proxy.StopTimeout(s) }
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -143,7 +143,7 @@
 // audit compares what is counted with the engine's exchanges.
 func (l *limits) audit() error {
 	for i, x := range l.list {
-		if n := l.f.i.engine.Under(1 << i); n != x.use {
+		if n := l.f.i.engine.CountUnderLimit(1 << i); n != x.use {
 			return fmt.Errorf("limit %s: %d are counted, %d exchanges are under it", x.Name, x.use, n)
 		}
 	}
@@ -185,7 +185,7 @@
 			continue
 		}
 		if over := x.use - l.capacity(now, x); over > 0 {
-			l.f.i.Count.Yielded += l.f.i.engine.Yield(1<<i, over)
+			l.f.i.Count.Yielded += l.f.i.engine.MoveUnderLimit(1<<i, over)
 		}
 	}
 }
--- a/internal/instance/probes.go
+++ b/internal/instance/probes.go
@@ -62,7 +62,7 @@
 	t := &poll.Timer{}
 	t.Fire = func() {
 		if p.client.Expire(target, seq) {
-			p.f.i.engine.ProbeAlone(target)
+			p.f.i.engine.ProbeDirectly(target)
 		}
 	}
 	p.f.loop.Arm(t, late)
@@ -80,9 +80,9 @@
 		rep, fresh, known := p.client.HandleResponse(now, d.Seq, a)
 		switch {
 		case fresh:
-			p.f.i.engine.Reported(a.Target, rep)
+			p.f.i.engine.PeerReported(a.Target, rep)
 		case known:
-			p.f.i.engine.ProbeAlone(a.Target)
+			p.f.i.engine.ProbeDirectly(a.Target)
 		}
 		return
 	}
@@ -95,7 +95,7 @@
 		p.answer(d.Lease, duty.Asker[netip.AddrPort]{To: from, Seq: d.Seq}, answer)
 	}
 	if probe {
-		p.f.i.engine.ProbeAlone(q.Target)
+		p.f.i.engine.ProbeDirectly(q.Target)
 	}
 }
 
--- a/internal/instance/retries.go
+++ b/internal/instance/retries.go
@@ -71,7 +71,7 @@
 	}
 	if thrifty := sum(furtherKey) > r.conf.Most(sum(firstKey)); thrifty != r.thrifty {
 		r.thrifty = thrifty
-		r.f.i.engine.Thrifty(thrifty)
+		r.f.i.engine.SetRetryBudgetSpent(thrifty)
 		r.f.i.Count.Thrifty++
 	}
 }
--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -57,26 +57,26 @@
 }
 
 // saw takes an outcome of this proxy's own.
-func (v *verdicts) saw(target string, o balance.Outcome, of proxy.Occasion) {
+func (v *verdicts) saw(target string, o balance.Outcome, of proxy.OutcomeSource) {
 	var c evidence.Counts
 	switch o {
 	case balance.OK:
 		switch of {
-		case proxy.OfHop:
+		case proxy.FromHop:
 			c.OK = 1
-		case proxy.OfProbe:
+		case proxy.FromProbe:
 			c.Seen = 1
 		default:
 			return // a connection that its client ended tells nothing new
 		}
 	case balance.Error, balance.Broken:
-		if of == proxy.OfProbe {
+		if of == proxy.FromProbe {
 			return // it may answer so many probes only
 		}
 		c.Fail = 1
 	case balance.TimedOut:
 		c.Slow = 1
-		if of == proxy.OfProbe {
+		if of == proxy.FromProbe {
 			c.Silent, c.Slow = 1, 0
 		}
 	case balance.NoConnect:
@@ -123,17 +123,17 @@
 		if x.Verdict == verdict.Returning && mine && !x.Tried {
 			until = time.Time{}
 		}
-		v.f.i.engine.Told(x.Target, until)
+		v.f.i.engine.AvoidUntil(x.Target, until)
 		if trial && x.Verdict != verdict.Failing && verdict.Turn(v.store.Me().Session, x.Target, span, members/probers) {
 			v.tried = now
 			v.f.i.Count.Trials++
-			v.f.i.engine.ProbeAlone(x.Target)
+			v.f.i.engine.ProbeDirectly(x.Target)
 		}
 	}
 	for _, id := range v.order {
 		if _, still := v.known[id]; !still {
 			v.f.i.Count.Acquitted++
-			v.f.i.engine.Told(id, time.Time{})
+			v.f.i.engine.AvoidUntil(id, time.Time{})
 			v.tell(Change{verdict.Finding{Target: id}, before[id].Verdict})
 		}
 	}
--- a/internal/proxy/alloc_test.go
+++ b/internal/proxy/alloc_test.go
@@ -4,8 +4,8 @@
 
 // Memory is scarce and lines are many: passing one on must not allocate.
 func TestNoAllocationPerLine(t *testing.T) {
-	b := newRealBed(t, 1, false)
-	client, target := b.stands("a")
+	b := newSocketTestBed(t, 1, false)
+	client, target := b.establish("a")
 	s := b.session()
 	h := s.hop
 	text := []byte("reading 7.25\r\n")
@@ -19,6 +19,6 @@
 	if n := testing.AllocsPerRun(100, step); n > 0 {
 		t.Errorf("%v allocations for a line each way", n)
 	}
-	b.until("all lines", func() bool { return len(client.got) == 102*len(text) && len(target.got) == 102*len(text) })
-	b.over(client)
+	b.waitFor("all lines", func() bool { return len(client.received) == 102*len(text) && len(target.received) == 102*len(text) })
+	b.checkReleased(client)
 }
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -9,7 +9,7 @@
 // Audit checks the engine's and the front's books against each other and against the loop's sockets, and returns the
 // first thing that does not fit, named by the rule that it breaks. It is for tests and emulated runs, between two turns
 // while nothing is pending; its cost grows with the number of exchanges.
-func (f *Lines) Audit() error {
+func (f *LineFrontend) Audit() error {
 	if f.engine.Pending() {
 		return nil // the module has not been told everything yet
 	}
@@ -24,14 +24,14 @@
 }
 
 // auditExchanges checks each exchange against its session and returns those with a hop out.
-func (f *Lines) auditExchanges() ([]*Exchange, error) {
+func (f *LineFrontend) auditExchanges() ([]*Exchange, error) {
 	var out []*Exchange
 	names := 0
 	for _, x := range f.engine.inOrder() {
-		if x.name != "" {
+		if x.clientID != "" {
 			names++
 		}
-		if x.out {
+		if x.hopActive {
 			out = append(out, x)
 		}
 		s, ours := x.client.(*session)
@@ -40,13 +40,13 @@
 			return nil, fmt.Errorf("one-final-answer: exchange %d has no answer and nothing that reminds of it", x.id)
 		case x.answered && x.timer.Armed():
 			return nil, fmt.Errorf("given-back: exchange %d is answered and its timer runs", x.id)
-		case x.answered && !x.out:
+		case x.answered && !x.hopActive:
 			return nil, fmt.Errorf("given-back: exchange %d is over and still in the table", x.id)
 		case !ours:
 			continue
-		case x.out != (s.hop != nil):
-			return nil, fmt.Errorf("counts: exchange %d: hop out %v, its session has one %v", x.id, x.out, s.hop != nil)
-		case x.standing && x.out && s.state != standing && s.state != closed:
+		case x.hopActive != (s.hop != nil):
+			return nil, fmt.Errorf("counts: exchange %d: hop out %v, its session has one %v", x.id, x.hopActive, s.hop != nil)
+		case x.established && x.hopActive && s.state != established && s.state != closed:
 			return nil, fmt.Errorf("counts: exchange %d stands, its session is in state %d", x.id, s.state)
 		case s.hop != nil && s.hop.link.sock == nil && !s.hop.timer.Armed():
 			return nil, fmt.Errorf("given-back: exchange %d has a hop without a socket and nothing that reminds of it", x.id)
@@ -60,10 +60,10 @@
 
 // auditCounts compares what the module counts at each target with the hops that are out there. A target that left the
 // table and came back is a new one to the module: what is out at the old one does not count.
-func (f *Lines) auditCounts(out []*Exchange) error {
+func (f *LineFrontend) auditCounts(out []*Exchange) error {
 	held := make(map[string]int)
 	for _, x := range out {
-		if now := f.engine.table.Find(x.target.ID); now != nil && now.Same(x.target) && (x.adopt == "" || x.standing) {
+		if now := f.engine.table.Find(x.target.ID); now != nil && now.Same(x.target) && (x.adoptTarget == "" || x.established) {
 			held[x.target.ID]++
 		}
 	}
@@ -79,7 +79,7 @@
 }
 
 // auditSockets compares the loop's sockets with those that somebody owns.
-func (f *Lines) auditSockets(out []*Exchange) error {
+func (f *LineFrontend) auditSockets(out []*Exchange) error {
 	hops := 0
 	for _, x := range out {
 		if s, ours := x.client.(*session); !ours || s.hop.link.sock != nil { // else this machine could not begin its connection yet
@@ -93,8 +93,8 @@
 		}
 		sessions++
 	}
-	for _, id := range slices.Sorted(maps.Keys(f.peers)) {
-		p := f.peers[id]
+	for _, id := range slices.Sorted(maps.Keys(f.targetStates)) {
+		p := f.targetStates[id]
 		if (p.state == probeNone) != (p.link.sock == nil) {
 			return fmt.Errorf("given-back: the probe of %s is in state %d, with a socket: %v", id, p.state, p.link.sock != nil)
 		}
@@ -102,7 +102,7 @@
 			probes++
 		}
 	}
-	own := f.engine.watch.Sockets() + f.shared
+	own := f.engine.watch.Sockets() + f.sharedSockets
 	if f.listener != nil && !f.listener.Closed() {
 		own++
 	}
@@ -114,4 +114,4 @@
 }
 
 // Idle tells whether nobody is left: no session, no exchange and no hop.
-func (f *Lines) Idle() bool { return len(f.sessions) == 0 && len(f.engine.exchanges) == 0 }
+func (f *LineFrontend) Idle() bool { return len(f.sessions) == 0 && len(f.engine.exchanges) == 0 }
--- a/internal/proxy/batch.go
+++ b/internal/proxy/batch.go
@@ -91,7 +91,7 @@
 	}
 	e.actions = e.actions[:0]
 	for _, x := range e.leaving {
-		if !x.out {
+		if !x.hopActive {
 			e.release(x)
 		}
 	}
@@ -137,12 +137,12 @@
 			e.release(x)
 		}
 	case acCancel:
-		if x != nil && x.out && !x.standing && a.attempt == x.hops-1 {
-			x.client.Drop()
+		if x != nil && x.hopActive && !x.established && a.attempt == x.hopCount-1 {
+			x.client.CancelHop()
 			x.Ended(balance.Cancelled, noReport)
 		}
 	case acMove:
-		if x != nil && x.out && x.standing {
+		if x != nil && x.hopActive && x.established {
 			if e.paceMove == nil || !e.drains(x.target.ID) || !e.paceMove(x.id) {
 				e.move(x)
 			}
@@ -184,12 +184,12 @@
 
 // send starts a hop. The client may have left, or the target may have stopped, since the module's last event.
 func (e *Engine) send(x *Exchange, a *action) {
-	if x == nil || x.out || x.held {
+	if x == nil || x.hopActive || x.held {
 		return
 	}
 	if x.answered { // the client left in this turn; each of the module's attempts has an end all the same
-		x.hops++
-		e.push(event{kind: evEnded, x: x, attempt: x.hops - 1, settled: true, outcome: balance.NotSent, report: noReport})
+		x.hopCount++
+		e.push(event{kind: evEnded, x: x, attempt: x.hopCount - 1, settled: true, outcome: balance.NotSent, report: noReport})
 		return
 	}
 	if e.holdSend(x, a) {
@@ -197,16 +197,16 @@
 	}
 	to := e.table.Find(a.target)
 	if to == nil || states[to.Health] != balance.Ready {
-		x.hops++
-		e.push(event{kind: evEnded, x: x, attempt: x.hops - 1, outcome: balance.NoConnect, report: noReport})
+		x.hopCount++
+		e.push(event{kind: evEnded, x: x, attempt: x.hopCount - 1, outcome: balance.NoConnect, report: noReport})
 		return
 	}
 	if trusted := e.trusts(to.ID, e.loop.Now(), 0); !trusted || !x.mayHop(e.loop.Now(), to) {
 		if !trusted {
 			e.count.ListsExpired++
 		}
-		x.hops++
-		e.push(event{kind: evEnded, x: x, attempt: x.hops - 1, outcome: balance.NotSent, report: noReport})
+		x.hopCount++
+		e.push(event{kind: evEnded, x: x, attempt: x.hopCount - 1, outcome: balance.NotSent, report: noReport})
 		return
 	}
 	e.hop(x, to, a.span)
--- a/internal/proxy/bed_test.go
+++ b/internal/proxy/bed_test.go
@@ -25,25 +25,25 @@
 	`"Report":{"Fields":["cpu","x0"]}}`
 
 // end is the far end of a connection, a client's or an egress target's, on the same loop as the proxy.
-type end struct {
-	sock  *poll.Socket
-	got   []byte
-	deaf  bool
-	eof   bool
-	reset bool
+type testConn struct {
+	sock       *poll.Socket
+	received   []byte
+	readPaused bool
+	eof        bool
+	reset      bool
 }
 
-func (e *end) Ready(r poll.Ready) {
+func (e *testConn) Ready(r poll.Ready) {
 	if e.eof && r.Hangup { // both directions are over, which is told without end
 		e.sock.Close()
 		return
 	}
-	if e.deaf || e.eof || e.reset {
+	if e.readPaused || e.eof || e.reset {
 		return
 	}
 	buf := make([]byte, 32<<10)
 	n, err := e.sock.Read(buf)
-	e.got = append(e.got, buf[:n]...)
+	e.received = append(e.received, buf[:n]...)
 	if err == io.EOF {
 		e.eof = true
 		e.sock.Want(false, false)
@@ -53,7 +53,7 @@
 	}
 }
 
-func (e *end) say(t testing.TB, text string) {
+func (e *testConn) write(t testing.TB, text string) {
 	t.Helper()
 	if n, err := e.sock.Write([]byte(text)); !e.reset && err == nil && n < len(text) {
 		t.Fatalf("wrote %d of %d bytes", n, len(text))
@@ -66,26 +66,26 @@
 }
 
 // bed is a proxy between ends that the test plays, all on one loop: in virtual time, or on real sockets.
-type bed struct {
-	t       testing.TB
-	world   *vnet.World // nil: real sockets
-	host    *vnet.Host
-	local   netip.AddrPort
-	raw     bool // the engine is not asked to deliver: the test looks at its events
-	loop    *poll.Loop
-	engine  *Engine
-	front   *Lines
-	count   stats.Counters
-	log     bytes.Buffer
-	hops    []*end // connections to the targets, in order
-	servers []*poll.Listener
-	base    int
-	text    string // its settings
+type testBed struct {
+	t              testing.TB
+	world          *vnet.World // nil: real sockets
+	host           *vnet.Host
+	local          netip.AddrPort
+	manualDelivery bool // the engine is not asked to deliver: the test looks at its events
+	loop           *poll.Loop
+	engine         *Engine
+	frontend       *LineFrontend
+	count          stats.Counters
+	log            bytes.Buffer
+	targetConns    []*testConn // connections to the targets, in order
+	servers        []*poll.Listener
+	baseSockets    int
+	settingsText   string // its settings
 }
 
-func newBed(t testing.TB, targets int, probes bool) *bed {
+func newTestBed(t testing.TB, targets int, probes bool) *testBed {
 	t.Helper()
-	b := &bed{t: t, world: vnet.New(1, nil), local: netip.MustParseAddrPort("10.0.0.1:0"), text: fmt.Sprintf(testSettings, probes)}
+	b := &testBed{t: t, world: vnet.New(1, nil), local: netip.MustParseAddrPort("10.0.0.1:0"), settingsText: fmt.Sprintf(testSettings, probes)}
 	b.host = b.world.AddHost("bed", b.local.Addr(), vnet.Limits{})
 	err := b.host.Start(func(k poll.Kernel) (func() error, error) {
 		b.loop = poll.NewOn(k, func() {})
@@ -96,50 +96,50 @@
 		t.Fatal(err)
 	}
 	b.settle()
-	b.base = b.loop.Open()
+	b.baseSockets = b.loop.Open()
 	return b
 }
 
 // watchConfig is for a watch on another discovery in place of the engine's own.
-func (b *bed) watchConfig(at netip.AddrPort) routes.WatchConfig {
+func (b *testBed) watchConfig(at netip.AddrPort) routes.WatchConfig {
 	return routes.WatchConfig{Loop: b.loop, Addr: at, Seq: 7, AskWithin: 3 * time.Second, Rand: rand.New(rand.NewPCG(1, 1)), Calls: &b.count.Watches, News: b.engine.news}
 }
 
 // newRealBed is newBed on real sockets.
-func newRealBed(t testing.TB, targets int, probes bool) *bed {
+func newSocketTestBed(t testing.TB, targets int, probes bool) *testBed {
 	t.Helper()
-	return newRealBedWith(t, targets, fmt.Sprintf(testSettings, probes))
+	return newSocketTestBedWithSettings(t, targets, fmt.Sprintf(testSettings, probes))
 }
 
 // newRealBedWith is newRealBed with other settings.
-func newRealBedWith(t testing.TB, targets int, text string) *bed {
+func newSocketTestBedWithSettings(t testing.TB, targets int, text string) *testBed {
 	t.Helper()
-	b := &bed{t: t, local: loopback(), text: text}
+	b := &testBed{t: t, local: loopback(), settingsText: text}
 	var err error
 	if b.loop, err = poll.New(func() {}); err != nil {
 		t.Fatal(err)
 	}
-	return b.begin(targets)
+	return b.start(targets)
 }
 
 // newRealBedOn is newRealBed without probes, on a kernel that is put around the real one.
-func newRealBedOn(t testing.TB, targets int, around func(poll.Kernel) poll.Kernel) *bed {
+func newSocketTestBedOnKernel(t testing.TB, targets int, around func(poll.Kernel) poll.Kernel) *testBed {
 	t.Helper()
 	kernel, err := poll.NewEpoll(poll.LinuxCalls())
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bed{t: t, local: loopback(), text: fmt.Sprintf(testSettings, false), loop: poll.NewOn(around(kernel), func() {})}
-	return b.begin(targets)
+	b := &testBed{t: t, local: loopback(), settingsText: fmt.Sprintf(testSettings, false), loop: poll.NewOn(around(kernel), func() {})}
+	return b.start(targets)
 }
 
 // begin makes the proxy on its loop.
-func (b *bed) begin(targets int) *bed {
+func (b *testBed) start(targets int) *testBed {
 	b.build(targets)
 	b.settle()
-	b.base = b.loop.Open()
+	b.baseSockets = b.loop.Open()
 	b.t.Cleanup(func() {
-		for _, l := range append(b.servers, b.front.listener) {
+		for _, l := range append(b.servers, b.frontend.listener) {
 			l.Close()
 		}
 		b.loop.Close()
@@ -148,8 +148,8 @@
 }
 
 // step is one turn.
-func (b *bed) step() error {
-	if b.raw {
+func (b *testBed) step() error {
+	if b.manualDelivery {
 		return b.loop.Turn(true)
 	}
 	b.engine.Deliver()
@@ -157,13 +157,13 @@
 }
 
 // build makes the proxy and its targets.
-func (b *bed) build(targets int) {
+func (b *testBed) build(targets int) {
 	t, local := b.t, b.local
 	known := &routes.List{Whole: true}
 	for i := range targets {
 		l, err := b.loop.Listen(local, func(s *poll.Socket, _ bool) poll.Handler {
-			h := &end{sock: s}
-			b.hops = append(b.hops, h)
+			h := &testConn{sock: s}
+			b.targetConns = append(b.targetConns, h)
 			return h
 		})
 		if err != nil {
@@ -172,7 +172,7 @@
 		b.servers = append(b.servers, l)
 		known.Hosts = append(known.Hosts, &routes.Target{ID: fmt.Sprint("s", i), Addr: l.Addr(), Site: "z"})
 	}
-	set, err := settings.Decode([]byte(b.text))
+	set, err := settings.Decode([]byte(b.settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,24 +182,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.front = NewLines(b.engine, 0)
-	if err := b.front.Listen(local); err != nil {
+	b.frontend = NewLineFrontend(b.engine, 0)
+	if err := b.frontend.Listen(local); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // now is the time of the bed's world.
-func (b *bed) now() time.Time {
+func (b *testBed) now() time.Time {
 	if b.world != nil {
 		return b.world.Now()
 	}
 	return time.Now()
 }
 
-func (b *bed) since(begin time.Time) time.Duration { return b.now().Sub(begin) }
+func (b *testBed) since(begin time.Time) time.Duration { return b.now().Sub(begin) }
 
 // settle turns the loop until all that the last step set off has come through.
-func (b *bed) settle() {
+func (b *testBed) settle() {
 	if b.world != nil {
 		b.loop.Wake() // the test may have armed timers
 		if err := b.world.Run(time.Millisecond); err != nil {
@@ -216,7 +216,7 @@
 }
 
 // until turns the loop until something holds.
-func (b *bed) until(what string, holds func() bool) {
+func (b *testBed) waitFor(what string, holds func() bool) {
 	b.t.Helper()
 	for begin := b.now(); !holds(); {
 		b.settle()
@@ -229,10 +229,10 @@
 	}
 }
 
-func (b *bed) client() *end {
+func (b *testBed) dialClient() *testConn {
 	b.t.Helper()
-	c := &end{}
-	sock, err := b.loop.Dial(b.front.listener.Addr(), c)
+	c := &testConn{}
+	sock, err := b.loop.Dial(b.frontend.listener.Addr(), c)
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -243,9 +243,9 @@
 }
 
 // asked returns the hop that carries the client's first line.
-func (b *bed) asked(id string) *end {
-	for _, h := range b.hops {
-		if !h.reset && strings.HasPrefix(string(h.got), "OPEN "+id+" ") {
+func (b *testBed) requestConn(id string) *testConn {
+	for _, h := range b.targetConns {
+		if !h.reset && strings.HasPrefix(string(h.received), "OPEN "+id+" ") {
 			return h
 		}
 	}
@@ -253,26 +253,26 @@
 }
 
 // stands opens a connection through the proxy and returns both its ends.
-func (b *bed) stands(id string) (client, target *end) {
+func (b *testBed) establish(id string) (client, target *testConn) {
 	b.t.Helper()
-	client = b.client()
-	client.say(b.t, "OPEN "+id+" k c=c,d=2000,g=1\r\n")
-	b.until("the hop", func() bool { target = b.asked(id); return target != nil })
-	target.say(b.t, "UP r-"+id+"\r\n")
-	b.until("UP", func() bool { return string(client.got) == "UP r-"+id+"\r\n" })
-	client.got, target.got = nil, nil
+	client = b.dialClient()
+	client.write(b.t, "OPEN "+id+" k c=c,d=2000,g=1\r\n")
+	b.waitFor("the hop", func() bool { target = b.requestConn(id); return target != nil })
+	target.write(b.t, "UP r-"+id+"\r\n")
+	b.waitFor("UP", func() bool { return string(client.received) == "UP r-"+id+"\r\n" })
+	client.received, target.received = nil, nil
 	return client, target
 }
 
 // over checks that everything was given back once the far ends are closed.
-func (b *bed) over(ends ...*end) {
+func (b *testBed) checkReleased(ends ...*testConn) {
 	b.t.Helper()
-	for _, e := range append(ends, b.hops...) {
+	for _, e := range append(ends, b.targetConns...) {
 		if e != nil {
 			e.sock.Close()
 		}
 	}
-	b.until("all given back", func() bool {
-		return len(b.front.sessions) == 0 && len(b.engine.exchanges) == 0 && b.loop.Open() == b.base
+	b.waitFor("all given back", func() bool {
+		return len(b.frontend.sessions) == 0 && len(b.engine.exchanges) == 0 && b.loop.Open() == b.baseSockets
 	})
 }
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -34,19 +34,19 @@
 }
 
 // free tells how many descriptors are left; limited is false where there is no limit.
-func (f *Lines) free() (n int, limited bool) {
-	return f.sockets - f.loop.Open(), f.sockets > 0
+func (f *LineFrontend) free() (n int, limited bool) {
+	return f.maxDescriptors - f.loop.Open(), f.maxDescriptors > 0
 }
 
 // makeRoom closes idle connections, the oldest first, until more than so many descriptors are free, and tells whether they are.
 // Hundreds of clients that say nothing must not keep out the one that has a request.
-func (f *Lines) makeRoom(kept int) bool {
+func (f *LineFrontend) makeRoom(kept int) bool {
 	for {
 		free, limited := f.free()
 		if !limited || free >= kept {
 			return true
 		}
-		oldest := f.idling.Front()
+		oldest := f.idleConns.Front()
 		if oldest == nil {
 			return false
 		}
@@ -64,40 +64,40 @@
 func (p *pendingAttempts) add(n int) { p.n = max(p.n+n, 0) }
 
 // attemptsToCome tells how many descriptors the clients that wait will need.
-func (f *Lines) attemptsToCome() int {
+func (f *LineFrontend) attemptsToCome() int {
 	if free, limited := f.free(); !limited || free >= keptFromClients+len(f.sessions) {
 		return 0
 	}
-	if now := f.loop.Now(); !now.Equal(f.pending.at) {
-		f.pending = pendingAttempts{at: now}
+	if now := f.loop.Now(); !now.Equal(f.pendingAttempts.at) {
+		f.pendingAttempts = pendingAttempts{at: now}
 		for _, s := range f.sessions {
 			if s.state == waiting && (s.hop == nil || s.hop.link.sock == nil) {
-				f.pending.n++
+				f.pendingAttempts.n++
 			}
 		}
 	}
-	return f.pending.n
+	return f.pendingAttempts.n
 }
 
 // roomForAttempt tells whether a request that comes now would find a descriptor for its attempt, once all that is idle is closed.
-func (f *Lines) roomForAttempt() bool {
+func (f *LineFrontend) roomForAttempt() bool {
 	free, limited := f.free()
-	return !limited || free+f.idling.Len() >= keptFromAttempts+f.attemptsToCome()+1
+	return !limited || free+f.idleConns.Len() >= keptFromAttempts+f.attemptsToCome()+1
 }
 
 // mayMakeRoom puts a session at the young end of the idle connections; keep takes it out.
-func (f *Lines) mayMakeRoom(s *session) {
-	if s.idle == nil {
-		s.idle = f.idling.PushBack(s)
+func (f *LineFrontend) mayMakeRoom(s *session) {
+	if s.idleElement == nil {
+		s.idleElement = f.idleConns.PushBack(s)
 	} else {
-		f.idling.MoveToBack(s.idle)
+		f.idleConns.MoveToBack(s.idleElement)
 	}
 }
 
-func (f *Lines) keep(s *session) {
-	if s.idle != nil {
-		f.idling.Remove(s.idle)
-		s.idle = nil
+func (f *LineFrontend) keep(s *session) {
+	if s.idleElement != nil {
+		f.idleConns.Remove(s.idleElement)
+		s.idleElement = nil
 	}
 }
 
@@ -106,28 +106,28 @@
 	if s.state == opening {
 		s.read()
 	}
-	if s.idle != nil {
-		s.front.turnAway(s)
+	if s.idleElement != nil {
+		s.frontend.turnAway(s)
 	}
 }
 
 // makeRoom closes a connection that waits for the next probe.
-func (p *peer) makeRoom() { p.hangUp() }
+func (p *targetState) makeRoom() { p.closeConn() }
 
 // turnAway ends a connection to which nothing but a refusal is owed, for want of a descriptor. What has arrived is read first: a
 // connection that is closed with unread bytes is reset, and the answer may be lost with that.
-func (f *Lines) turnAway(s *session) {
-	s.link.skim(f.scratch, spillMost) // of one that has its last line, that may still be on its way
+func (f *LineFrontend) turnAway(s *session) {
+	s.link.discard(f.scratch, maxDiscard) // of one that has its last line, that may still be on its way
 	if s.state == opening {
 		f.countFull()
-		_ = s.link.write(busy(f.engine.Advice(fullAdvice)))
+		_ = s.link.write(busy(f.engine.RetryAfter(fullAdvice)))
 	}
 	s.close()
 }
 
 // countFull counts a client that is refused for want of a descriptor, and logs the first one.
-func (f *Lines) countFull() {
+func (f *LineFrontend) countFull() {
 	if f.count.Full++; f.count.Full == 1 {
-		f.log.Printf("out of descriptors: %d open of %d", f.loop.Open(), f.sockets)
+		f.log.Printf("out of descriptors: %d open of %d", f.loop.Open(), f.maxDescriptors)
 	}
 }
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -36,8 +36,8 @@
 	done  func()
 }
 
-// Longest is the time from SIGTERM to SIGKILL, by the platform's rule.
-func Longest(set *settings.Settings) time.Duration {
+// StopTimeout is the time from SIGTERM to SIGKILL, by the platform's rule.
+func StopTimeout(set *settings.Settings) time.Duration {
 	longest := time.Duration(0)
 	for _, w := range set.Waits {
 		longest = max(longest, min(w, longestCounted))
@@ -46,22 +46,22 @@
 }
 
 // Drain begins a planned stop; done is called when no client is left, or time is.
-func (f *Lines) Drain(done func()) {
+func (f *LineFrontend) Drain(done func()) {
 	if f.drain.on {
 		return
 	}
 	now := f.loop.Now()
-	f.drain = drain{on: true, begin: now, kill: now.Add(Longest(f.set)), done: done}
+	f.drain = drain{on: true, begin: now, kill: now.Add(StopTimeout(f.settings)), done: done}
 	f.drain.timer.Fire = f.drainStep
 	f.log.Printf("stopping: %d sessions", len(f.sessions))
 	f.loop.After(&f.drain.timer, drainStep)
 }
 
-func (f *Lines) drainStep() {
+func (f *LineFrontend) drainStep() {
 	d := &f.drain
 	now := f.loop.Now()
 	if now.After(d.kill.Add(-answersDone)) {
-		f.engine.Shutdown(f.engine.Advice(drainAdvice))
+		f.engine.Shutdown(f.engine.RetryAfter(drainAdvice))
 	}
 	f.moveSome(now)
 	if !d.shut && (now.Sub(d.begin) > lateClients && f.idle() || now.After(d.shutBy())) {
@@ -93,9 +93,9 @@
 }
 
 // idle tells whether nobody waits or stands.
-func (f *Lines) idle() bool {
+func (f *LineFrontend) idle() bool {
 	for _, s := range f.sessions {
-		if s.state == waiting || s.state == standing {
+		if s.state == waiting || s.state == established {
 			return false
 		}
 	}
@@ -103,7 +103,7 @@
 }
 
 // shut takes nothing any more: each request that is there is read and refused, and one that is still on its way finds its refusal.
-func (f *Lines) shut() {
+func (f *LineFrontend) shut() {
 	f.drain.shut = true
 	f.closeListener()
 }
@@ -111,7 +111,7 @@
 // closeListener takes what waits to be accepted, closes the listener and ends the connections that have not asked for anything. A
 // request counts as taken once its last byte is written to a connection that the machine has accepted. The listener stays open
 // while there are no descriptors, or no memory, for what may still wait there.
-func (f *Lines) closeListener() {
+func (f *LineFrontend) closeListener() {
 	if f.listener.AcceptAll() {
 		f.listener.Close()
 	}
@@ -120,29 +120,29 @@
 			s.read()
 		}
 		if s.state == opening {
-			s.last(busy(f.engine.Advice(drainAdvice)))
+			s.closeAfter(busy(f.engine.RetryAfter(drainAdvice)))
 		}
 	}
 }
 
 // cutOff closes what is left when time is over. What has arrived is read first, so that no last line is lost to a reset.
-func (f *Lines) cutOff() {
+func (f *LineFrontend) cutOff() {
 	for _, s := range slices.Clone(f.sessions) {
-		s.link.skim(f.scratch, spillMost)
+		s.link.discard(f.scratch, maxDiscard)
 		s.close()
 	}
 }
 
 // moveSome moves as many standing connections as keeps their number falling evenly. While new clients may still
 // come nobody is moved: who was sent away then would come back here, and be moved again.
-func (f *Lines) moveSome(now time.Time) {
+func (f *LineFrontend) moveSome(now time.Time) {
 	t := &f.engine.tuning
 	if now.Sub(f.drain.begin) < lateClients || now.Before(f.drain.kill.Add(-t.MovesDone-t.MovesSpan)) {
 		return
 	}
 	var stand []*session
 	for _, s := range f.sessions {
-		if s.state == standing && !s.gone {
+		if s.state == established && !s.clientEOF {
 			stand = append(stand, s)
 		}
 	}
@@ -156,6 +156,6 @@
 	for _, s := range stand[:n] {
 		f.count.Moves++
 		s.Move()
-		s.x.Ended(balance.Cancelled, noReport)
+		s.exchange.Ended(balance.Cancelled, noReport)
 	}
 }
--- a/internal/proxy/effect.go
+++ b/internal/proxy/effect.go
@@ -34,20 +34,20 @@
 
 // mayHop tells whether a further hop to a target may be written at a time.
 func (x *Exchange) mayHop(now time.Time, to *routes.Target) bool {
-	if x.ran == nil {
+	if x.maybeRanOn == nil {
 		return true
 	}
 	c := x.class()
-	hop, _ := permits(c, true, now.Sub(x.ranAt), near(c.Scope, x.ran, to))
+	hop, _ := permits(c, true, now.Sub(x.maybeRanSentAt), near(c.Scope, x.maybeRanOn, to))
 	return hop
 }
 
 // mayShed tells whether the client may be refused now and come again after a while. A hop that is out counts as one that may
 // have run once any of it was written; see Client.Recall for one that was not.
 func (x *Exchange) mayShed(after time.Duration) bool {
-	since := x.ranAt
-	if x.ran == nil {
-		if !x.out || x.sentAt.IsZero() {
+	since := x.maybeRanSentAt
+	if x.maybeRanOn == nil {
+		if !x.hopActive || x.sentAt.IsZero() {
 			return true
 		}
 		since = x.sentAt
@@ -56,14 +56,14 @@
 	return shed
 }
 
-// Sending is called just before the first byte of a hop is written, and tells whether it may be: the client may have left, the
+// BeginSend is called just before the first byte of a hop is written, and tells whether it may be: the client may have left, the
 // window of the class be over or the target have stopped since the hop began. If not, the hop is to end as balance.NotSent.
-func (x *Exchange) Sending() bool {
+func (x *Exchange) BeginSend() bool {
 	now := x.engine.loop.Refresh()
 	if x.answered {
 		return false
 	}
-	if x.adopt == "" {
+	if x.adoptTarget == "" {
 		to := x.engine.table.Find(x.target.ID)
 		grace := max(x.engine.set.DrainGrace-graceMargin, 0)
 		if to == nil || states[to.Health] != balance.Ready || !x.mayHop(now, x.target) || !x.engine.trusts(to.ID, now, grace) {
@@ -80,7 +80,7 @@
 	x.answered = true
 	if refuse && x.mayShed(after) {
 		e.count.Shed++
-		x.client.Shed(after)
+		x.client.Refuse(after)
 	} else {
 		e.count.Failed++
 		x.client.Fail()
@@ -94,17 +94,17 @@
 		return
 	}
 	var o balance.Outcome
-	hop := x.out
+	hop := x.hopActive
 	if hop {
-		if o = balance.NotSent; x.client.Recall() {
+		if o = balance.NotSent; x.client.CancelUnsent() {
 			x.sentAt = time.Time{}
 		} else {
 			o = balance.Cancelled
-			x.client.Drop()
+			x.client.CancelHop()
 		}
 	}
 	e.answer(x, true, after)
-	if x.adopt == "" {
+	if x.adoptTarget == "" {
 		e.push(event{kind: evLeft, x: x})
 	}
 	e.dropHeld(x)
--- a/internal/proxy/effects_test.go
+++ b/internal/proxy/effects_test.go
@@ -56,14 +56,14 @@
 var placed = map[string][]int{"free": {0, 1, 2, 3}, "all": {0, 1, 2, 3}, "zone": {0, 1}, "cell": {0, 2}}
 
 // effectBed is a proxy whose table names four targets of which the module does not know.
-func effectBed(t *testing.T, kind string) *bed {
+func effectBed(t *testing.T, kind string) *testBed {
 	t.Helper()
-	b := newRealBedWith(t, 0, changed(t, `"Repeat":"free"`, effectKinds[kind], `"Cancel":true`, `"Cancel":false`))
+	b := newSocketTestBedWithSettings(t, 0, changed(t, `"Repeat":"free"`, effectKinds[kind], `"Cancel":true`, `"Cancel":false`))
 	list := &routes.List{Seq: 1}
 	for i := range 4 {
 		l, err := b.loop.Listen(b.local, func(s *poll.Socket, _ bool) poll.Handler {
-			h := &end{sock: s}
-			b.hops = append(b.hops, h)
+			h := &testConn{sock: s}
+			b.targetConns = append(b.targetConns, h)
 			return h
 		})
 		if err != nil {
@@ -73,12 +73,12 @@
 		list.Hosts = append(list.Hosts, &routes.Target{ID: fmt.Sprint("s", i), Addr: l.Addr(), Site: string("zy"[i/2]), Block: i % 2})
 	}
 	b.engine.table.Merge(list)
-	b.base = b.loop.Open()
+	b.baseSockets = b.loop.Open()
 	return b
 }
 
 // brought has the first target bring a request into a state.
-func (b *bed) brought(x *Exchange, state int) {
+func (b *testBed) brought(x *Exchange, state int) {
 	b.t.Helper()
 	s := hopStates[state]
 	if s.name == "held" {
@@ -88,8 +88,8 @@
 	if s.name == "dialling" {
 		return
 	}
-	var h *end
-	b.until("the hop", func() bool { h = b.asked("a"); return h != nil })
+	var h *testConn
+	b.waitFor("the hop", func() bool { h = b.requestConn("a"); return h != nil })
 	switch {
 	case s.out:
 		return
@@ -99,18 +99,18 @@
 	case s.word == "end":
 		h.sock.Close()
 	default:
-		h.say(b.t, s.word)
+		h.write(b.t, s.word)
 		if s.name == "half a word and the end" {
 			h.sock.Close()
 		}
 	}
-	b.until("the end of the hop", func() bool { return !x.out })
+	b.waitFor("the end of the hop", func() bool { return !x.hopActive })
 }
 
 // age has the window be over where the kind says so.
 func age(kind string, x *Exchange) {
 	if strings.HasSuffix(kind, ", over") {
-		x.ranAt, x.sentAt = x.ranAt.Add(-time.Minute), x.sentAt.Add(-time.Minute)
+		x.maybeRanSentAt, x.sentAt = x.maybeRanSentAt.Add(-time.Minute), x.sentAt.Add(-time.Minute)
 	}
 }
 
@@ -124,7 +124,7 @@
 				}
 				t.Run(fmt.Sprintf("%s/%s/%s", kind, s.name, who), func(t *testing.T) {
 					b := effectBed(t, kind)
-					c := b.client()
+					c := b.dialClient()
 					x := b.open(c, "a")
 					b.brought(x, state)
 					age(kind, x)
@@ -140,20 +140,20 @@
 					default:
 						c.sock.CloseWrite()
 					}
-					b.until("an answer", func() bool { return c.eof || c.reset })
+					b.waitFor("an answer", func() bool { return c.eof || c.reset })
 					want := "BUSY\r\n"
 					if who == "fail" || s.ran && !slices.Contains(refusable, kind) {
 						want = "ERR\r\n"
 					}
-					if string(c.got) != want || c.reset {
-						t.Errorf("the client got %q, want %q", c.got, want)
+					if string(c.received) != want || c.reset {
+						t.Errorf("the client got %q, want %q", c.received, want)
 					}
-					for i, h := range b.hops { // nothing more is sent, and what was dialling is not sent either
-						if n := strings.Count(string(h.got), "OPEN"); n > 1 || n == 1 && s.name == "dialling" {
-							t.Errorf("connection %d was sent %q", i, h.got)
+					for i, h := range b.targetConns { // nothing more is sent, and what was dialling is not sent either
+						if n := strings.Count(string(h.received), "OPEN"); n > 1 || n == 1 && s.name == "dialling" {
+							t.Errorf("connection %d was sent %q", i, h.received)
 						}
 					}
-					b.over(c)
+					b.checkReleased(c)
 				})
 			}
 		}
@@ -174,18 +174,18 @@
 			var got []int
 			for to := range 4 {
 				b := effectBed(t, kind)
-				c := b.client()
+				c := b.dialClient()
 				x := b.open(c, "a")
 				b.brought(x, state)
 				age(kind, x)
-				before := len(b.hops)
+				before := len(b.targetConns)
 				b.engine.carryOut(&action{kind: acSend, id: x.id, target: fmt.Sprint("s", to), span: time.Second})
 				b.settle()
-				if x.out {
-					b.until("the hop", func() bool { return len(b.hops) > before && len(b.hops[before].got) > 0 })
+				if x.hopActive {
+					b.waitFor("the hop", func() bool { return len(b.targetConns) > before && len(b.targetConns[before].received) > 0 })
 					got = append(got, to)
 				}
-				b.over(c)
+				b.checkReleased(c)
 			}
 			if !slices.Equal(got, want) {
 				t.Errorf("%s, %s: sent on to %v, want %v", kind, s.name, got, want)
@@ -198,13 +198,13 @@
 func TestAdviceEndsWithinTheWindow(t *testing.T) {
 	for after, want := range map[time.Duration]string{59 * time.Second: "BUSY 59000\r\n", time.Minute: "ERR\r\n"} {
 		b := effectBed(t, "all")
-		c := b.client()
+		c := b.dialClient()
 		x := b.open(c, "a")
 		b.brought(x, 4)
 		b.engine.carryOut(&action{kind: acRefuse, id: x.id, span: after})
-		b.until("an answer", func() bool { return c.eof })
-		if string(c.got) != want {
-			t.Errorf("%v: got %q", after, c.got)
+		b.waitFor("an answer", func() bool { return c.eof })
+		if string(c.received) != want {
+			t.Errorf("%v: got %q", after, c.received)
 		}
 	}
 	if hop, shed := permits(balance.Class{Repeat: balance.RepeatKeyed, Window: time.Second}, true, time.Second, true); hop || shed {
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -67,7 +67,7 @@
 	onProbed  func(target string, ok bool, rep balance.Report)
 	limits    Limits // nil: none
 	onHop     func(class int, first bool)
-	onOutcome func(target string, o balance.Outcome, of Occasion)
+	onOutcome func(target string, o balance.Outcome, of OutcomeSource)
 	startedAt time.Time
 	heardAt   time.Time // of discovery's last answer
 	listWait  listWait
@@ -154,8 +154,8 @@
 	ErrTenant = errors.New("proxy: unknown tenant")
 )
 
-// Take takes a client's request.
-func (e *Engine) Take(c Client, o Offer) (*Exchange, error) {
+// Accept takes a client's request.
+func (e *Engine) Accept(c Client, o ClientRequest) (*Exchange, error) {
 	if class, ok := e.set.Classes[o.Class]; ok && e.set.Waits[class] > 0 {
 		o.Wait = min(o.Wait, e.set.Waits[class]) // no client of the class waits longer, whatever it says
 	}
@@ -165,7 +165,7 @@
 	}
 	if e.limits != nil {
 		var ok bool
-		x.under, ok = e.limits.Take(x.request.Class, x.request.Tenant, true)
+		x.limitBits, ok = e.limits.Take(x.request.Class, x.request.Tenant, true)
 		if x.request.Beyond = !ok; !ok {
 			e.count.Beyond++
 		}
@@ -176,7 +176,7 @@
 
 // Adopt takes a connection that an egress target holds since before the start. The module hears of it once it
 // stands; no other target can take it.
-func (e *Engine) Adopt(c Client, o Offer, id string) (*Exchange, error) {
+func (e *Engine) Adopt(c Client, o ClientRequest, id string) (*Exchange, error) {
 	if o.Wait = min(o.Wait, adoptMost); e.table.Find(id) == nil {
 		o.Wait = min(o.Wait, adoptUnknown)
 	}
@@ -185,15 +185,15 @@
 		return nil, err
 	}
 	// The hop starts with the others: one that fails at once must find the caller holding its exchange.
-	x.adopt = id
+	x.adoptTarget = id
 	if e.limits != nil { // it stands already: it is counted, and not refused
-		x.under, _ = e.limits.Take(x.request.Class, x.request.Tenant, false)
+		x.limitBits, _ = e.limits.Take(x.request.Class, x.request.Tenant, false)
 	}
 	e.actions = append(e.actions, action{kind: acAdopt, id: x.id})
 	return x, nil
 }
 
-func (e *Engine) add(c Client, o Offer) (*Exchange, error) {
+func (e *Engine) add(c Client, o ClientRequest) (*Exchange, error) {
 	class, ok := e.set.Classes[o.Class]
 	if !ok {
 		return nil, ErrClass
@@ -210,7 +210,7 @@
 	}
 	e.last++
 	e.count.Exchanges++
-	x := &Exchange{id: e.last, name: o.ID, engine: e, client: c, deadline: e.loop.Now().Add(o.Wait)}
+	x := &Exchange{id: e.last, clientID: o.ID, engine: e, client: c, deadline: e.loop.Now().Add(o.Wait)}
 	x.request = balance.Request{
 		ID: x.id, Class: class, Tenant: tenant, Key: o.Key, Again: o.Again,
 		Left: o.Wait - e.margin(o.Wait),
@@ -247,12 +247,12 @@
 // given back.
 func (e *Engine) release(x *Exchange) {
 	e.loop.Disarm(&x.timer)
-	if e.limits != nil && x.under != 0 {
-		e.limits.Release(x.under)
-		x.under = 0
+	if e.limits != nil && x.limitBits != 0 {
+		e.limits.Release(x.limitBits)
+		x.limitBits = 0
 	}
 	delete(e.exchanges, x.id)
-	delete(e.ids, x.name)
+	delete(e.ids, x.clientID)
 }
 
 // overdue answers a client whose time is nearly up. The module's own time ends earlier, so that this is the
@@ -266,9 +266,11 @@
 	e.cutShort(x, e.set.Config.MaxAdvice)
 }
 
-// Advice is what a refused client may be told of when to come again: not longer than the settings have it heeded, and nothing where
+// RetryAfter is what a refused client may be told of when to come again: not longer than the settings have it heeded, and nothing where
 // they do not pass it on.
-func (e *Engine) Advice(most time.Duration) time.Duration { return min(most, e.set.Config.MaxAdvice) }
+func (e *Engine) RetryAfter(most time.Duration) time.Duration {
+	return min(most, e.set.Config.MaxAdvice)
+}
 
 // inOrder returns all exchanges, the first one first: what is done to many must not depend on the order of a map.
 func (e *Engine) inOrder() []*Exchange {
@@ -283,7 +285,7 @@
 }
 
 func (e *Engine) tryAdopt(x *Exchange) {
-	to := e.table.Find(x.adopt)
+	to := e.table.Find(x.adoptTarget)
 	if to == nil {
 		e.adoptAgain(x, balance.NoConnect)
 		return
@@ -313,11 +315,11 @@
 }
 
 func (e *Engine) hop(x *Exchange, to *routes.Target, wait time.Duration) {
-	x.target, x.out, x.sentAt = to, true, time.Time{}
-	x.hops++
+	x.target, x.hopActive, x.sentAt = to, true, time.Time{}
+	x.hopCount++
 	e.count.Hops++
-	if e.onHop != nil && x.adopt == "" {
-		e.onHop(x.request.Class, x.hops == 1 && !x.request.Again)
+	if e.onHop != nil && x.adoptTarget == "" {
+		e.onHop(x.request.Class, x.hopCount == 1 && !x.request.Again)
 	}
 	known := e.heardAt
 	if e.vouched != nil {
@@ -341,7 +343,7 @@
 		}
 	}
 	e.push(event{kind: evProbed, target: id, outcome: o, report: rep})
-	e.saw(id, o, OfProbe)
+	e.saw(id, o, FromProbe)
 	if e.onProbed != nil {
 		e.onProbed(id, o == balance.OK, rep)
 	}
@@ -400,7 +402,7 @@
 // connecting could be sent after the time that the rules leave for that.
 func (e *Engine) recall(id string) {
 	for _, x := range e.inOrder() {
-		if x.out && !x.standing && x.adopt == "" && x.target.ID == id && x.client.Recall() {
+		if x.hopActive && !x.established && x.adoptTarget == "" && x.target.ID == id && x.client.CancelUnsent() {
 			x.Ended(balance.NoConnect, noReport)
 		}
 	}
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -14,64 +14,64 @@
 
 // The module holds a request until its time ends. A process that did not run for 100 ms just then left two
 // clients without an answer when the margin was 20 ms.
-func TestAnswerLeavesInTime(t *testing.T) {
-	b := newBed(t, 0, false)
-	x, _ := b.engine.add(nil, Offer{Class: "c", Wait: 2 * time.Second})
+func TestAnswerMargin(t *testing.T) {
+	b := newTestBed(t, 0, false)
+	x, _ := b.engine.add(nil, ClientRequest{Class: "c", Wait: 2 * time.Second})
 	if left := x.request.Left; left > 1850*time.Millisecond || left < 1500*time.Millisecond {
 		t.Errorf("of 2 s the module may use %v", left)
 	}
-	x, _ = b.engine.add(nil, Offer{Class: "c", Wait: 80 * time.Millisecond})
+	x, _ = b.engine.add(nil, ClientRequest{Class: "c", Wait: 80 * time.Millisecond})
 	if left := x.request.Left; left < 60*time.Millisecond {
 		t.Errorf("of 80 ms the module may use %v", left)
 	}
 }
 
 // A client whose request nobody takes gets one refusal, from the module and not from the engine's last resort.
-func TestOneAnswer(t *testing.T) {
-	b := newBed(t, 0, false)
-	c := b.client()
-	c.say(t, "OPEN a k c=c,d=900\r\n")
-	b.until("an answer", func() bool { return c.eof })
-	if string(c.got) != "BUSY\r\n" || b.count.Shed != 1 || b.count.Overdue != 0 {
-		t.Errorf("got %q; %+v", c.got, b.count)
-	}
-	b.over(c)
+func TestUnservedRequestIsRefusedOnce(t *testing.T) {
+	b := newTestBed(t, 0, false)
+	c := b.dialClient()
+	c.write(t, "OPEN a k c=c,d=900\r\n")
+	b.waitFor("an answer", func() bool { return c.eof })
+	if string(c.received) != "BUSY\r\n" || b.count.Shed != 1 || b.count.Overdue != 0 {
+		t.Errorf("got %q; %+v", c.received, b.count)
+	}
+	b.checkReleased(c)
 }
 
 // The first line goes on unchanged but for d, which is less than what the client waits.
 func TestFirstLine(t *testing.T) {
-	b := newBed(t, 1, false)
-	c := b.client()
-	c.say(t, "PING\r\n")
+	b := newTestBed(t, 1, false)
+	c := b.dialClient()
+	c.write(t, "PING\r\n")
 	b.settle()
-	c.say(t, "OPEN a k c=c,d=2000,g=7,extra=x\r\n")
-	b.until("the hop", func() bool { return b.asked("a") != nil })
+	c.write(t, "OPEN a k c=c,d=2000,g=7,extra=x\r\n")
+	b.waitFor("the hop", func() bool { return b.requestConn("a") != nil })
 	var ms int
-	if _, err := fmt.Sscanf(string(b.asked("a").got), "OPEN a k c=c,d=%d,g=7,extra=x\r\n", &ms); err != nil || ms < 1 || ms >= 2000 {
-		t.Errorf("the target got %q", b.asked("a").got)
+	if _, err := fmt.Sscanf(string(b.requestConn("a").received), "OPEN a k c=c,d=%d,g=7,extra=x\r\n", &ms); err != nil || ms < 1 || ms >= 2000 {
+		t.Errorf("the target got %q", b.requestConn("a").received)
 	}
-	if string(c.got) != "PONG\r\n" {
-		t.Errorf("the client got %q", c.got)
+	if string(c.received) != "PONG\r\n" {
+		t.Errorf("the client got %q", c.received)
 	}
-	b.over(c)
+	b.checkReleased(c)
 }
 
 // A target that reads nothing must not make the proxy take in what the client sends without end, and nothing
 // is lost once it reads again. The same holds the other way.
 func TestBackpressure(t *testing.T) {
-	b := newBed(t, 1, false)
-	client, target := b.stands("a")
+	b := newTestBed(t, 1, false)
+	client, target := b.establish("a")
 	text := strings.Repeat(strings.Repeat("x", 998)+"\r\n", 64)
 	for _, way := range []struct {
-		from, to *end
+		from, to *testConn
 		link     func() *link
 	}{
 		{client, target, func() *link { return &b.session().hop.link }},
 		{target, client, func() *link { return &b.session().link }},
 	} {
-		way.to.deaf = true
+		way.to.readPaused = true
 		way.to.sock.Want(false, false)
-		way.to.got = nil
+		way.to.received = nil
 		sent, full := 0, 0
 		for full < 50 {
 			n, err := way.from.sock.Write([]byte(text[sent%1000 : sent%1000+1000*60]))
@@ -82,30 +82,30 @@
 				full++
 			}
 			b.settle()
-			if kept := len(way.link().out); kept > backlog+len(b.front.scratch) {
+			if kept := len(way.link().unsent); kept > maxBacklog+len(b.frontend.scratch) {
 				t.Fatalf("%d bytes are kept", kept)
 			}
 		}
-		way.to.deaf = false
+		way.to.readPaused = false
 		way.to.sock.Want(true, false)
 		whole := sent / 1000 * 1000
-		b.until("all lines", func() bool { return len(way.to.got) >= whole })
-		for i := 0; i+1000 <= len(way.to.got); i += 1000 {
-			if string(way.to.got[i:i+1000]) != text[:1000] {
+		b.waitFor("all lines", func() bool { return len(way.to.received) >= whole })
+		for i := 0; i+1000 <= len(way.to.received); i += 1000 {
+			if string(way.to.received[i:i+1000]) != text[:1000] {
 				t.Fatalf("bytes %d on were changed", i)
 			}
 		}
-		way.from.say(t, text[sent%1000:1000]) // ends the line in hand
+		way.from.write(t, text[sent%1000:1000]) // ends the line in hand
 		b.settle()
-		way.to.got = nil
+		way.to.received = nil
 	}
-	b.over(client)
+	b.checkReleased(client)
 }
 
 // session returns the standing session where there is one only.
-func (b *bed) session() *session {
-	for _, s := range b.front.sessions {
-		if s.state == standing {
+func (b *testBed) session() *session {
+	for _, s := range b.frontend.sessions {
+		if s.state == established {
 			return s
 		}
 	}
@@ -116,15 +116,15 @@
 // A machine that vanished keeps its connections open and silent: the client is moved in time. A target that
 // gives signs keeps them, and nothing is decided by a check that comes late: what came meanwhile is read first.
 func TestSilentTarget(t *testing.T) {
-	b := newBed(t, 1, false)
-	client, target := b.stands("a")
+	b := newTestBed(t, 1, false)
+	client, target := b.establish("a")
 	h := b.session().hop
-	client.say(t, "reading 1\r\n")
+	client.write(t, "reading 1\r\n")
 	b.settle()
-	if !h.timer.Armed() || h.asked.IsZero() {
+	if !h.timer.Armed() || h.pendingSince.IsZero() {
 		t.Fatal("nobody looks after the client's line")
 	}
-	target.say(t, "LOAD 5\r\n")
+	target.write(t, "LOAD 5\r\n")
 	b.settle()
 	now := b.loop.Now()
 	for _, tt := range []struct {
@@ -132,39 +132,39 @@
 		asked, heard, peer, late time.Duration // ago
 		silent                   int
 	}{
-		{"it gave a sign on this connection", silentLast, silentLast / 2, silentLast / 2, 0, 0},
-		{"it gave a sign on another", b.engine.tuning.SilentAfter, silentLast, 0, 0, 0},
-		{"not long enough", b.engine.tuning.SilentAfter / 2, silentLast, silentLast, 0, 0},
-		{"the check is late", silentLast, 2 * silentLast, 2 * silentLast, 2 * lateCheck, 0},
-		{"silent", b.engine.tuning.SilentAfter, silentLast, silentLast, 0, 1},
+		{"it gave a sign on this connection", maxSilence, maxSilence / 2, maxSilence / 2, 0, 0},
+		{"it gave a sign on another", b.engine.tuning.SilentAfter, maxSilence, 0, 0, 0},
+		{"not long enough", b.engine.tuning.SilentAfter / 2, maxSilence, maxSilence, 0, 0},
+		{"the check is late", maxSilence, 2 * maxSilence, 2 * maxSilence, 2 * lateCheckTolerance, 0},
+		{"silent", b.engine.tuning.SilentAfter, maxSilence, maxSilence, 0, 1},
 	} {
-		h.asked, h.heard, h.peer.heard, h.check = now.Add(-tt.asked), now.Add(-tt.heard), now.Add(-tt.peer), now.Add(-tt.late)
-		h.quiet()
+		h.pendingSince, h.lastHeard, h.target.lastHeard, h.checkAt = now.Add(-tt.asked), now.Add(-tt.heard), now.Add(-tt.peer), now.Add(-tt.late)
+		h.checkSilence()
 		if b.count.Silent != tt.silent {
 			t.Fatalf("%s: taken for silent %d times", tt.what, b.count.Silent)
 		}
 	}
-	b.until("MOVE", func() bool { return client.eof && string(client.got) == "LOAD 5\r\nMOVE\r\n" })
-	if silentLast+noteEvery+lateCheck > 7*time.Second {
+	b.waitFor("MOVE", func() bool { return client.eof && string(client.received) == "LOAD 5\r\nMOVE\r\n" })
+	if maxSilence+delayNoteInterval+lateCheckTolerance > 7*time.Second {
 		t.Error("silence is seen too late for the rules")
 	}
-	if b.engine.tuning.SilentAfter+lateCheck > time.Second {
+	if b.engine.tuning.SilentAfter+lateCheckTolerance > time.Second {
 		t.Error("clients of a machine that vanished are without service for over a second after their line")
 	}
-	b.over(client)
+	b.checkReleased(client)
 }
 
 // Slow messages are told once a second, and once more when they are fast again.
 func TestDelayNotes(t *testing.T) {
-	b := newBed(t, 1, false)
-	client, target := b.stands("a")
+	b := newTestBed(t, 1, false)
+	client, target := b.establish("a")
 	h := b.session().hop
 	notes := func(took time.Duration) int {
-		client.say(t, "reading\r\n")
+		client.write(t, "reading\r\n")
 		b.settle()
-		h.asked = b.loop.Now().Add(-took)
+		h.pendingSince = b.loop.Now().Add(-took)
 		before := len(b.engine.events)
-		h.answered()
+		h.measureDelay()
 		n := len(b.engine.events) - before
 		b.settle()
 		return n
@@ -173,25 +173,25 @@
 	if fmt.Sprint(got) != "[0 1 0 1 0]" {
 		t.Errorf("notes %v", got)
 	}
-	target.say(t, "LOAD 7\r\n")
+	target.write(t, "LOAD 7\r\n")
 	b.settle()
-	b.over(client)
+	b.checkReleased(client)
 }
 
 // Nothing new may reach a target that discovery has told to be draining: a hop that is still connecting then
 // is given up, and one that has been sent goes on.
-func TestNewsRecallsHops(t *testing.T) {
-	b := newBed(t, 1, false)
-	c := b.client()
-	c.say(t, "OPEN a k c=c,d=2000\r\n")
-	b.until("the hop", func() bool { return b.count.Hops == 1 })
+func TestDrainingTargetCancelsUnsentHops(t *testing.T) {
+	b := newTestBed(t, 1, false)
+	c := b.dialClient()
+	c.write(t, "OPEN a k c=c,d=2000\r\n")
+	b.waitFor("the hop", func() bool { return b.count.Hops == 1 })
 	s := func() *session {
-		for _, s := range b.front.sessions {
+		for _, s := range b.frontend.sessions {
 			return s
 		}
 		return nil
 	}()
-	stop := &routes.List{Seq: 2, Hosts: []*routes.Target{{ID: "s0", Addr: s.hop.peer.to.Addr, Health: routes.Draining}}}
+	stop := &routes.List{Seq: 2, Hosts: []*routes.Target{{ID: "s0", Addr: s.hop.target.entry.Addr, Health: routes.Draining}}}
 	s.hop.state = hopDialing
 	b.engine.news(stop, nil)
 	if s.hop != nil || b.count.HopNoConnect != 1 {
@@ -201,30 +201,30 @@
 	if b.count.Hops != 1 {
 		t.Error("a draining target was sent to")
 	}
-	b.over(c)
+	b.checkReleased(c)
 }
 
 // What the module sends to a target that stopped meanwhile must not go out, but has an end.
 func TestSendToStoppedTarget(t *testing.T) {
-	b := newBed(t, 1, false)
-	c := b.client()
-	s := &session{front: b.front}
-	x, _ := b.engine.add(s, Offer{Class: "c", Wait: time.Second})
+	b := newTestBed(t, 1, false)
+	c := b.dialClient()
+	s := &session{frontend: b.frontend}
+	x, _ := b.engine.add(s, ClientRequest{Class: "c", Wait: time.Second})
 	b.engine.table.Merge(&routes.List{Hosts: []*routes.Target{{ID: "s0", Health: routes.Deleted}}})
 	b.engine.send(x, &action{target: "s0"})
 	if n := len(b.engine.events); n != 1 || b.engine.events[0].outcome != balance.NoConnect || b.count.Hops != 0 {
 		t.Errorf("%d events, %d hops", n, b.count.Hops)
 	}
 	b.engine.release(x)
-	b.over(c)
+	b.checkReleased(c)
 }
 
 // Each attempt of the module has an end also if its client left in the same turn: else the module would count
 // it as out for ever.
 func TestSendForClientThatLeft(t *testing.T) {
-	b := newBed(t, 1, false)
-	x, _ := b.engine.Take(&session{front: b.front}, Offer{Class: "c", Wait: time.Second})
-	x.Left()
+	b := newTestBed(t, 1, false)
+	x, _ := b.engine.Accept(&session{frontend: b.frontend}, ClientRequest{Class: "c", Wait: time.Second})
+	x.ClientLeft()
 	b.engine.Deliver() // the module hears of both and wants to send in between
 	var ends []event
 	for _, ev := range b.engine.events {
@@ -243,62 +243,62 @@
 
 // A connection from before the start goes to its target, is told to the module once it stands, and is tried
 // again while the target has no room.
-func TestAdopted(t *testing.T) {
-	b := newBed(t, 2, false)
-	c := b.client()
-	c.say(t, "OPEN a k c=c,d=5000,at=s1\r\n")
-	b.until("the hop", func() bool { return b.asked("a") != nil })
-	b.asked("a").say(t, "BUSY\r\n")
-	b.hops[0].got = nil
-	b.until("the next hop", func() bool { return b.asked("a") != nil })
-	b.asked("a").say(t, "UP r\r\n")
-	b.until("UP", func() bool { return string(c.got) == "UP r\r\n" })
+func TestAdoptedConnection(t *testing.T) {
+	b := newTestBed(t, 2, false)
+	c := b.dialClient()
+	c.write(t, "OPEN a k c=c,d=5000,at=s1\r\n")
+	b.waitFor("the hop", func() bool { return b.requestConn("a") != nil })
+	b.requestConn("a").write(t, "BUSY\r\n")
+	b.targetConns[0].received = nil
+	b.waitFor("the next hop", func() bool { return b.requestConn("a") != nil })
+	b.requestConn("a").write(t, "UP r\r\n")
+	b.waitFor("UP", func() bool { return string(c.received) == "UP r\r\n" })
 	if b.count.Hops != 2 || b.count.Standing != 1 {
 		t.Errorf("%+v", b.count)
 	}
 	(*host)(b.engine).Move(1) // the module can move it like any other
-	b.until("MOVE", func() bool { return c.eof })
-	b.over(c)
+	b.waitFor("MOVE", func() bool { return c.eof })
+	b.checkReleased(c)
 }
 
 // A line over the limit ends the connection that sent it and no other.
 func TestLongLines(t *testing.T) {
-	b := newBed(t, 1, false)
-	client, _ := b.stands("a")
-	other, far := b.stands("b")
+	b := newTestBed(t, 1, false)
+	client, _ := b.establish("a")
+	other, far := b.establish("b")
 	long := strings.Repeat("x", 5000)
-	client.say(t, long)
-	b.until("the end", func() bool { return client.eof || client.reset })
-	opening := b.client()
-	opening.say(t, long)
-	b.until("ERR", func() bool { return strings.HasPrefix(string(opening.got), "ERR\r\n") })
-	far.say(t, "still here\r\n")
-	b.until("a line", func() bool { return string(other.got) == "still here\r\n" })
+	client.write(t, long)
+	b.waitFor("the end", func() bool { return client.eof || client.reset })
+	opening := b.dialClient()
+	opening.write(t, long)
+	b.waitFor("ERR", func() bool { return strings.HasPrefix(string(opening.received), "ERR\r\n") })
+	far.write(t, "still here\r\n")
+	b.waitFor("a line", func() bool { return string(other.received) == "still here\r\n" })
 	if b.count.Malformed != 2 {
 		t.Errorf("%d malformed", b.count.Malformed)
 	}
-	b.over(client, other, opening)
+	b.checkReleased(client, other, opening)
 }
 
 // Without a free descriptor a client still gets an answer.
-func TestOutOfDescriptors(t *testing.T) {
-	b := newBed(t, 1, false)
-	b.front.sockets = 1
-	c := b.client()
-	b.until("BUSY", func() bool { return strings.HasPrefix(string(c.got), "BUSY\r\n") })
-	if b.count.Full != 1 || len(b.front.sessions) != 0 {
-		t.Errorf("%+v, %d sessions", b.count, len(b.front.sessions))
-	}
-	b.front.sockets = 0
-	c2, _ := b.stands("a")
-	b.over(c, c2)
+func TestRefusalWithoutDescriptors(t *testing.T) {
+	b := newTestBed(t, 1, false)
+	b.frontend.maxDescriptors = 1
+	c := b.dialClient()
+	b.waitFor("BUSY", func() bool { return strings.HasPrefix(string(c.received), "BUSY\r\n") })
+	if b.count.Full != 1 || len(b.frontend.sessions) != 0 {
+		t.Errorf("%+v, %d sessions", b.count, len(b.frontend.sessions))
+	}
+	b.frontend.maxDescriptors = 0
+	c2, _ := b.establish("a")
+	b.checkReleased(c, c2)
 }
 
 // A probe's connection serves the next probe; a figure that is absent is not zero; one that the target closed
 // while idle is opened anew.
 func TestProbes(t *testing.T) {
-	b := newBed(t, 1, true)
-	b.raw = true
+	b := newTestBed(t, 1, true)
+	b.manualDelivery = true
 	to := b.engine.table.Find("s0")
 	var got []event
 	answered := func() bool {
@@ -311,9 +311,9 @@
 		b.settle()
 		return len(got) > 0
 	}
-	b.front.Probe(to)
-	b.until("the first probe", func() bool { return len(b.hops) == 1 && string(b.hops[0].got) == "STATS\r\n" })
-	b.hops[0].say(t, "PONG cpu=0.25,x0=\r\n")
+	b.frontend.Probe(to)
+	b.waitFor("the first probe", func() bool { return len(b.targetConns) == 1 && string(b.targetConns[0].received) == "STATS\r\n" })
+	b.targetConns[0].write(t, "PONG cpu=0.25,x0=\r\n")
 	for range 50 {
 		answered()
 	}
@@ -321,25 +321,25 @@
 		t.Fatalf("%+v", got)
 	}
 	got = nil
-	b.front.Probe(to)
+	b.frontend.Probe(to)
 	for range 50 {
 		answered()
 	}
-	if len(b.hops) != 1 || string(b.hops[0].got) != "STATS\r\nSTATS\r\n" {
-		t.Fatalf("%d connections; the first got %q", len(b.hops), b.hops[0].got)
+	if len(b.targetConns) != 1 || string(b.targetConns[0].received) != "STATS\r\nSTATS\r\n" {
+		t.Fatalf("%d connections; the first got %q", len(b.targetConns), b.targetConns[0].received)
 	}
-	b.hops[0].sock.Close() // as if idle for too long, just when the probe went out
-	for len(b.hops) < 2 || string(b.hops[1].got) != "STATS\r\n" {
+	b.targetConns[0].sock.Close() // as if idle for too long, just when the probe went out
+	for len(b.targetConns) < 2 || string(b.targetConns[1].received) != "STATS\r\n" {
 		answered()
 	}
-	b.hops[1].say(t, "ERR\r\n")
+	b.targetConns[1].write(t, "ERR\r\n")
 	for !answered() {
 	}
 	if got[0].outcome != balance.Error || b.count.ProbesRefused != 1 {
 		t.Errorf("%+v, %d refused", got[0], b.count.ProbesRefused)
 	}
 	got = nil
-	b.front.Probe(to)
+	b.frontend.Probe(to)
 	for begin := b.now(); !answered(); { // and one that stays silent times out, and its connection goes
 		if b.since(begin) > time.Second {
 			t.Fatal("no end of a probe")
@@ -348,24 +348,24 @@
 	if b.count.ProbesFailed != 2 || b.count.ProbesRefused != 1 {
 		t.Errorf("%d probes failed, %d of them refused", b.count.ProbesFailed, b.count.ProbesRefused)
 	}
-	if got[0].outcome != balance.TimedOut || b.front.peers["s0"].link.sock != nil {
+	if got[0].outcome != balance.TimedOut || b.frontend.targetStates["s0"].link.sock != nil {
 		t.Errorf("%+v", got[0])
 	}
 	// What is kept for a target goes with it, and a probe that is out still has an end.
 	got = nil
-	b.front.Probe(to)
+	b.frontend.Probe(to)
 	b.engine.news(&routes.List{Hosts: []*routes.Target{{ID: "s0", Health: routes.Deleted}}}, nil)
-	if answered(); len(got) != 1 || got[0].outcome != balance.NoConnect || len(b.front.peers) != 0 {
-		t.Errorf("%+v, %d peers", got, len(b.front.peers))
+	if answered(); len(got) != 1 || got[0].outcome != balance.NoConnect || len(b.frontend.targetStates) != 0 {
+		t.Errorf("%+v, %d peers", got, len(b.frontend.targetStates))
 	}
 }
 
 // A target that refuses connections costs a hop that never ran; the request goes elsewhere.
 func TestRefusedTarget(t *testing.T) {
-	b := newBed(t, 2, false)
+	b := newTestBed(t, 2, false)
 	b.servers[0].Close()
 	for i := range 6 {
-		c, _ := b.stands(fmt.Sprint("c", i))
+		c, _ := b.establish(fmt.Sprint("c", i))
 		defer c.sock.Close()
 	}
 	if b.count.Up != 6 || b.count.Hops != 6+b.count.HopNoConnect {
@@ -376,32 +376,32 @@
 // On a planned stop every standing client is told MOVE, spread over the time; whoever waits is answered, and
 // late clients too.
 func TestDrain(t *testing.T) {
-	b := newBed(t, 1, false)
-	var clients []*end
+	b := newTestBed(t, 1, false)
+	var clients []*testConn
 	for i := range 8 {
-		c, _ := b.stands(fmt.Sprint("c", i))
+		c, _ := b.establish(fmt.Sprint("c", i))
 		clients = append(clients, c)
 	}
-	waits := b.client()
-	waits.say(t, "OPEN w k c=c,d=30000\r\n")
+	waits := b.dialClient()
+	waits.write(t, "OPEN w k c=c,d=30000\r\n")
 	b.settle()
-	b.front.set.Waits = []time.Duration{1400 * time.Millisecond} // SIGKILL would come after 2.1 s
+	b.frontend.settings.Waits = []time.Duration{1400 * time.Millisecond} // SIGKILL would come after 2.1 s
 	begin, done := b.now(), false
-	b.front.Drain(func() { done = true })
+	b.frontend.Drain(func() { done = true })
 	most, before := 0, 0
-	var late *end
+	var late *testConn
 	for !done {
 		b.settle()
 		moved := 0
 		for _, c := range clients {
-			if string(c.got) == "MOVE\r\n" {
+			if string(c.received) == "MOVE\r\n" {
 				moved++
 			}
 		}
 		most, before = max(most, moved-before), moved
 		if late == nil && b.since(begin) > 300*time.Millisecond {
-			late = b.client()
-			late.say(t, "OPEN l k c=c,d=30000\r\n")
+			late = b.dialClient()
+			late.write(t, "OPEN l k c=c,d=30000\r\n")
 		}
 		if b.since(begin) > 2100*time.Millisecond {
 			t.Fatal("not done at SIGKILL")
@@ -410,9 +410,9 @@
 	if before != len(clients) || most > 3 {
 		t.Errorf("%d moved, up to %d at once", before, most)
 	}
-	for _, c := range []*end{waits, late} {
-		if string(c.got) != "BUSY\r\n" {
-			t.Errorf("a client that waited got %q", c.got)
+	for _, c := range []*testConn{waits, late} {
+		if string(c.received) != "BUSY\r\n" {
+			t.Errorf("a client that waited got %q", c.received)
 		}
 	}
 }
@@ -420,10 +420,10 @@
 // Discovery that is down is asked again with pauses that are drawn and grow, and one that stays silent is given
 // up early enough for the next call to be answered before its news counts as told.
 func TestWatch(t *testing.T) {
-	b := newBed(t, 1, false)
-	var calls []*end
+	b := newTestBed(t, 1, false)
+	var calls []*testConn
 	l, err := b.loop.Listen(b.local, func(s *poll.Socket, _ bool) poll.Handler {
-		e := &end{sock: s}
+		e := &testConn{sock: s}
 		calls = append(calls, e)
 		return e
 	})
@@ -433,27 +433,27 @@
 	b.engine.watch.Stop()
 	b.engine.watch = routes.NewWatch(b.watchConfig(l.Addr()))
 	b.engine.watch.Start()
-	b.until("a call", func() bool { return len(calls) == 1 && bytes.Contains(calls[0].got, []byte("\r\n\r\n")) })
-	if !strings.HasPrefix(string(calls[0].got), "GET /registry/instances?index=7&wait=") {
-		t.Errorf("asked %q", calls[0].got)
+	b.waitFor("a call", func() bool { return len(calls) == 1 && bytes.Contains(calls[0].received, []byte("\r\n\r\n")) })
+	if !strings.HasPrefix(string(calls[0].received), "GET /registry/instances?index=7&wait=") {
+		t.Errorf("asked %q", calls[0].received)
 	}
-	calls[0].got = nil
-	calls[0].say(t, "HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\n{\"seq\":9,\"whole\":false,")
-	calls[0].say(t, "\"hosts\":[]}")
+	calls[0].received = nil
+	calls[0].write(t, "HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\n{\"seq\":9,\"whole\":false,")
+	calls[0].write(t, "\"hosts\":[]}")
 	b.settle()
 	// The next call must follow within 200 ms, on the same connection.
-	if len(calls) != 1 || !strings.Contains(string(calls[0].got), "index=9&") {
-		t.Fatalf("%d connections; asked %q", len(calls), calls[0].got)
+	if len(calls) != 1 || !strings.Contains(string(calls[0].received), "index=9&") {
+		t.Fatalf("%d connections; asked %q", len(calls), calls[0].received)
 	}
-	calls[0].say(t, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+	calls[0].write(t, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 	b.settle()
 	if len(calls) != 1 || b.count.WatchesFailed != 1 {
 		t.Errorf("%d calls right after a failure", len(calls))
 	}
-	b.until("a retry", func() bool { return len(calls) == 2 })
+	b.waitFor("a retry", func() bool { return len(calls) == 2 })
 	calls[1].sock.Reset()
 	calls[1].reset = true
-	b.until("another retry", func() bool { return len(calls) == 3 })
+	b.waitFor("another retry", func() bool { return len(calls) == 3 })
 	if b.count.WatchesFailed != 2 || b.engine.table.Find("s0") == nil {
 		t.Errorf("%+v", b.count)
 	}
@@ -463,7 +463,7 @@
 // While every other call of a watch fails, as in a fleet too large for its discovery, it is made again soon, the log says so once a
 // minute, and the list stays.
 func TestDiscoveryThatFailsOften(t *testing.T) {
-	b := newBed(t, 1, false)
+	b := newTestBed(t, 1, false)
 	calls, list := 0, `{"seq":9,"whole":true,"hosts":[{"host":"s0","dial":"127.0.0.1:9","health":"SERVING"}]}`
 	l, err := b.loop.Listen(b.local, func(s *poll.Socket, _ bool) poll.Handler {
 		calls++
@@ -472,7 +472,7 @@
 		} else {
 			s.Write(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(list), list))
 		}
-		return &end{sock: s}
+		return &testConn{sock: s}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -482,7 +482,7 @@
 	b.engine.watch = routes.NewWatch(b.watchConfig(l.Addr()))
 	b.engine.watch.Start()
 	begin := b.now()
-	b.until("many calls", func() bool {
+	b.waitFor("many calls", func() bool {
 		if b.engine.table.Find("s0") == nil {
 			t.Fatal("the list is gone")
 		}
@@ -495,13 +495,13 @@
 }
 
 // Who is moved while new clients may still come to this proxy comes back to it, and is moved again.
-func TestDrainMovesNobodyAtFirst(t *testing.T) {
-	b := newBed(t, 1, false)
-	client, _ := b.stands("a")
-	b.front.set.Waits = []time.Duration{100 * time.Millisecond} // SIGKILL after 0.8 s: all would be moved at once
+func TestDrainDelaysFirstMoves(t *testing.T) {
+	b := newTestBed(t, 1, false)
+	client, _ := b.establish("a")
+	b.frontend.settings.Waits = []time.Duration{100 * time.Millisecond} // SIGKILL after 0.8 s: all would be moved at once
 	begin := b.now()
-	b.front.Drain(func() {})
-	b.until("MOVE", func() bool { return len(client.got) > 0 })
+	b.frontend.Drain(func() {})
+	b.waitFor("MOVE", func() bool { return len(client.received) > 0 })
 	if took := b.since(begin); took < lateClients {
 		t.Errorf("moved after %v", took)
 	}
--- a/internal/proxy/forward_bench_test.go
+++ b/internal/proxy/forward_bench_test.go
@@ -7,40 +7,40 @@
 )
 
 // player is a far end that keeps no more than how much it has read.
-type player struct {
-	sock *poll.Socket
-	buf  [4096]byte
-	got  int
+type countingConn struct {
+	sock     *poll.Socket
+	buf      [4096]byte
+	received int
 }
 
-func (p *player) Ready(poll.Ready) {
+func (p *countingConn) Ready(poll.Ready) {
 	n, _ := p.sock.Read(p.buf[:])
-	p.got += n
+	p.received += n
 }
 
 // bareSide is one half of the least that a relay can do: read here, write there.
-type bareSide struct {
+type relayHalf struct {
 	sock, to *poll.Socket
 	buf      []byte
 }
 
-func (s *bareSide) Ready(poll.Ready) {
+func (s *relayHalf) Ready(poll.Ready) {
 	if n, err := s.sock.Read(s.buf); err == nil {
 		_, _ = s.to.Write(s.buf[:n])
 	}
 }
 
 // roundTrips sends a line each way, b.N times.
-func roundTrips(b *testing.B, loop *poll.Loop, client, target *player) {
+func roundTrips(b *testing.B, loop *poll.Loop, client, target *countingConn) {
 	text := []byte("reading 7.25 bar 81.3 C running\r\n")
-	client.got, target.got = 0, 0
+	client.received, target.received = 0, 0
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		for _, way := range [2]struct{ from, to *player }{{client, target}, {target, client}} {
+		for _, way := range [2]struct{ from, to *countingConn }{{client, target}, {target, client}} {
 			if _, err := way.from.sock.Write(text); err != nil {
 				b.Fatal(err)
 			}
-			for way.to.got < (i+1)*len(text) {
+			for way.to.received < (i+1)*len(text) {
 				if err := loop.Turn(true); err != nil {
 					b.Fatal(err)
 				}
@@ -52,9 +52,9 @@
 // BenchmarkForward is the pass-through path: one line from the client to the target and one back, on real
 // sockets, both far ends on the proxy's own loop. BenchmarkBareRelay is its limit.
 func BenchmarkForward(b *testing.B) {
-	bed := newRealBed(b, 1, false)
-	c, t := bed.stands("a")
-	client, target := &player{sock: c.sock}, &player{sock: t.sock}
+	bed := newSocketTestBed(b, 1, false)
+	c, t := bed.establish("a")
+	client, target := &countingConn{sock: c.sock}, &countingConn{sock: t.sock}
 	c.sock.SetHandler(client)
 	t.sock.SetHandler(target)
 	roundTrips(b, bed.loop, client, target)
@@ -70,7 +70,7 @@
 	var accepted []*poll.Socket
 	l, err := loop.Listen(loopback(), func(s *poll.Socket, _ bool) poll.Handler {
 		accepted = append(accepted, s)
-		return &player{sock: s}
+		return &countingConn{sock: s}
 	})
 	if err != nil {
 		b.Fatal(err)
@@ -79,7 +79,7 @@
 	var dialled []*poll.Socket
 	for len(accepted) < 2 {
 		if len(dialled) == len(accepted) {
-			s, err := loop.Dial(l.Addr(), &player{})
+			s, err := loop.Dial(l.Addr(), &countingConn{})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -90,9 +90,9 @@
 			b.Fatal(err)
 		}
 	}
-	client, target := &player{sock: dialled[0]}, &player{sock: accepted[1]}
-	near, far := &bareSide{sock: accepted[0], to: dialled[1], buf: make([]byte, 64<<10)},
-		&bareSide{sock: dialled[1], to: accepted[0], buf: make([]byte, 64<<10)}
+	client, target := &countingConn{sock: dialled[0]}, &countingConn{sock: accepted[1]}
+	near, far := &relayHalf{sock: accepted[0], to: dialled[1], buf: make([]byte, 64<<10)},
+		&relayHalf{sock: dialled[1], to: accepted[0], buf: make([]byte, 64<<10)}
 	client.sock.SetHandler(client)
 	client.sock.Want(true, false)
 	target.sock.SetHandler(target)
--- a/internal/proxy/heldup_test.go
+++ b/internal/proxy/heldup_test.go
@@ -36,12 +36,12 @@
 	for _, how := range []string{"close", "reset", "end of sending"} {
 		t.Run(how, func(t *testing.T) {
 			k := &heldUp{}
-			b := newRealBedOn(t, 1, func(under poll.Kernel) poll.Kernel {
+			b := newSocketTestBedOnKernel(t, 1, func(under poll.Kernel) poll.Kernel {
 				k.Kernel = under
 				return k
 			})
-			c := b.client()
-			c.say(t, "OPEN a k c=c,d=2000\r\n")
+			c := b.dialClient()
+			c.write(t, "OPEN a k c=c,d=2000\r\n")
 			k.meanwhile = func() {
 				switch how {
 				case "close":
@@ -52,16 +52,16 @@
 					c.sock.CloseWrite()
 				}
 			}
-			b.until("the process is held up", func() bool { return k.meanwhile == nil })
+			b.waitFor("the process is held up", func() bool { return k.meanwhile == nil })
 			for range 20 {
 				b.settle()
 			}
-			for _, h := range b.hops {
-				if strings.HasPrefix(string(h.got), "OPEN ") {
-					t.Errorf("the target got %q", h.got)
+			for _, h := range b.targetConns {
+				if strings.HasPrefix(string(h.received), "OPEN ") {
+					t.Errorf("the target got %q", h.received)
 				}
 			}
-			b.over(c)
+			b.checkReleased(c)
 		})
 	}
 }
--- a/internal/proxy/hop.go
+++ b/internal/proxy/hop.go
@@ -16,37 +16,37 @@
 const (
 	hopDialing hopState = iota // nothing of the request is written; there may be no socket yet
 	hopSending                 // a part of it is
-	hopAsking                  // all of it is: it may have run
-	hopStanding
+	hopSent                    // all of it is: it may have run
+	hopEstablished
 	hopEnded
 )
 
 // hop is one connection to an egress target on behalf of a client. Its session owns it; the hop owns its link
 // and its timer.
 type hop struct {
-	s     *session
-	peer  *peer
-	link  link
-	state hopState
-	until time.Time // the target's word is awaited until then
-	dial  time.Time // the connection has to be up by then
-	timer poll.Timer
+	session        *session
+	target         *targetState
+	link           link
+	state          hopState
+	answerDeadline time.Time // the target's word is awaited until then
+	dialDeadline   time.Time // the connection has to be up by then
+	timer          poll.Timer
 	// While it stands:
-	asked time.Time // the client's line that waits for the target's; zero: none
-	heard time.Time // the target's last line
-	check time.Time // the timer is due then
-	bye   balance.Outcome
-	said  bool // the target has said how the connection ends
+	pendingSince     time.Time // the client's line that waits for the target's; zero: none
+	lastHeard        time.Time // the target's last line
+	checkAt          time.Time // the timer is due then
+	announcedOutcome balance.Outcome
+	endAnnounced     bool // the target has said how the connection ends
 }
 
 // redialAfter is how long a connection waits that this machine could not begin for want of memory, ports or a path.
-const redialAfter = 10 * time.Millisecond
+const dialRetryDelay = 10 * time.Millisecond
 
 func (s *session) startHop(to *routes.Target, wait time.Duration) {
-	f := s.front
+	f := s.frontend
 	now := f.loop.Now()
-	h := &hop{s: s, peer: f.peer(to), until: now.Add(wait), dial: now.Add(min(wait, f.set.DialTimeout))}
-	h.timer.Fire = h.due
+	h := &hop{session: s, target: f.targetState(to), answerDeadline: now.Add(wait), dialDeadline: now.Add(min(wait, f.settings.DialTimeout))}
+	h.timer.Fire = h.handleTimeout
 	s.hop = h
 	h.connect()
 }
@@ -54,22 +54,22 @@
 // connect begins the connection. What this machine lacks for it may be there a moment later: an attempt that ended at once would
 // be followed by all others of its request in the same moment.
 func (h *hop) connect() {
-	f := h.s.front
+	f := h.session.frontend
 	if !f.makeRoom(keptFromAttempts + 1) {
-		h.over(balance.NotSent, noReport)
+		h.endWith(balance.NotSent, noReport)
 		return
 	}
-	sock, err := f.loop.Dial(h.peer.to.Addr, h)
-	again := f.loop.Now().Add(redialAfter)
+	sock, err := f.loop.Dial(h.target.entry.Addr, h)
+	again := f.loop.Now().Add(dialRetryDelay)
 	switch {
 	case err == nil:
 		h.link.sock = sock
-		f.pending.add(-1)
-		f.loop.Arm(&h.timer, h.dial)
-	case (errors.Is(err, poll.ErrNoSocket) || errors.Is(err, poll.ErrNoPath)) && again.Before(h.dial):
+		f.pendingAttempts.add(-1)
+		f.loop.Arm(&h.timer, h.dialDeadline)
+	case (errors.Is(err, poll.ErrNoSocket) || errors.Is(err, poll.ErrNoPath)) && again.Before(h.dialDeadline):
 		f.loop.Arm(&h.timer, again)
 	default:
-		h.over(dialOutcome(err), noReport)
+		h.endWith(dialOutcome(err), noReport)
 	}
 }
 
@@ -83,15 +83,15 @@
 }
 
 // end gives back the hop's timer; its link is closed or reset by whoever ends the hop.
-func (h *hop) end() {
-	h.s.front.loop.Disarm(&h.timer)
+func (h *hop) release() {
+	h.session.frontend.loop.Disarm(&h.timer)
 	h.state = hopEnded
 }
 
 // over ends the hop with an outcome, before its connection stood.
-func (h *hop) over(o balance.Outcome, rep balance.Report) {
-	h.s.endHop()
-	h.s.x.Ended(o, rep)
+func (h *hop) endWith(o balance.Outcome, rep balance.Report) {
+	h.session.endHop()
+	h.session.exchange.Ended(o, rep)
 }
 
 // Ready is called by the loop.
@@ -99,27 +99,27 @@
 	switch {
 	case h.state == hopDialing:
 		if err := h.link.sock.Established(); err != nil {
-			h.over(balance.NoConnect, noReport)
+			h.endWith(balance.NoConnect, noReport)
 			return
 		}
 		h.send()
 		return
-	case r.Write && len(h.link.out) > 0:
-		if h.state == hopSending && !h.clientStays() {
+	case r.Write && len(h.link.unsent) > 0:
+		if h.state == hopSending && !h.clientPresent() {
 			return
 		}
 		if err := h.link.flush(); err != nil {
-			h.broke()
+			h.handleFailure()
 			return
 		}
-		if h.state == hopSending && len(h.link.out) == 0 {
-			h.state = hopAsking
+		if h.state == hopSending && len(h.link.unsent) == 0 {
+			h.state = hopSent
 		}
-		if h.state == hopStanding && !h.link.behind() {
-			h.s.listen(true)
+		if h.state == hopEstablished && !h.link.backlogged() {
+			h.session.setReading(true)
 		}
 	}
-	if h.state != hopEnded && (r.Read && !h.link.ended || r.Hangup) {
+	if h.state != hopEnded && (r.Read && !h.link.eof || r.Hangup) {
 		h.read()
 	}
 }
@@ -128,65 +128,65 @@
 // has left, or was no client of the protocol, is not sent on, in whatever order the kernel tells of the two. That is the last look
 // before the write: a process that is held up behind its look at the clock sees what came meanwhile.
 func (h *hop) send() {
-	f := h.s.front
-	left := h.until.Sub(f.loop.Refresh())
-	if left < time.Millisecond || !h.s.x.Sending() {
-		h.over(balance.NotSent, noReport)
+	f := h.session.frontend
+	left := h.answerDeadline.Sub(f.loop.Refresh())
+	if left < time.Millisecond || !h.session.exchange.BeginSend() {
+		h.endWith(balance.NotSent, noReport)
 		return
 	}
-	if !h.clientStays() {
+	if !h.clientPresent() {
 		return
 	}
-	f.line = h.s.open.Append(f.line[:0], left)
-	if err := h.link.write(f.line); err != nil {
-		h.over(balance.NoConnect, noReport)
+	f.lineBuffer = h.session.open.Append(f.lineBuffer[:0], left)
+	if err := h.link.write(f.lineBuffer); err != nil {
+		h.endWith(balance.NoConnect, noReport)
 		return
 	}
-	h.state = hopAsking
-	if len(h.link.out) > 0 {
+	h.state = hopSent
+	if len(h.link.unsent) > 0 {
 		h.state = hopSending
 	}
-	h.link.want()
-	f.loop.Arm(&h.timer, h.until)
+	h.link.updateInterest()
+	f.loop.Arm(&h.timer, h.answerDeadline)
 }
 
 // clientStays reads what has arrived from the client and tells whether the hop goes on. The end of a client that has gone may be
 // visible in its socket only: the loop may have gathered other events before it, or the process may not have run meanwhile.
-func (h *hop) clientStays() bool {
-	if h.s.state == waiting {
-		h.s.read()
+func (h *hop) clientPresent() bool {
+	if h.session.state == waiting {
+		h.session.read()
 	}
 	return h.state != hopEnded
 }
 
 func (h *hop) read() {
-	lines, err := h.link.fill(h.s.front.scratch)
+	lines, err := h.link.readLines(h.session.frontend.scratch)
 	switch {
-	case err == nil && h.state == hopStanding:
-		h.pass(lines)
+	case err == nil && h.state == hopEstablished:
+		h.forwardToClient(lines)
 	case err == nil:
 		if len(lines) > 0 {
-			h.answer(lines)
+			h.handleAnswer(lines)
 		}
 	case errors.Is(err, line.ErrTooLong):
-		h.peer.complain("line over 4096 bytes", nil)
-		h.link.ended = true // what follows is the rest of that line: nothing of it is passed on
-		if h.state == hopStanding {
-			h.s.abandon(balance.Broken)
+		h.target.logViolation("line over 4096 bytes", nil)
+		h.link.eof = true // what follows is the rest of that line: nothing of it is passed on
+		if h.state == hopEstablished {
+			h.session.endGracefully(balance.Broken)
 		} else {
-			h.over(balance.Error, noReport)
+			h.endWith(balance.Error, noReport)
 		}
-	case errors.Is(err, io.EOF) && h.state == hopStanding:
-		h.finished()
+	case errors.Is(err, io.EOF) && h.state == hopEstablished:
+		h.handleEOF()
 	default:
-		h.broke()
+		h.handleFailure()
 	}
 }
 
 // answer takes the target's first word on the request.
-func (h *hop) answer(lines []byte) {
-	if h.s.state != waiting { // the client has left, or has an answer that the target does not know of
-		h.over(balance.Cancelled, noReport)
+func (h *hop) handleAnswer(lines []byte) {
+	if h.session.state != waiting { // the client has left, or has an answer that the target does not know of
+		h.endWith(balance.Cancelled, noReport)
 		return
 	}
 	first, more := line.Next(lines)
@@ -197,91 +197,91 @@
 	}
 	switch word {
 	case line.Up:
-		h.up(first, more)
+		h.establish(first, more)
 	case line.Bye: // served to its end already: the client gets the target's word as it is
-		s, rep := h.s, h.report(rest)
+		s, rep := h.session, h.parseReport(rest)
 		s.endHop()
-		s.x.served()
-		s.x.Ended(balance.OK, rep)
-		s.last(first)
+		s.exchange.markServed()
+		s.exchange.Ended(balance.OK, rep)
+		s.closeAfter(first)
 	case line.Move:
-		h.over(balance.Cancelled, noReport)
+		h.endWith(balance.Cancelled, noReport)
 	case line.Busy:
-		if len(more)+len(h.link.rest) > 0 { // it says something else as well: no proof that it never ran
-			h.peer.complain("more than a refusal", more)
-			h.over(balance.Error, noReport)
+		if len(more)+len(h.link.partial) > 0 { // it says something else as well: no proof that it never ran
+			h.target.logViolation("more than a refusal", more)
+			h.endWith(balance.Error, noReport)
 			return
 		}
-		h.over(balance.Full, h.report(rest))
+		h.endWith(balance.Full, h.parseReport(rest))
 	default:
 		if word != line.Err {
-			h.peer.complain("unknown answer", text)
+			h.target.logViolation("unknown answer", text)
 		}
-		h.over(balance.Error, h.report(rest))
+		h.endWith(balance.Error, h.parseReport(rest))
 	}
 }
 
 // up makes the connection stand: the client gets the line that the target made for it.
-func (h *hop) up(first, more []byte) {
-	s := h.s
-	if !s.x.Up() {
-		h.over(balance.Cancelled, noReport)
+func (h *hop) establish(first, more []byte) {
+	s := h.session
+	if !s.exchange.Up() {
+		h.endWith(balance.Cancelled, noReport)
 		return
 	}
-	s.front.loop.Disarm(&h.timer)
-	s.state, h.state = standing, hopStanding
-	h.heard = s.front.loop.Now()
+	s.frontend.loop.Disarm(&h.timer)
+	s.state, h.state = established, hopEstablished
+	h.lastHeard = s.frontend.loop.Now()
 	if err := s.link.write(first); err != nil {
-		s.broke()
+		s.handleFailure()
 		return
 	}
 	if len(more) > 0 {
-		h.pass(more)
+		h.forwardToClient(more)
 	}
 }
 
-func (h *hop) report(text []byte) balance.Report {
+func (h *hop) parseReport(text []byte) balance.Report {
 	rep := noReport
-	line.Figures(text, func(name string, v float64) { h.s.front.set.Put(&rep, name, v) })
+	line.Figures(text, func(name string, v float64) { h.session.frontend.settings.Put(&rep, name, v) })
 	return rep
 }
 
 // due is called by the timer.
-func (h *hop) due() {
+func (h *hop) handleTimeout() {
 	switch h.state {
 	case hopDialing:
 		if h.link.sock == nil {
 			h.connect()
 			return
 		}
-		h.over(balance.NoConnect, noReport)
+		h.endWith(balance.NoConnect, noReport)
 	case hopSending:
-		h.over(balance.NoConnect, noReport)
-	case hopAsking:
-		if h.read(); h.state == hopAsking { // its word may lie there: a turn takes so many events and no more
-			h.over(balance.TimedOut, noReport)
+		h.endWith(balance.NoConnect, noReport)
+	case hopSent:
+		if h.read(); h.state == hopSent { // its word may lie there: a turn takes so many events and no more
+			h.endWith(balance.TimedOut, noReport)
 		}
-	case hopStanding:
-		h.quiet()
+	case hopEstablished:
+		h.checkSilence()
 	}
 }
 
 // broke deals with a connection to the target that broke, or ended before it stood.
-func (h *hop) broke() {
+func (h *hop) handleFailure() {
 	switch h.state {
 	case hopDialing, hopSending:
-		h.over(balance.NoConnect, noReport)
-	case hopAsking:
-		h.over(balance.Broken, noReport)
-	case hopStanding: // the client's side ends the same way
-		s := h.s
-		if h.gather(); h.state != hopStanding {
+		h.endWith(balance.NoConnect, noReport)
+	case hopSent:
+		h.endWith(balance.Broken, noReport)
+	case hopEstablished: // the client's side ends the same way
+		s := h.session
+		if h.forwardPending(); h.state != hopEstablished {
 			return
 		}
 		s.endHop()
-		s.x.Ended(h.ending(balance.Broken), noReport)
-		if h.said { // its last word must not be overtaken
-			s.last(nil)
+		s.exchange.Ended(h.outcome(balance.Broken), noReport)
+		if h.endAnnounced { // its last word must not be overtaken
+			s.closeAfter(nil)
 			return
 		}
 		s.link.reset()
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -8,50 +8,50 @@
 )
 
 // backlog is the unsent output from which the other side is not read any more.
-const backlog = 64 << 10
+const maxBacklog = 64 << 10
 
 // link is one connection with its line framing. It owns its socket and its buffers; close and reset are where
 // they are given back.
 type link struct {
-	sock  *poll.Socket
-	rest  []byte // a line that has not ended yet
-	out   []byte // not written yet
-	deaf  bool   // not to be read: the other side is behind, or has nothing more to say
-	ended bool   // the other end has ended its sending
-	fin   bool   // end the sending once out is empty
+	sock             *poll.Socket
+	partial          []byte // a line that has not ended yet
+	unsent           []byte // not written yet
+	readPaused       bool   // not to be read: the other side is behind, or has nothing more to say
+	eof              bool   // the other end has ended its sending
+	closeWhenFlushed bool   // end the sending once out is empty
 }
 
 // want tells the loop what the link waits for.
-func (l *link) want() {
+func (l *link) updateInterest() {
 	if l.sock != nil {
-		l.sock.Want(!l.deaf && !l.ended, len(l.out) > 0)
+		l.sock.Want(!l.readPaused && !l.eof, len(l.unsent) > 0)
 	}
 }
 
 // fill reads what is there and returns the whole lines. They share the scratch buffer, which must hold a
 // longest line and more. io.EOF comes when the other end has ended its sending.
-func (l *link) fill(scratch []byte) ([]byte, error) {
-	held := copy(scratch, l.rest)
+func (l *link) readLines(scratch []byte) ([]byte, error) {
+	held := copy(scratch, l.partial)
 	n, err := l.sock.Read(scratch[held:])
 	if errors.Is(err, poll.ErrAgain) {
 		return nil, nil
 	}
 	if err != nil {
-		l.ended = true
-		l.want()
+		l.eof = true
+		l.updateInterest()
 		return nil, err
 	}
 	whole, rest, err := line.Whole(scratch[:held+n])
 	if err != nil {
 		return nil, err
 	}
-	l.rest = append(l.rest[:0], rest...)
+	l.partial = append(l.partial[:0], rest...)
 	return whole, nil
 }
 
 // write sends what the socket takes and keeps the rest for flush.
 func (l *link) write(p []byte) error {
-	if len(l.out) == 0 {
+	if len(l.unsent) == 0 {
 		n, err := l.sock.Write(p)
 		if err != nil {
 			return err
@@ -59,41 +59,41 @@
 		p = p[n:]
 	}
 	if len(p) > 0 {
-		l.out = append(l.out, p...)
-		l.want()
+		l.unsent = append(l.unsent, p...)
+		l.updateInterest()
 	}
 	return nil
 }
 
 // flush sends what is kept.
 func (l *link) flush() error {
-	n, err := l.sock.Write(l.out)
+	n, err := l.sock.Write(l.unsent)
 	if err != nil {
 		return err
 	}
-	l.out = l.out[:copy(l.out, l.out[n:])]
-	if len(l.out) == 0 && l.fin {
+	l.unsent = l.unsent[:copy(l.unsent, l.unsent[n:])]
+	if len(l.unsent) == 0 && l.closeWhenFlushed {
 		l.sock.CloseWrite()
 	}
-	l.want()
+	l.updateInterest()
 	return nil
 }
 
 // finish ends the sending once all is written.
-func (l *link) finish() {
-	if l.fin {
+func (l *link) closeWrite() {
+	if l.closeWhenFlushed {
 		return
 	}
-	l.fin = true
-	if len(l.out) == 0 {
+	l.closeWhenFlushed = true
+	if len(l.unsent) == 0 {
 		l.sock.CloseWrite()
 	}
-	l.want()
+	l.updateInterest()
 }
 
 // skim reads and drops what has arrived, up to so many bytes: a connection that is closed over unread bytes is reset.
-func (l *link) skim(scratch []byte, most int) {
-	for most > 0 && l.sock != nil && !l.ended {
+func (l *link) discard(scratch []byte, most int) {
+	for most > 0 && l.sock != nil && !l.eof {
 		n, err := l.sock.Read(scratch)
 		if err != nil {
 			return
@@ -102,7 +102,7 @@
 	}
 }
 
-func (l *link) behind() bool { return len(l.out) > backlog }
+func (l *link) backlogged() bool { return len(l.unsent) > maxBacklog }
 
 func (l *link) close() {
 	if l.sock != nil {
--- a/internal/proxy/listwait.go
+++ b/internal/proxy/listwait.go
@@ -91,6 +91,6 @@
 	x.held = false
 	e.listWait.held = slices.DeleteFunc(e.listWait.held, func(h heldSend) bool { return h.request == x })
 	e.armListWait()
-	x.hops++
-	e.push(event{kind: evEnded, x: x, attempt: x.hops - 1, settled: true, outcome: balance.NotSent, report: noReport})
+	x.hopCount++
+	e.push(event{kind: evEnded, x: x, attempt: x.hopCount - 1, settled: true, outcome: balance.NotSent, report: noReport})
 }
--- a/internal/proxy/listwait_test.go
+++ b/internal/proxy/listwait_test.go
@@ -10,12 +10,12 @@
 )
 
 // staleBed is a bed whose list has not been confirmed for longer than its lease: discovery is silent.
-func staleBed(t *testing.T, targets int, probes bool) (*bed, *discovery) {
+func staleBed(t *testing.T, targets int, probes bool) (*testBed, *fakeDiscovery) {
 	t.Helper()
-	b := newBed(t, targets, probes)
-	d := newDiscovery(b)
-	b.watchAt(d.l.Addr())
-	d.asked(0)
+	b := newTestBed(t, targets, probes)
+	d := newFakeDiscovery(b)
+	b.watchAt(d.listener.Addr())
+	d.awaitCall(0)
 	for begin := b.now(); b.since(begin) <= routes.ListLease; {
 		b.settle()
 	}
@@ -23,22 +23,22 @@
 }
 
 // answerNext answers the call that is out, or else the next one that is made.
-func (d *discovery) answerNext(body string) {
+func (d *fakeDiscovery) answerNext(body string) {
 	d.b.t.Helper()
 	n := len(d.calls)
-	if last := d.calls[n-1]; !last.eof && !last.reset && strings.HasSuffix(string(last.got), "\r\n\r\n") {
+	if last := d.calls[n-1]; !last.eof && !last.reset && strings.HasSuffix(string(last.received), "\r\n\r\n") {
 		n--
 	}
-	d.asked(n)
+	d.awaitCall(n)
 	d.answer(n, body)
 }
 
 // auditBooks checks the books but for sockets, of which the test has some on the same loop.
-func (b *bed) auditBooks() {
+func (b *testBed) auditBooks() {
 	b.t.Helper()
-	out, err := b.front.auditExchanges()
+	out, err := b.frontend.auditExchanges()
 	if err == nil {
-		err = b.front.auditCounts(out)
+		err = b.frontend.auditCounts(out)
 	}
 	if err != nil {
 		b.t.Error(err)
@@ -46,7 +46,7 @@
 }
 
 // end stops discovery and closes what the test holds of it.
-func (d *discovery) end() {
+func (d *fakeDiscovery) end() {
 	d.b.engine.watch.Stop()
 	d.close()
 }
@@ -54,45 +54,45 @@
 // An attempt whose list may be 6 s behind waits for the next one, and goes to a server that this names.
 func TestAttemptWaitsForAList(t *testing.T) {
 	b, d := staleBed(t, 2, false)
-	c := b.client()
-	c.say(t, "OPEN a k c=c,d=60000\r\n")
+	c := b.dialClient()
+	c.write(t, "OPEN a k c=c,d=60000\r\n")
 	b.settle()
-	if b.asked("a") != nil || b.count.ListWaits != 1 {
+	if b.requestConn("a") != nil || b.count.ListWaits != 1 {
 		t.Errorf("sent by an old list; %d waited", b.count.ListWaits)
 	}
 	b.auditBooks()
 	d.answerNext(fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"s1","dial":%q,"health":"SERVING"}]}`, b.servers[1].Addr()))
-	b.until("the attempt", func() bool { return b.asked("a") != nil })
+	b.waitFor("the attempt", func() bool { return b.requestConn("a") != nil })
 	if x := b.engine.inOrder()[0]; x.target.ID != "s1" {
 		t.Errorf("sent to %s, which has left", x.target.ID)
 	}
 	d.end()
-	b.over(c)
+	b.checkReleased(c)
 }
 
 // answerProbes has the servers answer the probes that have arrived.
-func (b *bed) answerProbes() {
-	for _, h := range b.hops {
-		if strings.HasPrefix(string(h.got), "STATS") {
-			h.got = nil
-			h.say(b.t, "PONG x0=0.1\r\n")
+func (b *testBed) answerProbes() {
+	for _, h := range b.targetConns {
+		if strings.HasPrefix(string(h.received), "STATS") {
+			h.received = nil
+			h.write(b.t, "PONG x0=0.1\r\n")
 		}
 	}
 }
 
 // provenBed is a staleBed of which one server has taken a request shortly before the lease ran out.
-func provenBed(t *testing.T, targets int) (b *bed, d *discovery, standing *end) {
+func provenBed(t *testing.T, targets int) (b *testBed, d *fakeDiscovery, standing *testConn) {
 	t.Helper()
-	b = newBed(t, targets, false)
+	b = newTestBed(t, targets, false)
 	b.engine.proofs.life = proofLife(b.engine.set.DrainGrace, false) // as the watch of the bed, which asks
-	d = newDiscovery(b)
-	b.watchAt(d.l.Addr())
-	d.asked(0)
+	d = newFakeDiscovery(b)
+	b.watchAt(d.listener.Addr())
+	d.awaitCall(0)
 	begin := b.now()
 	for b.since(begin) <= routes.ListLease-time.Second {
 		b.settle()
 	}
-	standing, _ = b.stands("before")
+	standing, _ = b.establish("before")
 	for b.since(begin) <= routes.ListLease {
 		b.settle()
 	}
@@ -105,8 +105,8 @@
 	for _, probe := range []string{"none", "answered", "unanswered"} {
 		t.Run(probe, func(t *testing.T) {
 			b, d := staleBed(t, 1, probe != "none")
-			c := b.client()
-			c.say(t, "OPEN a k c=c,d=2000\r\n")
+			c := b.dialClient()
+			c.write(t, "OPEN a k c=c,d=2000\r\n")
 			begin := b.now()
 			for b.since(begin) < 2100*time.Millisecond {
 				b.settle()
@@ -114,14 +114,14 @@
 					b.answerProbes()
 				}
 			}
-			if b.asked("a") != nil || !strings.HasPrefix(string(c.got), "BUSY") {
-				t.Errorf("sent: %v, the client got %q", b.asked("a") != nil, c.got)
+			if b.requestConn("a") != nil || !strings.HasPrefix(string(c.received), "BUSY") {
+				t.Errorf("sent: %v, the client got %q", b.requestConn("a") != nil, c.received)
 			}
 			if b.count.ListWaits != 1 {
 				t.Errorf("%d attempts waited", b.count.ListWaits)
 			}
 			d.end()
-			b.over(c)
+			b.checkReleased(c)
 		})
 	}
 }
@@ -130,18 +130,18 @@
 // places among such servers alone.
 func TestAttemptsAtAProvenServer(t *testing.T) {
 	b, d, standing := provenBed(t, 4)
-	ends := []*end{standing}
+	ends := []*testConn{standing}
 	for i := range 4 {
-		c := b.client()
+		c := b.dialClient()
 		id := fmt.Sprint("a", i)
-		c.say(t, "OPEN "+id+" k c=c,d=2000\r\n")
+		c.write(t, "OPEN "+id+" k c=c,d=2000\r\n")
 		begin := b.now()
-		b.until("the attempt", func() bool { return b.asked(id) != nil })
+		b.waitFor("the attempt", func() bool { return b.requestConn(id) != nil })
 		if took := b.since(begin); took > 50*time.Millisecond {
 			t.Errorf("sent after %v", took)
 		}
-		b.asked(id).say(t, "UP r\r\n")
-		b.until("UP", func() bool { return string(c.got) == "UP r\r\n" })
+		b.requestConn(id).write(t, "UP r\r\n")
+		b.waitFor("UP", func() bool { return string(c.received) == "UP r\r\n" })
 		ends = append(ends, c)
 		for begin = b.now(); b.since(begin) < 4*time.Second; {
 			b.settle()
@@ -153,14 +153,14 @@
 	for begin := b.now(); b.since(begin) < b.engine.proofs.life; {
 		b.settle()
 	}
-	c := b.client()
-	c.say(t, "OPEN late k c=c,d=2000\r\n")
-	b.until("a refusal", func() bool { return strings.HasPrefix(string(c.got), "BUSY") })
-	if b.asked("late") != nil {
+	c := b.dialClient()
+	c.write(t, "OPEN late k c=c,d=2000\r\n")
+	b.waitFor("a refusal", func() bool { return strings.HasPrefix(string(c.received), "BUSY") })
+	if b.requestConn("late") != nil {
 		t.Error("sent by a proof that is over")
 	}
 	d.end()
-	b.over(append(ends, c)...)
+	b.checkReleased(append(ends, c)...)
 }
 
 // A proof dates from the request's last look before its write, not from the answer: the server may have begun to drain behind that, and
@@ -169,21 +169,21 @@
 	b, d := staleBed(t, 1, false)
 	b.engine.proofs.life = proofLife(b.engine.set.DrainGrace, false)
 	d.answerNext(`{"seq":9,"whole":false,"hosts":[]}`)
-	c := b.client()
-	c.say(t, "OPEN a k c=c,d=60000\r\n")
-	b.until("the attempt", func() bool { return b.asked("a") != nil })
+	c := b.dialClient()
+	c.write(t, "OPEN a k c=c,d=60000\r\n")
+	b.waitFor("the attempt", func() bool { return b.requestConn("a") != nil })
 	written := b.now()
 	for b.since(written) < 150*time.Millisecond {
 		b.settle()
 	}
-	b.asked("a").say(t, "UP r\r\n")
-	b.until("UP", func() bool { return string(c.got) == "UP r\r\n" })
+	b.requestConn("a").write(t, "UP r\r\n")
+	b.waitFor("UP", func() bool { return string(c.received) == "UP r\r\n" })
 	life := b.engine.proofs.life
 	if !b.engine.proofs.holds("s0", written.Add(life-10*time.Millisecond)) || b.engine.proofs.holds("s0", written.Add(life)) {
 		t.Error("the proof does not end with its life after the write")
 	}
 	d.end()
-	b.over(c)
+	b.checkReleased(c)
 }
 
 // Where lists are pushed a drain counts as told at once, whether or not it arrived: a request that a server took proves nothing for the
@@ -210,7 +210,7 @@
 			t.Errorf("%s: it is proven still", state)
 		}
 		d.end()
-		b.over(standing)
+		b.checkReleased(standing)
 	}
 }
 
@@ -218,22 +218,22 @@
 func TestAttemptWaitsForNoCallThatFails(t *testing.T) {
 	b, d := staleBed(t, 1, true)
 	failed := b.count.WatchesFailed
-	b.until("a failure", func() bool { return b.count.WatchesFailed > failed })
-	c := b.client()
-	c.say(t, "OPEN a k c=c,d=2000\r\n")
-	b.until("a refusal", func() bool {
+	b.waitFor("a failure", func() bool { return b.count.WatchesFailed > failed })
+	c := b.dialClient()
+	c.write(t, "OPEN a k c=c,d=2000\r\n")
+	b.waitFor("a refusal", func() bool {
 		b.answerProbes()
-		return strings.HasPrefix(string(c.got), "BUSY")
+		return strings.HasPrefix(string(c.received), "BUSY")
 	})
-	if b.asked("a") != nil || b.count.ListWaits != 0 {
-		t.Errorf("sent: %v, %d waited", b.asked("a") != nil, b.count.ListWaits)
+	if b.requestConn("a") != nil || b.count.ListWaits != 0 {
+		t.Errorf("sent: %v, %d waited", b.requestConn("a") != nil, b.count.ListWaits)
 	}
 	d.answerNext(`{"seq":9,"whole":false,"hosts":[]}`)
 	if b.engine.listWait.failed {
 		t.Error("the next request would not wait either")
 	}
 	d.end()
-	b.over(c)
+	b.checkReleased(c)
 }
 
 // A client that leaves while its attempt waits for a list, or has its answer meanwhile, leaves nothing behind: the module's attempt
@@ -242,8 +242,8 @@
 	for _, end := range []string{"left", "stopped"} {
 		t.Run(end, func(t *testing.T) {
 			b, d := staleBed(t, 1, false)
-			c := b.client()
-			c.say(t, "OPEN a k c=c,d=60000\r\n")
+			c := b.dialClient()
+			c.write(t, "OPEN a k c=c,d=60000\r\n")
 			b.settle()
 			if end == "left" {
 				c.sock.Reset()
@@ -257,14 +257,14 @@
 			}
 			b.auditBooks()
 			d.answerNext(fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"s0","dial":%q,"health":"SERVING"}]}`, b.servers[0].Addr()))
-			if b.settle(); b.asked("a") != nil || b.count.ListWaits != 1 {
+			if b.settle(); b.requestConn("a") != nil || b.count.ListWaits != 1 {
 				t.Errorf("sent for a request that is over; %d waited", b.count.ListWaits)
 			}
-			if end == "stopped" && string(c.got) != "BUSY\r\n" {
-				t.Errorf("the client got %q", c.got)
+			if end == "stopped" && string(c.received) != "BUSY\r\n" {
+				t.Errorf("the client got %q", c.received)
 			}
 			d.end()
-			b.over(c)
+			b.checkReleased(c)
 		})
 	}
 }
--- a/internal/proxy/many_test.go
+++ b/internal/proxy/many_test.go
@@ -33,33 +33,33 @@
 	const n = 1024
 	for _, how := range []string{"watched", "whole again", "pushed"} {
 		t.Run(how, func(t *testing.T) {
-			b := newRealBed(t, 0, false)
-			var hops []*end
+			b := newSocketTestBed(t, 0, false)
+			var hops []*testConn
 			target, err := b.loop.Listen(b.local, func(s *poll.Socket, _ bool) poll.Handler {
-				hops = append(hops, &end{sock: s})
+				hops = append(hops, &testConn{sock: s})
 				return hops[len(hops)-1]
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
-			d := newDiscovery(b)
-			config := b.watchConfig(d.l.Addr())
+			d := newFakeDiscovery(b)
+			config := b.watchConfig(d.listener.Addr())
 			config.Seq, config.Pushed = routes.FromNothing, how == "pushed"
 			b.engine.watch = routes.NewWatch(config)
 			b.engine.watch.Start()
-			d.asked(0)
+			d.awaitCall(0)
 			d.tell(0, manyTargets(8, n, 0, true, target.Addr().String()))
-			b.until("the list", func() bool { return len(b.engine.table.IDs()) == n })
-			d.asked(0)
+			b.waitFor("the list", func() bool { return len(b.engine.table.IDs()) == n })
+			d.awaitCall(0)
 			d.tell(0, manyTargets(9, n, n-1, how == "whole again", target.Addr().String()))
-			b.until("the change", func() bool { return b.engine.table.Seq == 9 })
+			b.waitFor("the change", func() bool { return b.engine.table.Seq == 9 })
 			b.settle()
 			for i := range 20 {
-				c := b.client()
-				c.say(t, fmt.Sprintf("OPEN a%d k%d c=c,d=2000\r\n", i, i))
-				b.until("the attempt", func() bool { return len(hops) > i && len(hops[i].got) > 0 })
-				hops[i].say(t, "UP r\r\n")
-				b.until("UP", func() bool { return string(c.got) == "UP r\r\n" })
+				c := b.dialClient()
+				c.write(t, fmt.Sprintf("OPEN a%d k%d c=c,d=2000\r\n", i, i))
+				b.waitFor("the attempt", func() bool { return len(hops) > i && len(hops[i].received) > 0 })
+				hops[i].write(t, "UP r\r\n")
+				b.waitFor("UP", func() bool { return string(c.received) == "UP r\r\n" })
 			}
 			if held := b.engine.module.Held(fmt.Sprintf("s-%08x", n-1)); held != 20 {
 				t.Errorf("%d of 20 at the target that serves", held)
@@ -71,10 +71,10 @@
 }
 
 // tell writes an answer that may be longer than the socket takes at once.
-func (d *discovery) tell(n int, body string) {
+func (d *fakeDiscovery) tell(n int, body string) {
 	d.b.t.Helper()
 	rest := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	d.b.until("all written", func() bool {
+	d.b.waitFor("all written", func() bool {
 		k, err := d.calls[n].sock.Write(rest)
 		if err != nil {
 			d.b.t.Fatal(err)
@@ -95,7 +95,7 @@
 	}
 	for n, most := range map[int]uint64{500: 1 << 20, 1024: 2 << 20} {
 		before := heap()
-		b := newRealBedWith(t, 0, changed(t, `"Balancers":1`, fmt.Sprintf(`"Balancers":%d`, max(n*7/10, 350))))
+		b := newSocketTestBedWithSettings(t, 0, changed(t, `"Balancers":1`, fmt.Sprintf(`"Balancers":%d`, max(n*7/10, 350))))
 		for seq := range 20 { // what earlier lists took is given back
 			list, err := routes.Decode([]byte(manyTargets(seq+1, n, 0, true, "127.0.0.1:1")))
 			if err != nil {
--- a/internal/proxy/model_test.go
+++ b/internal/proxy/model_test.go
@@ -9,8 +9,8 @@
 // peerModel is what a client's connection must be, whatever has happened to it.
 type peerModel struct {
 	id     string
-	client *end
-	target *end // once it stands
+	client *testConn
+	target *testConn // once it stands
 	state  modelState
 	opened string // what the client got before its answer
 	down   string // lines of the target that the client must have
@@ -39,10 +39,10 @@
 	f.Add([]byte{0, 0, 1, 0, 3, 0, 17, 0, 0, 1, 1, 1, 17, 1, 3, 1, 10, 0, 8, 1, 0, 2, 1, 2, 9, 2})
 	f.Add([]byte{0, 0, 1, 0, 9, 0, 0, 1, 1, 1, 12, 1, 0, 2, 1, 2, 3, 2, 12, 2, 0, 3, 13, 3})
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		b := newBed(t, 2, false)
-		silent := newDiscovery(b) // reloads point the watch here and away again
-		b.watchAt(silent.l.Addr())
-		var all []*end
+		b := newTestBed(t, 2, false)
+		silent := newFakeDiscovery(b) // reloads point the watch here and away again
+		b.watchAt(silent.listener.Addr())
+		var all []*testConn
 		models := map[byte]*peerModel{}
 		for n := 0; n+1 < len(steps) && n < 120; n += 2 {
 			who := steps[n+1] % 4
@@ -51,17 +51,17 @@
 				if steps[n]%18 != 0 {
 					continue
 				}
-				m = &peerModel{id: fmt.Sprintf("%d-%d", who, n), client: b.client()}
+				m = &peerModel{id: fmt.Sprintf("%d-%d", who, n), client: b.dialClient()}
 				models[who], all = m, append(all, m.client)
 				continue
 			}
 			m.step(b, steps[n]%18, n)
 			b.settle()
 			m.check(b)
-			b.until("one hop at a time", func() bool {
+			b.waitFor("one hop at a time", func() bool {
 				n := 0
-				for _, h := range b.hops {
-					if strings.HasPrefix(string(h.got), "OPEN "+m.id+" ") && !h.eof && !h.reset {
+				for _, h := range b.targetConns {
+					if strings.HasPrefix(string(h.received), "OPEN "+m.id+" ") && !h.eof && !h.reset {
 						n++
 					}
 				}
@@ -71,7 +71,7 @@
 		}
 		b.engine.watch.Stop()
 		silent.close()
-		b.over(all...)
+		b.checkReleased(all...)
 		if b.engine.count.Overdue > 0 {
 			t.Fatal("the engine answered in the module's place")
 		}
@@ -79,41 +79,41 @@
 }
 
 // step does one thing to a connection and tells the model what must come of it.
-func (m *peerModel) step(b *bed, what byte, n int) {
-	h := b.asked(m.id)
+func (m *peerModel) step(b *testBed, what byte, n int) {
+	h := b.requestConn(m.id)
 	switch {
 	case what == 1 && m.state == mOpening:
-		m.client.say(b.t, "OPEN "+m.id+" k c=c,d=2000,g=1\r\n")
+		m.client.write(b.t, "OPEN "+m.id+" k c=c,d=2000,g=1\r\n")
 		m.state = mAsked
 	case what == 2 && m.state == mOpening:
-		m.client.say(b.t, "PING\r\n")
-		if strings.Count(m.opened, "PONG") == openingLines {
+		m.client.write(b.t, "PING\r\n")
+		if strings.Count(m.opened, "PONG") == maxOpeningLines {
 			m.opened, m.state = m.opened+"ERR\r\n", mOver
 			return
 		}
 		m.opened += "PONG\r\n"
 	case what == 3 && m.state == mAsked && h != nil && !h.eof:
 		m.target, m.state = h, mStanding
-		m.up, m.down = string(h.got), m.opened+"UP "+m.id+"\r\n"
-		h.say(b.t, "UP "+m.id+"\r\n")
+		m.up, m.down = string(h.received), m.opened+"UP "+m.id+"\r\n"
+		h.write(b.t, "UP "+m.id+"\r\n")
 	case what == 4 && m.state == mAsked && h != nil && !h.eof:
-		h.say(b.t, "BUSY cpu=0.9\r\n")
+		h.write(b.t, "BUSY cpu=0.9\r\n")
 	case what == 5 && m.state == mStanding:
 		text := fmt.Sprintf("%sreading %d\r\nLOAD %d\r\n", m.tail, n, n)
-		m.target.say(b.t, strings.TrimPrefix(text, m.tail))
+		m.target.write(b.t, strings.TrimPrefix(text, m.tail))
 		m.down, m.tail = m.down+text, ""
 	case what == 6 && m.state == mStanding:
 		text := fmt.Sprintf("beat %d\r\nagain\r\n", n)
-		m.client.say(b.t, text[:5])
+		m.client.write(b.t, text[:5])
 		b.settle()
-		m.client.say(b.t, text[5:])
+		m.client.write(b.t, text[5:])
 		m.up += text
 	case what == 7 && m.state == mStanding && m.tail == "":
 		m.tail = "half "
-		m.target.say(b.t, m.tail)
+		m.target.write(b.t, m.tail)
 	case what == 8 && m.state == mStanding: // the target says good-bye
 		text := m.tail + "BYE\r\n"
-		m.target.say(b.t, strings.TrimPrefix(text, m.tail))
+		m.target.write(b.t, strings.TrimPrefix(text, m.tail))
 		m.target.sock.CloseWrite()
 		m.down, m.state = m.down+text, mOver
 	case what == 9 && m.state != mOver: // the client ends its sending
@@ -129,46 +129,46 @@
 	case what == 11 && m.state == mStanding: // the target breaks: all else is void
 		m.target.reset = true
 		m.target.sock.Reset()
-		b.until("the reset", func() bool { return m.client.reset })
+		b.waitFor("the reset", func() bool { return m.client.reset })
 		m.state = mOver
 	case what == 12 && m.state != mOver:
 		m.client.reset = true
 		m.client.sock.Reset()
 		m.state = mOver
 	case what == 13 && m.state == mOpening:
-		m.client.say(b.t, "nonsense\r\n")
+		m.client.write(b.t, "nonsense\r\n")
 		m.opened, m.state = m.opened+"ERR\r\n", mOver
-		b.until("ERR", func() bool { return m.client.eof && string(m.client.got) == m.opened })
+		b.waitFor("ERR", func() bool { return m.client.eof && string(m.client.received) == m.opened })
 	case what == 14 && m.state == mOpening:
-		m.client.say(b.t, rude[n%len(rude)]+"\r\n")
+		m.client.write(b.t, malformedFirstLines[n%len(malformedFirstLines)]+"\r\n")
 		m.state = mOver
-		b.until("ERR", func() bool { return m.client.eof && strings.HasSuffix(string(m.client.got), "ERR\r\n") })
+		b.waitFor("ERR", func() bool { return m.client.eof && strings.HasSuffix(string(m.client.received), "ERR\r\n") })
 	case what == 15 && m.state == mAsked && !m.client.eof: // it does not wait for its answer
-		m.client.say(b.t, "early\r\n")
+		m.client.write(b.t, "early\r\n")
 		m.state = mOver
-		b.until("an answer", func() bool { return m.client.eof })
+		b.waitFor("an answer", func() bool { return m.client.eof })
 	case what == 16 && m.state == mStanding: // another client has the same id
-		c := b.client()
-		c.say(b.t, "OPEN "+m.id+" k c=c,d=2000,g=1\r\n")
-		b.until("ERR", func() bool { return c.eof && string(c.got) == "ERR\r\n" })
+		c := b.dialClient()
+		c.write(b.t, "OPEN "+m.id+" k c=c,d=2000,g=1\r\n")
+		b.waitFor("ERR", func() bool { return c.eof && string(c.received) == "ERR\r\n" })
 		c.sock.Close()
 	case what == 17: // a reload: nothing may change for any connection
 		b.engine.SetDiscovery(b.servers[n%2].Addr())
-		b.engine.SetDiscovery(b.front.listener.Addr())
+		b.engine.SetDiscovery(b.frontend.listener.Addr())
 	}
 }
 
 // counts compares what the module believes to be out or standing at each target with the hops that are.
-func (b *bed) counts() {
+func (b *testBed) counts() {
 	b.t.Helper()
-	b.until("the module to count what the sockets have", func() bool {
+	b.waitFor("the module to count what the sockets have", func() bool {
 		hops := map[string]int{}
-		for _, s := range b.front.sessions {
+		for _, s := range b.frontend.sessions {
 			if s.hop != nil {
-				hops[s.hop.peer.id]++
+				hops[s.hop.target.id]++
 			}
 		}
-		for id := range b.front.peers {
+		for id := range b.frontend.targetStates {
 			if b.engine.module.Held(id) != hops[id] {
 				return false
 			}
@@ -177,8 +177,8 @@
 	})
 }
 
-func (m *peerModel) check(b *bed) {
-	got := string(m.client.got)
+func (m *peerModel) check(b *testBed) {
+	got := string(m.client.received)
 	switch {
 	case m.target == nil:
 		rest := strings.TrimPrefix(got, m.opened)
@@ -189,11 +189,11 @@
 			m.state = mOver
 		}
 	case m.state == mStanding || m.moved:
-		b.until(fmt.Sprintf("%s: %q at the client, %q at the target", m.id, m.down, m.up), func() bool {
-			return string(m.client.got) == m.down && string(m.target.got) == m.up
+		b.waitFor(fmt.Sprintf("%s: %q at the client, %q at the target", m.id, m.down, m.up), func() bool {
+			return string(m.client.received) == m.down && string(m.target.received) == m.up
 		})
 		if m.moved {
-			b.until("both ends closed", func() bool {
+			b.waitFor("both ends closed", func() bool {
 				return m.client.eof && (m.target.eof || m.target.reset)
 			})
 		}
--- a/internal/proxy/pages_test.go
+++ b/internal/proxy/pages_test.go
@@ -14,20 +14,20 @@
 // The new address of discovery names a target as draining while an attempt at it connects: the whole list and the connection lie
 // there in one turn, and the attempt is not sent.
 func TestDrainSoonAfterAReload(t *testing.T) {
-	b := newRealBed(t, 1, false)
-	first, second := newDiscovery(b), newDiscovery(b)
-	b.watchAt(first.l.Addr())
-	first.asked(0)
-	b.engine.SetDiscovery(second.l.Addr())
-	second.asked(0)
-	c := b.client()
-	c.say(t, "OPEN a k c=c,d=300\r\n")
+	b := newSocketTestBed(t, 1, false)
+	first, second := newFakeDiscovery(b), newFakeDiscovery(b)
+	b.watchAt(first.listener.Addr())
+	first.awaitCall(0)
+	b.engine.SetDiscovery(second.listener.Addr())
+	second.awaitCall(0)
+	c := b.dialClient()
+	c.write(t, "OPEN a k c=c,d=300\r\n")
 	b.dialled(1)
 	list := fmt.Sprintf(`{"seq":3,"whole":true,"hosts":[{"host":"s0","dial":%q,"health":"DRAINING"}]}`, b.servers[0].Addr())
-	second.calls[0].say(t, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list))
-	b.until("an answer", func() bool { return c.eof })
-	if len(b.hops) != 1 || len(b.hops[0].got) > 0 || string(c.got) != "BUSY\r\n" {
-		t.Errorf("%d connections, sent %q, the client got %q", len(b.hops), b.hops[0].got, c.got)
+	second.calls[0].write(t, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list))
+	b.waitFor("an answer", func() bool { return c.eof })
+	if len(b.targetConns) != 1 || len(b.targetConns[0].received) > 0 || string(c.received) != "BUSY\r\n" {
+		t.Errorf("%d connections, sent %q, the client got %q", len(b.targetConns), b.targetConns[0].received, c.received)
 	}
 	b.engine.watch.Stop()
 	first.close()
@@ -36,34 +36,36 @@
 
 // A target dies right behind its accept. Before the request's last byte was written it never ran, and another target may have any
 // request; after that it may have run, and a request that must not run twice is a failure.
-func TestTargetKilledBehindItsAccept(t *testing.T) {
+func TestTargetResetsAfterAccept(t *testing.T) {
 	for _, repeat := range []string{"free", "single_shot"} {
 		for _, written := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, written %v", repeat, written), func(t *testing.T) {
-				b := newRealBedWith(t, 2, changed(t, `"Repeat":"free"`, `"Repeat":"`+repeat+`"`))
-				c := b.client()
-				c.say(t, "OPEN a k c=c,d=1500\r\n")
+				b := newSocketTestBedWithSettings(t, 2, changed(t, `"Repeat":"free"`, `"Repeat":"`+repeat+`"`))
+				c := b.dialClient()
+				c.write(t, "OPEN a k c=c,d=1500\r\n")
 				b.dialled(1)
 				if written {
-					b.until("the request", func() bool { return b.asked("a") != nil })
+					b.waitFor("the request", func() bool { return b.requestConn("a") != nil })
 				} else {
 					for _, l := range b.servers { // the far ends accept, and the proxy does not know yet that it is connected
 						l.Ready(poll.Ready{Read: true})
 					}
 				}
-				dead := b.hops[0]
-				dead.got, dead.reset = nil, true
+				dead := b.targetConns[0]
+				dead.received, dead.reset = nil, true
 				dead.sock.Reset()
 				if written && repeat == "single_shot" {
-					b.until("a failure", func() bool { return c.eof })
-					if string(c.got) != "ERR\r\n" || len(b.hops) != 1 {
-						t.Errorf("got %q after %d attempts", c.got, len(b.hops))
+					b.waitFor("a failure", func() bool { return c.eof })
+					if string(c.received) != "ERR\r\n" || len(b.targetConns) != 1 {
+						t.Errorf("got %q after %d attempts", c.received, len(b.targetConns))
 					}
 					return
 				}
-				b.until("another attempt", func() bool { return len(b.hops) > 1 && strings.HasPrefix(string(b.hops[1].got), "OPEN a ") })
-				b.hops[1].say(t, "UP r\r\n")
-				b.until("UP", func() bool { return string(c.got) == "UP r\r\n" })
+				b.waitFor("another attempt", func() bool {
+					return len(b.targetConns) > 1 && strings.HasPrefix(string(b.targetConns[1].received), "OPEN a ")
+				})
+				b.targetConns[1].write(t, "UP r\r\n")
+				b.waitFor("UP", func() bool { return string(c.received) == "UP r\r\n" })
 			})
 		}
 	}
@@ -71,20 +73,20 @@
 
 // A request comes in pieces around the end of a planned stop: whatever of it is there when the doors are shut, and whenever the rest
 // comes, its client has a refusal, no reset, and nothing is sent on.
-func TestRequestInPiecesAtTheEndOfAStop(t *testing.T) {
+func TestSplitRequestAtTheEndOfAStop(t *testing.T) {
 	const request = "OPEN a k c=c,d=2000\r\n"
 	for cut := 1; cut < len(request); cut += 4 {
-		b := newRealBed(t, 1, false)
-		c := b.client()
-		c.say(t, request[:cut])
+		b := newSocketTestBed(t, 1, false)
+		c := b.dialClient()
+		c.write(t, request[:cut])
 		b.settle()
-		b.front.Drain(func() {})
-		b.front.drain.begin = b.loop.Now().Add(-lateClients - time.Millisecond)
-		b.front.drainStep()
-		c.say(t, request[cut:])
-		b.until("the end", func() bool { return c.eof || c.reset })
-		if c.reset || string(c.got) != "BUSY\r\n" || b.count.Hops != 0 {
-			t.Errorf("cut at %d: reset %v, got %q, %d attempts", cut, c.reset, c.got, b.count.Hops)
+		b.frontend.Drain(func() {})
+		b.frontend.drain.begin = b.loop.Now().Add(-lateClients - time.Millisecond)
+		b.frontend.drainStep()
+		c.write(t, request[cut:])
+		b.waitFor("the end", func() bool { return c.eof || c.reset })
+		if c.reset || string(c.received) != "BUSY\r\n" || b.count.Hops != 0 {
+			t.Errorf("cut at %d: reset %v, got %q, %d attempts", cut, c.reset, c.received, b.count.Hops)
 		}
 	}
 }
@@ -92,26 +94,26 @@
 // A request that no target ever answers has its final answer before its time is over, however it came: whole, in pieces, late in a
 // turn of the loop, or as the last of many.
 func TestUnansweredRequestsEnd(t *testing.T) {
-	b := newRealBed(t, 3, false)
+	b := newSocketTestBed(t, 3, false)
 	const clients = 40
-	all := make([]*end, clients)
+	all := make([]*testConn, clients)
 	ends := make([]time.Time, clients)
 	for i := range all {
-		all[i] = b.client()
+		all[i] = b.dialClient()
 		request := fmt.Sprintf("OPEN u%d k%d c=c,d=500\r\n", i, i)
 		if i%2 == 0 {
-			all[i].say(t, request[:9])
+			all[i].write(t, request[:9])
 			b.settle()
 			request = request[9:]
 		}
-		all[i].say(t, request)
+		all[i].write(t, request)
 		ends[i] = b.now().Add(500 * time.Millisecond)
 	}
 	for _, l := range b.servers[1:] {
 		l.Close() // some refuse, the first one is silent
 	}
 	late := 0
-	b.until("all answers", func() bool {
+	b.waitFor("all answers", func() bool {
 		left := 0
 		for i, c := range all {
 			switch {
@@ -127,7 +129,7 @@
 		return left == 0
 	})
 	for i, c := range all {
-		if got := string(c.got); got != "BUSY\r\n" && got != "ERR\r\n" {
+		if got := string(c.received); got != "BUSY\r\n" && got != "ERR\r\n" {
 			t.Errorf("client %d got %q", i, got)
 		}
 	}
--- a/internal/proxy/shared.go
+++ b/internal/proxy/shared.go
@@ -19,14 +19,14 @@
 // Table is the route table, to be read only.
 func (e *Engine) Table() *routes.Table { return &e.table }
 
-// Vouched has f asked as of when another process vouched for the list, for the counters.
-func (e *Engine) Vouched(f func() time.Time) { e.vouched = f }
+// SetPeerConfirmation has f asked as of when another process vouched for the list, for the counters.
+func (e *Engine) SetPeerConfirmation(f func() time.Time) { e.vouched = f }
 
-// OnNews has f called after each answer of discovery that was taken.
-func (e *Engine) OnNews(f func()) { e.onNews = f }
+// OnDiscoveryAnswer has f called after each answer of discovery that was taken.
+func (e *Engine) OnDiscoveryAnswer(f func()) { e.onNews = f }
 
-// Hear takes a whole list that another process passed on. One that is older than what is known changes nothing.
-func (e *Engine) Hear(l *routes.List) {
+// ApplyPeerList takes a whole list that another process passed on. One that is older than what is known changes nothing.
+func (e *Engine) ApplyPeerList(l *routes.List) {
 	if l.Seq < e.table.Seq {
 		return
 	}
@@ -42,14 +42,14 @@
 	e.askOther, e.onProbed = ask, told
 }
 
-// Reported takes a report that another process's probe brought.
-func (e *Engine) Reported(target string, rep balance.Report) {
+// PeerReported takes a report that another process's probe brought.
+func (e *Engine) PeerReported(target string, rep balance.Report) {
 	e.count.ProbesShared++
 	e.push(event{kind: evProbed, target: target, outcome: balance.OK, report: rep})
 }
 
-// ProbeAlone probes a target from here.
-func (e *Engine) ProbeAlone(target string) {
+// ProbeDirectly probes a target from here.
+func (e *Engine) ProbeDirectly(target string) {
 	to := e.table.Find(target)
 	if to == nil {
 		e.push(event{kind: evProbed, target: target, outcome: balance.NoConnect, report: noReport})
@@ -64,7 +64,7 @@
 
 // MoveNow carries out a move that was paced. The connection may have ended meanwhile.
 func (e *Engine) MoveNow(id balance.RequestID) {
-	if x := e.exchanges[id]; x != nil && x.out && x.standing {
+	if x := e.exchanges[id]; x != nil && x.hopActive && x.established {
 		e.count.MovesPaced++
 		e.move(x)
 	}
@@ -79,27 +79,29 @@
 	return to == nil || to.Health == routes.Draining
 }
 
-// Occasion is what an outcome came of.
-type Occasion uint8
+// OutcomeSource is what an outcome came of.
+type OutcomeSource uint8
 
 // The occasions.
 const (
-	OfHop      Occasion = iota // one that had not stood, or its standing up
-	OfStanding                 // a connection that stood and ended
-	OfProbe
+	FromHop      OutcomeSource = iota // one that had not stood, or its standing up
+	FromStanding                      // a connection that stood and ended
+	FromProbe
 )
 
 // OnOutcome has f told of what this process sees of targets that take new work.
-func (e *Engine) OnOutcome(f func(target string, o balance.Outcome, of Occasion)) { e.onOutcome = f }
+func (e *Engine) OnOutcome(f func(target string, o balance.Outcome, of OutcomeSource)) {
+	e.onOutcome = f
+}
 
-func (e *Engine) saw(target string, o balance.Outcome, of Occasion) {
+func (e *Engine) saw(target string, o balance.Outcome, of OutcomeSource) {
 	if e.onOutcome != nil && !e.drains(target) {
 		e.onOutcome(target, o, of)
 	}
 }
 
-// Told passes on to the module what others know of a target: it is to be passed over until then.
-func (e *Engine) Told(target string, until time.Time) {
+// AvoidUntil passes on to the module what others know of a target: it is to be passed over until then.
+func (e *Engine) AvoidUntil(target string, until time.Time) {
 	e.push(event{kind: evTold, target: target, until: until})
 }
 
@@ -115,23 +117,23 @@
 // SetLimits has exchanges counted and limited; the module refuses those for which there is no room.
 func (e *Engine) SetLimits(l Limits) { e.limits = l }
 
-// Under is how many exchanges count under a limit.
-func (e *Engine) Under(bit uint64) int {
+// CountUnderLimit is how many exchanges count under a limit.
+func (e *Engine) CountUnderLimit(bit uint64) int {
 	n := 0
 	for _, x := range e.exchanges { // only counted
-		if x.under&bit != 0 {
+		if x.limitBits&bit != 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// Yield moves n standing connections that count under a limit, the latest first, and returns how many there were to move.
-func (e *Engine) Yield(bit uint64, n int) int {
+// MoveUnderLimit moves n standing connections that count under a limit, the latest first, and returns how many there were to move.
+func (e *Engine) MoveUnderLimit(bit uint64, n int) int {
 	moved := 0
 	all := e.inOrder()
 	for i := len(all) - 1; i >= 0 && moved < n; i-- {
-		if x := all[i]; x.under&bit != 0 && x.out && x.standing {
+		if x := all[i]; x.limitBits&bit != 0 && x.hopActive && x.established {
 			e.move(x)
 			moved++
 		}
@@ -142,5 +144,5 @@
 // OnHop has f told of each hop of a class: the first one of a client that comes for the first time, or a further one.
 func (e *Engine) OnHop(f func(class int, first bool)) { e.onHop = f }
 
-// Thrifty tells the module whether all processes together have made as many further hops as they may.
-func (e *Engine) Thrifty(on bool) { e.push(event{kind: evThrifty, on: on}) }
+// SetRetryBudgetSpent tells the module whether all processes together have made as many further hops as they may.
+func (e *Engine) SetRetryBudgetSpent(on bool) { e.push(event{kind: evThrifty, on: on}) }
