--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -27,7 +27,7 @@
 func (f *LineFrontend) auditExchanges() ([]*Exchange, error) {
 	var out []*Exchange
 	names := 0
-	for _, x := range f.engine.inOrder() {
+	for _, x := range f.engine.sortedExchanges() {
 		if x.clientID != "" {
 			names++
 		}
@@ -52,8 +52,8 @@
 			return nil, fmt.Errorf("given-back: exchange %d has a hop without a socket and nothing that reminds of it", x.id)
 		}
 	}
-	if names != len(f.engine.ids) {
-		return nil, fmt.Errorf("given-back: %d clients' ids are kept for %d exchanges", len(f.engine.ids), names)
+	if names != len(f.engine.clientIDs) {
+		return nil, fmt.Errorf("given-back: %d clients' ids are kept for %d exchanges", len(f.engine.clientIDs), names)
 	}
 	return out, nil
 }
--- a/internal/proxy/batch.go
+++ b/internal/proxy/batch.go
@@ -20,33 +20,33 @@
 	evList eventKind = iota
 	evRequest
 	evOpen
-	evUp
+	evEstablished
 	evEnded
-	evLeft
+	evClientLeft
 	evNote
 	evProbed
 	evTimer
-	evTold
-	evThrifty
+	evAvoid
+	evRetryBudget
 )
 
 // event is something that happened, for the module.
 type event struct {
-	kind    eventKind
-	x       *Exchange
-	request balance.Request
-	target  string
-	attempt int
-	settled bool
-	outcome balance.Outcome
-	report  balance.Report
-	note    balance.Note
-	level   float64
-	list    balance.ListKind
-	entries []balance.Backend
-	token   uint64
-	until   time.Time
-	on      bool
+	kind        eventKind
+	exchange    *Exchange
+	request     balance.Request
+	target      string
+	attempt     int
+	settled     bool
+	outcome     balance.Outcome
+	report      balance.Report
+	note        balance.Note
+	level       float64
+	list        balance.ListKind
+	entries     []balance.Backend
+	token       uint64
+	until       time.Time
+	budgetSpent bool
 }
 
 type actionKind uint8
@@ -65,12 +65,12 @@
 
 // action is something that the module asked for.
 type action struct {
-	kind    actionKind
-	id      balance.RequestID
-	target  string
-	span    time.Duration
-	attempt int
-	token   uint64
+	kind     actionKind
+	id       balance.RequestID
+	target   string
+	duration time.Duration
+	attempt  int
+	token    uint64
 }
 
 func (e *Engine) push(ev event) { e.events = append(e.events, ev) }
@@ -78,28 +78,28 @@
 // Deliver hands the module all that has happened and then carries out what it asked for. What comes of that at
 // once is handed over at the next turn.
 func (e *Engine) Deliver() {
-	e.events, e.handed = e.handed[:0], e.events
+	e.events, e.delivering = e.delivering[:0], e.events
 	now := e.loop.Now()
 	e.restrictPlacement()
-	for i := range e.handed {
-		e.hand(now, &e.handed[i])
-		e.handed[i] = event{}
+	for i := range e.delivering {
+		e.deliverEvent(now, &e.delivering[i])
+		e.delivering[i] = event{}
 	}
 	for i := 0; i < len(e.actions); i++ { // an action may bring another: a client's line is read to make room for an attempt
 		a := e.actions[i]
-		e.carryOut(&a)
+		e.execute(&a)
 	}
 	e.actions = e.actions[:0]
-	for _, x := range e.leaving {
+	for _, x := range e.toRelease {
 		if !x.hopActive {
 			e.release(x)
 		}
 	}
-	clear(e.leaving)
-	e.leaving = e.leaving[:0]
+	clear(e.toRelease)
+	e.toRelease = e.toRelease[:0]
 }
 
-func (e *Engine) hand(now time.Time, ev *event) {
+func (e *Engine) deliverEvent(now time.Time, ev *event) {
 	switch ev.kind {
 	case evList:
 		e.module.Members(now, ev.list, ev.entries)
@@ -107,33 +107,33 @@
 		e.module.Request(now, ev.request)
 	case evOpen:
 		e.module.Open(now, ev.request, ev.target)
-	case evUp:
-		e.module.Started(now, ev.x.id)
+	case evEstablished:
+		e.module.Started(now, ev.exchange.id)
 	case evEnded:
-		e.module.Finished(now, ev.x.id, ev.attempt, ev.settled, ev.outcome, ev.report)
-	case evLeft:
-		e.module.Gone(now, ev.x.id)
+		e.module.Finished(now, ev.exchange.id, ev.attempt, ev.settled, ev.outcome, ev.report)
+	case evClientLeft:
+		e.module.Gone(now, ev.exchange.id)
 	case evNote:
-		e.module.Note(now, ev.x.id, ev.note, ev.level)
+		e.module.Note(now, ev.exchange.id, ev.note, ev.level)
 	case evProbed:
 		e.module.Probed(now, ev.target, ev.outcome, ev.report)
 	case evTimer:
 		e.module.Timer(now, ev.token)
-	case evTold:
+	case evAvoid:
 		e.module.Told(ev.target, ev.until)
-	case evThrifty:
-		e.module.Thrifty(ev.on)
+	case evRetryBudget:
+		e.module.Thrifty(ev.budgetSpent)
 	}
 }
 
-func (e *Engine) carryOut(a *action) {
+func (e *Engine) execute(a *action) {
 	x := e.exchanges[a.id]
 	switch a.kind {
 	case acSend:
 		e.send(x, a)
 	case acRefuse, acFail:
 		if x != nil && !x.answered {
-			e.answer(x, a.kind == acRefuse, a.span)
+			e.answer(x, a.kind == acRefuse, a.duration)
 			e.release(x)
 		}
 	case acCancel:
@@ -143,18 +143,18 @@
 		}
 	case acMove:
 		if x != nil && x.hopActive && x.established {
-			if e.paceMove == nil || !e.drains(x.target.ID) || !e.paceMove(x.id) {
+			if e.paceMove == nil || !e.draining(x.target.ID) || !e.paceMove(x.id) {
 				e.move(x)
 			}
 		}
 	case acProbe:
-		e.count.Probes++
+		e.counters.Probes++
 		if to := e.table.Find(a.target); to != nil {
-			if e.askOther == nil || !e.askOther(to.ID) {
+			if e.probeViaPeer == nil || !e.probeViaPeer(to.ID) {
 				e.prober.Probe(to)
 			} else {
-				e.count.Probes--
-				e.count.ProbesAsked++
+				e.counters.Probes--
+				e.counters.ProbesAsked++
 			}
 		} else {
 			e.Probed(a.target, balance.NoConnect, noReport)
@@ -168,15 +168,15 @@
 	case acAfter:
 		t, token := &poll.Timer{}, a.token
 		t.Fire = func() { e.push(event{kind: evTimer, token: token}) }
-		e.loop.After(t, a.span)
+		e.loop.After(t, a.duration)
 	}
 }
 
 // move tells a standing client to come again.
 func (e *Engine) move(x *Exchange) {
-	e.count.Moves++
-	if e.drains(x.target.ID) {
-		e.count.MovesDrain++
+	e.counters.Moves++
+	if e.draining(x.target.ID) {
+		e.counters.MovesDrain++
 	}
 	x.client.Move()
 	x.Ended(balance.Cancelled, noReport)
@@ -189,27 +189,27 @@
 	}
 	if x.answered { // the client left in this turn; each of the module's attempts has an end all the same
 		x.hopCount++
-		e.push(event{kind: evEnded, x: x, attempt: x.hopCount - 1, settled: true, outcome: balance.NotSent, report: noReport})
+		e.push(event{kind: evEnded, exchange: x, attempt: x.hopCount - 1, settled: true, outcome: balance.NotSent, report: noReport})
 		return
 	}
 	if e.holdSend(x, a) {
 		return
 	}
 	to := e.table.Find(a.target)
-	if to == nil || states[to.Health] != balance.Ready {
+	if to == nil || moduleStates[to.Health] != balance.Ready {
 		x.hopCount++
-		e.push(event{kind: evEnded, x: x, attempt: x.hopCount - 1, outcome: balance.NoConnect, report: noReport})
+		e.push(event{kind: evEnded, exchange: x, attempt: x.hopCount - 1, outcome: balance.NoConnect, report: noReport})
 		return
 	}
-	if trusted := e.trusts(to.ID, e.loop.Now(), 0); !trusted || !x.mayHop(e.loop.Now(), to) {
+	if trusted := e.maySendTo(to.ID, e.loop.Now(), 0); !trusted || !x.mayHop(e.loop.Now(), to) {
 		if !trusted {
-			e.count.ListsExpired++
+			e.counters.ListsExpired++
 		}
 		x.hopCount++
-		e.push(event{kind: evEnded, x: x, attempt: x.hopCount - 1, outcome: balance.NotSent, report: noReport})
+		e.push(event{kind: evEnded, exchange: x, attempt: x.hopCount - 1, outcome: balance.NotSent, report: noReport})
 		return
 	}
-	e.hop(x, to, a.span)
+	e.startHop(x, to, a.duration)
 }
 
 // host takes the module's actions down; Deliver carries them out.
@@ -218,11 +218,11 @@
 func (h *host) add(a action) { h.actions = append(h.actions, a) }
 
 func (h *host) Send(id balance.RequestID, backend string, timeout time.Duration) {
-	h.add(action{kind: acSend, id: id, target: backend, span: timeout})
+	h.add(action{kind: acSend, id: id, target: backend, duration: timeout})
 }
 
 func (h *host) Refuse(id balance.RequestID, advice time.Duration) {
-	h.add(action{kind: acRefuse, id: id, span: advice})
+	h.add(action{kind: acRefuse, id: id, duration: advice})
 }
 func (h *host) Fail(id balance.RequestID) { h.add(action{kind: acFail, id: id}) }
 func (h *host) Cancel(id balance.RequestID, attempt int) {
@@ -232,5 +232,5 @@
 func (h *host) Probe(backend string)      { h.add(action{kind: acProbe, target: backend}) }
 func (h *host) Watch()                    { h.add(action{kind: acWatch}) }
 func (h *host) After(d time.Duration, token uint64) {
-	h.add(action{kind: acAfter, span: d, token: token})
+	h.add(action{kind: acAfter, duration: d, token: token})
 }
--- a/internal/proxy/bed_test.go
+++ b/internal/proxy/bed_test.go
@@ -24,7 +24,8 @@
 	`"Permissions":{"AttemptsCap":3,"Cancel":true,"Probing":%v,"DialTimeoutUs":200000,"ConnIdleUs":60000000},` +
 	`"Report":{"Fields":["cpu","x0"]}}`
 
-// end is the far end of a connection, a client's or an egress target's, on the same loop as the proxy.
+// testConn is the remote end of a connection, a client's or an egress target's. It runs on the
+// proxy's loop.
 type testConn struct {
 	sock       *poll.Socket
 	received   []byte
@@ -34,7 +35,7 @@
 }
 
 func (e *testConn) Ready(r poll.Ready) {
-	if e.eof && r.Hangup { // both directions are over, which is told without end
+	if e.eof && r.Hangup { // both directions are closed; the loop would report it in every turn
 		e.sock.Close()
 		return
 	}
@@ -60,27 +61,28 @@
 	}
 }
 
-// loopback is an address of a real bed's own.
+// loopback returns a random loopback address for one socket test bed.
 func loopback() netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(1 + rand.IntN(250)), byte(rand.IntN(256)), byte(1 + rand.IntN(250))}), 0)
 }
 
-// bed is a proxy between ends that the test plays, all on one loop: in virtual time, or on real sockets.
+// testBed is a proxy with clients and egress targets that the test plays, all on one loop: in
+// virtual time on a simulated network, or on real sockets.
 type testBed struct {
 	t              testing.TB
 	world          *vnet.World // nil: real sockets
 	host           *vnet.Host
 	local          netip.AddrPort
-	manualDelivery bool // the engine is not asked to deliver: the test looks at its events
+	manualDelivery bool // Engine.Deliver is not called: the test inspects the engine's events
 	loop           *poll.Loop
 	engine         *Engine
 	frontend       *LineFrontend
-	count          stats.Counters
+	counters       stats.Counters
 	log            bytes.Buffer
-	targetConns    []*testConn // connections to the targets, in order
+	targetConns    []*testConn // accepted by the targets, in order
 	servers        []*poll.Listener
 	baseSockets    int
-	settingsText   string // its settings
+	settingsText   string // the proxy's settings, JSON
 }
 
 func newTestBed(t testing.TB, targets int, probes bool) *testBed {
@@ -100,18 +102,19 @@
 	return b
 }
 
-// watchConfig is for a watch on another discovery in place of the engine's own.
+// watchConfig returns the configuration of a watch on discovery at an address, in place of the
+// engine's own watch.
 func (b *testBed) watchConfig(at netip.AddrPort) routes.WatchConfig {
-	return routes.WatchConfig{Loop: b.loop, Addr: at, Seq: 7, AskWithin: 3 * time.Second, Rand: rand.New(rand.NewPCG(1, 1)), Calls: &b.count.Watches, News: b.engine.news}
+	return routes.WatchConfig{Loop: b.loop, Addr: at, Seq: 7, AskWithin: 3 * time.Second, Rand: rand.New(rand.NewPCG(1, 1)), Calls: &b.counters.Watches, News: b.engine.handleDiscoveryAnswer}
 }
 
-// newRealBed is newBed on real sockets.
+// newSocketTestBed returns a test bed on real sockets.
 func newSocketTestBed(t testing.TB, targets int, probes bool) *testBed {
 	t.Helper()
 	return newSocketTestBedWithSettings(t, targets, fmt.Sprintf(testSettings, probes))
 }
 
-// newRealBedWith is newRealBed with other settings.
+// newSocketTestBedWithSettings returns a test bed on real sockets with the given settings.
 func newSocketTestBedWithSettings(t testing.TB, targets int, text string) *testBed {
 	t.Helper()
 	b := &testBed{t: t, local: loopback(), settingsText: text}
@@ -122,7 +125,8 @@
 	return b.start(targets)
 }
 
-// newRealBedOn is newRealBed without probes, on a kernel that is put around the real one.
+// newSocketTestBedOnKernel returns a test bed on real sockets, without probes, whose loop uses the
+// kernel that around returns for the real one.
 func newSocketTestBedOnKernel(t testing.TB, targets int, around func(poll.Kernel) poll.Kernel) *testBed {
 	t.Helper()
 	kernel, err := poll.NewEpoll(poll.LinuxCalls())
@@ -133,7 +137,7 @@
 	return b.start(targets)
 }
 
-// begin makes the proxy on its loop.
+// start creates the proxy and its targets on the loop, and closes them at the end of the test.
 func (b *testBed) start(targets int) *testBed {
 	b.build(targets)
 	b.settle()
@@ -147,7 +151,7 @@
 	return b
 }
 
-// step is one turn.
+// step runs one turn of the loop.
 func (b *testBed) step() error {
 	if b.manualDelivery {
 		return b.loop.Turn(true)
@@ -156,7 +160,7 @@
 	return b.loop.Turn(!b.engine.Pending())
 }
 
-// build makes the proxy and its targets.
+// build creates the proxy and its targets.
 func (b *testBed) build(targets int) {
 	t, local := b.t, b.local
 	known := &routes.List{Whole: true}
@@ -177,7 +181,7 @@
 		t.Fatal(err)
 	}
 	b.engine, err = NewEngine(EngineConfig{
-		Loop: b.loop, Settings: set, Known: known, Seed: 1, Count: &b.count, Log: log.New(&b.log, "", 0),
+		Loop: b.loop, Settings: set, Known: known, Seed: 1, Count: &b.counters, Log: log.New(&b.log, "", 0),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -188,7 +192,7 @@
 	}
 }
 
-// now is the time of the bed's world.
+// now returns the virtual time, or the real time on real sockets.
 func (b *testBed) now() time.Time {
 	if b.world != nil {
 		return b.world.Now()
@@ -198,10 +202,11 @@
 
 func (b *testBed) since(begin time.Time) time.Duration { return b.now().Sub(begin) }
 
-// settle turns the loop until all that the last step set off has come through.
+// settle runs the loop until the effects of the test's last step are complete: 1 ms of virtual
+// time, or 12 turns on real sockets.
 func (b *testBed) settle() {
 	if b.world != nil {
-		b.loop.Wake() // the test may have armed timers
+		b.loop.Wake() // the test may have set timers
 		if err := b.world.Run(time.Millisecond); err != nil {
 			b.t.Fatal(err)
 		}
@@ -215,13 +220,13 @@
 	}
 }
 
-// until turns the loop until something holds.
+// waitFor runs the loop until holds returns true, for at most 5 s.
 func (b *testBed) waitFor(what string, holds func() bool) {
 	b.t.Helper()
 	for begin := b.now(); !holds(); {
 		b.settle()
 		if b.since(begin) > 5*time.Second {
-			b.t.Fatalf("never came: %s\n%s", what, b.log.String())
+			b.t.Fatalf("timed out after 5 s waiting for %s; log:\n%s", what, b.log.String())
 		}
 		if b.world == nil {
 			time.Sleep(time.Millisecond)
@@ -242,7 +247,7 @@
 	return c
 }
 
-// asked returns the hop that carries the client's first line.
+// requestConn returns the target's end of the hop on which the client's first line arrived, or nil.
 func (b *testBed) requestConn(id string) *testConn {
 	for _, h := range b.targetConns {
 		if !h.reset && strings.HasPrefix(string(h.received), "OPEN "+id+" ") {
@@ -252,7 +257,7 @@
 	return nil
 }
 
-// stands opens a connection through the proxy and returns both its ends.
+// establish opens a connection through the proxy and returns both its remote ends.
 func (b *testBed) establish(id string) (client, target *testConn) {
 	b.t.Helper()
 	client = b.dialClient()
@@ -264,7 +269,7 @@
 	return client, target
 }
 
-// over checks that everything was given back once the far ends are closed.
+// checkReleased closes the remote ends and checks that the proxy releases all it held for them.
 func (b *testBed) checkReleased(ends ...*testConn) {
 	b.t.Helper()
 	for _, e := range append(ends, b.targetConns...) {
@@ -272,7 +277,7 @@
 			e.sock.Close()
 		}
 	}
-	b.waitFor("all given back", func() bool {
+	b.waitFor("the release of all sessions, exchanges and sockets", func() bool {
 		return len(b.frontend.sessions) == 0 && len(b.engine.exchanges) == 0 && b.loop.Open() == b.baseSockets
 	})
 }
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -18,31 +18,31 @@
 	attemptDescriptors   = 24
 
 	// What stays free when probes, attempts and clients open a connection.
-	keptFromProbes   = OwnDescriptors + discoveryDescriptors
-	keptFromAttempts = keptFromProbes + probeDescriptors
-	keptFromClients  = keptFromAttempts + attemptDescriptors
+	reservedFromProbes   = OwnDescriptors + discoveryDescriptors
+	reservedFromAttempts = reservedFromProbes + probeDescriptors
+	reservedFromClients  = reservedFromAttempts + attemptDescriptors
 
-	// fullAdvice is when a client may come again that found no descriptor.
-	fullAdvice = time.Second
+	// noDescriptorRetryAfter is when a client may come again that found no descriptor.
+	noDescriptorRetryAfter = time.Second
 )
 
 // idleConnection is a connection that may be closed when descriptors are short: a client's before its request or after its last
 // line, or one that waits for the next probe.
 type idleConnection interface {
-	// makeRoom closes the connection if it still is idle.
-	makeRoom()
+	// closeIfIdle closes the connection if it still is idle.
+	closeIfIdle()
 }
 
-// free tells how many descriptors are left; limited is false where there is no limit.
-func (f *LineFrontend) free() (n int, limited bool) {
+// freeDescriptors tells how many descriptors are left; limited is false where there is no limit.
+func (f *LineFrontend) freeDescriptors() (n int, limited bool) {
 	return f.maxDescriptors - f.loop.Open(), f.maxDescriptors > 0
 }
 
-// makeRoom closes idle connections, the oldest first, until more than so many descriptors are free, and tells whether they are.
+// ensureFree closes idle connections, the oldest first, until more than so many descriptors are free, and tells whether they are.
 // Hundreds of clients that say nothing must not keep out the one that has a request.
-func (f *LineFrontend) makeRoom(kept int) bool {
+func (f *LineFrontend) ensureFree(kept int) bool {
 	for {
-		free, limited := f.free()
+		free, limited := f.freeDescriptors()
 		if !limited || free >= kept {
 			return true
 		}
@@ -50,43 +50,43 @@
 		if oldest == nil {
 			return false
 		}
-		oldest.Value.(idleConnection).makeRoom()
+		oldest.Value.(idleConnection).closeIfIdle()
 	}
 }
 
 // pendingAttempts is the number of clients that wait without an attempt: each will need a descriptor for one. It is counted once in a
 // turn of the loop, and only where descriptors are short, as that takes a look at all sessions.
 type pendingAttempts struct {
-	n  int
-	at time.Time // the turn in which they were counted
+	count     int
+	countedAt time.Time // the turn in which they were counted
 }
 
-func (p *pendingAttempts) add(n int) { p.n = max(p.n+n, 0) }
+func (p *pendingAttempts) add(n int) { p.count = max(p.count+n, 0) }
 
-// attemptsToCome tells how many descriptors the clients that wait will need.
-func (f *LineFrontend) attemptsToCome() int {
-	if free, limited := f.free(); !limited || free >= keptFromClients+len(f.sessions) {
+// expectedAttempts tells how many descriptors the clients that wait will need.
+func (f *LineFrontend) expectedAttempts() int {
+	if free, limited := f.freeDescriptors(); !limited || free >= reservedFromClients+len(f.sessions) {
 		return 0
 	}
-	if now := f.loop.Now(); !now.Equal(f.pendingAttempts.at) {
-		f.pendingAttempts = pendingAttempts{at: now}
+	if now := f.loop.Now(); !now.Equal(f.pendingAttempts.countedAt) {
+		f.pendingAttempts = pendingAttempts{countedAt: now}
 		for _, s := range f.sessions {
 			if s.state == waiting && (s.hop == nil || s.hop.link.sock == nil) {
-				f.pendingAttempts.n++
+				f.pendingAttempts.count++
 			}
 		}
 	}
-	return f.pendingAttempts.n
+	return f.pendingAttempts.count
 }
 
-// roomForAttempt tells whether a request that comes now would find a descriptor for its attempt, once all that is idle is closed.
-func (f *LineFrontend) roomForAttempt() bool {
-	free, limited := f.free()
-	return !limited || free+f.idleConns.Len() >= keptFromAttempts+f.attemptsToCome()+1
+// hasRoomForAttempt tells whether a request that comes now would find a descriptor for its attempt, once all that is idle is closed.
+func (f *LineFrontend) hasRoomForAttempt() bool {
+	free, limited := f.freeDescriptors()
+	return !limited || free+f.idleConns.Len() >= reservedFromAttempts+f.expectedAttempts()+1
 }
 
-// mayMakeRoom puts a session at the young end of the idle connections; keep takes it out.
-func (f *LineFrontend) mayMakeRoom(s *session) {
+// markIdle puts a session at the young end of the idle connections; keep takes it out.
+func (f *LineFrontend) markIdle(s *session) {
 	if s.idleElement == nil {
 		s.idleElement = f.idleConns.PushBack(s)
 	} else {
@@ -94,7 +94,7 @@
 	}
 }
 
-func (f *LineFrontend) keep(s *session) {
+func (f *LineFrontend) markActive(s *session) {
 	if s.idleElement != nil {
 		f.idleConns.Remove(s.idleElement)
 		s.idleElement = nil
@@ -107,27 +107,27 @@
 		s.read()
 	}
 	if s.idleElement != nil {
-		s.frontend.turnAway(s)
+		s.frontend.refuseAndClose(s)
 	}
 }
 
 // makeRoom closes a connection that waits for the next probe.
 func (p *targetState) makeRoom() { p.closeConn() }
 
-// turnAway ends a connection to which nothing but a refusal is owed, for want of a descriptor. What has arrived is read first: a
+// refuseAndClose ends a connection to which nothing but a refusal is owed, for want of a descriptor. What has arrived is read first: a
 // connection that is closed with unread bytes is reset, and the answer may be lost with that.
-func (f *LineFrontend) turnAway(s *session) {
+func (f *LineFrontend) refuseAndClose(s *session) {
 	s.link.discard(f.scratch, maxDiscard) // of one that has its last line, that may still be on its way
 	if s.state == opening {
-		f.countFull()
-		_ = s.link.write(busy(f.engine.RetryAfter(fullAdvice)))
+		f.countDescriptorRefusal()
+		_ = s.link.write(busy(f.engine.RetryAfter(noDescriptorRetryAfter)))
 	}
 	s.close()
 }
 
-// countFull counts a client that is refused for want of a descriptor, and logs the first one.
-func (f *LineFrontend) countFull() {
-	if f.count.Full++; f.count.Full == 1 {
+// countDescriptorRefusal counts a client that is refused for want of a descriptor, and logs the first one.
+func (f *LineFrontend) countDescriptorRefusal() {
+	if f.counters.Full++; f.counters.Full == 1 {
 		f.log.Printf("out of descriptors: %d open of %d", f.loop.Open(), f.maxDescriptors)
 	}
 }
--- a/internal/proxy/effect.go
+++ b/internal/proxy/effect.go
@@ -11,10 +11,10 @@
 // the client to repeat it, or nothing but a failure. The module decides by the same rules, but in advance: its hop is written
 // when the connection is up, and the engine answers in its place where time is over. Both ask here at the last moment.
 
-// permits tells what the rules leave for a request of a class. ran: a hop of it may have run, or is out and may yet; since:
+// permitted tells what the rules leave for a request of a class. ran: a hop of it may have run, or is out and may yet; since:
 // the time from the first such hop's first byte to the act in question; near: the target in question drops the repeats of that
 // hop's, by the class's scope.
-func permits(c balance.Class, ran bool, since time.Duration, near bool) (hop, shed bool) {
+func permitted(c balance.Class, ran bool, since time.Duration, near bool) (hop, shed bool) {
 	switch {
 	case !ran || c.Repeat == balance.RepeatFree:
 		return true, true
@@ -24,13 +24,13 @@
 	return false, false
 }
 
-// near tells whether a target drops the repeats of what ran at another one.
-func near(s balance.Scope, ran, to *routes.Target) bool {
+// sharesDedupScope tells whether a target drops the repeats of what ran at another one.
+func sharesDedupScope(s balance.Scope, ran, to *routes.Target) bool {
 	return s == balance.ScopeAll || s == balance.ScopeZone && ran.Site == to.Site || s == balance.ScopeCell && ran.Block == to.Block
 }
 
 // class is what is known of the exchange's class.
-func (x *Exchange) class() balance.Class { return x.engine.set.Config.Classes[x.request.Class] }
+func (x *Exchange) class() balance.Class { return x.engine.settings.Config.Classes[x.request.Class] }
 
 // mayHop tells whether a further hop to a target may be written at a time.
 func (x *Exchange) mayHop(now time.Time, to *routes.Target) bool {
@@ -38,13 +38,13 @@
 		return true
 	}
 	c := x.class()
-	hop, _ := permits(c, true, now.Sub(x.maybeRanSentAt), near(c.Scope, x.maybeRanOn, to))
+	hop, _ := permitted(c, true, now.Sub(x.maybeRanSentAt), sharesDedupScope(c.Scope, x.maybeRanOn, to))
 	return hop
 }
 
-// mayShed tells whether the client may be refused now and come again after a while. A hop that is out counts as one that may
+// mayRefuse tells whether the client may be refused now and come again after a while. A hop that is out counts as one that may
 // have run once any of it was written; see Client.Recall for one that was not.
-func (x *Exchange) mayShed(after time.Duration) bool {
+func (x *Exchange) mayRefuse(after time.Duration) bool {
 	since := x.maybeRanSentAt
 	if x.maybeRanOn == nil {
 		if !x.hopActive || x.sentAt.IsZero() {
@@ -52,7 +52,7 @@
 		}
 		since = x.sentAt
 	}
-	_, shed := permits(x.class(), true, x.engine.loop.Now().Add(after).Sub(since), false)
+	_, shed := permitted(x.class(), true, x.engine.loop.Now().Add(after).Sub(since), false)
 	return shed
 }
 
@@ -65,8 +65,8 @@
 	}
 	if x.adoptTarget == "" {
 		to := x.engine.table.Find(x.target.ID)
-		grace := max(x.engine.set.DrainGrace-graceMargin, 0)
-		if to == nil || states[to.Health] != balance.Ready || !x.mayHop(now, x.target) || !x.engine.trusts(to.ID, now, grace) {
+		grace := max(x.engine.settings.DrainGrace-sendGraceMargin, 0)
+		if to == nil || moduleStates[to.Health] != balance.Ready || !x.mayHop(now, x.target) || !x.engine.maySendTo(to.ID, now, grace) {
 			return false
 		}
 	}
@@ -78,18 +78,18 @@
 // place where that is decided for the module's answers and the engine's own.
 func (e *Engine) answer(x *Exchange, refuse bool, after time.Duration) {
 	x.answered = true
-	if refuse && x.mayShed(after) {
-		e.count.Shed++
+	if refuse && x.mayRefuse(after) {
+		e.counters.Shed++
 		x.client.Refuse(after)
 	} else {
-		e.count.Failed++
+		e.counters.Failed++
 		x.client.Fail()
 	}
 }
 
-// cutShort answers an exchange in the module's place, whatever is out for it. A hop of which the target can't have the whole
+// forceAnswer answers an exchange in the module's place, whatever is out for it. A hop of which the target can't have the whole
 // request never ran; any other may have.
-func (e *Engine) cutShort(x *Exchange, after time.Duration) {
+func (e *Engine) forceAnswer(x *Exchange, after time.Duration) {
 	if x.answered {
 		return
 	}
@@ -105,12 +105,12 @@
 	}
 	e.answer(x, true, after)
 	if x.adoptTarget == "" {
-		e.push(event{kind: evLeft, x: x})
+		e.push(event{kind: evClientLeft, exchange: x})
 	}
-	e.dropHeld(x)
+	e.dropHeldSend(x)
 	if hop {
 		x.Ended(o, noReport)
 	} else {
-		e.leaving = append(e.leaving, x)
+		e.toRelease = append(e.toRelease, x)
 	}
 }
--- a/internal/proxy/effects_test.go
+++ b/internal/proxy/effects_test.go
@@ -16,7 +16,7 @@
 // client may be told; and where a further hop may be sent. It is written down from the protocol, not computed: asserted at the
 // client's and the targets' ends of real connections. The test plays the module, which knows of no target.
 
-var effectKinds = map[string]string{
+var effectClasses = map[string]string{
 	"free":        `"Repeat":"free"`,
 	"single_shot": `"Repeat":"single_shot"`,
 	"all":         `"Repeat":"guarded","DedupScope":"all","WindowUs":60000000`,
@@ -48,17 +48,17 @@
 	{name: "no word and the end", word: "end", ran: true},
 }
 
-// refusable are the kinds that may be refused after a hop that may have run.
-var refusable = []string{"free", "all"}
+// refusableClasses are the kinds that may be refused after a hop that may have run.
+var refusableClasses = []string{"free", "all"}
 
-// placed are the targets, by kind of class, to which a further hop may go after one that may have run at the first: it is of zone
+// allowedTargets are the targets, by kind of class, to which a further hop may go after one that may have run at the first: it is of zone
 // z and cell 0, the others of z and 1, of y and 0, of y and 1.
-var placed = map[string][]int{"free": {0, 1, 2, 3}, "all": {0, 1, 2, 3}, "zone": {0, 1}, "cell": {0, 2}}
+var allowedTargets = map[string][]int{"free": {0, 1, 2, 3}, "all": {0, 1, 2, 3}, "zone": {0, 1}, "cell": {0, 2}}
 
-// effectBed is a proxy whose table names four targets of which the module does not know.
-func effectBed(t *testing.T, kind string) *testBed {
+// newEffectTestBed is a proxy whose table names four targets of which the module does not know.
+func newEffectTestBed(t *testing.T, kind string) *testBed {
 	t.Helper()
-	b := newSocketTestBedWithSettings(t, 0, changed(t, `"Repeat":"free"`, effectKinds[kind], `"Cancel":true`, `"Cancel":false`))
+	b := newSocketTestBedWithSettings(t, 0, settingsWith(t, `"Repeat":"free"`, effectClasses[kind], `"Cancel":true`, `"Cancel":false`))
 	list := &routes.List{Seq: 1}
 	for i := range 4 {
 		l, err := b.loop.Listen(b.local, func(s *poll.Socket, _ bool) poll.Handler {
@@ -77,14 +77,14 @@
 	return b
 }
 
-// brought has the first target bring a request into a state.
-func (b *testBed) brought(x *Exchange, state int) {
+// driveTo has the first target bring a request into a state.
+func (b *testBed) driveTo(x *Exchange, state int) {
 	b.t.Helper()
 	s := hopStates[state]
 	if s.name == "held" {
 		return
 	}
-	b.engine.send(x, &action{target: "s0", span: time.Second})
+	b.engine.send(x, &action{target: "s0", duration: time.Second})
 	if s.name == "dialling" {
 		return
 	}
@@ -107,8 +107,8 @@
 	b.waitFor("the end of the hop", func() bool { return !x.hopActive })
 }
 
-// age has the window be over where the kind says so.
-func age(kind string, x *Exchange) {
+// expireWindow has the window be over where the kind says so.
+func expireWindow(kind string, x *Exchange) {
 	if strings.HasSuffix(kind, ", over") {
 		x.maybeRanSentAt, x.sentAt = x.maybeRanSentAt.Add(-time.Minute), x.sentAt.Add(-time.Minute)
 	}
@@ -116,25 +116,25 @@
 
 // Who answers: the module by either word, the engine when time is over, and a planned stop.
 func TestEffectsOfAnswers(t *testing.T) {
-	for kind := range effectKinds {
+	for kind := range effectClasses {
 		for state, s := range hopStates {
 			for _, who := range []string{"refuse", "fail", "overdue", "stop", "client ends its sending"} {
 				if s.out && (who == "refuse" || who == "fail") {
 					continue // the module answers once its hop has ended
 				}
 				t.Run(fmt.Sprintf("%s/%s/%s", kind, s.name, who), func(t *testing.T) {
-					b := effectBed(t, kind)
+					b := newEffectTestBed(t, kind)
 					c := b.dialClient()
-					x := b.open(c, "a")
-					b.brought(x, state)
-					age(kind, x)
+					x := b.openExchange(c, "a")
+					b.driveTo(x, state)
+					expireWindow(kind, x)
 					switch who {
 					case "refuse":
-						b.engine.carryOut(&action{kind: acRefuse, id: x.id})
+						b.engine.execute(&action{kind: acRefuse, id: x.id})
 					case "fail":
-						b.engine.carryOut(&action{kind: acFail, id: x.id})
+						b.engine.execute(&action{kind: acFail, id: x.id})
 					case "overdue":
-						b.engine.overdue(x)
+						b.engine.answerOverdue(x)
 					case "stop":
 						b.engine.Shutdown(0)
 					default:
@@ -142,7 +142,7 @@
 					}
 					b.waitFor("an answer", func() bool { return c.eof || c.reset })
 					want := "BUSY\r\n"
-					if who == "fail" || s.ran && !slices.Contains(refusable, kind) {
+					if who == "fail" || s.ran && !slices.Contains(refusableClasses, kind) {
 						want = "ERR\r\n"
 					}
 					if string(c.received) != want || c.reset {
@@ -162,24 +162,24 @@
 
 // To which targets a request may go again.
 func TestEffectsOfFurtherHops(t *testing.T) {
-	for kind := range effectKinds {
+	for kind := range effectClasses {
 		for state, s := range hopStates {
 			if s.out {
 				continue
 			}
 			want := []int{0, 1, 2, 3}
 			if s.ran {
-				want = placed[kind]
+				want = allowedTargets[kind]
 			}
 			var got []int
 			for to := range 4 {
-				b := effectBed(t, kind)
+				b := newEffectTestBed(t, kind)
 				c := b.dialClient()
-				x := b.open(c, "a")
-				b.brought(x, state)
-				age(kind, x)
+				x := b.openExchange(c, "a")
+				b.driveTo(x, state)
+				expireWindow(kind, x)
 				before := len(b.targetConns)
-				b.engine.carryOut(&action{kind: acSend, id: x.id, target: fmt.Sprint("s", to), span: time.Second})
+				b.engine.execute(&action{kind: acSend, id: x.id, target: fmt.Sprint("s", to), duration: time.Second})
 				b.settle()
 				if x.hopActive {
 					b.waitFor("the hop", func() bool { return len(b.targetConns) > before && len(b.targetConns[before].received) > 0 })
@@ -197,17 +197,17 @@
 // Advice that ends beyond the window invites a repeat that the targets no longer drop.
 func TestAdviceEndsWithinTheWindow(t *testing.T) {
 	for after, want := range map[time.Duration]string{59 * time.Second: "BUSY 59000\r\n", time.Minute: "ERR\r\n"} {
-		b := effectBed(t, "all")
+		b := newEffectTestBed(t, "all")
 		c := b.dialClient()
-		x := b.open(c, "a")
-		b.brought(x, 4)
-		b.engine.carryOut(&action{kind: acRefuse, id: x.id, span: after})
+		x := b.openExchange(c, "a")
+		b.driveTo(x, 4)
+		b.engine.execute(&action{kind: acRefuse, id: x.id, duration: after})
 		b.waitFor("an answer", func() bool { return c.eof })
 		if string(c.received) != want {
 			t.Errorf("%v: got %q", after, c.received)
 		}
 	}
-	if hop, shed := permits(balance.Class{Repeat: balance.RepeatKeyed, Window: time.Second}, true, time.Second, true); hop || shed {
+	if hop, shed := permitted(balance.Class{Repeat: balance.RepeatKeyed, Window: time.Second}, true, time.Second, true); hop || shed {
 		t.Error("the window's last instant counts as within it")
 	}
 }
--- a/internal/proxy/forward_bench_test.go
+++ b/internal/proxy/forward_bench_test.go
@@ -6,7 +6,7 @@
 	"ospreyspan/internal/poll"
 )
 
-// player is a far end that keeps no more than how much it has read.
+// countingConn is a remote end that keeps only the number of bytes that it has read.
 type countingConn struct {
 	sock     *poll.Socket
 	buf      [4096]byte
@@ -18,7 +18,7 @@
 	p.received += n
 }
 
-// bareSide is one half of the least that a relay can do: read here, write there.
+// relayHalf is one direction of a minimal relay: it writes what it reads to another socket.
 type relayHalf struct {
 	sock, to *poll.Socket
 	buf      []byte
@@ -30,7 +30,7 @@
 	}
 }
 
-// roundTrips sends a line each way, b.N times.
+// roundTrips sends a line in each direction, b.N times.
 func roundTrips(b *testing.B, loop *poll.Loop, client, target *countingConn) {
 	text := []byte("reading 7.25 bar 81.3 C running\r\n")
 	client.received, target.received = 0, 0
@@ -49,8 +49,9 @@
 	}
 }
 
-// BenchmarkForward is the pass-through path: one line from the client to the target and one back, on real
-// sockets, both far ends on the proxy's own loop. BenchmarkBareRelay is its limit.
+// BenchmarkForward measures forwarding: one line from the client to the target and one back, on
+// real sockets, with both remote ends on the proxy's own loop. BenchmarkBareRelay is its lower
+// limit.
 func BenchmarkForward(b *testing.B) {
 	bed := newSocketTestBed(b, 1, false)
 	c, t := bed.establish("a")
@@ -60,7 +61,8 @@
 	roundTrips(b, bed.loop, client, target)
 }
 
-// BenchmarkBareRelay passes the same lines through two sockets on the same kind of loop, and nothing else.
+// BenchmarkBareRelay passes the same lines through two sockets on the same kind of loop, and does
+// nothing else.
 func BenchmarkBareRelay(b *testing.B) {
 	loop, err := poll.New(func() {})
 	if err != nil {
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -8,93 +8,99 @@
 	"ospreyspan/internal/routes"
 )
 
-// This file is the line between the engine, which hands events to the decision module and keeps the rules, and
-// a front, which speaks one protocol with clients and egress targets. Neither knows more of the other.
+// This file is the interface between the engine, which hands events to the decision module and
+// enforces the rules, and a frontend, which speaks one protocol with clients and egress targets.
+// Neither depends on anything else of the other.
 
-// Client is one exchange at its front. The engine asks; what comes of it the front tells the Exchange.
+// Client is a frontend's side of one exchange. The engine calls it; the frontend reports the
+// results to the Exchange.
 type Client interface {
-	// Hop passes the request on to an egress target and waits that long for its word.
+	// Hop sends the request to an egress target and waits up to the given time for its answer.
 	Hop(to *routes.Target, wait time.Duration)
-	// CancelUnsent gives the hop up if the target can't have the whole request yet, and tells whether it did.
+	// CancelUnsent cancels the hop if the target cannot have the whole request yet, and reports
+	// whether it did.
 	CancelUnsent() bool
-	// CancelHop gives the hop up.
+	// CancelHop cancels the hop.
 	CancelHop()
-	// Refuse refuses the client: it may come again, after that time if it is above 0.
+	// Refuse refuses the client, which may try again after the given time if it is above 0.
 	Refuse(after time.Duration)
 	// Fail tells the client that its request failed.
 	Fail()
-	// Move asks the client of a standing connection to come again, and closes both sides.
+	// Move tells the client of an established connection to reconnect, and closes both sides.
 	Move()
 }
 
-// Prober asks an egress target for its load report and tells Engine.Probed, once for each call.
+// Prober asks an egress target for its load report and calls Engine.Probed with the result, once
+// for each call of Probe.
 type Prober interface {
 	Probe(to *routes.Target)
-	// Forget lets go of what is kept for a target that is gone.
+	// Forget releases the state of a target that is gone.
 	Forget(id string)
 }
 
-// ClientRequest is what a front tells of a new exchange.
+// ClientRequest describes a new exchange, as a frontend received it.
 type ClientRequest struct {
-	ID                string // the client's own name for it, new for each; empty: the protocol has none
+	ID                string // chosen by the client, new for each exchange; empty: none
 	Class, Key, Group string
-	Tenant            string        // whose client it is, named as in the settings; empty: it names none
+	Tenant            string        // the client's tenant, named as in the settings; empty: none
 	Wait              time.Duration // until the client gives up
-	Again             bool          // its last connection was moved or broke
+	Again             bool          // the client's last connection was moved or failed
 }
 
-// Exchange is one request of a client, from its arrival to the end of its last hop or standing connection.
+// Exchange is one request of a client, from its arrival to the end of its last hop or of its
+// established connection.
 type Exchange struct {
 	id             balance.RequestID
-	clientID       string // the client's id of it
+	clientID       string // the client's id of the exchange
 	engine         *Engine
 	client         Client
 	request        balance.Request
 	target         *routes.Target // of the last hop
 	hopCount       int            // hops so far
-	hopActive      bool           // a hop is out, or its connection stands
+	hopActive      bool           // a hop is in progress, or its connection is established
 	established    bool
-	limitBits      uint64 // limits that it counts under, a bit for each
+	limitBits      uint64 // the limits that the exchange counts under, one bit each
 	answered       bool   // the client has its final answer, or left
-	held           bool   // an attempt of it waits for a list that is up to date, see listWait
-	waitedForList  bool   // it has done so: it does not wait twice
-	adoptTarget    string // the egress target that holds the connection since before the start; not the module's to place
+	held           bool   // an attempt waits for an up-to-date list, see listWait
+	waitedForList  bool   // an attempt has waited so: an exchange does not wait twice
+	adoptTarget    string // of an adopted connection, not chosen by the module; empty: none
 	deadline       time.Time
 	timer          poll.Timer
-	sentAt         time.Time      // when the first byte of the last hop was written; zero: none was
-	maybeRanOn     *routes.Target // where the first hop went that may have run; nil: none may have
-	maybeRanSentAt time.Time      // when the first byte of that one was written
+	sentAt         time.Time      // when the last hop's first byte was written; zero: none was
+	maybeRanOn     *routes.Target // target of the first hop that may have run; nil: none may have
+	maybeRanSentAt time.Time      // when the first byte of that hop was written
 }
 
-// Up tells that the hop's connection stands. It returns false if the client is not there any more.
+// Up reports that the hop's connection is established. It returns false if the client has left or
+// has its answer.
 func (x *Exchange) Up() bool {
 	if x.answered {
 		return false
 	}
 	x.answered, x.established = true, true
 	x.engine.loop.Disarm(&x.timer)
-	x.engine.count.Up++
-	x.engine.count.Standing++
+	x.engine.counters.Up++
+	x.engine.counters.Standing++
 	if x.adoptTarget != "" {
-		x.engine.push(event{kind: evOpen, x: x, request: x.request, target: x.target.ID})
+		x.engine.push(event{kind: evOpen, exchange: x, request: x.request, target: x.target.ID})
 	} else {
-		x.engine.push(event{kind: evUp, x: x})
-		x.engine.proofs.took(x.target.ID, x.sentAt)
+		x.engine.push(event{kind: evEstablished, exchange: x})
+		x.engine.proofs.recordAccepted(x.target.ID, x.sentAt)
 	}
-	x.engine.saw(x.target.ID, balance.OK, FromHop)
+	x.engine.reportOutcome(x.target.ID, balance.OK, FromHop)
 	return true
 }
 
-// served tells that the target served the request to its end with its first word.
+// markServed records that the target's first answer served the request in full.
 func (x *Exchange) markServed() {
 	x.answered = true
-	x.engine.count.Up++
-	if x.adoptTarget == "" { // a server that drains keeps the connections that it has
-		x.engine.proofs.took(x.target.ID, x.sentAt)
+	x.engine.counters.Up++
+	if x.adoptTarget == "" { // a draining server keeps its connections
+		x.engine.proofs.recordAccepted(x.target.ID, x.sentAt)
 	}
 }
 
-// Ended tells how the hop or the standing connection ended.
+// Ended reports how the hop or the established connection ended.
 func (x *Exchange) Ended(o balance.Outcome, rep balance.Report) {
 	if !x.hopActive {
 		return
@@ -103,54 +109,55 @@
 	if !x.established && x.maybeRanOn == nil && !o.NeverRan() && !x.sentAt.IsZero() {
 		x.maybeRanOn, x.maybeRanSentAt = x.target, x.sentAt
 	}
-	x.engine.countEnd(o)
+	x.engine.countOutcome(o)
 	if x.established {
-		x.engine.saw(x.target.ID, o, FromStanding)
+		x.engine.reportOutcome(x.target.ID, o, FromStanding)
 	} else {
-		x.engine.saw(x.target.ID, o, FromHop)
+		x.engine.reportOutcome(x.target.ID, o, FromHop)
 	}
 	if x.adoptTarget != "" && !x.established {
-		x.engine.adoptAgain(x, o)
+		x.engine.retryAdopt(x, o)
 		return
 	}
 	settled := x.answered
-	x.engine.push(event{kind: evEnded, x: x, attempt: x.hopCount - 1, settled: settled, outcome: o, report: rep})
+	x.engine.push(event{kind: evEnded, exchange: x, attempt: x.hopCount - 1, settled: settled, outcome: o, report: rep})
 	if settled {
 		x.engine.release(x)
 	}
 }
 
-// ClientLeft tells that the client left before it had its answer. A hop of which the target can't have the whole request is given up
-// at once, which needs no permission; the module decides on any other.
+// ClientLeft reports that the client left before it had its answer. A hop whose target cannot have
+// the whole request is cancelled at once, which needs no permission; the module decides on any
+// other.
 func (x *Exchange) ClientLeft() {
 	if x.answered {
 		return
 	}
 	x.answered = true
-	x.engine.loop.Disarm(&x.timer) // where cancelling is not permitted its hop may stay out for long
-	x.engine.count.Left++
+	x.engine.loop.Disarm(&x.timer) // without permission to cancel, the hop may go on for long
+	x.engine.counters.Left++
 	if x.adoptTarget == "" {
-		x.engine.push(event{kind: evLeft, x: x})
+		x.engine.push(event{kind: evClientLeft, exchange: x})
 	} else if x.hopActive {
 		x.client.CancelHop()
 		x.hopActive = false
 	}
-	x.engine.dropHeld(x)
+	x.engine.dropHeldSend(x)
 	switch {
 	case !x.hopActive:
-		x.engine.leaving = append(x.engine.leaving, x)
+		x.engine.toRelease = append(x.engine.toRelease, x)
 	case x.client.CancelUnsent():
 		x.Ended(balance.NotSent, noReport)
 	}
 }
 
-// Delay tells how long a message takes at the standing connection's egress target.
+// Delay reports how long a message takes at the established connection's egress target.
 func (x *Exchange) Delay(d time.Duration) {
-	x.engine.push(event{kind: evNote, x: x, note: balance.NoteDelay,
+	x.engine.push(event{kind: evNote, exchange: x, note: balance.NoteDelay,
 		level: float64(d) / float64(time.Millisecond)})
 }
 
-// Load tells the standing connection's load, in microseconds of work a second.
+// Load reports the established connection's load, in microseconds of work per second.
 func (x *Exchange) Load(level float64) {
-	x.engine.push(event{kind: evNote, x: x, note: balance.NoteLoad, level: level})
+	x.engine.push(event{kind: evNote, exchange: x, note: balance.NoteLoad, level: level})
 }
--- a/internal/proxy/hop.go
+++ b/internal/proxy/hop.go
@@ -15,31 +15,32 @@
 
 const (
 	hopDialing hopState = iota // nothing of the request is written; there may be no socket yet
-	hopSending                 // a part of it is
-	hopSent                    // all of it is: it may have run
+	hopSending                 // the request is written in part
+	hopSent                    // the request is written in full: the target may have run it
 	hopEstablished
 	hopEnded
 )
 
-// hop is one connection to an egress target on behalf of a client. Its session owns it; the hop owns its link
-// and its timer.
+// hop is one connection to an egress target on behalf of a client. Its session owns it; the hop
+// owns its link and its timer.
 type hop struct {
 	session        *session
 	target         *targetState
 	link           link
 	state          hopState
-	answerDeadline time.Time // the target's word is awaited until then
-	dialDeadline   time.Time // the connection has to be up by then
+	answerDeadline time.Time // for the target's first answer
+	dialDeadline   time.Time // for the connection to be established
 	timer          poll.Timer
-	// While it stands:
-	pendingSince     time.Time // the client's line that waits for the target's; zero: none
-	lastHeard        time.Time // the target's last line
-	checkAt          time.Time // the timer is due then
-	announcedOutcome balance.Outcome
-	endAnnounced     bool // the target has said how the connection ends
+	// The following fields are used once the connection is established.
+	pendingSince     time.Time       // when the client's oldest unanswered line was sent; zero: none
+	lastHeard        time.Time       // when the target's last line arrived
+	checkAt          time.Time       // when the timer is due
+	announcedOutcome balance.Outcome // by the target's BYE or MOVE
+	endAnnounced     bool            // announcedOutcome is valid
 }
 
-// redialAfter is how long a connection waits that this machine could not begin for want of memory, ports or a path.
+// dialRetryDelay is the pause before a connection is tried again that this machine could not begin
+// for lack of memory, ports or a route.
 const dialRetryDelay = 10 * time.Millisecond
 
 func (s *session) startHop(to *routes.Target, wait time.Duration) {
@@ -51,11 +52,12 @@
 	h.connect()
 }
 
-// connect begins the connection. What this machine lacks for it may be there a moment later: an attempt that ended at once would
-// be followed by all others of its request in the same moment.
+// connect begins the connection. If this machine lacks the resources, it tries again after
+// dialRetryDelay, as they may be available a moment later: a hop that ended at once would be
+// followed by all other attempts of its request in the same moment.
 func (h *hop) connect() {
 	f := h.session.frontend
-	if !f.makeRoom(keptFromAttempts + 1) {
+	if !f.ensureFree(reservedFromAttempts + 1) {
 		h.endWith(balance.NotSent, noReport)
 		return
 	}
@@ -73,8 +75,8 @@
 	}
 }
 
-// dialOutcome is what a connection that could not even be begun tells of its target: nothing, if the shortage
-// is here, else a target that is well would be ejected.
+// dialOutcome returns the outcome of a connection that could not be begun. A shortage on this
+// machine is no evidence against the target: a healthy one would otherwise be ejected.
 func dialOutcome(err error) balance.Outcome {
 	if errors.Is(err, poll.ErrNoSocket) {
 		return balance.NotSent
@@ -82,19 +84,19 @@
 	return balance.NoConnect
 }
 
-// end gives back the hop's timer; its link is closed or reset by whoever ends the hop.
+// release stops the hop's timer and marks the hop as ended; the caller closes or resets its link.
 func (h *hop) release() {
 	h.session.frontend.loop.Disarm(&h.timer)
 	h.state = hopEnded
 }
 
-// over ends the hop with an outcome, before its connection stood.
+// endWith ends a hop that was not established yet, and reports its outcome.
 func (h *hop) endWith(o balance.Outcome, rep balance.Report) {
 	h.session.endHop()
 	h.session.exchange.Ended(o, rep)
 }
 
-// Ready is called by the loop.
+// Ready handles socket events; the loop calls it.
 func (h *hop) Ready(r poll.Ready) {
 	switch {
 	case h.state == hopDialing:
@@ -124,9 +126,11 @@
 	}
 }
 
-// send passes the client's first line on. What arrived from the client while the connection came up is read first: one that
-// has left, or was no client of the protocol, is not sent on, in whatever order the kernel tells of the two. That is the last look
-// before the write: a process that is held up behind its look at the clock sees what came meanwhile.
+// send forwards the client's first line. It first reads what arrived from the client while the
+// connection was being established: the request of a client that has left or violated the protocol
+// is not sent, in whatever order the kernel reports the two sockets. This read is the last check
+// before the write, so that a process that was suspended after it read the clock still sees what
+// arrived meanwhile.
 func (h *hop) send() {
 	f := h.session.frontend
 	left := h.answerDeadline.Sub(f.loop.Refresh())
@@ -150,8 +154,9 @@
 	f.loop.Arm(&h.timer, h.answerDeadline)
 }
 
-// clientStays reads what has arrived from the client and tells whether the hop goes on. The end of a client that has gone may be
-// visible in its socket only: the loop may have gathered other events before it, or the process may not have run meanwhile.
+// clientPresent reads what has arrived from the client and reports whether the hop goes on. The end
+// of the client's connection may be visible in its socket only: the loop may have collected other
+// events before it, or the process may not have run meanwhile.
 func (h *hop) clientPresent() bool {
 	if h.session.state == waiting {
 		h.session.read()
@@ -170,7 +175,7 @@
 		}
 	case errors.Is(err, line.ErrTooLong):
 		h.target.logViolation("line over 4096 bytes", nil)
-		h.link.eof = true // what follows is the rest of that line: nothing of it is passed on
+		h.link.eof = true // what follows is the rest of that line, and is not forwarded
 		if h.state == hopEstablished {
 			h.session.endGracefully(balance.Broken)
 		} else {
@@ -183,22 +188,22 @@
 	}
 }
 
-// answer takes the target's first word on the request.
+// handleAnswer processes the target's first answer to the request.
 func (h *hop) handleAnswer(lines []byte) {
-	if h.session.state != waiting { // the client has left, or has an answer that the target does not know of
+	if h.session.state != waiting { // the client has left, or has another answer already
 		h.endWith(balance.Cancelled, noReport)
 		return
 	}
 	first, more := line.Next(lines)
 	text := line.Text(first)
 	word, rest := line.ParseWord(text)
-	if word == line.Up && len(rest) == 0 { // without its receipt it is not the target's word
+	if word == line.Up && len(rest) == 0 { // UP is valid only with a receipt
 		word = line.Other
 	}
 	switch word {
 	case line.Up:
 		h.establish(first, more)
-	case line.Bye: // served to its end already: the client gets the target's word as it is
+	case line.Bye: // the request is served in full: the client gets the target's line unchanged
 		s, rep := h.session, h.parseReport(rest)
 		s.endHop()
 		s.exchange.markServed()
@@ -207,21 +212,21 @@
 	case line.Move:
 		h.endWith(balance.Cancelled, noReport)
 	case line.Busy:
-		if len(more)+len(h.link.partial) > 0 { // it says something else as well: no proof that it never ran
-			h.target.logViolation("more than a refusal", more)
+		if len(more)+len(h.link.partial) > 0 { // more than a refusal: it may have run
+			h.target.logViolation("data after a refusal:", more)
 			h.endWith(balance.Error, noReport)
 			return
 		}
 		h.endWith(balance.Full, h.parseReport(rest))
 	default:
 		if word != line.Err {
-			h.target.logViolation("unknown answer", text)
+			h.target.logViolation("unknown answer to a request:", text)
 		}
 		h.endWith(balance.Error, h.parseReport(rest))
 	}
 }
 
-// up makes the connection stand: the client gets the line that the target made for it.
+// establish marks the connection as established and forwards the target's UP line to the client.
 func (h *hop) establish(first, more []byte) {
 	s := h.session
 	if !s.exchange.Up() {
@@ -246,7 +251,7 @@
 	return rep
 }
 
-// due is called by the timer.
+// handleTimeout handles the expiry of the hop's timer.
 func (h *hop) handleTimeout() {
 	switch h.state {
 	case hopDialing:
@@ -258,7 +263,8 @@
 	case hopSending:
 		h.endWith(balance.NoConnect, noReport)
 	case hopSent:
-		if h.read(); h.state == hopSent { // its word may lie there: a turn takes so many events and no more
+		// The answer may be in the socket already: one turn handles a limited number of events.
+		if h.read(); h.state == hopSent {
 			h.endWith(balance.TimedOut, noReport)
 		}
 	case hopEstablished:
@@ -266,21 +272,21 @@
 	}
 }
 
-// broke deals with a connection to the target that broke, or ended before it stood.
+// handleFailure handles a connection to the target that failed, or ended before it was established.
 func (h *hop) handleFailure() {
 	switch h.state {
 	case hopDialing, hopSending:
 		h.endWith(balance.NoConnect, noReport)
 	case hopSent:
 		h.endWith(balance.Broken, noReport)
-	case hopEstablished: // the client's side ends the same way
+	case hopEstablished: // the connection to the client is reset as well
 		s := h.session
 		if h.forwardPending(); h.state != hopEstablished {
 			return
 		}
 		s.endHop()
 		s.exchange.Ended(h.outcome(balance.Broken), noReport)
-		if h.endAnnounced { // its last word must not be overtaken
+		if h.endAnnounced { // a reset must not overtake the target's last line
 			s.closeAfter(nil)
 			return
 		}
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -9,44 +9,47 @@
 	"ospreyspan/internal/routes"
 )
 
-// A client that has closed or cancelled is gone: no attempt of its request may begin, first or further. These tests have its end
-// lie unread in its socket at the moment in which the attempt would begin.
+// No attempt of a request, first or further, may begin after its client has closed its connection
+// or cancelled. In these tests the end of the client's connection is still unread in the proxy's
+// socket when the attempt would begin.
 
-// departures are the ways in which a client ends. Each leaves something to read in the proxy's socket, and nothing in its books.
+// departures are the ways in which a client leaves. Each is visible in the proxy's socket only, and
+// not in its state, until the socket is read.
 var departures = map[string]func(c *testConn){
-	"end of sending": func(c *testConn) { c.sock.CloseWrite() },
-	"close":          func(c *testConn) { c.reset = true; c.sock.Close() },
-	"reset":          func(c *testConn) { c.reset = true; c.sock.Reset() },
-	"cancel by a line and the end": func(c *testConn) {
+	"close of the sending side": func(c *testConn) { c.sock.CloseWrite() },
+	"close":                     func(c *testConn) { c.reset = true; c.sock.Close() },
+	"reset":                     func(c *testConn) { c.reset = true; c.sock.Reset() },
+	"CANCEL line and close of the sending side": func(c *testConn) {
 		_, _ = c.sock.Write([]byte("CANCEL\r\n"))
 		c.sock.CloseWrite()
 	},
 }
 
-// noAttempt turns the loop until all requests are over and checks that none of them was sent on.
+// checkNoAttempt runs the loop until all requests have ended and checks that none of them was sent
+// to a target.
 func (b *testBed) checkNoAttempt() {
 	b.t.Helper()
 	b.waitFor("the end of all requests", func() bool { return len(b.engine.exchanges) == 0 && len(b.frontend.sessions) == 0 })
-	for begin := b.now(); b.since(begin) < 150*time.Millisecond; { // longer than the rule leaves
+	for begin := b.now(); b.since(begin) < 150*time.Millisecond; { // longer than the rule allows
 		b.settle()
 	}
 	for _, h := range b.targetConns {
 		if len(h.received) > 0 {
-			b.t.Errorf("sent on: %q", h.received)
+			b.t.Errorf("a target got %q after the client left", h.received)
 		}
 	}
 }
 
-// serving has the targets in the route table serve or drain, as discovery would tell it.
+// setHealth sets the health of all targets in the route table, as an answer of discovery would.
 func (b *testBed) setHealth(health routes.Health) {
 	list := &routes.List{Seq: b.engine.table.Seq + 1}
 	for i, l := range b.servers {
 		list.Hosts = append(list.Hosts, &routes.Target{ID: fmt.Sprint("s", i), Addr: l.Addr(), Site: "z", Health: health})
 	}
-	b.engine.news(list, nil)
+	b.engine.handleDiscoveryAnswer(list, nil)
 }
 
-// The process stalls: the request and the client's end lie there together.
+// The process stalls, so that the request and the end of the client's connection are both unread.
 func TestClientLeavesBeforeRequestIsRead(t *testing.T) {
 	for how, leave := range departures {
 		t.Run(how, func(t *testing.T) {
@@ -62,7 +65,8 @@
 	}
 }
 
-// The module holds the request. In the turn that brings a target for it the client's end is not read yet.
+// The module holds the request. In the turn in which a target becomes available for it, the end of
+// the client's connection is not read yet.
 func TestClientLeavesWhileRequestIsHeld(t *testing.T) {
 	for how, leave := range departures {
 		t.Run(how, func(t *testing.T) {
@@ -72,21 +76,21 @@
 			b.settle()
 			c := b.dialClient()
 			c.write(t, "OPEN a k c=c,d=2000\r\n")
-			b.waitFor("the request", func() bool { return b.count.Exchanges == 1 })
+			b.waitFor("the request", func() bool { return b.counters.Exchanges == 1 })
 			b.settle()
 			leave(c)
 			b.setHealth(routes.Serving)
 			b.checkNoAttempt()
-			if b.count.Left != 1 || b.engine.module.Held("s0") != 0 {
-				t.Errorf("%d left, the module counts %d", b.count.Left, b.engine.module.Held("s0"))
+			if b.counters.Left != 1 || b.engine.module.Held("s0") != 0 {
+				t.Errorf("%d clients left, want 1; the module counts %d connections at s0, want 0", b.counters.Left, b.engine.module.Held("s0"))
 			}
 			b.checkReleased(c)
 		})
 	}
 }
 
-// An attempt ends in the turn in which its client leaves, and the kernel tells of the attempt first: by the target's word, by its
-// reset, or because its time is over.
+// An attempt ends in the turn in which its client leaves, and the proxy learns of the attempt's end
+// first: by the target's answer, by its reset, or because the attempt timed out.
 func TestClientLeavesBetweenAttempts(t *testing.T) {
 	for how, leave := range departures {
 		for _, ending := range []string{"BUSY\r\n", "ERR\r\n", "reset", "timeout"} {
@@ -107,7 +111,7 @@
 				default:
 					first.write(t, ending)
 				}
-				b.dialled(2) // the second attempt's connection is up, and the process does not know yet
+				b.awaitHops(2) // the second attempt is connected, and the process has not seen it yet
 				leave(c)
 				b.checkNoAttempt()
 				b.checkReleased(c)
@@ -116,7 +120,8 @@
 	}
 }
 
-// A connection of before the start is taken up again after a first try: its client leaves meanwhile.
+// A connection from before the start of the proxy is tried again after a first try was refused, and
+// its client leaves in between.
 func TestClientLeavesDuringAdoption(t *testing.T) {
 	for how, leave := range departures {
 		t.Run(how, func(t *testing.T) {
@@ -128,7 +133,7 @@
 			first := b.requestConn("a")
 			first.received = nil
 			first.write(t, "BUSY\r\n")
-			for b.count.Hops < 2 { // a timer begins it, in a turn
+			for b.counters.Hops < 2 { // a timer starts the second try within a turn
 				if err := b.loop.Turn(true); err != nil {
 					t.Fatal(err)
 				}
@@ -140,7 +145,8 @@
 	}
 }
 
-// The rest of a first line that the kernel did not take at once is not written for a client that has gone since.
+// The kernel accepts only part of a first line, and the client leaves: the rest of the line is not
+// written.
 func TestClientLeavesWhileFirstLineIsPartlyWritten(t *testing.T) {
 	for how, leave := range departures {
 		t.Run(how, func(t *testing.T) {
@@ -149,7 +155,7 @@
 			c := b.dialClient()
 			c.write(t, "OPEN a k c=c,d=2000\r\n")
 			b.waitFor("the attempt", func() bool { return b.requestConn("a") != nil })
-			h := b.frontend.sessions[0].hop // its first bytes only were taken, and the rest waits
+			h := b.frontend.sessions[0].hop // as if only the first bytes were written
 			h.state, h.link.unsent = hopSending, []byte("the rest\r\n")
 			h.link.updateInterest()
 			b.targetConns[0].received = nil
@@ -160,10 +166,11 @@
 	}
 }
 
-// Far more clients than one turn of the loop takes leave while the process stalls: some whose requests lie unread, some whose
-// requests the module holds while news of a target lies there, and some whose attempts' connections are up.
+// Far more clients than one turn of the loop handles leave while the process stalls: clients whose
+// requests are unread, clients whose requests the module holds while an update of the targets is
+// unread, and clients whose attempts are connected.
 func TestManyClientsLeaveAtOnce(t *testing.T) {
-	const clients, targets = 600, 4 // over twice what a turn takes
+	const clients, targets = 600, 4 // more than twice the events of one turn
 	for _, when := range []string{"unread", "held", "connecting"} {
 		t.Run(when, func(t *testing.T) {
 			t.Parallel()
@@ -180,14 +187,14 @@
 			for i, c := range all {
 				c.write(t, fmt.Sprintf("OPEN a%d k%d c=c,d=5000\r\n", i, i))
 			}
-			for when != "unread" && b.count.Exchanges < clients {
+			for when != "unread" && b.counters.Exchanges < clients {
 				if err := b.loop.Turn(true); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if when != "unread" {
-				if b.engine.Deliver(); when == "connecting" && b.count.Hops < 32 {
-					t.Fatalf("%d attempts connect", b.count.Hops)
+				if b.engine.Deliver(); when == "connecting" && b.counters.Hops < 32 {
+					t.Fatalf("%d attempts are connecting, want at least 32", b.counters.Hops)
 				}
 			}
 			for i, c := range all {
@@ -205,7 +212,8 @@
 	}
 }
 
-// The process stalls while an attempt connects. When it runs on, the connection and the client's end lie there, in this order.
+// The process stalls while an attempt connects. When it continues, the established connection and
+// the end of the client's connection are both unread, in this order.
 func TestClientLeavesDuringProcessStall(t *testing.T) {
 	for how, leave := range departures {
 		t.Run(how, func(t *testing.T) {
@@ -213,7 +221,7 @@
 			b := newSocketTestBed(t, 2, false)
 			c := b.dialClient()
 			c.write(t, "OPEN a k c=c,d=2000\r\n")
-			b.dialled(1)
+			b.awaitHops(1)
 			leave(c)
 			time.Sleep(120 * time.Millisecond)
 			b.checkNoAttempt()
--- a/internal/proxy/lines.go
+++ b/internal/proxy/lines.go
@@ -12,81 +12,86 @@
 	"ospreyspan/internal/stats"
 )
 
-// LineFrontend is the front that speaks the platform's line protocol.
+// LineFrontend is the frontend that speaks the platform's line protocol.
 type LineFrontend struct {
 	loop            *poll.Loop
 	engine          *Engine
 	settings        *settings.Settings
-	count           *stats.Counters
+	counters        *stats.Counters
 	log             *log.Logger
 	listener        *poll.Listener
-	maxDescriptors  int        // descriptors that the process may hold
-	sessions        []*session // in no order that means anything, but the same in the same run
-	idleConns       list.List  // connections that make room when descriptors are short, see idleConnection; oldest first
-	idleProbes      list.List  // those of them that wait for the next probe, see peer; likewise
+	maxDescriptors  int        // descriptors that the process may hold; 0: no limit
+	sessions        []*session // the order has no meaning, but is reproducible
+	idleConns       list.List  // of idleConnection: closed when descriptors are short; oldest first
+	idleProbes      list.List  // of *targetState: those of idleConns kept for probes; oldest first
 	targetStates    map[string]*targetState
-	scratch         []byte
-	lineBuffer      []byte
+	scratch         []byte // for input; shared by all links
+	lineBuffer      []byte // for building the first line of a hop
 	drain           drain
 	pendingAttempts pendingAttempts
-	sharedSockets   int // sockets on the loop that belong to others than the front and the engine
+	sharedSockets   int // sockets on the loop that neither the frontend nor the engine owns
 }
 
-// NewLineFrontend returns a front for the engine, and makes it the engine's prober.
-func NewLineFrontend(e *Engine, sockets int) *LineFrontend {
+// NewLineFrontend returns a frontend for the engine, and makes it the engine's prober. The process
+// may hold maxDescriptors descriptors; 0 means no limit.
+func NewLineFrontend(e *Engine, maxDescriptors int) *LineFrontend {
 	f := &LineFrontend{
-		loop: e.loop, engine: e, settings: e.set, count: e.count, log: e.log, maxDescriptors: sockets,
+		loop: e.loop, engine: e, settings: e.settings, counters: e.counters, log: e.log, maxDescriptors: maxDescriptors,
 		targetStates: make(map[string]*targetState), scratch: make([]byte, 64<<10),
 	}
 	e.prober = f
 	return f
 }
 
-// Listen accepts clients at an address.
+// Listen starts accepting clients at an address.
 func (f *LineFrontend) Listen(at netip.AddrPort) error {
 	var err error
 	f.listener, err = f.loop.Listen(at, f.accept)
 	return err
 }
 
-// SetSharedSockets tells how many sockets on the loop belong to others, for Audit.
+// SetSharedSockets sets how many sockets on the loop belong to neither the frontend nor the engine,
+// for Audit.
 func (f *LineFrontend) SetSharedSockets(n int) { f.sharedSockets = n }
 
-// SetMaxDescriptors changes how many descriptors the process may hold.
+// SetMaxDescriptors changes how many descriptors the process may hold; 0 means no limit.
 func (f *LineFrontend) SetMaxDescriptors(n int) { f.maxDescriptors = n }
 
 const (
-	// openingWait is how long a connection may stay without its request. A usual client sends it at once; all
-	// others are owed an answer within 3 s of connecting, part of which they may wait to be accepted.
+	// openingTimeout is how long a connection may stay open without a request. Clients usually send
+	// it at once; all others must get an answer within 3 s of connecting, part of which may pass
+	// before they are accepted.
 	openingTimeout = 2 * time.Second
-	// openingLines is how many lines, such as PING, it may send before that.
+	// maxOpeningLines is how many lines, such as PING, a client may send before its request.
 	maxOpeningLines = 8
-	// openingRead is what is read of it in a turn: more than a longest line.
+	// openingReadSize is how many bytes of a client without an established connection are read in a
+	// turn of the loop: more than the longest line.
 	openingReadSize = 2 * line.Max
-	// spillMost is what is read and dropped of a client that has its last line.
+	// maxDiscard is how many bytes are read and discarded of a client that was sent its last line.
 	maxDiscard = 64 << 10
-	// lingerWait is how long a connection that has its last line may take to end.
+	// lingerTimeout is how long the client may take to close a connection after its last line.
 	lingerTimeout = time.Second
-	// flushWait is the same for one that is slow to read: cut off before its last line it would be lost.
+	// flushTimeout replaces lingerTimeout for a client that is slow to read: if its connection were
+	// closed earlier, the last line would be lost.
 	flushTimeout = 5 * time.Second
 )
 
 func (f *LineFrontend) accept(sock *poll.Socket, last bool) poll.Handler {
-	f.count.Connections++
+	f.counters.Connections++
 	s := &session{frontend: f, link: link{sock: sock}}
 	s.timer.Fire = s.handleTimeout
 	s.index = len(f.sessions)
 	f.sessions = append(f.sessions, s)
-	if last || !f.makeRoom(keptFromClients+f.attemptsToCome()) {
-		f.turnAway(s)
+	if last || !f.ensureFree(reservedFromClients+f.expectedAttempts()) {
+		f.refuseAndClose(s)
 		return s
 	}
 	f.loop.After(&s.timer, openingTimeout)
-	f.mayMakeRoom(s)
+	f.markIdle(s)
 	return s
 }
 
-// forget takes a session out of the table.
+// removeSession removes a session from sessions.
 func (f *LineFrontend) removeSession(s *session) {
 	last := len(f.sessions) - 1
 	f.sessions[s.index] = f.sessions[last]
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -7,29 +7,30 @@
 	"ospreyspan/internal/poll"
 )
 
-// backlog is the unsent output from which the other side is not read any more.
+// maxBacklog is the number of unsent bytes above which the other side is not read.
 const maxBacklog = 64 << 10
 
-// link is one connection with its line framing. It owns its socket and its buffers; close and reset are where
-// they are given back.
+// link is one connection with its line framing. It owns its socket and its buffers; close and reset
+// release them.
 type link struct {
 	sock             *poll.Socket
-	partial          []byte // a line that has not ended yet
-	unsent           []byte // not written yet
-	readPaused       bool   // not to be read: the other side is behind, or has nothing more to say
-	eof              bool   // the other end has ended its sending
-	closeWhenFlushed bool   // end the sending once out is empty
+	partial          []byte // received part of an incomplete line
+	unsent           []byte // output that is not written yet
+	readPaused       bool   // input is not read: the other side is behind or needs no more of it
+	eof              bool   // the remote end has closed its sending side
+	closeWhenFlushed bool   // close the sending side once unsent is empty
 }
 
-// want tells the loop what the link waits for.
+// updateInterest tells the loop which socket events the link waits for.
 func (l *link) updateInterest() {
 	if l.sock != nil {
 		l.sock.Want(!l.readPaused && !l.eof, len(l.unsent) > 0)
 	}
 }
 
-// fill reads what is there and returns the whole lines. They share the scratch buffer, which must hold a
-// longest line and more. io.EOF comes when the other end has ended its sending.
+// readLines reads the available input and returns the complete lines. They share the scratch
+// buffer, which must be larger than the longest line. It returns io.EOF when the remote end has
+// closed its sending side.
 func (l *link) readLines(scratch []byte) ([]byte, error) {
 	held := copy(scratch, l.partial)
 	n, err := l.sock.Read(scratch[held:])
@@ -49,7 +50,7 @@
 	return whole, nil
 }
 
-// write sends what the socket takes and keeps the rest for flush.
+// write sends as much as the socket accepts and keeps the rest for flush.
 func (l *link) write(p []byte) error {
 	if len(l.unsent) == 0 {
 		n, err := l.sock.Write(p)
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// flush sends what is kept.
+// flush sends unsent output.
 func (l *link) flush() error {
 	n, err := l.sock.Write(l.unsent)
 	if err != nil {
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// finish ends the sending once all is written.
+// closeWrite closes the sending side once all output is written.
 func (l *link) closeWrite() {
 	if l.closeWhenFlushed {
 		return
@@ -91,7 +92,8 @@
 	l.updateInterest()
 }
 
-// skim reads and drops what has arrived, up to so many bytes: a connection that is closed over unread bytes is reset.
+// discard reads and drops what has arrived, until it has dropped at least most bytes: closing a
+// connection with unread bytes resets it.
 func (l *link) discard(scratch []byte, most int) {
 	for most > 0 && l.sock != nil && !l.eof {
 		n, err := l.sock.Read(scratch)
--- a/internal/proxy/listwait.go
+++ b/internal/proxy/listwait.go
@@ -8,15 +8,15 @@
 	"ospreyspan/internal/poll"
 )
 
-// listWaitPart is the part of a client's remaining time for which a request may wait, once, for a list that is up to date.
-const listWaitPart = 8
+// listWaitDivisor is the part of a client's remaining time for which a request may wait, once, for a list that is up to date.
+const listWaitDivisor = 8
 
 // heldSend is an attempt that the module has decided on and that waits for a list that is up to date.
 type heldSend struct {
-	request *Exchange
-	action  action
-	since   time.Time
-	until   time.Time
+	exchange *Exchange
+	action   action
+	since    time.Time
+	until    time.Time
 }
 
 // listWait holds attempts back while the lease of the list has run out, see routes.Lease. Each waits a small part of its client's
@@ -32,21 +32,21 @@
 // holdSend holds an attempt back where the lease of the list has run out and its request has not waited for that yet.
 func (e *Engine) holdSend(x *Exchange, a *action) bool {
 	now := e.loop.Now()
-	if !e.listExpired(now) || x.waitedForList || e.listWait.failed || e.proofs.holds(a.target, now) {
+	if !e.listLeaseExpired(now) || x.waitedForList || e.listWait.failed || e.proofs.valid(a.target, now) {
 		return false
 	}
 	x.waitedForList, x.held = true, true
-	e.count.ListWaits++
-	until := now.Add(x.deadline.Sub(now) / listWaitPart)
+	e.counters.ListWaits++
+	until := now.Add(x.deadline.Sub(now) / listWaitDivisor)
 	e.listWait.held = append(e.listWait.held, heldSend{x, *a, now, until})
 	e.watch.Urge()
 	e.armListWait()
 	return true
 }
 
-// callFailed notes that a call to discovery has brought no list.
-func (e *Engine) callFailed() {
-	if e.listExpired(e.loop.Now()) {
+// recordFailedCall notes that a call to discovery has brought no list.
+func (e *Engine) recordFailedCall() {
+	if e.listLeaseExpired(e.loop.Now()) {
 		e.listWait.failed = true
 	}
 }
@@ -75,22 +75,22 @@
 			return false
 		}
 		e.listWait.failed = !listed
-		h.request.held = false
-		h.action.span = max(h.action.span-now.Sub(h.since), time.Millisecond)
+		h.exchange.held = false
+		h.action.duration = max(h.action.duration-now.Sub(h.since), time.Millisecond)
 		e.actions = append(e.actions, h.action)
 		return true
 	})
 	e.armListWait()
 }
 
-// dropHeld gives up an attempt that is held, since its client has left or has its answer. Each of the module's attempts has an end.
-func (e *Engine) dropHeld(x *Exchange) {
+// dropHeldSend gives up an attempt that is held, since its client has left or has its answer. Each of the module's attempts has an end.
+func (e *Engine) dropHeldSend(x *Exchange) {
 	if !x.held {
 		return
 	}
 	x.held = false
-	e.listWait.held = slices.DeleteFunc(e.listWait.held, func(h heldSend) bool { return h.request == x })
+	e.listWait.held = slices.DeleteFunc(e.listWait.held, func(h heldSend) bool { return h.exchange == x })
 	e.armListWait()
 	x.hopCount++
-	e.push(event{kind: evEnded, x: x, attempt: x.hopCount - 1, settled: true, outcome: balance.NotSent, report: noReport})
+	e.push(event{kind: evEnded, exchange: x, attempt: x.hopCount - 1, settled: true, outcome: balance.NotSent, report: noReport})
 }
--- a/internal/proxy/listwait_test.go
+++ b/internal/proxy/listwait_test.go
@@ -9,8 +9,8 @@
 	"ospreyspan/internal/routes"
 )
 
-// staleBed is a bed whose list has not been confirmed for longer than its lease: discovery is silent.
-func staleBed(t *testing.T, targets int, probes bool) (*testBed, *fakeDiscovery) {
+// newStaleListTestBed is a bed whose list has not been confirmed for longer than its lease: discovery is silent.
+func newStaleListTestBed(t *testing.T, targets int, probes bool) (*testBed, *fakeDiscovery) {
 	t.Helper()
 	b := newTestBed(t, targets, probes)
 	d := newFakeDiscovery(b)
@@ -33,8 +33,8 @@
 	d.answer(n, body)
 }
 
-// auditBooks checks the books but for sockets, of which the test has some on the same loop.
-func (b *testBed) auditBooks() {
+// auditWithoutSockets checks the books but for sockets, of which the test has some on the same loop.
+func (b *testBed) auditWithoutSockets() {
 	b.t.Helper()
 	out, err := b.frontend.auditExchanges()
 	if err == nil {
@@ -45,28 +45,28 @@
 	}
 }
 
-// end stops discovery and closes what the test holds of it.
-func (d *fakeDiscovery) end() {
+// stop stops discovery and closes what the test holds of it.
+func (d *fakeDiscovery) stop() {
 	d.b.engine.watch.Stop()
 	d.close()
 }
 
 // An attempt whose list may be 6 s behind waits for the next one, and goes to a server that this names.
 func TestAttemptWaitsForAList(t *testing.T) {
-	b, d := staleBed(t, 2, false)
+	b, d := newStaleListTestBed(t, 2, false)
 	c := b.dialClient()
 	c.write(t, "OPEN a k c=c,d=60000\r\n")
 	b.settle()
-	if b.requestConn("a") != nil || b.count.ListWaits != 1 {
-		t.Errorf("sent by an old list; %d waited", b.count.ListWaits)
+	if b.requestConn("a") != nil || b.counters.ListWaits != 1 {
+		t.Errorf("sent by an old list; %d waited", b.counters.ListWaits)
 	}
-	b.auditBooks()
+	b.auditWithoutSockets()
 	d.answerNext(fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"s1","dial":%q,"health":"SERVING"}]}`, b.servers[1].Addr()))
 	b.waitFor("the attempt", func() bool { return b.requestConn("a") != nil })
-	if x := b.engine.inOrder()[0]; x.target.ID != "s1" {
+	if x := b.engine.sortedExchanges()[0]; x.target.ID != "s1" {
 		t.Errorf("sent to %s, which has left", x.target.ID)
 	}
-	d.end()
+	d.stop()
 	b.checkReleased(c)
 }
 
@@ -80,11 +80,11 @@
 	}
 }
 
-// provenBed is a staleBed of which one server has taken a request shortly before the lease ran out.
-func provenBed(t *testing.T, targets int) (b *testBed, d *fakeDiscovery, standing *testConn) {
+// newProvenTestBed is a staleBed of which one server has taken a request shortly before the lease ran out.
+func newProvenTestBed(t *testing.T, targets int) (b *testBed, d *fakeDiscovery, standing *testConn) {
 	t.Helper()
 	b = newTestBed(t, targets, false)
-	b.engine.proofs.life = proofLife(b.engine.set.DrainGrace, false) // as the watch of the bed, which asks
+	b.engine.proofs.validity = proofValidity(b.engine.settings.DrainGrace, false) // as the watch of the bed, which asks
 	d = newFakeDiscovery(b)
 	b.watchAt(d.listener.Addr())
 	d.awaitCall(0)
@@ -104,7 +104,7 @@
 func TestAttemptWithoutAList(t *testing.T) {
 	for _, probe := range []string{"none", "answered", "unanswered"} {
 		t.Run(probe, func(t *testing.T) {
-			b, d := staleBed(t, 1, probe != "none")
+			b, d := newStaleListTestBed(t, 1, probe != "none")
 			c := b.dialClient()
 			c.write(t, "OPEN a k c=c,d=2000\r\n")
 			begin := b.now()
@@ -117,10 +117,10 @@
 			if b.requestConn("a") != nil || !strings.HasPrefix(string(c.received), "BUSY") {
 				t.Errorf("sent: %v, the client got %q", b.requestConn("a") != nil, c.received)
 			}
-			if b.count.ListWaits != 1 {
-				t.Errorf("%d attempts waited", b.count.ListWaits)
+			if b.counters.ListWaits != 1 {
+				t.Errorf("%d attempts waited", b.counters.ListWaits)
 			}
-			d.end()
+			d.stop()
 			b.checkReleased(c)
 		})
 	}
@@ -129,7 +129,7 @@
 // A server that has just taken a request is sent the next ones at once, as long as that is a proof, and each renews it; the module
 // places among such servers alone.
 func TestAttemptsAtAProvenServer(t *testing.T) {
-	b, d, standing := provenBed(t, 4)
+	b, d, standing := newProvenTestBed(t, 4)
 	ends := []*testConn{standing}
 	for i := range 4 {
 		c := b.dialClient()
@@ -147,10 +147,10 @@
 			b.settle()
 		}
 	}
-	if b.count.ListWaits != 0 || b.count.ListsExpired != 0 {
-		t.Errorf("%d attempts waited, %d were not made", b.count.ListWaits, b.count.ListsExpired)
+	if b.counters.ListWaits != 0 || b.counters.ListsExpired != 0 {
+		t.Errorf("%d attempts waited, %d were not made", b.counters.ListWaits, b.counters.ListsExpired)
 	}
-	for begin := b.now(); b.since(begin) < b.engine.proofs.life; {
+	for begin := b.now(); b.since(begin) < b.engine.proofs.validity; {
 		b.settle()
 	}
 	c := b.dialClient()
@@ -159,15 +159,15 @@
 	if b.requestConn("late") != nil {
 		t.Error("sent by a proof that is over")
 	}
-	d.end()
+	d.stop()
 	b.checkReleased(append(ends, c)...)
 }
 
 // A proof dates from the request's last look before its write, not from the answer: the server may have begun to drain behind that, and
 // a process that was held up reads the answer late.
 func TestProofDatesFromTheWrite(t *testing.T) {
-	b, d := staleBed(t, 1, false)
-	b.engine.proofs.life = proofLife(b.engine.set.DrainGrace, false)
+	b, d := newStaleListTestBed(t, 1, false)
+	b.engine.proofs.validity = proofValidity(b.engine.settings.DrainGrace, false)
 	d.answerNext(`{"seq":9,"whole":false,"hosts":[]}`)
 	c := b.dialClient()
 	c.write(t, "OPEN a k c=c,d=60000\r\n")
@@ -178,11 +178,11 @@
 	}
 	b.requestConn("a").write(t, "UP r\r\n")
 	b.waitFor("UP", func() bool { return string(c.received) == "UP r\r\n" })
-	life := b.engine.proofs.life
-	if !b.engine.proofs.holds("s0", written.Add(life-10*time.Millisecond)) || b.engine.proofs.holds("s0", written.Add(life)) {
+	life := b.engine.proofs.validity
+	if !b.engine.proofs.valid("s0", written.Add(life-10*time.Millisecond)) || b.engine.proofs.valid("s0", written.Add(life)) {
 		t.Error("the proof does not end with its life after the write")
 	}
-	d.end()
+	d.stop()
 	b.checkReleased(c)
 }
 
@@ -194,7 +194,7 @@
 		pushed bool
 		life   time.Duration
 	}{{500 * time.Millisecond, true, 0}, {time.Second, true, 0}, {500 * time.Millisecond, false, 5350 * time.Millisecond}} {
-		if life := proofLife(tt.grace, tt.pushed); life != tt.life {
+		if life := proofValidity(tt.grace, tt.pushed); life != tt.life {
 			t.Errorf("%+v: %v", tt, life)
 		}
 	}
@@ -203,36 +203,36 @@
 // A server that leaves the list proves nothing when it returns.
 func TestServerThatLeavesLosesItsProof(t *testing.T) {
 	for _, state := range []string{"DRAINING", "DELETED"} {
-		b, d, standing := provenBed(t, 1)
+		b, d, standing := newProvenTestBed(t, 1)
 		d.answerNext(fmt.Sprintf(`{"seq":9,"whole":false,"hosts":[{"host":"s0","dial":%q,"health":%q}]}`, b.servers[0].Addr(), state))
 		b.settle()
-		if b.engine.proofs.holds("s0", b.now()) {
+		if b.engine.proofs.valid("s0", b.now()) {
 			t.Errorf("%s: it is proven still", state)
 		}
-		d.end()
+		d.stop()
 		b.checkReleased(standing)
 	}
 }
 
 // Once a call has failed since the lease ran out, a request does not wait for the next one; the next answer ends that.
 func TestAttemptWaitsForNoCallThatFails(t *testing.T) {
-	b, d := staleBed(t, 1, true)
-	failed := b.count.WatchesFailed
-	b.waitFor("a failure", func() bool { return b.count.WatchesFailed > failed })
+	b, d := newStaleListTestBed(t, 1, true)
+	failed := b.counters.WatchesFailed
+	b.waitFor("a failure", func() bool { return b.counters.WatchesFailed > failed })
 	c := b.dialClient()
 	c.write(t, "OPEN a k c=c,d=2000\r\n")
 	b.waitFor("a refusal", func() bool {
 		b.answerProbes()
 		return strings.HasPrefix(string(c.received), "BUSY")
 	})
-	if b.requestConn("a") != nil || b.count.ListWaits != 0 {
-		t.Errorf("sent: %v, %d waited", b.requestConn("a") != nil, b.count.ListWaits)
+	if b.requestConn("a") != nil || b.counters.ListWaits != 0 {
+		t.Errorf("sent: %v, %d waited", b.requestConn("a") != nil, b.counters.ListWaits)
 	}
 	d.answerNext(`{"seq":9,"whole":false,"hosts":[]}`)
 	if b.engine.listWait.failed {
 		t.Error("the next request would not wait either")
 	}
-	d.end()
+	d.stop()
 	b.checkReleased(c)
 }
 
@@ -241,7 +241,7 @@
 func TestRequestEndsWhileItsAttemptWaits(t *testing.T) {
 	for _, end := range []string{"left", "stopped"} {
 		t.Run(end, func(t *testing.T) {
-			b, d := staleBed(t, 1, false)
+			b, d := newStaleListTestBed(t, 1, false)
 			c := b.dialClient()
 			c.write(t, "OPEN a k c=c,d=60000\r\n")
 			b.settle()
@@ -255,15 +255,15 @@
 			if n := b.engine.module.Held("s0"); n != 0 || len(b.engine.exchanges) != 0 || len(b.engine.listWait.held) != 0 {
 				t.Errorf("the module counts %d attempts, %d requests and %d attempts are kept", n, len(b.engine.exchanges), len(b.engine.listWait.held))
 			}
-			b.auditBooks()
+			b.auditWithoutSockets()
 			d.answerNext(fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"s0","dial":%q,"health":"SERVING"}]}`, b.servers[0].Addr()))
-			if b.settle(); b.requestConn("a") != nil || b.count.ListWaits != 1 {
-				t.Errorf("sent for a request that is over; %d waited", b.count.ListWaits)
+			if b.settle(); b.requestConn("a") != nil || b.counters.ListWaits != 1 {
+				t.Errorf("sent for a request that is over; %d waited", b.counters.ListWaits)
 			}
 			if end == "stopped" && string(c.received) != "BUSY\r\n" {
 				t.Errorf("the client got %q", c.received)
 			}
-			d.end()
+			d.stop()
 			b.checkReleased(c)
 		})
 	}
--- a/internal/proxy/malformed_test.go
+++ b/internal/proxy/malformed_test.go
@@ -12,8 +12,9 @@
 	"ospreyspan/internal/routes"
 )
 
-// rude are first lines that no client of the protocol sends. None may reach an egress target: it would answer
-// with an error, and the module would eject a sound one for what a client did.
+// malformedFirstLines are first lines that violate the protocol. None may reach an egress target:
+// the target would answer with an error, and the module would eject a healthy target for a client's
+// fault.
 var malformedFirstLines = []string{
 	"frob 1", "OPEN", "OPEN 1", "OPEN 1 k", "OPEN  k c=c,d=5", "OPEN 1 k c=other,d=2000", "OPEN 1 k c=C,d=2000",
 	"OPEN 1 k c=c", "OPEN 1 k c=c,d=", "OPEN 1 k c=c,d=soon", "OPEN 1 k c=c,d=-5", "OPEN 1 k c=c,d=1e9",
@@ -23,7 +24,8 @@
 	strings.Repeat("OPEN 1 k c=c,d=2000\r\n", 300), strings.Repeat("x", 9000),
 }
 
-// Each gets an error and the end of the connection at once, costs no hop, and the log one line for all.
+// A client with a malformed first line gets an error at once, and its connection is closed. No hop
+// is started, and the log has one line for all such clients.
 func TestMalformedFirstLines(t *testing.T) {
 	b := newTestBed(t, 1, false)
 	var all []*testConn
@@ -33,20 +35,21 @@
 		c.write(t, text+"\r\n")
 		b.waitFor(fmt.Sprintf("an error for %.40q", text), func() bool { return c.eof })
 		if got := strings.ReplaceAll(string(c.received), "PONG\r\n", ""); got != "ERR\r\n" {
-			t.Errorf("%.40q got %q", text, got)
+			t.Errorf("%.40q got %q, want ERR", text, got)
 		}
-		if b.count.Malformed != i+1 || b.count.Hops != 0 || b.count.Exchanges != 0 {
-			t.Fatalf("%.40q: %+v", text, b.count)
+		if b.counters.Malformed != i+1 || b.counters.Hops != 0 || b.counters.Exchanges != 0 {
+			t.Fatalf("after %.40q: counters: %+v", text, b.counters)
 		}
 	}
 	if n := strings.Count(b.log.String(), "\n"); n != 1 {
-		t.Errorf("%d lines in the log", n)
+		t.Errorf("%d lines in the log, want 1", n)
 	}
 	b.checkReleased(all...)
 }
 
-// The id of an open exchange is its client's: another that sends it gets an error, whether the first one waits
-// or stands, and the first one goes on. Once that has ended the id is free.
+// A client that sends the id of an open exchange gets an error, whether the other client's
+// connection waits for its answer or is established, and the first exchange goes on. Once that has
+// ended, the id is free.
 func TestIDInUse(t *testing.T) {
 	b := newTestBed(t, 1, false)
 	owner := b.dialClient()
@@ -67,8 +70,8 @@
 	owner.write(t, "reading\r\n")
 	target.write(t, "fine\r\n")
 	b.waitFor("lines both ways", func() bool { return string(owner.received) == "fine\r\n" && string(target.received) == "reading\r\n" })
-	if b.count.Hops != 1 {
-		t.Errorf("%d hops", b.count.Hops)
+	if b.counters.Hops != 1 {
+		t.Errorf("%d hops, want 1", b.counters.Hops)
 	}
 	owner.sock.Close()
 	b.waitFor("the end", func() bool { return len(b.engine.exchanges) == 0 })
@@ -76,8 +79,9 @@
 	b.checkReleased(first, second, third)
 }
 
-// Whose client it is reaches the module, also of a connection that stands since before the start: without it no tenant's
-// share could count. One that names nobody has no share.
+// The client's tenant reaches the module, also for a connection from before the start of the proxy:
+// otherwise no tenant's share could be counted. A client that names no tenant has no share (tenant
+// -1).
 func TestTenant(t *testing.T) {
 	b := newTestBed(t, 1, false)
 	for want, list := range map[int]string{0: "t=serra,", 1: "t=vale,", -1: ""} {
@@ -95,12 +99,12 @@
 			b.waitFor("UP", func() bool { return string(c.received) == "UP r\r\n" })
 		}
 	}
-	if b.count.Standing != 6 || b.count.Malformed != 0 {
-		t.Errorf("%d stand, %d malformed", b.count.Standing, b.count.Malformed)
+	if b.counters.Standing != 6 || b.counters.Malformed != 0 {
+		t.Errorf("%d connections established, want 6; %d malformed, want 0", b.counters.Standing, b.counters.Malformed)
 	}
 }
 
-// A client that does not wait for its answer has no answer but an error, and its hop is given up.
+// A client that sends more data before its answer gets an error, and its hop is cancelled.
 func TestLinesBeforeAnswer(t *testing.T) {
 	b := newTestBed(t, 1, false)
 	for i, text := range []string{"reading\r\n", "half"} {
@@ -114,12 +118,13 @@
 		c.sock.Close()
 	}
 	if b.engine.module.Held("s0") != 0 {
-		t.Errorf("the module counts %d", b.engine.module.Held("s0"))
+		t.Errorf("the module counts %d connections at s0, want 0", b.engine.module.Held("s0"))
 	}
 	b.checkReleased()
 }
 
-// Half a line and the end, by FIN or reset, costs nothing more; without an end it has an answer in time.
+// A client that sends part of its first line and then closes or resets the connection is released
+// at once. One that keeps the connection open gets an answer in time.
 func TestPartialFirstLine(t *testing.T) {
 	b := newTestBed(t, 0, false)
 	fin, rst, stays, says := b.dialClient(), b.dialClient(), b.dialClient(), b.dialClient()
@@ -134,13 +139,13 @@
 	begin := b.now()
 	b.waitFor("an answer", func() bool { return stays.eof && says.eof })
 	if took := b.since(begin); took > 2900*time.Millisecond || string(stays.received) != "BUSY\r\n" || string(says.received) != "BUSY\r\n" {
-		t.Errorf("after %v: %q and %q", took, stays.received, says.received)
+		t.Errorf("after %v, want at most 2.9 s: got %q and %q, want BUSY", took, stays.received, says.received)
 	}
 	b.checkReleased(fin, stays, says)
 }
 
-// A client that sends without end gets its error whole, though it is not read to the end: what is read of it in
-// all is bounded, and what a turn reads as well.
+// A client that sends a line without end gets its error in full, though its input is not read to
+// the end: the bytes read in total are bounded, and so are those read in one turn.
 func TestEndlessLine(t *testing.T) {
 	b := newTestBed(t, 1, false)
 	c := b.dialClient()
@@ -155,66 +160,69 @@
 			break
 		}
 	}
-	if string(c.received) != "ERR\r\n" || b.count.Malformed != 1 {
-		t.Errorf("got %q; %+v", c.received, b.count)
+	if string(c.received) != "ERR\r\n" || b.counters.Malformed != 1 {
+		t.Errorf("got %q, want ERR; counters: %+v", c.received, b.counters)
 	}
 	if sent > 8<<20 || stuck == 0 {
-		t.Errorf("%d bytes were taken", sent)
+		t.Errorf("%d bytes were accepted, want at most %d; %d writes found the socket full, want some", sent, 8<<20, stuck)
 	}
 	for _, s := range b.frontend.sessions {
 		if s.discarded > maxDiscard+len(b.frontend.scratch) || cap(s.link.partial) > 2*openingReadSize {
-			t.Errorf("%d bytes read, %d kept", s.discarded, cap(s.link.partial))
+			t.Errorf("%d bytes discarded, want at most %d; %d buffered, want at most %d", s.discarded, maxDiscard+len(b.frontend.scratch), cap(s.link.partial), 2*openingReadSize)
 		}
 	}
 	b.checkReleased(c)
 }
 
-// Connections that say nothing must not keep out a client with a request, nor its hop: the oldest goes first,
-// with an answer.
+// Connections that send nothing must not keep a client with a request, or its hop, from getting a
+// descriptor: the oldest is closed first, after an answer.
 func TestIdleConnectionsAreClosedForNewRequests(t *testing.T) {
 	b := newTestBed(t, 1, false)
 	standing, _ := b.establish("a")
-	b.frontend.maxDescriptors = b.loop.Open() + keptFromClients + 20
+	b.frontend.maxDescriptors = b.loop.Open() + reservedFromClients + 20
 	idle := make([]*testConn, 30)
 	for i := range idle {
 		idle[i] = b.dialClient()
-		b.frontend.maxDescriptors++ // the far ends are on the same loop
+		b.frontend.maxDescriptors++ // for the remote end, which is on the same loop
 	}
 	b.settle()
 	for i := range idle[:9] {
 		if !idle[i].eof || string(idle[i].received) != "BUSY\r\n" {
-			t.Fatalf("the %d. idle connection got %q, ended: %v", i, idle[i].received, idle[i].eof)
+			t.Fatalf("idle connection %d got %q, want BUSY; ended: %v", i, idle[i].received, idle[i].eof)
 		}
 	}
-	if last := idle[29]; last.eof || b.frontend.loop.Open()+keptFromClients > b.frontend.maxDescriptors {
-		t.Error("a young one went, or too many stay")
+	if last := idle[29]; last.eof || b.frontend.loop.Open()+reservedFromClients > b.frontend.maxDescriptors {
+		t.Error("the youngest idle connection was closed, or too many idle connections stay open")
 	}
-	b.frontend.maxDescriptors += 3 // the far ends of what follows
+	b.frontend.maxDescriptors += 3 // for the remote ends of the following connections
 	c, target := b.establish("b")
 	target.write(t, "fine\r\n")
 	b.waitFor("a line", func() bool { return string(c.received) == "fine\r\n" })
 	if standing.eof || standing.reset {
-		t.Error("a standing connection was cut off")
+		t.Error("an established connection was closed")
 	}
 	b.frontend.maxDescriptors = 0
 	b.checkReleased(append(idle, standing, c)...)
 }
 
-// A client whose request lies unread is not idle: where room is made for another's attempt, also while the module's actions are
-// carried out, it is served. The same holds for a connection of before the start.
+// A client whose request is unread in the socket is not idle: it is served when idle connections
+// are closed to free a descriptor for another client's attempt, also while the module's actions are
+// carried out. The same holds for a connection from before the start of the proxy.
 func TestClientWithUnreadRequestIsNotClosedAsIdle(t *testing.T) {
 	b := newSocketTestBed(t, 1, false)
 	first, adopted, second := b.dialClient(), b.dialClient(), b.dialClient()
-	idle := []*testConn{b.dialClient(), b.dialClient(), b.dialClient()} // enough for an attempt of each
+	// Closing these frees enough descriptors for one attempt of each client.
+	idle := []*testConn{b.dialClient(), b.dialClient(), b.dialClient()}
 	first.write(t, "OPEN a k c=c,d=2000\r\n")
-	for b.count.Exchanges == 0 {
+	for b.counters.Exchanges == 0 {
 		if err := b.loop.Turn(true); err != nil {
 			t.Fatal(err)
 		}
 	}
 	adopted.write(t, "OPEN b k c=c,d=2000,at=s0\r\n")
 	second.write(t, "OPEN c k c=c,d=2000\r\n")
-	b.frontend.maxDescriptors = b.loop.Open() + keptFromAttempts // none is left for the first attempt
+	// No descriptor is free for the first attempt.
+	b.frontend.maxDescriptors = b.loop.Open() + reservedFromAttempts
 	b.engine.Deliver()
 	b.frontend.maxDescriptors = 0
 	for id, c := range map[string]*testConn{"a": first, "b": adopted, "c": second} {
@@ -223,12 +231,13 @@
 		b.waitFor("UP for "+id, func() bool { return string(c.received) == "UP r\r\n" })
 	}
 	if b.waitFor("a refusal", func() bool { return idle[0].eof }); string(idle[0].received) != "BUSY\r\n" {
-		t.Errorf("the oldest idle one got %q", idle[0].received)
+		t.Errorf("the oldest idle connection got %q, want BUSY", idle[0].received)
 	}
 	b.checkReleased(append(idle, first, adopted, second)...)
 }
 
-// A shortage of descriptors here is no word on a target: neither a hop nor a probe may speak against it.
+// A shortage of descriptors in this process is no evidence against a target: neither a hop nor a
+// probe may count against it.
 func TestDescriptorShortageIsNotATargetFailure(t *testing.T) {
 	b := newTestBed(t, 1, true)
 	to := b.engine.table.Find("s0")
@@ -238,14 +247,15 @@
 		want balance.Outcome
 	}{{fmt.Errorf("%w: none left", poll.ErrNoSocket), balance.NotSent}, {errors.New("refused"), balance.NoConnect}} {
 		if got := dialOutcome(tt.err); got != tt.want {
-			t.Errorf("%v is taken for %v", tt.err, got)
+			t.Errorf("the outcome of %v is %v, want %v", tt.err, got, tt.want)
 		}
 	}
 	b.engine.events = nil
 	p.state = probeDialing
-	b.frontend.targetState(&routes.Target{ID: "s0", Addr: b.frontend.listener.Addr()}) // it moves: the probe goes with it
+	// The target's address changes: the probe is sent to the new one.
+	b.frontend.targetState(&routes.Target{ID: "s0", Addr: b.frontend.listener.Addr()})
 	if p.state != probeDialing || p.entry.Addr != b.frontend.listener.Addr() || len(b.engine.events) != 0 {
-		t.Errorf("after a move: state %v, %d events", p.state, len(b.engine.events))
+		t.Errorf("after a change of address: state %v, address %v; %d events, want 0", p.state, p.entry.Addr, len(b.engine.events))
 	}
 	p.closeConn()
 	b.checkReleased()
--- a/internal/proxy/many_test.go
+++ b/internal/proxy/many_test.go
@@ -48,10 +48,10 @@
 			b.engine.watch = routes.NewWatch(config)
 			b.engine.watch.Start()
 			d.awaitCall(0)
-			d.tell(0, manyTargets(8, n, 0, true, target.Addr().String()))
+			d.writeAnswer(0, manyTargets(8, n, 0, true, target.Addr().String()))
 			b.waitFor("the list", func() bool { return len(b.engine.table.IDs()) == n })
 			d.awaitCall(0)
-			d.tell(0, manyTargets(9, n, n-1, how == "whole again", target.Addr().String()))
+			d.writeAnswer(0, manyTargets(9, n, n-1, how == "whole again", target.Addr().String()))
 			b.waitFor("the change", func() bool { return b.engine.table.Seq == 9 })
 			b.settle()
 			for i := range 20 {
@@ -70,8 +70,8 @@
 	}
 }
 
-// tell writes an answer that may be longer than the socket takes at once.
-func (d *fakeDiscovery) tell(n int, body string) {
+// writeAnswer writes an answer that may be longer than the socket takes at once.
+func (d *fakeDiscovery) writeAnswer(n int, body string) {
 	d.b.t.Helper()
 	rest := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	d.b.waitFor("all written", func() bool {
@@ -95,13 +95,13 @@
 	}
 	for n, most := range map[int]uint64{500: 1 << 20, 1024: 2 << 20} {
 		before := heap()
-		b := newSocketTestBedWithSettings(t, 0, changed(t, `"Balancers":1`, fmt.Sprintf(`"Balancers":%d`, max(n*7/10, 350))))
+		b := newSocketTestBedWithSettings(t, 0, settingsWith(t, `"Balancers":1`, fmt.Sprintf(`"Balancers":%d`, max(n*7/10, 350))))
 		for seq := range 20 { // what earlier lists took is given back
 			list, err := routes.Decode([]byte(manyTargets(seq+1, n, 0, true, "127.0.0.1:1")))
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.engine.news(list, nil)
+			b.engine.handleDiscoveryAnswer(list, nil)
 			b.settle()
 		}
 		if kept := heap() - min(before, heap()); kept > most {
--- a/internal/proxy/model_test.go
+++ b/internal/proxy/model_test.go
@@ -6,17 +6,17 @@
 	"testing"
 )
 
-// peerModel is what a client's connection must be, whatever has happened to it.
-type peerModel struct {
-	id     string
-	client *testConn
-	target *testConn // once it stands
-	state  modelState
-	opened string // what the client got before its answer
-	down   string // lines of the target that the client must have
-	up     string // lines of the client that the target must have
-	tail   string // part of a line that the target has begun
-	moved  bool
+// connectionModel is what a client's connection must be, whatever has happened to it.
+type connectionModel struct {
+	id           string
+	client       *testConn
+	target       *testConn // once it stands
+	state        modelState
+	beforeAnswer string // what the client got before its answer
+	toClient     string // lines of the target that the client must have
+	toTarget     string // lines of the client that the target must have
+	partialLine  string // part of a line that the target has begun
+	moved        bool
 }
 
 type modelState uint8
@@ -43,7 +43,7 @@
 		silent := newFakeDiscovery(b) // reloads point the watch here and away again
 		b.watchAt(silent.listener.Addr())
 		var all []*testConn
-		models := map[byte]*peerModel{}
+		models := map[byte]*connectionModel{}
 		for n := 0; n+1 < len(steps) && n < 120; n += 2 {
 			who := steps[n+1] % 4
 			m := models[who]
@@ -51,7 +51,7 @@
 				if steps[n]%18 != 0 {
 					continue
 				}
-				m = &peerModel{id: fmt.Sprintf("%d-%d", who, n), client: b.dialClient()}
+				m = &connectionModel{id: fmt.Sprintf("%d-%d", who, n), client: b.dialClient()}
 				models[who], all = m, append(all, m.client)
 				continue
 			}
@@ -67,19 +67,19 @@
 				}
 				return n <= 1
 			})
-			b.counts()
+			b.checkCounts()
 		}
 		b.engine.watch.Stop()
 		silent.close()
 		b.checkReleased(all...)
-		if b.engine.count.Overdue > 0 {
+		if b.engine.counters.Overdue > 0 {
 			t.Fatal("the engine answered in the module's place")
 		}
 	})
 }
 
 // step does one thing to a connection and tells the model what must come of it.
-func (m *peerModel) step(b *testBed, what byte, n int) {
+func (m *connectionModel) step(b *testBed, what byte, n int) {
 	h := b.requestConn(m.id)
 	switch {
 	case what == 1 && m.state == mOpening:
@@ -87,35 +87,35 @@
 		m.state = mAsked
 	case what == 2 && m.state == mOpening:
 		m.client.write(b.t, "PING\r\n")
-		if strings.Count(m.opened, "PONG") == maxOpeningLines {
-			m.opened, m.state = m.opened+"ERR\r\n", mOver
+		if strings.Count(m.beforeAnswer, "PONG") == maxOpeningLines {
+			m.beforeAnswer, m.state = m.beforeAnswer+"ERR\r\n", mOver
 			return
 		}
-		m.opened += "PONG\r\n"
+		m.beforeAnswer += "PONG\r\n"
 	case what == 3 && m.state == mAsked && h != nil && !h.eof:
 		m.target, m.state = h, mStanding
-		m.up, m.down = string(h.received), m.opened+"UP "+m.id+"\r\n"
+		m.toTarget, m.toClient = string(h.received), m.beforeAnswer+"UP "+m.id+"\r\n"
 		h.write(b.t, "UP "+m.id+"\r\n")
 	case what == 4 && m.state == mAsked && h != nil && !h.eof:
 		h.write(b.t, "BUSY cpu=0.9\r\n")
 	case what == 5 && m.state == mStanding:
-		text := fmt.Sprintf("%sreading %d\r\nLOAD %d\r\n", m.tail, n, n)
-		m.target.write(b.t, strings.TrimPrefix(text, m.tail))
-		m.down, m.tail = m.down+text, ""
+		text := fmt.Sprintf("%sreading %d\r\nLOAD %d\r\n", m.partialLine, n, n)
+		m.target.write(b.t, strings.TrimPrefix(text, m.partialLine))
+		m.toClient, m.partialLine = m.toClient+text, ""
 	case what == 6 && m.state == mStanding:
 		text := fmt.Sprintf("beat %d\r\nagain\r\n", n)
 		m.client.write(b.t, text[:5])
 		b.settle()
 		m.client.write(b.t, text[5:])
-		m.up += text
-	case what == 7 && m.state == mStanding && m.tail == "":
-		m.tail = "half "
-		m.target.write(b.t, m.tail)
+		m.toTarget += text
+	case what == 7 && m.state == mStanding && m.partialLine == "":
+		m.partialLine = "half "
+		m.target.write(b.t, m.partialLine)
 	case what == 8 && m.state == mStanding: // the target says good-bye
-		text := m.tail + "BYE\r\n"
-		m.target.write(b.t, strings.TrimPrefix(text, m.tail))
+		text := m.partialLine + "BYE\r\n"
+		m.target.write(b.t, strings.TrimPrefix(text, m.partialLine))
 		m.target.sock.CloseWrite()
-		m.down, m.state = m.down+text, mOver
+		m.toClient, m.state = m.toClient+text, mOver
 	case what == 9 && m.state != mOver: // the client ends its sending
 		m.client.sock.CloseWrite()
 		m.state = mOver
@@ -125,7 +125,7 @@
 				(*host)(b.engine).Move(id)
 			}
 		}
-		m.down, m.state, m.moved = m.down+"MOVE\r\n", mOver, true
+		m.toClient, m.state, m.moved = m.toClient+"MOVE\r\n", mOver, true
 	case what == 11 && m.state == mStanding: // the target breaks: all else is void
 		m.target.reset = true
 		m.target.sock.Reset()
@@ -137,8 +137,8 @@
 		m.state = mOver
 	case what == 13 && m.state == mOpening:
 		m.client.write(b.t, "nonsense\r\n")
-		m.opened, m.state = m.opened+"ERR\r\n", mOver
-		b.waitFor("ERR", func() bool { return m.client.eof && string(m.client.received) == m.opened })
+		m.beforeAnswer, m.state = m.beforeAnswer+"ERR\r\n", mOver
+		b.waitFor("ERR", func() bool { return m.client.eof && string(m.client.received) == m.beforeAnswer })
 	case what == 14 && m.state == mOpening:
 		m.client.write(b.t, malformedFirstLines[n%len(malformedFirstLines)]+"\r\n")
 		m.state = mOver
@@ -158,8 +158,8 @@
 	}
 }
 
-// counts compares what the module believes to be out or standing at each target with the hops that are.
-func (b *testBed) counts() {
+// checkCounts compares what the module believes to be out or standing at each target with the hops that are.
+func (b *testBed) checkCounts() {
 	b.t.Helper()
 	b.waitFor("the module to count what the sockets have", func() bool {
 		hops := map[string]int{}
@@ -177,11 +177,11 @@
 	})
 }
 
-func (m *peerModel) check(b *testBed) {
+func (m *connectionModel) check(b *testBed) {
 	got := string(m.client.received)
 	switch {
 	case m.target == nil:
-		rest := strings.TrimPrefix(got, m.opened)
+		rest := strings.TrimPrefix(got, m.beforeAnswer)
 		if rest != "" && rest != "BUSY\r\n" && m.state != mOver {
 			b.t.Fatalf("%s: before it stands the client got %q", m.id, got)
 		}
@@ -189,15 +189,15 @@
 			m.state = mOver
 		}
 	case m.state == mStanding || m.moved:
-		b.waitFor(fmt.Sprintf("%s: %q at the client, %q at the target", m.id, m.down, m.up), func() bool {
-			return string(m.client.received) == m.down && string(m.target.received) == m.up
+		b.waitFor(fmt.Sprintf("%s: %q at the client, %q at the target", m.id, m.toClient, m.toTarget), func() bool {
+			return string(m.client.received) == m.toClient && string(m.target.received) == m.toTarget
 		})
 		if m.moved {
 			b.waitFor("both ends closed", func() bool {
 				return m.client.eof && (m.target.eof || m.target.reset)
 			})
 		}
-	case !m.client.reset && !strings.HasPrefix(m.down, got):
-		b.t.Fatalf("%s: the client got %q, which is not of %q", m.id, got, m.down)
+	case !m.client.reset && !strings.HasPrefix(m.toClient, got):
+		b.t.Fatalf("%s: the client got %q, which is not of %q", m.id, got, m.toClient)
 	}
 }
--- a/internal/proxy/pages_test.go
+++ b/internal/proxy/pages_test.go
@@ -9,10 +9,11 @@
 	"ospreyspan/internal/poll"
 )
 
-// The sentences of the operators' pages that no other test holds; docs/acceptance.md names the test for each.
+// These tests check requirements of the operators that no other test covers; docs/acceptance.md
+// names the test for each requirement.
 
-// The new address of discovery names a target as draining while an attempt at it connects: the whole list and the connection lie
-// there in one turn, and the attempt is not sent.
+// After a reload, the new discovery reports a target as draining while an attempt at it connects.
+// The list and the established connection arrive in one turn of the loop; the request is not sent.
 func TestDrainSoonAfterAReload(t *testing.T) {
 	b := newSocketTestBed(t, 1, false)
 	first, second := newFakeDiscovery(b), newFakeDiscovery(b)
@@ -22,32 +23,34 @@
 	second.awaitCall(0)
 	c := b.dialClient()
 	c.write(t, "OPEN a k c=c,d=300\r\n")
-	b.dialled(1)
+	b.awaitHops(1)
 	list := fmt.Sprintf(`{"seq":3,"whole":true,"hosts":[{"host":"s0","dial":%q,"health":"DRAINING"}]}`, b.servers[0].Addr())
 	second.calls[0].write(t, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list))
 	b.waitFor("an answer", func() bool { return c.eof })
 	if len(b.targetConns) != 1 || len(b.targetConns[0].received) > 0 || string(c.received) != "BUSY\r\n" {
-		t.Errorf("%d connections, sent %q, the client got %q", len(b.targetConns), b.targetConns[0].received, c.received)
+		t.Errorf("%d connections, want 1; the target got %q, want nothing; the client got %q, want BUSY", len(b.targetConns), b.targetConns[0].received, c.received)
 	}
 	b.engine.watch.Stop()
 	first.close()
 	second.close()
 }
 
-// A target dies right behind its accept. Before the request's last byte was written it never ran, and another target may have any
-// request; after that it may have run, and a request that must not run twice is a failure.
+// A target fails right after it accepted a connection. If the request was not written in full, it
+// never ran, and any request may go to another target. If it was, it may have run, and a request
+// that must not run twice fails.
 func TestTargetResetsAfterAccept(t *testing.T) {
 	for _, repeat := range []string{"free", "single_shot"} {
 		for _, written := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, written %v", repeat, written), func(t *testing.T) {
-				b := newSocketTestBedWithSettings(t, 2, changed(t, `"Repeat":"free"`, `"Repeat":"`+repeat+`"`))
+				b := newSocketTestBedWithSettings(t, 2, settingsWith(t, `"Repeat":"free"`, `"Repeat":"`+repeat+`"`))
 				c := b.dialClient()
 				c.write(t, "OPEN a k c=c,d=1500\r\n")
-				b.dialled(1)
+				b.awaitHops(1)
 				if written {
 					b.waitFor("the request", func() bool { return b.requestConn("a") != nil })
 				} else {
-					for _, l := range b.servers { // the far ends accept, and the proxy does not know yet that it is connected
+					// The targets accept, while the proxy has not seen yet that it is connected.
+					for _, l := range b.servers {
 						l.Ready(poll.Ready{Read: true})
 					}
 				}
@@ -71,8 +74,9 @@
 	}
 }
 
-// A request comes in pieces around the end of a planned stop: whatever of it is there when the doors are shut, and whenever the rest
-// comes, its client has a refusal, no reset, and nothing is sent on.
+// A request arrives in pieces around the end of a planned stop. Whatever part of it has arrived
+// when the proxy stops taking requests, and whenever the rest arrives, its client gets a refusal
+// and no reset, and nothing is sent to a target.
 func TestSplitRequestAtTheEndOfAStop(t *testing.T) {
 	const request = "OPEN a k c=c,d=2000\r\n"
 	for cut := 1; cut < len(request); cut += 4 {
@@ -81,18 +85,18 @@
 		c.write(t, request[:cut])
 		b.settle()
 		b.frontend.Drain(func() {})
-		b.frontend.drain.begin = b.loop.Now().Add(-lateClients - time.Millisecond)
+		b.frontend.drain.startedAt = b.loop.Now().Add(-newClientPeriod - time.Millisecond)
 		b.frontend.drainStep()
 		c.write(t, request[cut:])
 		b.waitFor("the end", func() bool { return c.eof || c.reset })
-		if c.reset || string(c.received) != "BUSY\r\n" || b.count.Hops != 0 {
-			t.Errorf("cut at %d: reset %v, got %q, %d attempts", cut, c.reset, c.received, b.count.Hops)
+		if c.reset || string(c.received) != "BUSY\r\n" || b.counters.Hops != 0 {
+			t.Errorf("split at byte %d: reset %v, got %q, want BUSY; %d attempts, want 0", cut, c.reset, c.received, b.counters.Hops)
 		}
 	}
 }
 
-// A request that no target ever answers has its final answer before its time is over, however it came: whole, in pieces, late in a
-// turn of the loop, or as the last of many.
+// A request that no target answers gets its final answer before its time is over, however it
+// arrived: whole, in pieces, late in a turn of the loop, or as the last of many.
 func TestUnansweredRequestsEnd(t *testing.T) {
 	b := newSocketTestBed(t, 3, false)
 	const clients = 40
@@ -110,7 +114,7 @@
 		ends[i] = b.now().Add(500 * time.Millisecond)
 	}
 	for _, l := range b.servers[1:] {
-		l.Close() // some refuse, the first one is silent
+		l.Close() // these refuse connections; the first target stays silent
 	}
 	late := 0
 	b.waitFor("all answers", func() bool {
@@ -134,6 +138,6 @@
 		}
 	}
 	if late > 0 || len(b.engine.exchanges) > 0 {
-		t.Errorf("%d of %d answers came late; %d requests stay", late, clients, len(b.engine.exchanges))
+		t.Errorf("%d of %d answers were late; %d exchanges are left", late, clients, len(b.engine.exchanges))
 	}
 }
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -11,33 +11,34 @@
 	"ospreyspan/internal/routes"
 )
 
-// peer is what the front keeps of an egress target: the connection for probes, which is used again until it has
-// been idle for as long as the settings say, and what was last told of messages there.
+// targetState is what the frontend keeps for an egress target: the connection for probes, which is
+// reused until it has been idle for the time in the settings, and the last delay note.
 type targetState struct {
 	frontend         *LineFrontend
 	id               string
-	entry            *routes.Target
+	entry            *routes.Target // in the route table
 	link             link
 	state            probeState
-	reused           bool // the connection has answered a probe
+	reused           bool // the connection has answered a probe before
 	timer            poll.Timer
-	lastHeard        time.Time // its last sign of life, on any connection
-	lastDelayNote    time.Time // the last note on slow messages
-	slow             bool
-	silent           bool          // its clients are being moved for that; logged once
-	lastViolation    time.Time     // the log last said that it breaks the protocol
-	idleElement      *list.Element // the connection's place among the front's idle ones; nil: not there
-	idleProbeElement *list.Element // its place among the front's idle connections for probes; likewise
+	lastHeard        time.Time     // when the target last sent data, on any connection
+	lastDelayNote    time.Time     // when the module was last told of the delay of messages
+	slow             bool          // messages are slow, as last reported to the module
+	silent           bool          // its clients are being moved as it is silent; logged once
+	lastViolation    time.Time     // when a protocol violation was last logged
+	idleElement      *list.Element // the connection's entry in idleConns; nil: not idle
+	idleProbeElement *list.Element // the connection's entry in idleProbes; nil: not idle
 }
 
-// mostIdleProbes is how many connections are kept for the next probe: as many as a fleet of the usual size has servers. Of a much larger
-// one hardly any is probed again in time, and each would keep a descriptor and a place at its server.
+// maxIdleProbes is how many connections are kept for the next probe: the number of servers in a
+// fleet of usual size. In a much larger fleet hardly any target is probed again in time, and each
+// connection would occupy a descriptor and a slot at its server.
 const maxIdleProbes = 96
 
-// complain logs that the target breaks the protocol: not more often than complainEvery, since a target that
-// garbles one answer may garble all.
+// logViolation counts a protocol violation of the target and logs it, at most once in
+// violationLogInterval: a target that garbles one answer may garble all.
 func (p *targetState) logViolation(what string, text []byte) {
-	p.frontend.count.Garbled++
+	p.frontend.counters.Garbled++
 	if now := p.frontend.loop.Now(); now.Sub(p.lastViolation) >= violationLogInterval {
 		p.lastViolation = now
 		p.frontend.log.Printf("egress target %s: %s %.40q", p.id, what, text)
@@ -46,7 +47,7 @@
 
 const violationLogInterval = 10 * time.Second
 
-// sign takes a sign of life.
+// markAlive records that the target sent data.
 func (p *targetState) markAlive(now time.Time) { p.lastHeard, p.silent = now, false }
 
 type probeState uint8
@@ -70,7 +71,7 @@
 	if moved := p.entry != nil && p.entry.Addr != to.Addr; moved {
 		p.entry = to
 		if p.state == probeDialing || p.state == probeSent {
-			p.closeConn() // what the old address would say is not of this target
+			p.closeConn() // an answer from the old address is not the target's
 			p.dial()
 		} else {
 			p.closeConn()
@@ -80,25 +81,26 @@
 	return p
 }
 
-// Probe asks an egress target for its report.
+// Probe asks an egress target for its load report.
 func (f *LineFrontend) Probe(to *routes.Target) {
 	p := f.targetState(to)
 	switch p.state {
 	case probeNone:
 		p.dial()
 	case probeIdle:
-		if len(p.link.partial) > 0 { // half a line that came meanwhile would pass for the beginning of the answer
+		if len(p.link.partial) > 0 { // a part of a line would be taken for the start of the answer
 			p.closeConn()
 			p.dial()
 			return
 		}
 		p.sendProbe()
 	}
-	// Otherwise a probe is out, and its answer serves for this one: the module asks once at a time.
+	// Otherwise a probe is in progress, and its answer serves this call too: the module has one
+	// probe of a target at a time.
 }
 
-// Forget gives back what is kept of a target that is gone: over months of machines that come and go the table
-// would only grow. A probe that is out ends with that.
+// Forget releases the state of a target that is gone: over months of machines that come and go the
+// table would otherwise only grow. A probe in progress fails.
 func (f *LineFrontend) Forget(id string) {
 	p := f.targetStates[id]
 	if p == nil {
@@ -113,7 +115,7 @@
 }
 
 func (p *targetState) dial() {
-	if !p.frontend.makeRoom(keptFromProbes + 1) {
+	if !p.frontend.ensureFree(reservedFromProbes + 1) {
 		p.frontend.engine.Probed(p.id, balance.NotSent, noReport)
 		return
 	}
@@ -121,7 +123,9 @@
 	if err != nil {
 		o := dialOutcome(err)
 		if errors.Is(err, poll.ErrNoPath) {
-			o = balance.NotSent // a moment's fault of this machine's routes is no word on the target; attempts try for longer
+			// A brief fault of this machine's routes is no evidence against the target. Hops,
+			// unlike probes, try again in this case.
+			o = balance.NotSent
 		}
 		p.frontend.engine.Probed(p.id, o, noReport)
 		return
@@ -141,7 +145,7 @@
 	p.link.updateInterest()
 }
 
-// keep takes the connection out of the idle ones.
+// removeIdle removes the connection from the idle connections.
 func (p *targetState) removeIdle() {
 	if p.idleElement != nil {
 		p.frontend.idleConns.Remove(p.idleElement)
@@ -150,7 +154,8 @@
 	}
 }
 
-// rest puts the connection among the idle ones, and closes the oldest of those that wait for a probe if they are too many.
+// addIdle adds the connection to the idle connections, and closes the oldest idle connection for
+// probes if there are more than maxIdleProbes.
 func (p *targetState) addIdle() {
 	f := p.frontend
 	p.idleElement = f.idleConns.PushBack(p)
@@ -167,14 +172,15 @@
 	p.state, p.reused = probeNone, false
 }
 
-// failed ends a probe without a report. The connection goes too: a late answer would pass for the next one's.
+// failProbe ends a probe without a report and closes its connection: a late answer would be taken
+// for that of the next probe.
 func (p *targetState) failProbe(o balance.Outcome) {
 	p.closeConn()
 	p.frontend.engine.Probed(p.id, o, noReport)
 }
 
-// broke deals with a connection that broke. One that was kept may have been closed as idle just when it was
-// used again: the probe has not run and goes out on a new one.
+// handleFailure handles a connection that failed. The target may have closed a reused connection as
+// idle just when the probe was written: the probe did not run, and is sent again on a new one.
 func (p *targetState) handleFailure() {
 	switch {
 	case p.state == probeIdle:
@@ -189,7 +195,7 @@
 	}
 }
 
-// Ready is called by the loop.
+// Ready handles socket events; the loop calls it.
 func (p *targetState) Ready(r poll.Ready) {
 	if p.state == probeDialing {
 		if p.link.sock.Established() != nil {
@@ -220,7 +226,7 @@
 	first, more := line.Next(lines)
 	word, rest := line.ParseWord(line.Text(first))
 	if p.state != probeSent || len(more) > 0 || word != line.Pong && word != line.Err {
-		p.logViolation("unknown answer to a probe", line.Text(first))
+		p.logViolation("unknown answer to a probe:", line.Text(first))
 		if p.state == probeSent {
 			p.failProbe(balance.Error)
 		} else {
--- a/internal/proxy/races_test.go
+++ b/internal/proxy/races_test.go
@@ -17,8 +17,8 @@
 // These tests force a bad order on real sockets each time: the kernel connects, takes and resets while the loop does not turn, so
 // that a test has whatever it likes lie there at the next turn, in the order in which it was done.
 
-// changed is testSettings with other words in it.
-func changed(t testing.TB, pairs ...string) string {
+// settingsWith is testSettings with other words in it.
+func settingsWith(t testing.TB, pairs ...string) string {
 	t.Helper()
 	text := fmt.Sprintf(testSettings, false)
 	for i := 0; i < len(pairs); i += 2 {
@@ -30,24 +30,24 @@
 	return text
 }
 
-// dialled turns the loop until so many hops have begun, and not once more: the last one's connection is up, and nobody knows yet.
+// awaitHops turns the loop until so many hops have begun, and not once more: the last one's connection is up, and nobody knows yet.
 // The turns before that leave nothing in the kernel's queue of what is ready: what comes next is told after that connection.
-func (b *testBed) dialled(n int) {
+func (b *testBed) awaitHops(n int) {
 	b.t.Helper()
 	for begin := b.now(); ; {
 		for range 3 {
 			if err := b.loop.Turn(false); err != nil || b.since(begin) > 5*time.Second {
-				b.t.Fatalf("%d hops, %v", b.count.Hops, err)
+				b.t.Fatalf("%d hops, %v", b.counters.Hops, err)
 			}
 		}
-		if b.engine.Deliver(); b.count.Hops >= n {
+		if b.engine.Deliver(); b.counters.Hops >= n {
 			return
 		}
 	}
 }
 
-// open sends a request and returns its exchange once it is taken.
-func (b *testBed) open(c *testConn, id string) *Exchange {
+// openExchange sends a request and returns its exchange once it is taken.
+func (b *testBed) openExchange(c *testConn, id string) *Exchange {
 	b.t.Helper()
 	c.write(b.t, "OPEN "+id+" k c=c,d=2000\r\n")
 	for range 10 {
@@ -70,10 +70,10 @@
 	for _, cancel := range []string{"true", "false"} {
 		for _, how := range []string{"fin", "reset", "line", "line and fin"} {
 			t.Run(how+", cancel "+cancel, func(t *testing.T) {
-				b := newSocketTestBedWithSettings(t, 1, changed(t, `"Cancel":true`, `"Cancel":`+cancel))
+				b := newSocketTestBedWithSettings(t, 1, settingsWith(t, `"Cancel":true`, `"Cancel":`+cancel))
 				c := b.dialClient()
 				c.write(t, "OPEN a k c=c,d=2000\r\n")
-				b.dialled(1)
+				b.awaitHops(1)
 				if strings.HasPrefix(how, "line") {
 					c.write(t, "reading\r\n")
 				}
@@ -90,8 +90,8 @@
 					t.Errorf("sent on: %q", b.targetConns[0].received)
 				}
 				want := map[string]string{"fin": "BUSY\r\n", "reset": "", "line": "ERR\r\n", "line and fin": "ERR\r\n"}[how]
-				if string(c.received) != want || b.count.Left != 1 || b.engine.module.Held("s0") != 0 {
-					t.Errorf("got %q, want %q; %d left, the module counts %d", c.received, want, b.count.Left, b.engine.module.Held("s0"))
+				if string(c.received) != want || b.counters.Left != 1 || b.engine.module.Held("s0") != 0 {
+					t.Errorf("got %q, want %q; %d left, the module counts %d", c.received, want, b.counters.Left, b.engine.module.Held("s0"))
 				}
 				b.checkReleased(c)
 			})
@@ -104,7 +104,7 @@
 func TestLeftWhileAskingWithoutCancel(t *testing.T) {
 	for _, how := range []string{"line", "fin", "reset"} {
 		for _, word := range []string{"UP r\r\n", "BUSY\r\n", "BYE\r\n", ""} {
-			b := newSocketTestBedWithSettings(t, 1, changed(t, `"Cancel":true`, `"Cancel":false`))
+			b := newSocketTestBedWithSettings(t, 1, settingsWith(t, `"Cancel":true`, `"Cancel":false`))
 			c := b.dialClient()
 			c.write(t, "OPEN a k c=c,d=2000\r\n")
 			b.waitFor("the hop", func() bool { return b.requestConn("a") != nil })
@@ -117,7 +117,7 @@
 				c.reset = true
 				c.sock.Reset()
 			}
-			b.waitFor("it left", func() bool { return b.count.Left == 1 && (c.eof || c.reset) })
+			b.waitFor("it left", func() bool { return b.counters.Left == 1 && (c.eof || c.reset) })
 			for _, x := range b.engine.exchanges { // its hop is out, and nothing more is owed
 				if x.timer.Armed() {
 					t.Errorf("%s: the exchange still has a timer", how)
@@ -129,7 +129,7 @@
 				b.targetConns[0].write(t, word)
 			}
 			b.waitFor("the end of the hop", func() bool { return len(b.engine.exchanges) == 0 })
-			if n := strings.Count(string(c.received), "\n"); n > 1 || b.engine.module.Held("s0") != 0 || b.count.Up != 0 {
+			if n := strings.Count(string(c.received), "\n"); n > 1 || b.engine.module.Held("s0") != 0 || b.counters.Up != 0 {
 				t.Errorf("%s, %q: the client got %q, the module counts %d", how, word, c.received, b.engine.module.Held("s0"))
 			}
 			b.checkReleased(c)
@@ -139,10 +139,10 @@
 
 // A connection that comes up in the turn in which its time ends is not sent what nobody waits for.
 func TestUpWhenTimeIsOver(t *testing.T) {
-	b := newSocketTestBedWithSettings(t, 1, changed(t, `"DialTimeoutUs":200000`, `"DialTimeoutUs":900000`))
+	b := newSocketTestBedWithSettings(t, 1, settingsWith(t, `"DialTimeoutUs":200000`, `"DialTimeoutUs":900000`))
 	c := b.dialClient()
 	c.write(t, "OPEN a k c=c,d=60\r\n")
-	b.dialled(1)
+	b.awaitHops(1)
 	time.Sleep(80 * time.Millisecond) // the process does not run
 	b.waitFor("an answer", func() bool { return c.eof })
 	if len(b.targetConns) != 1 || len(b.targetConns[0].received) > 0 || string(c.received) != "BUSY\r\n" {
@@ -154,12 +154,12 @@
 // A further hop of a guarded request begins within its window, and comes up after it: it is not sent, and the client is not told
 // to come again.
 func TestWindowEndsWhileDialling(t *testing.T) {
-	b := newSocketTestBedWithSettings(t, 2, changed(t, `"Repeat":"free"`, `"Repeat":"guarded","DedupScope":"all","WindowUs":300000`))
+	b := newSocketTestBedWithSettings(t, 2, settingsWith(t, `"Repeat":"free"`, `"Repeat":"guarded","DedupScope":"all","WindowUs":300000`))
 	c := b.dialClient()
 	c.write(t, "OPEN a k c=c,d=1000\r\n")
 	b.waitFor("the hop", func() bool { return b.requestConn("a") != nil })
 	b.requestConn("a").write(t, "ERR\r\n") // it may have run
-	b.dialled(2)
+	b.awaitHops(2)
 	for _, x := range b.engine.exchanges {
 		x.maybeRanSentAt = x.maybeRanSentAt.Add(-300 * time.Millisecond) // the window is over
 	}
@@ -178,12 +178,12 @@
 
 // More than a refusal is no proof that the request never ran: a class that must not run twice is not sent again.
 func TestRefusalAndMore(t *testing.T) {
-	b := newSocketTestBedWithSettings(t, 2, changed(t, `"Repeat":"free"`, `"Repeat":"single_shot"`))
+	b := newSocketTestBedWithSettings(t, 2, settingsWith(t, `"Repeat":"free"`, `"Repeat":"single_shot"`))
 	for id, more := range map[string]string{"a": "UP r\r\n", "b": "half", "c": ""} {
 		c := b.dialClient()
 		c.write(t, "OPEN "+id+" k c=c,d=300\r\n")
 		b.waitFor("the hop", func() bool { return b.requestConn(id) != nil })
-		before := b.count.Hops
+		before := b.counters.Hops
 		h := b.requestConn(id)
 		h.received = nil
 		h.write(t, "BUSY\r\n"+more)
@@ -194,8 +194,8 @@
 			continue
 		}
 		b.waitFor("an answer", func() bool { return c.eof })
-		if string(c.received) != "ERR\r\n" || b.count.Hops != before {
-			t.Errorf("%q: got %q, %d further hops", more, c.received, b.count.Hops-before)
+		if string(c.received) != "ERR\r\n" || b.counters.Hops != before {
+			t.Errorf("%q: got %q, %d further hops", more, c.received, b.counters.Hops-before)
 		}
 	}
 }
@@ -208,7 +208,7 @@
 	done := 0
 	b.frontend.Drain(func() { done++ })
 	b.frontend.Drain(func() { done += 10 }) // a second SIGTERM
-	b.frontend.drain.begin = b.loop.Now().Add(-lateClients - time.Millisecond)
+	b.frontend.drain.startedAt = b.loop.Now().Add(-newClientPeriod - time.Millisecond)
 	queued := &testConn{}
 	sock, err := b.loop.Dial(b.frontend.listener.Addr(), queued) // the kernel has accepted it, the proxy has not
 	if err != nil {
@@ -233,21 +233,21 @@
 		c.sock.Close()
 	}
 	b.waitFor("the end", func() bool { return done > 0 })
-	if done != 1 || b.count.Hops != 0 || len(b.frontend.sessions) != 0 {
-		t.Errorf("done %d, %d hops, %d sessions", done, b.count.Hops, len(b.frontend.sessions))
+	if done != 1 || b.counters.Hops != 0 || len(b.frontend.sessions) != 0 {
+		t.Errorf("done %d, %d hops, %d sessions", done, b.counters.Hops, len(b.frontend.sessions))
 	}
 }
 
 // A target hangs at a planned stop: who waits for it is answered and told to come again only where that does no harm.
 func TestStopWhileATargetHangs(t *testing.T) {
 	for repeat, want := range map[string]string{"free": "BUSY\r\n", "single_shot": "ERR\r\n"} {
-		b := newSocketTestBedWithSettings(t, 1, changed(t, `"Repeat":"free"`, `"Repeat":"`+repeat+`"`, `"Cancel":true`, `"Cancel":false`))
+		b := newSocketTestBedWithSettings(t, 1, settingsWith(t, `"Repeat":"free"`, `"Repeat":"`+repeat+`"`, `"Cancel":true`, `"Cancel":false`))
 		c := b.dialClient()
 		c.write(t, "OPEN a k c=c,d=2000\r\n")
 		b.waitFor("the hop", func() bool { return b.requestConn("a") != nil })
 		done := false
 		b.frontend.Drain(func() { done = true })
-		b.frontend.drain.kill = b.loop.Now().Add(answersDone - time.Millisecond)
+		b.frontend.drain.killAt = b.loop.Now().Add(finalAnswerLead - time.Millisecond)
 		b.frontend.drainStep()
 		b.waitFor("an answer", func() bool { return c.eof })
 		if string(c.received) != want || len(b.engine.exchanges) != 0 {
@@ -260,7 +260,7 @@
 
 // Who is turned away for want of a descriptor gets its refusal, whatever it has sent by then: a close over unread bytes would
 // reset the connection and take the refusal with it. The same holds for one that has just had its last line.
-func TestTurnedAwayOverUnreadBytes(t *testing.T) {
+func TestRefusalWithUnreadBytes(t *testing.T) {
 	b := newSocketTestBed(t, 1, false)
 	opening, closing := b.dialClient(), b.dialClient()
 	closing.write(t, "frob\r\n")
@@ -268,7 +268,7 @@
 	opening.write(t, strings.Repeat("x", 20<<10))
 	closing.write(t, strings.Repeat("y", 20<<10))
 	for _, s := range slices.Clone(b.frontend.sessions) {
-		b.frontend.turnAway(s)
+		b.frontend.refuseAndClose(s)
 	}
 	if err := closing.sock.Established(); err != nil { // its pending error
 		t.Errorf("the one with its last line: %v", err)
@@ -302,7 +302,7 @@
 
 // A target says its last lines and resets the connection; a line of the client is passed on first, and fails. What the target
 // said reaches the client all the same.
-func TestLastWordsBeforeAReset(t *testing.T) {
+func TestLastLinesBeforeAReset(t *testing.T) {
 	b := newSocketTestBed(t, 1, false)
 	client, target := b.establish("a")
 	client.write(t, "reading\r\n") // ready first
@@ -327,7 +327,7 @@
 		s.hop.handleTimeout()
 	}
 	b.waitFor("UP", func() bool { return string(c.received) == "UP r\r\n" })
-	if b.count.HopTimeout != 0 {
+	if b.counters.HopTimeout != 0 {
 		t.Error("it counts as timed out")
 	}
 	b.checkReleased(c)
@@ -374,7 +374,7 @@
 func TestPushedListsAreAskedForAtOnce(t *testing.T) {
 	b := newSocketTestBed(t, 0, false)
 	d := newFakeDiscovery(b)
-	set, err := settings.Decode([]byte(changed(t, `"Balancers":1`, `"Balancers":300`)))
+	set, err := settings.Decode([]byte(settingsWith(t, `"Balancers":1`, `"Balancers":300`)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -454,7 +454,7 @@
 	c := b.dialClient()
 	c.write(t, "PING\r\n")
 	b.waitFor("an answer", func() bool { return string(c.received) == "NO\r\n" })
-	b.engine.startedAt = b.engine.startedAt.Add(-readyWithin)
+	b.engine.startedAt = b.engine.startedAt.Add(-readyTimeout)
 	c.write(t, "PING\r\n")
 	b.waitFor("another", func() bool { return string(c.received) == "NO\r\nPONG\r\n" })
 	c.write(t, "OPEN a k c=c,d=2000\r\n")
@@ -483,21 +483,21 @@
 		b := newSocketTestBed(t, 1, false)
 		c := b.dialClient()
 		c.write(t, "OPEN a k c=c,d=5000,at=s0\r\n")
-		b.dialled(1)
+		b.awaitHops(1)
 		if when != "dialling" {
 			b.waitFor("the hop", func() bool { return b.requestConn("a") != nil })
 		}
 		if when == "between tries" {
 			b.requestConn("a").write(t, "BUSY\r\n")
-			b.waitFor("the end of the hop", func() bool { return b.count.HopFull == 1 })
+			b.waitFor("the end of the hop", func() bool { return b.counters.HopFull == 1 })
 		}
 		done := false
 		b.frontend.Drain(func() { done = true })
-		b.frontend.drain.kill = b.loop.Now().Add(answersDone - time.Millisecond)
+		b.frontend.drain.killAt = b.loop.Now().Add(finalAnswerLead - time.Millisecond)
 		b.frontend.drainStep()
 		b.waitFor("an answer", func() bool { return c.eof })
-		if string(c.received) != "BUSY\r\n" || b.count.Hops != 1 || len(b.engine.exchanges) != 0 {
-			t.Errorf("%s: got %q, %d hops, %d exchanges", when, c.received, b.count.Hops, len(b.engine.exchanges))
+		if string(c.received) != "BUSY\r\n" || b.counters.Hops != 1 || len(b.engine.exchanges) != 0 {
+			t.Errorf("%s: got %q, %d hops, %d exchanges", when, c.received, b.counters.Hops, len(b.engine.exchanges))
 		}
 		if when == "dialling" && len(b.targetConns) > 0 && len(b.targetConns[0].received) > 0 {
 			t.Errorf("sent %q", b.targetConns[0].received)
@@ -516,8 +516,8 @@
 	b.frontend.sessions[0].handleTimeout()
 	b.waitFor("the end", func() bool { return c.eof || c.reset })
 	b.settle()
-	if string(c.received) != "BUSY\r\n" || c.reset || b.count.Hops != 0 {
-		t.Errorf("got %q, reset %v, %d hops", c.received, c.reset, b.count.Hops)
+	if string(c.received) != "BUSY\r\n" || c.reset || b.counters.Hops != 0 {
+		t.Errorf("got %q, reset %v, %d hops", c.received, c.reset, b.counters.Hops)
 	}
 	b.checkReleased(c)
 }
@@ -584,8 +584,8 @@
 		}
 		done := false
 		b.frontend.Drain(func() { done = true })
-		b.frontend.drain.begin = b.loop.Now().Add(-lateClients - time.Millisecond)
-		b.frontend.drain.kill = b.loop.Now().Add(b.engine.tuning.MovesDone + drainStep) // all moves are due
+		b.frontend.drain.startedAt = b.loop.Now().Add(-newClientPeriod - time.Millisecond)
+		b.frontend.drain.killAt = b.loop.Now().Add(b.engine.tuning.MovesDone + drainInterval) // all moves are due
 		b.frontend.drainStep()
 		if reads {
 			c.readPaused = false
@@ -612,13 +612,13 @@
 		`"RetryAfter":true,"MaxRetryAfterUs":400000`:   "BUSY 400\r\n",
 		`"RetryAfter":true,"MaxRetryAfterUs":2000000`:  "BUSY 1000\r\n",
 	} {
-		b := newSocketTestBedWithSettings(t, 1, changed(t, `"Cancel":true`, `"Cancel":true,`+permissions))
+		b := newSocketTestBedWithSettings(t, 1, settingsWith(t, `"Cancel":true`, `"Cancel":true,`+permissions))
 		full, waits, unread, rests := b.dialClient(), b.dialClient(), b.dialClient(), b.dialClient()
-		b.frontend.turnAway(b.frontend.sessions[0])
+		b.frontend.refuseAndClose(b.frontend.sessions[0])
 		waits.write(t, "OPEN w k c=c,d=2000\r\n")
 		b.waitFor("the hop", func() bool { return b.requestConn("w") != nil })
 		b.frontend.Drain(func() {})
-		b.frontend.drain.kill = b.loop.Now().Add(answersDone - time.Millisecond)
+		b.frontend.drain.killAt = b.loop.Now().Add(finalAnswerLead - time.Millisecond)
 		unread.write(t, "OPEN u k c=c,d=2000\r\n")
 		b.frontend.drainStep()
 		for name, c := range map[string]*testConn{"out of descriptors": full, "waiting": waits, "unread": unread, "resting": rests} {
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -15,14 +15,14 @@
 type sessionState uint8
 
 const (
-	opening     sessionState = iota // the client's first line is to come
-	waiting                         // it waits for its answer
+	opening     sessionState = iota // the client has not sent its OPEN line yet
+	waiting                         // the client waits for its answer
 	established                     // lines pass both ways
-	closing                         // it has its last line
+	closing                         // the last line to the client is written or queued
 	closed
 )
 
-// session is one client's connection. It owns the link, its timer and the hop that is out for it.
+// session is one client's connection. It owns its link, its timer and its current hop.
 type session struct {
 	frontend        *LineFrontend
 	link            link
@@ -31,12 +31,12 @@
 	exchange        *Exchange
 	hop             *hop
 	timer           poll.Timer
-	clientEOF       bool          // standing: the client has ended its sending
-	clientLeft      bool          // it left while it waited: its hop, if one is out, ends by its target's or the module's word
-	linesBeforeOpen int           // lines before the one that opens
-	discarded       int           // closing: bytes that were read and dropped
-	index           int           // index in the front's table
-	idleElement     *list.Element // its place among the front's idle connections; nil: not there
+	clientEOF       bool          // established: the client has closed its sending side
+	clientLeft      bool          // left while waiting: the target or module ends its hop, if any
+	linesBeforeOpen int           // lines received before the OPEN line
+	discarded       int           // closing: bytes read and discarded
+	index           int           // position in the frontend's sessions
+	idleElement     *list.Element // entry in the frontend's idleConns; nil: not idle
 }
 
 var (
@@ -48,7 +48,7 @@
 
 func busy(after time.Duration) []byte { return line.AppendBusy(nil, after) }
 
-// Ready is called by the loop.
+// Ready handles socket events; the loop calls it.
 func (s *session) Ready(r poll.Ready) {
 	if r.Write && len(s.link.unsent) > 0 {
 		if err := s.link.flush(); err != nil {
@@ -86,8 +86,9 @@
 	}
 }
 
-// spill reads on for a while after the last line: a connection that is closed with bytes unread is reset, and
-// that can take the answer with it. What is beyond spillMost stays in the kernel, where it costs nothing.
+// discardInput keeps reading after the last line was sent: closing a connection with unread bytes
+// resets it, and the reset can destroy the answer. Input beyond maxDiscard stays in the kernel,
+// where it costs nothing.
 func (s *session) discardInput() {
 	n, err := s.link.sock.Read(s.frontend.scratch)
 	switch s.discarded += n; {
@@ -103,7 +104,7 @@
 	}
 }
 
-// take deals with whole lines from the client.
+// handleLines processes complete lines from the client.
 func (s *session) handleLines(lines []byte) {
 	switch s.state {
 	case opening:
@@ -112,51 +113,53 @@
 			first, lines = line.Next(lines)
 			s.handleOpeningLine(line.Text(first), len(lines)+len(s.link.partial) > 0)
 		}
-	case waiting: // one that sends more before its answer is no client of this protocol
+	case waiting: // the protocol does not allow a client to send more before its answer
 		if len(lines)+len(s.link.partial) > 0 {
-			s.rejectMalformed("lines before its answer")
+			s.rejectMalformed("data sent before the answer")
 		}
 	case established:
 		s.forwardLines(lines)
 	}
 }
 
-// first takes a line of a connection that opens; more tells that others came with it. Whoever sends hundreds
-// of requests in one go must not have the first of them served as though it had sent that alone.
+// handleOpeningLine processes a line that arrives before the answer is due; more reports whether
+// further data came with it. A client that sends hundreds of requests at once must not have the
+// first of them served as though it had been sent alone.
 func (s *session) handleOpeningLine(text []byte, more bool) {
 	f := s.frontend
 	if ping := string(text) == "PING"; ping || string(text) == "STATS" {
 		switch s.linesBeforeOpen++; {
 		case s.linesBeforeOpen > maxOpeningLines:
-			s.rejectMalformed("too many lines before its request")
+			s.rejectMalformed("too many lines before the request")
 		case ping && f.engine.CanServe():
-			f.count.Pings++
+			f.counters.Pings++
 			s.reply(pongLine)
-		default: // it can't serve yet; a proxy is no target of probes
+		default: // the proxy cannot serve yet, or the line is STATS, which proxies do not answer
 			s.reply(noLine)
 		}
 		return
 	}
 	open, err := line.ParseOpen(text)
 	if err == nil && more {
-		err = errors.New("lines before its answer")
+		err = errors.New("data sent before the answer")
 	}
 	if err != nil {
 		s.rejectMalformed(err.Error())
 		return
 	}
-	if f.drain.shut {
-		f.count.Shed++
-		s.closeAfter(busy(f.engine.RetryAfter(drainAdvice)))
+	if f.drain.refusing {
+		f.counters.Shed++
+		s.closeAfter(busy(f.engine.RetryAfter(drainRetryAfter)))
 		return
 	}
-	f.keep(s)
-	if open.At == "" && !f.roomForAttempt() {
-		f.countFull()
-		s.closeAfter(busy(f.engine.RetryAfter(fullAdvice)))
+	f.markActive(s)
+	if open.At == "" && !f.hasRoomForAttempt() {
+		f.countDescriptorRefusal()
+		s.closeAfter(busy(f.engine.RetryAfter(noDescriptorRetryAfter)))
 		return
 	}
-	// The client's time runs since it sent the line, which may have waited for this turn of the loop.
+	// The client's time-out began when it sent the line, which may have waited in the kernel for
+	// this turn of the loop.
 	offer := ClientRequest{
 		ID: open.ID, Class: open.Class, Tenant: open.Tenant, Key: open.Key, Group: open.Group, Again: open.Again,
 		Wait: max(open.Wait-s.link.sock.Idle(), 0),
@@ -175,25 +178,25 @@
 	f.loop.Disarm(&s.timer)
 }
 
-// say writes a line while the connection opens.
+// reply writes a line to a client that has not sent its request yet.
 func (s *session) reply(text []byte) {
 	if s.link.write(text) != nil {
 		s.handleFailure()
 	}
 }
 
-// pass hands lines on to the egress target.
+// forwardLines sends lines of the client to the egress target.
 func (s *session) forwardLines(lines []byte) {
 	if len(lines) > 0 {
 		s.hop.forwardToTarget(lines)
 	}
 }
 
-// malformed answers what is not of the protocol and closes the connection. Such clients may come by the
-// hundred and again at once: only the first is worth a line of the log, the counters have the others.
+// rejectMalformed answers a protocol violation and closes the connection. Such clients may come by
+// the hundred and reconnect at once, so only the first one is logged; the counter has them all.
 func (s *session) rejectMalformed(what string) {
-	if s.frontend.count.Malformed++; s.frontend.count.Malformed == 1 {
-		s.frontend.log.Printf("client: %s; closed. Others are counted only", what)
+	if s.frontend.counters.Malformed++; s.frontend.counters.Malformed == 1 {
+		s.frontend.log.Printf("client: protocol error: %s; connection closed; later ones are only counted", what)
 	}
 	switch s.state {
 	case opening:
@@ -208,13 +211,14 @@
 	}
 }
 
-// leave takes down that nothing is owed to the client any more: it left before its answer, or broke the protocol.
+// markLeft records that the client left before its answer, or broke the protocol, and that its
+// exchange needs no answer any more.
 func (s *session) markLeft() {
 	s.clientLeft = true
 	s.exchange.ClientLeft()
 }
 
-// ended deals with a client that ended its sending.
+// handleEOF handles a client that closed its sending side.
 func (s *session) handleEOF() {
 	switch s.state {
 	case closing:
@@ -224,9 +228,9 @@
 	case opening:
 		s.close()
 	case waiting:
-		// A client that has only ended its sending still reads: it gets a final answer like any other.
+		// A client that has closed only its sending side still reads: it gets a final answer.
 		s.markLeft()
-		if s.exchange.mayShed(0) {
+		if s.exchange.mayRefuse(0) {
 			s.closeAfter(busy(0))
 		} else {
 			s.closeAfter(errLine)
@@ -238,7 +242,7 @@
 	}
 }
 
-// broke deals with a connection to the client that broke.
+// handleFailure handles an I/O error on the connection to the client.
 func (s *session) handleFailure() {
 	switch s.state {
 	case waiting:
@@ -246,7 +250,7 @@
 		s.close()
 	case established:
 		o := s.hop.outcome(balance.Cancelled)
-		if !s.clientEOF { // else its side has ended already, and not by a reset
+		if !s.clientEOF { // else the client's side was closed before, and without a reset
 			s.hop.link.reset()
 		}
 		s.endHop()
@@ -257,11 +261,11 @@
 	}
 }
 
-// due is called by the timer.
+// handleTimeout handles the expiry of the session's timer.
 func (s *session) handleTimeout() {
 	switch s.state {
 	case opening:
-		s.closeAfter(busy(0)) // a line that is on its way has its answer
+		s.closeAfter(busy(0)) // also answers a request that is still on its way
 	case established:
 		s.endGracefully(balance.Cancelled)
 	default:
@@ -269,7 +273,7 @@
 	}
 }
 
-// last sends the client its last line and closes the connection once that is out.
+// closeAfter sends the client its last line and closes the connection once that is written.
 func (s *session) closeAfter(text []byte) {
 	if s.state == closed {
 		return
@@ -283,7 +287,7 @@
 	s.link.partial = nil
 	s.link.closeWrite()
 	if len(s.link.unsent) == 0 {
-		s.frontend.mayMakeRoom(s)
+		s.frontend.markIdle(s)
 	}
 	switch {
 	case len(s.link.unsent) > 0:
@@ -295,7 +299,8 @@
 	}
 }
 
-// abandon ends a standing connection politely on both sides.
+// endGracefully ends an established connection: the lines already received from the target are
+// forwarded, its link is closed, and the client is sent MOVE.
 func (s *session) endGracefully(o balance.Outcome) {
 	if s.hop.forwardPending(); s.state != established {
 		return
@@ -313,14 +318,14 @@
 	}
 }
 
-// close gives back all that the session owns.
+// close releases everything that the session owns.
 func (s *session) close() {
 	if s.state == closed {
 		return
 	}
 	s.state = closed
 	s.frontend.loop.Disarm(&s.timer)
-	s.frontend.keep(s)
+	s.frontend.markActive(s)
 	if !s.clientLeft {
 		s.endHop()
 	}
@@ -328,12 +333,13 @@
 	s.frontend.removeSession(s)
 }
 
-// Hop, Recall, Drop, Shed, Fail and Move are the engine's wishes (see Client).
+// Hop, CancelUnsent, CancelHop, Refuse, Fail and Move implement Client.
 
-// Hop starts a hop.
+// Hop starts a hop at an egress target, which has to answer within wait.
 func (s *session) Hop(to *routes.Target, wait time.Duration) { s.startHop(to, wait) }
 
-// CancelUnsent gives up a hop of which the target can't have the whole line: a part of one is no request.
+// CancelUnsent cancels a hop whose first line is not written in full: a target does not take part
+// of a line for a request. It reports whether there was such a hop.
 func (s *session) CancelUnsent() bool {
 	if s.hop == nil || s.hop.state != hopDialing && s.hop.state != hopSending {
 		return false
@@ -342,10 +348,10 @@
 	return true
 }
 
-// CancelHop gives the hop up.
+// CancelHop cancels the hop.
 func (s *session) CancelHop() { s.endHop() }
 
-// Refuse refuses the client.
+// Refuse refuses the client, which may try again after the given time if it is above 0.
 func (s *session) Refuse(after time.Duration) {
 	s.endHop()
 	s.closeAfter(busy(after))
@@ -357,7 +363,8 @@
 	s.closeAfter(errLine)
 }
 
-// Move sends the client away between two lines. The whole lines that its target sent so far are written or kept for it.
+// Move tells the client to reconnect, between two lines. The whole lines that its target has sent
+// so far are written, or queued for it.
 func (s *session) Move() {
 	if s.hop.forwardPending(); s.state != established {
 		return
--- a/internal/proxy/shared.go
+++ b/internal/proxy/shared.go
@@ -14,37 +14,37 @@
 func (e *Engine) Watch() *routes.Watch { return e.watch }
 
 // Discovery is the address that is asked, and the version of the latest list.
-func (e *Engine) Discovery() (at netip.AddrPort, seq int64) { return e.discovery, e.table.Seq }
+func (e *Engine) Discovery() (at netip.AddrPort, seq int64) { return e.discoveryAddr, e.table.Seq }
 
 // Table is the route table, to be read only.
 func (e *Engine) Table() *routes.Table { return &e.table }
 
 // SetPeerConfirmation has f asked as of when another process vouched for the list, for the counters.
-func (e *Engine) SetPeerConfirmation(f func() time.Time) { e.vouched = f }
+func (e *Engine) SetPeerConfirmation(f func() time.Time) { e.peerConfirmedAt = f }
 
 // OnDiscoveryAnswer has f called after each answer of discovery that was taken.
-func (e *Engine) OnDiscoveryAnswer(f func()) { e.onNews = f }
+func (e *Engine) OnDiscoveryAnswer(f func()) { e.onDiscoveryAnswer = f }
 
 // ApplyPeerList takes a whole list that another process passed on. One that is older than what is known changes nothing.
 func (e *Engine) ApplyPeerList(l *routes.List) {
 	if l.Seq < e.table.Seq {
 		return
 	}
-	e.newest = max(e.newest, l.Seq)
-	e.count.ListsHeard++
-	e.births.Mark(l, e.loop.Now(), time.Time{})
-	e.take(l)
+	e.newestPeerSeq = max(e.newestPeerSeq, l.Seq)
+	e.counters.ListsHeard++
+	e.bootTimes.Mark(l, e.loop.Now(), time.Time{})
+	e.applyList(l)
 }
 
 // ShareProbes has ask called before each probe: if it returns true, it will tell Reported or ProbeAlone of the target. told is
 // called at the end of each own probe.
 func (e *Engine) ShareProbes(ask func(target string) bool, told func(target string, ok bool, rep balance.Report)) {
-	e.askOther, e.onProbed = ask, told
+	e.probeViaPeer, e.onProbed = ask, told
 }
 
 // PeerReported takes a report that another process's probe brought.
 func (e *Engine) PeerReported(target string, rep balance.Report) {
-	e.count.ProbesShared++
+	e.counters.ProbesShared++
 	e.push(event{kind: evProbed, target: target, outcome: balance.OK, report: rep})
 }
 
@@ -55,7 +55,7 @@
 		e.push(event{kind: evProbed, target: target, outcome: balance.NoConnect, report: noReport})
 		return
 	}
-	e.count.Probes++
+	e.counters.Probes++
 	e.prober.Probe(to)
 }
 
@@ -65,16 +65,16 @@
 // MoveNow carries out a move that was paced. The connection may have ended meanwhile.
 func (e *Engine) MoveNow(id balance.RequestID) {
 	if x := e.exchanges[id]; x != nil && x.hopActive && x.established {
-		e.count.MovesPaced++
+		e.counters.MovesPaced++
 		e.move(x)
 	}
 }
 
 // Drains tells whether a target takes no new work.
-func (e *Engine) Drains(id string) bool { return e.drains(id) }
+func (e *Engine) Drains(id string) bool { return e.draining(id) }
 
-// drains tells whether a target takes no new work.
-func (e *Engine) drains(id string) bool {
+// draining tells whether a target takes no new work.
+func (e *Engine) draining(id string) bool {
 	to := e.table.Find(id)
 	return to == nil || to.Health == routes.Draining
 }
@@ -94,15 +94,15 @@
 	e.onOutcome = f
 }
 
-func (e *Engine) saw(target string, o balance.Outcome, of OutcomeSource) {
-	if e.onOutcome != nil && !e.drains(target) {
+func (e *Engine) reportOutcome(target string, o balance.Outcome, of OutcomeSource) {
+	if e.onOutcome != nil && !e.draining(target) {
 		e.onOutcome(target, o, of)
 	}
 }
 
 // AvoidUntil passes on to the module what others know of a target: it is to be passed over until then.
 func (e *Engine) AvoidUntil(target string, until time.Time) {
-	e.push(event{kind: evTold, target: target, until: until})
+	e.push(event{kind: evAvoid, target: target, until: until})
 }
 
 // Limits are what all processes together may take.
@@ -131,7 +131,7 @@
 // MoveUnderLimit moves n standing connections that count under a limit, the latest first, and returns how many there were to move.
 func (e *Engine) MoveUnderLimit(bit uint64, n int) int {
 	moved := 0
-	all := e.inOrder()
+	all := e.sortedExchanges()
 	for i := len(all) - 1; i >= 0 && moved < n; i-- {
 		if x := all[i]; x.limitBits&bit != 0 && x.hopActive && x.established {
 			e.move(x)
@@ -145,4 +145,4 @@
 func (e *Engine) OnHop(f func(class int, first bool)) { e.onHop = f }
 
 // SetRetryBudgetSpent tells the module whether all processes together have made as many further hops as they may.
-func (e *Engine) SetRetryBudgetSpent(on bool) { e.push(event{kind: evThrifty, on: on}) }
+func (e *Engine) SetRetryBudgetSpent(on bool) { e.push(event{kind: evRetryBudget, budgetSpent: on}) }
--- a/internal/proxy/heldup_test.go
+++ b/internal/proxy/stall_test.go
@@ -8,23 +8,23 @@
 	"ospreyspan/internal/poll"
 )
 
-// heldUp is a kernel on which the process is held up behind a look at the clock: something happens meanwhile.
-type heldUp struct {
+// stallingKernel is a kernel on which the process is held up behind a look at the clock: something happens meanwhile.
+type stallingKernel struct {
 	poll.Kernel
-	looks     int // at the clock since the last wait; the first one is the loop's own
-	meanwhile func()
+	clockReads  int // at the clock since the last wait; the first one is the loop's own
+	duringStall func()
 }
 
-func (k *heldUp) Wait(events []poll.Event, most time.Duration) (int, error) {
-	k.looks = 0
+func (k *stallingKernel) Wait(events []poll.Event, most time.Duration) (int, error) {
+	k.clockReads = 0
 	return k.Kernel.Wait(events, most)
 }
 
-func (k *heldUp) Now() time.Time {
+func (k *stallingKernel) Now() time.Time {
 	now := k.Kernel.Now()
-	if k.looks++; k.looks > 1 && k.meanwhile != nil {
-		f := k.meanwhile
-		k.meanwhile = nil
+	if k.clockReads++; k.clockReads > 1 && k.duringStall != nil {
+		f := k.duringStall
+		k.duringStall = nil
 		f()
 	}
 	return now
@@ -32,17 +32,17 @@
 
 // The process is held up between its look at the clock and the write of a request, and the client leaves meanwhile: nothing is sent
 // for it. An attempt that begins over 0.1 s after its client left is a lost request, and a process may be held up for 0.15 s.
-func TestClientLeavesWhileTheProcessIsHeldUp(t *testing.T) {
+func TestClientLeavesWhileTheProcessIsStalled(t *testing.T) {
 	for _, how := range []string{"close", "reset", "end of sending"} {
 		t.Run(how, func(t *testing.T) {
-			k := &heldUp{}
+			k := &stallingKernel{}
 			b := newSocketTestBedOnKernel(t, 1, func(under poll.Kernel) poll.Kernel {
 				k.Kernel = under
 				return k
 			})
 			c := b.dialClient()
 			c.write(t, "OPEN a k c=c,d=2000\r\n")
-			k.meanwhile = func() {
+			k.duringStall = func() {
 				switch how {
 				case "close":
 					c.sock.Close()
@@ -52,7 +52,7 @@
 					c.sock.CloseWrite()
 				}
 			}
-			b.waitFor("the process is held up", func() bool { return k.meanwhile == nil })
+			b.waitFor("the process is held up", func() bool { return k.duringStall == nil })
 			for range 20 {
 				b.settle()
 			}
--- a/internal/proxy/standing.go
+++ b/internal/proxy/standing.go
@@ -8,25 +8,28 @@
 )
 
 const (
-	// silentLast is how long a line may stay without an answer where other connections of the target still give signs.
+	// maxSilence is how long a client's line may stay unanswered while the target still sends data
+	// on other connections.
 	maxSilence = 4 * time.Second
-	// lateCheck is by how much a check may be late and still count: a process that did not run has to read
-	// first what came meanwhile.
+	// lateCheckTolerance is by how much a check may be late and still be valid: a process that did
+	// not run has to read first what arrived meanwhile.
 	lateCheckTolerance = 50 * time.Millisecond
-	// noteEvery is how often the module is told of slow messages, on one connection of each target.
+	// delayNoteInterval is the least time between two notes to the module about slow messages at a
+	// target.
 	delayNoteInterval = time.Second
-	// noteFrom is the part of the shortest aim for a message from which it is told.
+	// delayNoteDivisor: a message is slow if it takes longer than settings.MessageAim (the shortest
+	// aim for a message) divided by it.
 	delayNoteDivisor = 3
 )
 
-// forward passes lines of the client on to the target.
+// forwardToTarget sends lines of the client to the target.
 func (h *hop) forwardToTarget(lines []byte) {
 	s := h.session
 	if err := h.link.write(lines); err != nil {
 		h.handleFailure()
 		return
 	}
-	s.frontend.count.Lines++
+	s.frontend.counters.Lines++
 	if h.pendingSince.IsZero() {
 		h.pendingSince = s.frontend.loop.Now()
 		if !h.timer.Armed() {
@@ -38,7 +41,8 @@
 	}
 }
 
-// pass hands lines of the target on to the client, unchanged, and looks at those that tell something.
+// forwardToClient sends lines of the target to the client, unchanged, and interprets LOAD, BYE and
+// MOVE.
 func (h *hop) forwardToClient(lines []byte) {
 	s := h.session
 	if len(lines) == 0 {
@@ -62,7 +66,7 @@
 			h.measureDelay()
 		}
 	}
-	s.frontend.count.Lines++
+	s.frontend.counters.Lines++
 	if err := s.link.write(lines); err != nil {
 		s.handleFailure()
 		return
@@ -72,11 +76,13 @@
 	}
 }
 
-// gatherMost is how often a target is read before its side is closed: what is kept for the client stays bounded.
+// maxPendingReads is how often a target is read before its link is closed. It bounds what is kept
+// for the client.
 const maxPendingReads = 4
 
-// gather passes on the whole lines that have arrived from the target, before its side is closed: left in the kernel they would
-// be lost to the client. What it tells of an end is left to the caller.
+// forwardPending forwards the complete lines that have arrived from the target, before its link is
+// closed: lines left in the kernel would be lost to the client. An error or the end of the stream
+// is left to the caller.
 func (h *hop) forwardPending() {
 	for range maxPendingReads {
 		if h.link.sock == nil || h.link.eof {
@@ -90,7 +96,7 @@
 	}
 }
 
-// answered measures how long the target took for the client's line.
+// measureDelay measures how long the target took to answer the client's line.
 func (h *hop) measureDelay() {
 	if h.pendingSince.IsZero() {
 		return
@@ -100,8 +106,9 @@
 	h.reportDelay(took)
 }
 
-// tell tells the module how long messages take at the target: at most once a second while that is over a part
-// of the shortest aim, and once more when it is back under.
+// reportDelay tells the module how long messages take at the target: at most once a second (see
+// delayNoteInterval) while they are slow (see delayNoteDivisor), and once more when they are fast
+// again.
 func (h *hop) reportDelay(took time.Duration) {
 	f, p := h.session.frontend, h.target
 	if !f.settings.TellsDelay || f.settings.MessageAim <= 0 {
@@ -115,8 +122,8 @@
 	h.session.exchange.Delay(took)
 }
 
-// quiet looks after a line of the client that has no answer yet: half-way the module is told, and has the target
-// probed.
+// checkSilence checks a client's line that has no answer yet. Half-way to Tuning.SilentAfter it
+// reports the delay to the module, which has the target probed; a silent target's client is moved.
 func (h *hop) checkSilence() {
 	if h.pendingSince.IsZero() {
 		return
@@ -126,10 +133,10 @@
 	took := now.Sub(h.pendingSince)
 	late := now.Sub(h.checkAt) > lateCheckTolerance
 	if !late && h.lastHeard.Before(h.pendingSince) && (took >= maxSilence || took >= f.engine.tuning.SilentAfter && h.target.lastHeard.Before(h.pendingSince)) {
-		f.count.Silent++
+		f.counters.Silent++
 		if !h.target.silent {
 			h.target.silent = true
-			f.log.Printf("egress target %s: silent for %v; its clients are moved", h.target.id, took.Round(time.Millisecond))
+			f.log.Printf("egress target %s: no data for %v; moving its clients", h.target.id, took.Round(time.Millisecond))
 		}
 		h.session.endGracefully(balance.Broken)
 		return
@@ -138,14 +145,15 @@
 	h.scheduleCheck(f.engine.tuning.SilentAfter / 2)
 }
 
-// checkAfter looks after the client's line again later.
+// scheduleCheck sets the timer for the next checkSilence.
 func (h *hop) scheduleCheck(d time.Duration) {
 	loop := h.session.frontend.loop
 	h.checkAt = loop.Now().Add(d)
 	loop.Arm(&h.timer, h.checkAt)
 }
 
-// finished deals with a target that ended the connection; the client's side ends the same way.
+// handleEOF handles a target that closed an established connection without a reset; the connection
+// to the client is closed in the same way.
 func (h *hop) handleEOF() {
 	s, o := h.session, h.outcome(balance.Broken)
 	s.endHop()
@@ -153,7 +161,8 @@
 	s.closeAfter(nil)
 }
 
-// ending is how the connection ended: by the target's word if it gave one.
+// outcome returns how the connection ended: what the target announced with BYE or MOVE, Cancelled
+// if the client has closed its sending side, and the given outcome otherwise.
 func (h *hop) outcome(otherwise balance.Outcome) balance.Outcome {
 	switch {
 	case h.endAnnounced:
@@ -164,13 +173,13 @@
 	return otherwise
 }
 
-// listen reads the target, or stops while the client is behind.
+// setReading resumes reading the target, or pauses it while the client is behind.
 func (h *hop) setReading(on bool) {
 	h.link.readPaused = !on
 	h.link.updateInterest()
 }
 
-// listen reads the client, or stops while the target is behind.
+// setReading resumes reading the client, or pauses it while the target is behind.
 func (s *session) setReading(on bool) {
 	s.link.readPaused = !on
 	s.link.updateInterest()
--- a/internal/proxy/tuning.go
+++ b/internal/proxy/tuning.go
@@ -39,9 +39,9 @@
 		return errors.New("answer margin: not above 0")
 	case t.SilentAfter < 10*time.Millisecond:
 		return errors.New("silent after: under 10 ms")
-	case t.MovesSpan < drainStep:
+	case t.MovesSpan < drainInterval:
 		return errors.New("moves' span: under 20 ms")
-	case t.MovesDone < ends:
+	case t.MovesDone < exitLead:
 		return errors.New("moves done: less than 350 ms before the end")
 	}
 	return nil
