--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -6,12 +6,13 @@
 	"slices"
 )
 
-// Audit checks the engine's and the front's books against each other and against the loop's sockets, and returns the
-// first thing that does not fit, named by the rule that it breaks. It is for tests and emulated runs, between two turns
-// while nothing is pending; its cost grows with the number of exchanges.
+// Audit checks that the state of the engine, the frontend and the loop's sockets is consistent, and
+// returns the first violation, prefixed with the name of the rule that it breaks. It is for tests
+// and simulated runs, between two turns of the loop while no event is pending. Its cost grows with
+// the number of exchanges.
 func (f *LineFrontend) Audit() error {
 	if f.engine.Pending() {
-		return nil // the module has not been told everything yet
+		return nil // the module does not know of all events yet
 	}
 	hops, err := f.auditExchanges()
 	if err == nil {
@@ -23,13 +24,14 @@
 	return err
 }
 
-// auditExchanges checks each exchange against its session and returns those with a hop out.
+// auditExchanges checks each exchange against its session and returns the exchanges with an active
+// hop.
 func (f *LineFrontend) auditExchanges() ([]*Exchange, error) {
 	var out []*Exchange
-	names := 0
+	withClientID := 0
 	for _, x := range f.engine.sortedExchanges() {
 		if x.clientID != "" {
-			names++
+			withClientID++
 		}
 		if x.hopActive {
 			out = append(out, x)
@@ -37,29 +39,29 @@
 		s, ours := x.client.(*session)
 		switch {
 		case !x.answered && !x.timer.Armed():
-			return nil, fmt.Errorf("one-final-answer: exchange %d has no answer and nothing that reminds of it", x.id)
+			return nil, fmt.Errorf("one-final-answer: exchange %d has no answer and no timer", x.id)
 		case x.answered && x.timer.Armed():
-			return nil, fmt.Errorf("given-back: exchange %d is answered and its timer runs", x.id)
+			return nil, fmt.Errorf("given-back: exchange %d is answered, but its timer is armed", x.id)
 		case x.answered && !x.hopActive:
-			return nil, fmt.Errorf("given-back: exchange %d is over and still in the table", x.id)
+			return nil, fmt.Errorf("given-back: exchange %d has ended, but is still in the table", x.id)
 		case !ours:
 			continue
 		case x.hopActive != (s.hop != nil):
-			return nil, fmt.Errorf("counts: exchange %d: hop out %v, its session has one %v", x.id, x.hopActive, s.hop != nil)
+			return nil, fmt.Errorf("counts: exchange %d: hop active %v, its session has a hop %v", x.id, x.hopActive, s.hop != nil)
 		case x.established && x.hopActive && s.state != established && s.state != closed:
-			return nil, fmt.Errorf("counts: exchange %d stands, its session is in state %d", x.id, s.state)
+			return nil, fmt.Errorf("counts: exchange %d is established, its session is in state %d", x.id, s.state)
 		case s.hop != nil && s.hop.link.sock == nil && !s.hop.timer.Armed():
-			return nil, fmt.Errorf("given-back: exchange %d has a hop without a socket and nothing that reminds of it", x.id)
+			return nil, fmt.Errorf("given-back: exchange %d has a hop without a socket and without a timer", x.id)
 		}
 	}
-	if names != len(f.engine.clientIDs) {
-		return nil, fmt.Errorf("given-back: %d clients' ids are kept for %d exchanges", len(f.engine.clientIDs), names)
+	if withClientID != len(f.engine.clientIDs) {
+		return nil, fmt.Errorf("given-back: %d client ids are registered for %d exchanges", len(f.engine.clientIDs), withClientID)
 	}
 	return out, nil
 }
 
-// auditCounts compares what the module counts at each target with the hops that are out there. A target that left the
-// table and came back is a new one to the module: what is out at the old one does not count.
+// auditCounts compares what the module counts at each target with the active hops. To the module, a
+// target that left the table and returned is a new one, at which hops of the old one do not count.
 func (f *LineFrontend) auditCounts(out []*Exchange) error {
 	held := make(map[string]int)
 	for _, x := range out {
@@ -72,31 +74,31 @@
 	}
 	for _, id := range f.engine.table.IDs() {
 		if n := f.engine.module.Held(id); n != held[id] {
-			return fmt.Errorf("counts: the module counts %d at %s, %d are out", n, id, held[id])
+			return fmt.Errorf("counts: the module counts %d at %s, %d are active", n, id, held[id])
 		}
 	}
 	return nil
 }
 
-// auditSockets compares the loop's sockets with those that somebody owns.
+// auditSockets compares the loop's sockets with those that have an owner.
 func (f *LineFrontend) auditSockets(out []*Exchange) error {
 	hops := 0
 	for _, x := range out {
-		if s, ours := x.client.(*session); !ours || s.hop.link.sock != nil { // else this machine could not begin its connection yet
+		if s, ours := x.client.(*session); !ours || s.hop.link.sock != nil { // a hop has no socket while this machine cannot begin its connection
 			hops++
 		}
 	}
 	sessions, probes := 0, 0
 	for _, s := range f.sessions {
 		if s.state == closed || s.link.sock == nil {
-			return fmt.Errorf("given-back: a session in state %d is in the table without a socket", s.state)
+			return fmt.Errorf("given-back: a session in state %d without a socket is in the table", s.state)
 		}
 		sessions++
 	}
 	for _, id := range slices.Sorted(maps.Keys(f.targetStates)) {
 		p := f.targetStates[id]
 		if (p.state == probeNone) != (p.link.sock == nil) {
-			return fmt.Errorf("given-back: the probe of %s is in state %d, with a socket: %v", id, p.state, p.link.sock != nil)
+			return fmt.Errorf("given-back: the probe of %s is in state %d, has a socket: %v", id, p.state, p.link.sock != nil)
 		}
 		if p.link.sock != nil {
 			probes++
@@ -113,5 +115,5 @@
 	return nil
 }
 
-// Idle tells whether nobody is left: no session, no exchange and no hop.
+// Idle reports whether there is no session and no exchange.
 func (f *LineFrontend) Idle() bool { return len(f.sessions) == 0 && len(f.engine.exchanges) == 0 }
--- a/internal/proxy/batch.go
+++ b/internal/proxy/batch.go
@@ -8,7 +8,7 @@
 	"ospreyspan/internal/poll"
 )
 
-// noReport is a report in which everything is absent.
+// noReport is a report without any value.
 var noReport = balance.Report{
 	Load: math.NaN(), CPU: math.NaN(), Active: math.NaN(), Waiting: math.NaN(),
 	Latency: math.NaN(), Rate: math.NaN(), Errors: math.NaN(),
@@ -30,7 +30,7 @@
 	evRetryBudget
 )
 
-// event is something that happened, for the module.
+// event is an input to the module. The fields that are set depend on kind.
 type event struct {
 	kind        eventKind
 	exchange    *Exchange
@@ -60,10 +60,10 @@
 	acProbe
 	acWatch
 	acAfter
-	acAdopt // the engine's own: first hop of a connection from before the start
+	acAdopt // not from the module: first hop of a connection from before the start
 )
 
-// action is something that the module asked for.
+// action is an output of the module to be executed. The fields that are set depend on kind.
 type action struct {
 	kind     actionKind
 	id       balance.RequestID
@@ -75,8 +75,8 @@
 
 func (e *Engine) push(ev event) { e.events = append(e.events, ev) }
 
-// Deliver hands the module all that has happened and then carries out what it asked for. What comes of that at
-// once is handed over at the next turn.
+// Deliver passes all queued events to the module and then executes the actions that it returns.
+// Events that result at once are delivered in the next turn.
 func (e *Engine) Deliver() {
 	e.events, e.delivering = e.delivering[:0], e.events
 	now := e.loop.Now()
@@ -85,7 +85,7 @@
 		e.deliverEvent(now, &e.delivering[i])
 		e.delivering[i] = event{}
 	}
-	for i := 0; i < len(e.actions); i++ { // an action may bring another: a client's line is read to make room for an attempt
+	for i := 0; i < len(e.actions); i++ { // executing one may append another: freeing a descriptor may read a client's request
 		a := e.actions[i]
 		e.execute(&a)
 	}
@@ -99,6 +99,7 @@
 	e.toRelease = e.toRelease[:0]
 }
 
+// deliverEvent calls the module for one event.
 func (e *Engine) deliverEvent(now time.Time, ev *event) {
 	switch ev.kind {
 	case evList:
@@ -126,6 +127,7 @@
 	}
 }
 
+// execute carries out one action.
 func (e *Engine) execute(a *action) {
 	x := e.exchanges[a.id]
 	switch a.kind {
@@ -172,7 +174,7 @@
 	}
 }
 
-// move tells a standing client to come again.
+// move asks the client of an established connection to reconnect.
 func (e *Engine) move(x *Exchange) {
 	e.counters.Moves++
 	if e.draining(x.target.ID) {
@@ -182,12 +184,13 @@
 	x.Ended(balance.Cancelled, noReport)
 }
 
-// send starts a hop. The client may have left, or the target may have stopped, since the module's last event.
+// send starts a hop. The client may have left, or the target may have stopped, since the module's
+// last event.
 func (e *Engine) send(x *Exchange, a *action) {
 	if x == nil || x.hopActive || x.held {
 		return
 	}
-	if x.answered { // the client left in this turn; each of the module's attempts has an end all the same
+	if x.answered { // the client left in this turn; each attempt of the module must still end
 		x.hopCount++
 		e.push(event{kind: evEnded, exchange: x, attempt: x.hopCount - 1, settled: true, outcome: balance.NotSent, report: noReport})
 		return
@@ -212,7 +215,7 @@
 	e.startHop(x, to, a.duration)
 }
 
-// host takes the module's actions down; Deliver carries them out.
+// host implements the module's callbacks by queueing actions, which Deliver executes.
 type host Engine
 
 func (h *host) add(a action) { h.actions = append(h.actions, a) }
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -2,48 +2,52 @@
 
 import "time"
 
-// A process may hold so many descriptors and no more. They are kept for those who need them most: the call to discovery first, then
-// probes, then the attempts of clients that were taken, and what is left goes to new clients. Connections that are idle make room
-// by age.
+// The number of descriptors that a process may hold is limited. They are reserved by priority:
+// first for the call to discovery, then for probes, then for the attempts of accepted clients; new
+// clients get the rest. Idle connections are closed, the oldest first, when descriptors are short.
 
 const (
-	// OwnDescriptors are those that a process may hold beside its loop's sockets: standard streams, the poller's own, the listener's
-	// reserve, the runtime's, a file that is read. TestOwnDescriptors counts them.
+	// OwnDescriptors is the number of descriptors that a process may hold besides its loop's
+	// sockets: standard streams, the poller's own, the listener's reserve, the runtime's and a file
+	// that is read. TestOwnDescriptors counts them.
 	OwnDescriptors = 12
-	// discoveryDescriptors, probeDescriptors and attemptDescriptors are what each of these may need beyond what is idle and can be
-	// closed: the watch's connection and that of a new address; probes that are out at once; attempts that follow a failed one
-	// while the sockets of the former are still closing.
+	// discoveryDescriptors, probeDescriptors and attemptDescriptors are what each of these may need
+	// in addition to idle connections that can be closed: the watch's connection and that of a new
+	// address; concurrent probes; attempts that follow a failed one while the sockets of the failed
+	// one are still closing.
 	discoveryDescriptors = 2
 	probeDescriptors     = 10
 	attemptDescriptors   = 24
 
-	// What stays free when probes, attempts and clients open a connection.
+	// Descriptors that stay free when probes, attempts and clients open a connection.
 	reservedFromProbes   = OwnDescriptors + discoveryDescriptors
 	reservedFromAttempts = reservedFromProbes + probeDescriptors
 	reservedFromClients  = reservedFromAttempts + attemptDescriptors
 
-	// noDescriptorRetryAfter is when a client may come again that found no descriptor.
+	// noDescriptorRetryAfter is the retry delay for a client that is refused for lack of a
+	// descriptor.
 	noDescriptorRetryAfter = time.Second
 )
 
-// idleConnection is a connection that may be closed when descriptors are short: a client's before its request or after its last
-// line, or one that waits for the next probe.
+// idleConnection is a connection that may be closed when descriptors are short: a client's before
+// its request or after its last line, or one that is kept for the next probe.
 type idleConnection interface {
-	// closeIfIdle closes the connection if it still is idle.
+	// closeIfIdle closes the connection if it is still idle.
 	closeIfIdle()
 }
 
-// freeDescriptors tells how many descriptors are left; limited is false where there is no limit.
+// freeDescriptors returns how many descriptors are left. limited is false if there is no limit.
 func (f *LineFrontend) freeDescriptors() (n int, limited bool) {
 	return f.maxDescriptors - f.loop.Open(), f.maxDescriptors > 0
 }
 
-// ensureFree closes idle connections, the oldest first, until more than so many descriptors are free, and tells whether they are.
-// Hundreds of clients that say nothing must not keep out the one that has a request.
-func (f *LineFrontend) ensureFree(kept int) bool {
+// ensureFree closes idle connections, the oldest first, until at least wanted descriptors are free,
+// and reports whether they are. Hundreds of silent clients must not keep out one that has a
+// request.
+func (f *LineFrontend) ensureFree(wanted int) bool {
 	for {
 		free, limited := f.freeDescriptors()
-		if !limited || free >= kept {
+		if !limited || free >= wanted {
 			return true
 		}
 		oldest := f.idleConns.Front()
@@ -54,16 +58,18 @@
 	}
 }
 
-// pendingAttempts is the number of clients that wait without an attempt: each will need a descriptor for one. It is counted once in a
-// turn of the loop, and only where descriptors are short, as that takes a look at all sessions.
+// pendingAttempts is the number of clients that wait without an attempt; each will need a
+// descriptor for one. It is counted once per turn of the loop, and only where descriptors are
+// short, since it iterates over all sessions.
 type pendingAttempts struct {
 	count     int
-	countedAt time.Time // the turn in which they were counted
+	countedAt time.Time // time of the turn of the loop in which count was determined
 }
 
 func (p *pendingAttempts) add(n int) { p.count = max(p.count+n, 0) }
 
-// expectedAttempts tells how many descriptors the clients that wait will need.
+// expectedAttempts returns how many descriptors the waiting clients will need. It is 0 where
+// descriptors are not short.
 func (f *LineFrontend) expectedAttempts() int {
 	if free, limited := f.freeDescriptors(); !limited || free >= reservedFromClients+len(f.sessions) {
 		return 0
@@ -79,13 +85,14 @@
 	return f.pendingAttempts.count
 }
 
-// hasRoomForAttempt tells whether a request that comes now would find a descriptor for its attempt, once all that is idle is closed.
+// hasRoomForAttempt reports whether a new request would find a descriptor for its attempt, if all
+// idle connections were closed.
 func (f *LineFrontend) hasRoomForAttempt() bool {
 	free, limited := f.freeDescriptors()
 	return !limited || free+f.idleConns.Len() >= reservedFromAttempts+f.expectedAttempts()+1
 }
 
-// markIdle puts a session at the young end of the idle connections; keep takes it out.
+// markIdle makes a session the newest of the idle connections. markActive removes it from them.
 func (f *LineFrontend) markIdle(s *session) {
 	if s.idleElement == nil {
 		s.idleElement = f.idleConns.PushBack(s)
@@ -94,6 +101,7 @@
 	}
 }
 
+// markActive removes a session from the idle connections.
 func (f *LineFrontend) markActive(s *session) {
 	if s.idleElement != nil {
 		f.idleConns.Remove(s.idleElement)
@@ -101,8 +109,9 @@
 	}
 }
 
-// makeRoom closes the session, unless a request of its client lies there unread: that one is no idle client.
-func (s *session) makeRoom() {
+// closeIfIdle closes the session, unless an unread request of its client is in the socket: that
+// client is not idle.
+func (s *session) closeIfIdle() {
 	if s.state == opening {
 		s.read()
 	}
@@ -111,13 +120,14 @@
 	}
 }
 
-// makeRoom closes a connection that waits for the next probe.
-func (p *targetState) makeRoom() { p.closeConn() }
+// closeIfIdle closes a connection that is kept for the next probe.
+func (p *targetState) closeIfIdle() { p.closeConn() }
 
-// refuseAndClose ends a connection to which nothing but a refusal is owed, for want of a descriptor. What has arrived is read first: a
-// connection that is closed with unread bytes is reset, and the answer may be lost with that.
+// refuseAndClose ends a connection for lack of a descriptor, with a refusal if its request has not
+// been read. What has arrived is read first: closing a connection with unread bytes resets it, and
+// the answer may be lost.
 func (f *LineFrontend) refuseAndClose(s *session) {
-	s.link.discard(f.scratch, maxDiscard) // of one that has its last line, that may still be on its way
+	s.link.discard(f.scratch, maxDiscard) // a last line that was written before may still be in flight
 	if s.state == opening {
 		f.countDescriptorRefusal()
 		_ = s.link.write(busy(f.engine.RetryAfter(noDescriptorRetryAfter)))
@@ -125,9 +135,10 @@
 	s.close()
 }
 
-// countDescriptorRefusal counts a client that is refused for want of a descriptor, and logs the first one.
+// countDescriptorRefusal counts a client that is refused for lack of a descriptor, and logs the
+// first one.
 func (f *LineFrontend) countDescriptorRefusal() {
 	if f.counters.Full++; f.counters.Full == 1 {
-		f.log.Printf("out of descriptors: %d open of %d", f.loop.Open(), f.maxDescriptors)
+		f.log.Printf("out of descriptors: %d open sockets, limit %d descriptors", f.loop.Open(), f.maxDescriptors)
 	}
 }
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -10,33 +10,36 @@
 )
 
 const (
-	// newClientPeriod is how long new connections may come after SIGTERM.
+	// newClientPeriod is how long after SIGTERM new connections may arrive.
 	newClientPeriod = 450 * time.Millisecond
-	// maxCountedWait and killAfter give the time of SIGKILL: the longest wait of a client, counted as that at
-	// the most, and what the platform adds.
+	// maxCountedWait and killDelay determine the time of SIGKILL: the longest wait of any class,
+	// counted up to maxCountedWait, plus the delay that the platform adds.
 	maxCountedWait = 3 * time.Second
 	killDelay      = 700 * time.Millisecond
-	// The last answers go out this long before SIGKILL, and then the program ends.
+	// finalAnswerLead and exitLead are times before SIGKILL: from the first on all unanswered
+	// clients get their final answers, from the second on the program ends.
 	finalAnswerLead = 750 * time.Millisecond
 	exitLead        = 350 * time.Millisecond
 	drainInterval   = 20 * time.Millisecond
 	drainRetryAfter = time.Second
 )
 
-// drain is a planned stop: clients are asked to move, spread over the time that there is so that their return
-// is no surge for the others, and those who wait are answered. Then the doors are shut: what the machine has accepted is accepted
-// and answered, no other connection comes, and the program ends when the last one has ended or time is over.
+// drain is the state of a planned stop. Established clients are asked to move, spread over the
+// available time so that their reconnects do not overload the other proxies, and waiting clients
+// are answered. Then the frontend stops accepting: connections in the kernel's queue are accepted
+// and answered, no others are taken, and the program ends when the last one has ended or time is
+// over.
 type drain struct {
 	started    bool
-	refusing   bool // nothing is taken any more: a request is refused as soon as it is read
+	refusing   bool // each request is refused as soon as it is read
 	startedAt  time.Time
 	killAt     time.Time
 	timer      poll.Timer
-	moveCredit float64 // part of a move that is due
+	moveCredit float64 // fraction of a move that is due
 	onDone     func()
 }
 
-// StopTimeout is the time from SIGTERM to SIGKILL, by the platform's rule.
+// StopTimeout returns the time from SIGTERM to SIGKILL by the platform's rule.
 func StopTimeout(set *settings.Settings) time.Duration {
 	longest := time.Duration(0)
 	for _, w := range set.Waits {
@@ -45,7 +48,7 @@
 	return longest + killDelay
 }
 
-// Drain begins a planned stop; done is called when no client is left, or time is.
+// Drain begins a planned stop. It calls done when no client is left or time is over.
 func (f *LineFrontend) Drain(done func()) {
 	if f.drain.started {
 		return
@@ -57,6 +60,7 @@
 	f.loop.After(&f.drain.timer, drainInterval)
 }
 
+// drainStep does what is due of a planned stop, every drainInterval.
 func (f *LineFrontend) drainStep() {
 	d := &f.drain
 	now := f.loop.Now()
@@ -79,8 +83,9 @@
 	f.loop.After(&d.timer, drainInterval)
 }
 
-// stopAcceptingBy is when nothing is taken any more, whoever still waits: with the last answers, but where clients' waits are short not
-// while new connections may still come.
+// stopAcceptingBy returns the time from which on every request is refused even while clients are
+// waiting: the time of the final answers, or, where the clients' waits are short, the end of
+// newClientPeriod if that is later; in any case two drain intervals before the program ends.
 func (d *drain) stopAcceptingBy() time.Time {
 	by := d.killAt.Add(-finalAnswerLead)
 	if late := d.startedAt.Add(newClientPeriod); by.Before(late) {
@@ -92,7 +97,7 @@
 	return by
 }
 
-// idle tells whether nobody waits or stands.
+// idle reports whether no client is waiting for an answer or has an established connection.
 func (f *LineFrontend) idle() bool {
 	for _, s := range f.sessions {
 		if s.state == waiting || s.state == established {
@@ -102,20 +107,22 @@
 	return true
 }
 
-// stopAccepting takes nothing any more: each request that is there is read and refused, and one that is still on its way finds its refusal.
+// stopAccepting has every request refused from now on: one that has arrived is read and refused,
+// and one that arrives later finds its refusal.
 func (f *LineFrontend) stopAccepting() {
 	f.drain.refusing = true
 	f.closeListener()
 }
 
-// closeListener takes what waits to be accepted, closes the listener and ends the connections that have not asked for anything. A
-// request counts as taken once its last byte is written to a connection that the machine has accepted. The listener stays open
-// while there are no descriptors, or no memory, for what may still wait there.
+// closeListener accepts the queued connections, closes the listener and ends the connections
+// without a request. A request counts as accepted once its last byte is written to a connection
+// that the kernel has accepted. The listener stays open while there are no descriptors, or no
+// memory, for connections that may still be queued.
 func (f *LineFrontend) closeListener() {
 	if f.listener.AcceptAll() {
 		f.listener.Close()
 	}
-	for _, s := range slices.Clone(f.sessions) { // those that end leave the table
+	for _, s := range slices.Clone(f.sessions) { // ending sessions are removed from f.sessions
 		if s.state == opening {
 			s.read()
 		}
@@ -125,7 +132,8 @@
 	}
 }
 
-// closeRemaining closes what is left when time is over. What has arrived is read first, so that no last line is lost to a reset.
+// closeRemaining closes the remaining connections when time is over. What has arrived is read
+// first, so that no last line is lost to a reset.
 func (f *LineFrontend) closeRemaining() {
 	for _, s := range slices.Clone(f.sessions) {
 		s.link.discard(f.scratch, maxDiscard)
@@ -133,27 +141,28 @@
 	}
 }
 
-// moveDueClients moves as many standing connections as keeps their number falling evenly. While new clients may still
-// come nobody is moved: who was sent away then would come back here, and be moved again.
+// moveDueClients moves as many established connections as keeps their number falling evenly. Nobody
+// is moved while new clients may still arrive, since a moved client could return to this process
+// and be moved again.
 func (f *LineFrontend) moveDueClients(now time.Time) {
 	t := &f.engine.tuning
 	if now.Sub(f.drain.startedAt) < newClientPeriod || now.Before(f.drain.killAt.Add(-t.MovesDone-t.MovesSpan)) {
 		return
 	}
-	var stand []*session
+	var movable []*session
 	for _, s := range f.sessions {
 		if s.state == established && !s.clientEOF {
-			stand = append(stand, s)
+			movable = append(movable, s)
 		}
 	}
-	n := len(stand)
+	n := len(movable)
 	left := f.drain.killAt.Add(-t.MovesDone).Sub(now)
 	if left > drainInterval {
 		f.drain.moveCredit += float64(n) * float64(drainInterval) / float64(left)
 		n = int(f.drain.moveCredit)
 		f.drain.moveCredit -= float64(n)
 	}
-	for _, s := range stand[:n] {
+	for _, s := range movable[:n] {
 		f.counters.Moves++
 		s.Move()
 		s.exchange.Ended(balance.Cancelled, noReport)
--- a/internal/proxy/effect.go
+++ b/internal/proxy/effect.go
@@ -7,32 +7,35 @@
 	"ospreyspan/internal/routes"
 )
 
-// What a request may have done at an egress target decides what is still allowed: another hop, a refusal, which invites
-// the client to repeat it, or nothing but a failure. The module decides by the same rules, but in advance: its hop is written
-// when the connection is up, and the engine answers in its place where time is over. Both ask here at the last moment.
+// What a request may have done at an egress target decides what is still allowed: another hop, a
+// refusal, which invites the client to repeat the request, or only a failure. The module applies
+// the same rules, but in advance: its hop is written later, when the connection is established, and
+// the engine answers in its place after the deadline. This file checks the rules again at the last
+// moment for both.
 
-// permitted tells what the rules leave for a request of a class. ran: a hop of it may have run, or is out and may yet; since:
-// the time from the first such hop's first byte to the act in question; near: the target in question drops the repeats of that
-// hop's, by the class's scope.
-func permitted(c balance.Class, ran bool, since time.Duration, near bool) (hop, shed bool) {
+// permitted reports whether the rules still allow another hop and a refusal for a request of class
+// c. ran means that one of its hops may have run, or is active and still may. since is the time
+// from the first byte of the first such hop to the act in question. sameScope means that the
+// candidate target drops repeats of that hop, by the class's scope.
+func permitted(c balance.Class, ran bool, since time.Duration, sameScope bool) (hop, refuse bool) {
 	switch {
 	case !ran || c.Repeat == balance.RepeatFree:
 		return true, true
 	case c.Repeat == balance.RepeatKeyed && since < c.Window:
-		return near, c.Scope == balance.ScopeAll // a client that is sent away comes to any target
+		return sameScope, c.Scope == balance.ScopeAll // a refused client may repeat at any target
 	}
 	return false, false
 }
 
-// sharesDedupScope tells whether a target drops the repeats of what ran at another one.
+// sharesDedupScope reports whether target to drops repeats of a request that ran at another target.
 func sharesDedupScope(s balance.Scope, ran, to *routes.Target) bool {
 	return s == balance.ScopeAll || s == balance.ScopeZone && ran.Site == to.Site || s == balance.ScopeCell && ran.Block == to.Block
 }
 
-// class is what is known of the exchange's class.
+// class returns the class of the exchange.
 func (x *Exchange) class() balance.Class { return x.engine.settings.Config.Classes[x.request.Class] }
 
-// mayHop tells whether a further hop to a target may be written at a time.
+// mayHop reports whether another hop to a target may be written at a time.
 func (x *Exchange) mayHop(now time.Time, to *routes.Target) bool {
 	if x.maybeRanOn == nil {
 		return true
@@ -42,8 +45,9 @@
 	return hop
 }
 
-// mayRefuse tells whether the client may be refused now and come again after a while. A hop that is out counts as one that may
-// have run once any of it was written; see Client.Recall for one that was not.
+// mayRefuse reports whether the client may be refused now and told to repeat its request after a
+// delay. An active hop counts as one that may have run once any byte of it has been written;
+// Client.CancelUnsent handles a hop that has not been written.
 func (x *Exchange) mayRefuse(after time.Duration) bool {
 	since := x.maybeRanSentAt
 	if x.maybeRanOn == nil {
@@ -52,12 +56,13 @@
 		}
 		since = x.sentAt
 	}
-	_, shed := permitted(x.class(), true, x.engine.loop.Now().Add(after).Sub(since), false)
-	return shed
+	_, refuse := permitted(x.class(), true, x.engine.loop.Now().Add(after).Sub(since), false)
+	return refuse
 }
 
-// BeginSend is called just before the first byte of a hop is written, and tells whether it may be: the client may have left, the
-// window of the class be over or the target have stopped since the hop began. If not, the hop is to end as balance.NotSent.
+// BeginSend is called just before the first byte of a hop is written and reports whether it may be:
+// since the hop began, the client may have left, the window of the class may have ended or the
+// target may have stopped. If it returns false, the hop must end with balance.NotSent.
 func (x *Exchange) BeginSend() bool {
 	now := x.engine.loop.Refresh()
 	if x.answered {
@@ -74,8 +79,9 @@
 	return true
 }
 
-// answer gives an exchange without a hop its final answer. A refusal that the rules don't leave is a failure: this is the one
-// place where that is decided for the module's answers and the engine's own.
+// answer gives the final answer to an exchange without a hop. A refusal that the rules do not allow
+// becomes a failure. This is the only place where that is decided, for answers of the module and of
+// the engine.
 func (e *Engine) answer(x *Exchange, refuse bool, after time.Duration) {
 	x.answered = true
 	if refuse && x.mayRefuse(after) {
@@ -87,8 +93,8 @@
 	}
 }
 
-// forceAnswer answers an exchange in the module's place, whatever is out for it. A hop of which the target can't have the whole
-// request never ran; any other may have.
+// forceAnswer answers an exchange in the module's place, whether or not a hop is active. A hop
+// whose target cannot have the whole request never ran; any other hop may have run.
 func (e *Engine) forceAnswer(x *Exchange, after time.Duration) {
 	if x.answered {
 		return
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -1,6 +1,6 @@
-// Package proxy runs the decision module on real connections. The engine gathers what happens, hands it to the
-// module in one go and carries out what comes back; the front in this package speaks the platform's line
-// protocol with clients and egress targets.
+// Package proxy runs the decision module on real connections. The Engine collects events, passes
+// them to the module in batches and executes the actions that the module returns. LineFrontend
+// speaks the line protocol with clients and egress targets.
 package proxy
 
 import (
@@ -22,23 +22,26 @@
 )
 
 const (
-	// answerMarginDivisor is the part of a short wait that is taken in place of Tuning.AnswerMargin.
+	// answerMarginDivisor limits the answer margin to this fraction of the client's wait, where
+	// that is shorter than Tuning.AnswerMargin.
 	answerMarginDivisor = 8
-	// adoptRetryInterval lies between two tries to take up a connection that was open before the start.
+	// adoptRetryInterval is the time between two attempts to adopt a connection that was open
+	// before the process started.
 	adoptRetryInterval = 100 * time.Millisecond
-	// maxAdoptWait is how long such a connection may take to stand again, by the protocol; adoptUnknown is how long
-	// the route table may take to name its target.
+	// maxAdoptWait is how long adopting such a connection may take by the protocol.
+	// maxAdoptWaitUnlisted applies while the route table does not contain its target.
 	maxAdoptWait         = 40 * time.Second
 	maxAdoptWaitUnlisted = 2 * time.Second
-	// readyTimeout is how long after its start a process without any list waits for discovery before it takes clients all the same. A
-	// restarted process has to be ready within 6 s on the shortest days, and whoever asks it does so every second or so; discovery
-	// may be down for longer, or have more callers than it can answer, and then the others are no better off.
+	// readyTimeout is how long after its start a process without any list waits for discovery
+	// before it accepts clients anyway. A restarted process must be ready within 6 s in the
+	// shortest runs, and readiness is polled about once a second. Discovery may be down for longer,
+	// or have more callers than it can answer; other processes are then no better off.
 	readyTimeout = 4 * time.Second
-	// discoveryLogInterval is the least time between two lines of the log that discovery fails.
+	// discoveryLogInterval is the minimum time between two log lines about failing discovery calls.
 	discoveryLogInterval = time.Minute
 )
 
-// Engine drives the module. All of it runs on the loop.
+// Engine drives the decision module. All of its methods run on the event loop.
 type Engine struct {
 	loop                *poll.Loop
 	settings            *settings.Settings
@@ -50,32 +53,32 @@
 	counters            *stats.Counters
 	log                 *log.Logger
 	exchanges           map[balance.RequestID]*Exchange
-	clientIDs           map[string]struct{} // the clients' own ids of these
+	clientIDs           map[string]struct{} // client-chosen ids of the open exchanges
 	lastID              balance.RequestID
 	events              []event
-	delivering          []event // the other half of events' double buffer
+	delivering          []event // batch being delivered; swaps buffers with events
 	actions             []action
-	toRelease           []*Exchange // whose clients left: they go once the module knows
-	discoveryFailed     bool        // discovery's last answer failed, and the log says so
-	discoveryLoggedAt   time.Time   // the log said so last
+	toRelease           []*Exchange // answered; released after the module has been told, unless a hop is active
+	discoveryFailed     bool        // the last call failed and that has been logged
+	discoveryLoggedAt   time.Time   // last log line about a failed call; zero: none yet
 	tuning              Tuning
 	discoveryAddr       netip.AddrPort
-	newestPeerSeq       int64 // version of the latest list that another process passed on; own answers may be older
+	newestPeerSeq       int64 // latest list version that another process passed on; own answers may be older
 	onDiscoveryAnswer   func()
-	probeViaPeer        func(target string) bool        // has another process report on a target; false: it can't
-	paceMove            func(id balance.RequestID) bool // has a move wait for its time; false: it is to be made now
+	probeViaPeer        func(target string) bool        // asks another process for a report on target; false: it cannot
+	paceMove            func(id balance.RequestID) bool // delays a move to its scheduled time; false: move now
 	onProbed            func(target string, ok bool, rep balance.Report)
-	limits              Limits // nil: none
+	limits              Limits // nil: unlimited
 	onHop               func(class int, first bool)
 	onOutcome           func(target string, o balance.Outcome, of OutcomeSource)
 	startedAt           time.Time
-	discoveryAnsweredAt time.Time // of discovery's last answer
+	discoveryAnsweredAt time.Time // last answer from discovery; zero: none yet
 	listWait            listWait
-	proofs              proofs
-	peerConfirmedAt     func() time.Time // as of when another process vouched for the list; nil: none does
+	proofs              acceptanceProofs
+	peerConfirmedAt     func() time.Time // as of when another process has confirmed the list; nil: none does
 }
 
-// EngineConfig is what an Engine needs.
+// EngineConfig holds the parameters of an Engine.
 type EngineConfig struct {
 	Loop      *poll.Loop
 	Settings  *settings.Settings
@@ -87,7 +90,8 @@
 	Tuning    *Tuning // nil: DefaultTuning
 }
 
-// NewEngine returns an Engine whose module has started; its first actions are carried out by Deliver.
+// NewEngine returns an Engine whose module has started. Deliver executes the module's first
+// actions.
 func NewEngine(c EngineConfig) (*Engine, error) {
 	e := &Engine{
 		loop: c.Loop, settings: c.Settings, counters: c.Count, log: c.Log,
@@ -108,7 +112,7 @@
 	e.module = module
 	from, pushed := c.Known.Seq, !c.Settings.Config.Subscribe
 	if len(c.Known.Hosts) == 0 {
-		from = routes.FromNothing // nobody can be served until a list is there
+		from = routes.FromNothing // no client can be served before the first list
 	}
 	e.watch = routes.NewWatch(routes.WatchConfig{
 		Loop: c.Loop, Addr: c.Discovery, Seq: from, Processes: c.Settings.Config.Balancers, AskWithin: c.Settings.Config.Rules.AskWithin,
@@ -116,48 +120,52 @@
 	})
 	e.startedAt = e.loop.Now()
 	module.Start(e.startedAt)
-	e.bootTimes = routes.NewBirths(e.loop.Refresh(), e.loop.Wall()) // the two clocks in one moment
+	e.bootTimes = routes.NewBirths(e.loop.Refresh(), e.loop.Wall()) // reads both clocks at the same moment
 	e.bootTimes.Mark(c.Known, e.startedAt, time.Time{})
 	e.table.Merge(c.Known)
 	e.push(event{kind: evList, list: balance.ListStale, entries: backends(c.Known.Hosts)})
 	if pushed && c.Discovery.IsValid() {
-		e.watch.Start() // the module asks for a watch only where nothing comes without one; here all counts as told from the start
+		e.watch.Start() // the module starts a watch only where lists are not pushed; pushed ones count as known from the start
 	}
 	return e, nil
 }
 
-// SetDiscovery moves the watch to another address of discovery. The route table stays until that one answers.
+// SetDiscovery points the watch at another discovery address. The route table is kept until the new
+// address answers.
 func (e *Engine) SetDiscovery(at netip.AddrPort) {
 	e.counters.Reloads++
 	if at != e.discoveryAddr {
-		e.discoveryAddr, e.newestPeerSeq = at, 0 // another one's versions need not continue these
+		e.discoveryAddr, e.newestPeerSeq = at, 0 // list versions of another discovery are unrelated to these
 	}
 	e.watch.Point(at)
 }
 
-// CanServe tells whether there has been a list: a process that has just started and knows of no target would refuse whoever is
-// sent to it, while another one could serve. It stays true for an empty list, which is discovery's own word, and is true in any
-// case from readyWithin on: requests are held then until a list is there.
+// CanServe reports whether clients should be sent to this process. A process that has just started
+// and has no targets would refuse clients that another process could serve. Once discovery has
+// answered, CanServe stays true even for an empty list. It is true in any case from readyTimeout
+// on: requests are then held until a list arrives.
 func (e *Engine) CanServe() bool {
 	return !e.table.Empty() || !e.discoveryAnsweredAt.IsZero() || e.loop.Now().Sub(e.startedAt) >= readyTimeout
 }
 
-// Pending tells whether events wait for Deliver: the loop must not sleep then.
+// Pending reports whether events are waiting for Deliver. The loop must not sleep while they are.
 func (e *Engine) Pending() bool { return len(e.events) > 0 || len(e.actions) > 0 }
 
-// Why a request is not taken. It never gets as far as the module then: an egress target that is sent such a
-// thing answers with an error, and a sound one would be ejected for what a client did.
+// Reasons to reject a request before it reaches the module. An egress target answers such a request
+// with an error, and a healthy target would be ejected for a client's fault.
 var (
+	// ErrClass means that the settings do not contain the class of the request.
 	ErrClass = errors.New("proxy: unknown class")
-	ErrInUse = errors.New("proxy: the id of an exchange that is open")
-	// ErrTenant: the settings name tenants, and the offer names another one.
+	// ErrInUse means that another open exchange has the same client id.
+	ErrInUse = errors.New("proxy: id already used by an open exchange")
+	// ErrTenant means that the settings list tenants, but not the one that the request names.
 	ErrTenant = errors.New("proxy: unknown tenant")
 )
 
-// Accept takes a client's request.
+// Accept creates the exchange for a client's request.
 func (e *Engine) Accept(c Client, o ClientRequest) (*Exchange, error) {
 	if class, ok := e.settings.Classes[o.Class]; ok && e.settings.Waits[class] > 0 {
-		o.Wait = min(o.Wait, e.settings.Waits[class]) // no client of the class waits longer, whatever it says
+		o.Wait = min(o.Wait, e.settings.Waits[class]) // the class limits the wait that a client may ask for
 	}
 	x, err := e.addExchange(c, o)
 	if err != nil {
@@ -174,8 +182,9 @@
 	return x, nil
 }
 
-// Adopt takes a connection that an egress target holds since before the start. The module hears of it once it
-// stands; no other target can take it.
+// Adopt creates the exchange for a connection that an egress target has held since before this
+// process started. The module learns of it once it is established. No other target can take it
+// over.
 func (e *Engine) Adopt(c Client, o ClientRequest, id string) (*Exchange, error) {
 	if o.Wait = min(o.Wait, maxAdoptWait); e.table.Find(id) == nil {
 		o.Wait = min(o.Wait, maxAdoptWaitUnlisted)
@@ -184,15 +193,16 @@
 	if err != nil {
 		return nil, err
 	}
-	// The hop starts with the others: one that fails at once must find the caller holding its exchange.
+	// Deliver starts the hop, since a hop that fails at once needs the caller to hold its exchange.
 	x.adoptTarget = id
-	if e.limits != nil { // it stands already: it is counted, and not refused
+	if e.limits != nil { // the connection exists already: it is counted, but never refused
 		x.limitBits, _ = e.limits.Take(x.request.Class, x.request.Tenant, false)
 	}
 	e.actions = append(e.actions, action{kind: acAdopt, id: x.id})
 	return x, nil
 }
 
+// addExchange validates a request and registers its exchange.
 func (e *Engine) addExchange(c Client, o ClientRequest) (*Exchange, error) {
 	class, ok := e.settings.Classes[o.Class]
 	if !ok {
@@ -224,8 +234,9 @@
 	return x, nil
 }
 
-// tenantIndex finds whose an exchange is, -1 where it names nobody or where the settings name no tenants. A name that the settings
-// lack is a fault of the client: a target would answer it with an error, for which the target is not to blame.
+// tenantIndex returns the index of a tenant, or -1 if the request names none or the settings list
+// none. An unknown name is the client's fault: a target would answer it with an error and be blamed
+// for it.
 func (e *Engine) tenantIndex(name string) (int, error) {
 	if name == "" || len(e.settings.Tenants) == 0 {
 		return -1, nil
@@ -237,14 +248,15 @@
 	return i, nil
 }
 
-// answerMargin is the part of a client's wait that is kept for the answer's way. The module may use what is before
-// it; the engine answers in the module's place when half of it is over.
+// answerMargin returns the part of a client's wait that is reserved for delivering the answer. The
+// module may use the time before it; the engine answers in the module's place when half of the
+// margin is over.
 func (e *Engine) answerMargin(wait time.Duration) time.Duration {
 	return min(e.tuning.AnswerMargin, wait/answerMarginDivisor)
 }
 
-// release forgets an exchange with which nothing more happens: the one place where its entry and its timer are
-// given back.
+// release removes an exchange that has ended. It is the only place where the table entry, the timer
+// and the limits of an exchange are given back.
 func (e *Engine) release(x *Exchange) {
 	e.loop.Disarm(&x.timer)
 	if e.limits != nil && x.limitBits != 0 {
@@ -255,35 +267,37 @@
 	delete(e.clientIDs, x.clientID)
 }
 
-// answerOverdue answers a client whose time is nearly up. The module's own time ends earlier, so that this is the
-// last resort that keeps one final answer a certainty.
+// answerOverdue answers a client whose wait is nearly over. The module's own deadline is earlier,
+// so this is the last resort that guarantees one final answer.
 func (e *Engine) answerOverdue(x *Exchange) {
 	if x.answered {
 		return
 	}
 	e.counters.Overdue++
-	e.log.Printf("exchange %d: no answer from the module in time", x.id)
+	e.log.Printf("exchange %d: the module did not answer before the deadline", x.id)
 	e.forceAnswer(x, e.settings.Config.MaxAdvice)
 }
 
-// RetryAfter is what a refused client may be told of when to come again: not longer than the settings have it heeded, and nothing where
-// they do not pass it on.
+// RetryAfter returns the retry delay that a refused client is given: most, but no longer than the
+// settings allow, and zero where the settings pass none on.
 func (e *Engine) RetryAfter(most time.Duration) time.Duration {
 	return min(most, e.settings.Config.MaxAdvice)
 }
 
-// sortedExchanges returns all exchanges, the first one first: what is done to many must not depend on the order of a map.
+// sortedExchanges returns all exchanges, oldest first, so that operations on many of them do not
+// depend on map order.
 func (e *Engine) sortedExchanges() []*Exchange {
 	return slices.SortedFunc(maps.Values(e.exchanges), func(a, b *Exchange) int { return cmp.Compare(a.id, b.id) })
 }
 
-// Shutdown gives every exchange that has no answer yet its final one.
+// Shutdown gives each unanswered exchange its final answer.
 func (e *Engine) Shutdown(after time.Duration) {
 	for _, x := range e.sortedExchanges() {
 		e.forceAnswer(x, after)
 	}
 }
 
+// tryAdopt starts the hop of an adopted connection if the route table has its target.
 func (e *Engine) tryAdopt(x *Exchange) {
 	to := e.table.Find(x.adoptTarget)
 	if to == nil {
@@ -293,8 +307,8 @@
 	e.startHop(x, to, x.deadline.Sub(e.loop.Now()))
 }
 
-// retryAdopt tries once more after a hop that never ran: the route table may be old, the target busy with all
-// the others that are opened at the start.
+// retryAdopt schedules another attempt after a hop that never ran: the route table may be out of
+// date, or the target busy with all other connections that are opened at the start.
 func (e *Engine) retryAdopt(x *Exchange, o balance.Outcome) {
 	if x.answered {
 		e.release(x)
@@ -314,6 +328,7 @@
 	e.loop.After(t, adoptRetryInterval)
 }
 
+// startHop starts a hop of an exchange at a target and counts it.
 func (e *Engine) startHop(x *Exchange, to *routes.Target, wait time.Duration) {
 	x.target, x.hopActive, x.sentAt = to, true, time.Time{}
 	x.hopCount++
@@ -334,7 +349,7 @@
 	x.client.Hop(to, wait)
 }
 
-// Probed tells what came of a probe.
+// Probed takes the outcome of a probe.
 func (e *Engine) Probed(id string, o balance.Outcome, rep balance.Report) {
 	if o != balance.OK {
 		e.counters.ProbesFailed++
@@ -349,7 +364,7 @@
 	}
 }
 
-// handleDiscoveryAnswer takes an answer of discovery, or why there was none.
+// handleDiscoveryAnswer takes a list from discovery, or the error of the call.
 func (e *Engine) handleDiscoveryAnswer(l *routes.List, err error) {
 	if err != nil {
 		e.recordFailedCall()
@@ -357,7 +372,8 @@
 		if errors.Is(err, routes.ErrBusy) {
 			e.counters.WatchesBusy++
 		}
-		// Where many share discovery, every other call may fail: the counters have them all.
+		// With many processes on one discovery, every other call may fail; the counters have
+		// them all.
 		if now := e.loop.Now(); !e.discoveryFailed && (e.discoveryLoggedAt.IsZero() || now.Sub(e.discoveryLoggedAt) >= discoveryLogInterval) {
 			e.log.Printf("discovery: %v", err)
 			e.discoveryFailed, e.discoveryLoggedAt = true, now
@@ -366,13 +382,13 @@
 		return
 	}
 	if e.discoveryFailed {
-		e.log.Printf("discovery: answers again")
+		e.log.Printf("discovery: answering again")
 	}
 	before := e.discoveryAnsweredAt
 	e.discoveryFailed, e.discoveryAnsweredAt = false, e.loop.Now()
 	e.resumeSends(true)
 	if l.Seq < e.newestPeerSeq {
-		return // it was on its way while another process passed a later one on
+		return // another process has passed on a later list meanwhile
 	}
 	e.bootTimes.Mark(l, e.discoveryAnsweredAt, before)
 	e.applyList(l)
@@ -381,7 +397,7 @@
 	}
 }
 
-// applyList merges a list and tells the module.
+// applyList merges a list into the route table and tells the module.
 func (e *Engine) applyList(l *routes.List) {
 	kind := balance.ListPatch
 	if l.Whole {
@@ -398,8 +414,8 @@
 	}
 }
 
-// cancelUnsentHops gives up the hops that have not reached a target which takes no new work: one that is still
-// connecting could be sent after the time that the rules leave for that.
+// cancelUnsentHops cancels the hops whose request has not reached a target that takes no new work:
+// a hop that is still connecting could be sent after the time that the rules allow.
 func (e *Engine) cancelUnsentHops(id string) {
 	for _, x := range e.sortedExchanges() {
 		if x.hopActive && !x.established && x.adoptTarget == "" && x.target.ID == id && x.client.CancelUnsent() {
@@ -408,6 +424,7 @@
 	}
 }
 
+// countOutcome counts the end of a hop.
 func (e *Engine) countOutcome(o balance.Outcome) {
 	switch o {
 	case balance.OK:
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -111,7 +111,7 @@
 	}
 	x.engine.countOutcome(o)
 	if x.established {
-		x.engine.reportOutcome(x.target.ID, o, FromStanding)
+		x.engine.reportOutcome(x.target.ID, o, FromEstablished)
 	} else {
 		x.engine.reportOutcome(x.target.ID, o, FromHop)
 	}
--- a/internal/proxy/listwait.go
+++ b/internal/proxy/listwait.go
@@ -8,10 +8,11 @@
 	"ospreyspan/internal/poll"
 )
 
-// listWaitDivisor is the part of a client's remaining time for which a request may wait, once, for a list that is up to date.
+// listWaitDivisor is the divisor of a client's remaining wait: a request may wait for that
+// fraction, once, for an up-to-date list.
 const listWaitDivisor = 8
 
-// heldSend is an attempt that the module has decided on and that waits for a list that is up to date.
+// heldSend is an attempt that the module has decided on and that waits for an up-to-date list.
 type heldSend struct {
 	exchange *Exchange
 	action   action
@@ -19,17 +20,19 @@
 	until    time.Time
 }
 
-// listWait holds attempts back while the lease of the list has run out, see routes.Lease. Each waits a small part of its client's
-// time for a call to discovery that is made for it, as long as no such call has failed. Where discovery does not answer by then, an
-// attempt begins only at a server that is proven to take new work, see proofs. The engine owns it; what is held is given back in take,
-// by the list or by time.
+// listWait holds attempts while the lease of the list is expired, see routes.Lease. Each attempt
+// waits a small fraction of its client's remaining wait for a discovery call that is made for it,
+// as long as no such call has failed. If discovery does not answer by then, an attempt begins only
+// at a server that is proven to take new work, see acceptanceProofs. The engine owns the listWait;
+// resumeSends releases held attempts when a list arrives or their wait ends.
 type listWait struct {
 	held   []heldSend
 	timer  poll.Timer
-	failed bool // a call has failed since the lease ran out, or did not answer in time: the next one is not waited for
+	failed bool // a call has failed or not answered in time since the lease expired: do not wait for the next one
 }
 
-// holdSend holds an attempt back where the lease of the list has run out and its request has not waited for that yet.
+// holdSend holds an attempt if the lease of the list is expired and its request has not waited for
+// a list yet. It reports whether it does.
 func (e *Engine) holdSend(x *Exchange, a *action) bool {
 	now := e.loop.Now()
 	if !e.listLeaseExpired(now) || x.waitedForList || e.listWait.failed || e.proofs.valid(a.target, now) {
@@ -44,7 +47,7 @@
 	return true
 }
 
-// recordFailedCall notes that a call to discovery has brought no list.
+// recordFailedCall notes that a discovery call returned no list.
 func (e *Engine) recordFailedCall() {
 	if e.listLeaseExpired(e.loop.Now()) {
 		e.listWait.failed = true
@@ -63,8 +66,8 @@
 	e.loop.Arm(&w.timer, first.until)
 }
 
-// resumeSends has attempts that were held carried out with the next batch: all of them where a list has come, else those whose
-// wait is over.
+// resumeSends queues held attempts for the next batch: all of them if a list has arrived, otherwise
+// those whose wait is over.
 func (e *Engine) resumeSends(listed bool) {
 	now := e.loop.Now()
 	if listed {
@@ -83,7 +86,8 @@
 	e.armListWait()
 }
 
-// dropHeldSend gives up an attempt that is held, since its client has left or has its answer. Each of the module's attempts has an end.
+// dropHeldSend drops a held attempt whose client has left or has been answered. Each attempt of the
+// module must end.
 func (e *Engine) dropHeldSend(x *Exchange) {
 	if !x.held {
 		return
--- a/internal/proxy/proofs.go
+++ b/internal/proxy/proofs.go
@@ -8,28 +8,33 @@
 )
 
 const (
-	// maxProcessStall is how long a process may be held up between reading its clock and writing.
+	// maxProcessStall is the longest time that a process may be stalled between reading its clock
+	// and writing.
 	maxProcessStall = 150 * time.Millisecond
-	// maxListLead is by how much the list may know of a drain before the server itself turns new work away. By the pages lists are
-	// seconds late, so that the server knows first.
+	// maxListLead is the longest time by which the list may announce a drain before the server
+	// itself rejects new work. Lists are seconds late by specification, so the server knows first.
 	maxListLead = time.Second
-	// sendGraceMargin is the part of the time for sends to a server that stops which is left for the write itself: limits of time are
-	// 50 ms longer on sockets, which bears a part of the holdUp.
+	// sendGraceMargin is the part of the grace period of a stopping server that is reserved for the
+	// write itself. Time limits are 50 ms longer on sockets, which covers a part of
+	// maxProcessStall.
 	sendGraceMargin = 120 * time.Millisecond
 )
 
-// proofs tells which servers are proven to take new work though the list may be out of date: those that have just taken a request of
-// this process. Nothing else proves it. A server that drains may answer probes as before, whatever others that drain were seen to
-// answer: a process that relied on a PONG sent requests to one 0.6 to 3.2 s after its drain counted as told.
-type proofs struct {
-	validity   time.Duration        // of a proof
-	acceptedAt map[string]time.Time // by server: when the last request was written that it took
-	restrictTo []string             // the servers to which the module was last told to keep; nil: it may use all
+// acceptanceProofs records which servers are known to take new work although the list may be out of
+// date: those that have just accepted a request of this process. Nothing else proves it. A draining
+// server may answer probes as before, whatever other draining servers were seen to answer: a
+// process that relied on a PONG sent requests to such a server 0.6 to 3.2 s after its drain counted
+// as known.
+type acceptanceProofs struct {
+	validity   time.Duration        // how long a proof holds
+	acceptedAt map[string]time.Time // by server: write time of the last request that it accepted
+	restrictTo []string             // servers to which the module is restricted; nil: unrestricted
 }
 
-// proofValidity is how long a server that took a request is known to be within its grace if it began to drain right after that: until the
-// drain counts as told and the grace for it is over, less the lead of the list and the time of the next write. Where lists are pushed
-// a change counts as told at once, and no request proves anything for the next one.
+// proofValidity returns how long a server that accepted a request is known to be within its drain
+// grace period, even if it began to drain right after that: until the drain counts as known and the
+// grace period is over, less maxListLead and the time of the next write. Where lists are pushed, a
+// change counts as known at once, and an accepted request proves nothing for the next one.
 func proofValidity(grace time.Duration, pushed bool) time.Duration {
 	toldAfter := routes.ListLease
 	if pushed {
@@ -38,25 +43,26 @@
 	return max(toldAfter+grace-maxListLead-maxProcessStall, 0)
 }
 
-// recordAccepted takes that a server has taken a request which was written at a time. It may have begun to drain since.
-func (p *proofs) recordAccepted(server string, written time.Time) {
+// recordAccepted notes that a server accepted a request that was written at a time. The server may
+// have begun to drain since.
+func (p *acceptanceProofs) recordAccepted(server string, written time.Time) {
 	if p.acceptedAt == nil {
 		p.acceptedAt = make(map[string]time.Time)
 	}
 	p.acceptedAt[server] = written
 }
 
-// forget drops what a server that stopped has proven.
-func (p *proofs) forget(server string) { delete(p.acceptedAt, server) }
+// forget removes the proof of a server that stopped.
+func (p *acceptanceProofs) forget(server string) { delete(p.acceptedAt, server) }
 
-// valid tells whether a server is proven.
-func (p *proofs) valid(server string, now time.Time) bool {
+// valid reports whether a server has a proof that still holds.
+func (p *acceptanceProofs) valid(server string, now time.Time) bool {
 	written, ok := p.acceptedAt[server]
 	return ok && now.Sub(written) < p.validity
 }
 
-// proven returns the servers that are, in order, and forgets the others.
-func (p *proofs) proven(now time.Time) []string {
+// proven returns the servers with a valid proof, in order, and removes all other proofs.
+func (p *acceptanceProofs) proven(now time.Time) []string {
 	list := make([]string, 0, len(p.acceptedAt))
 	for server := range p.acceptedAt {
 		if p.valid(server, now) {
@@ -69,8 +75,8 @@
 	return list
 }
 
-// listLeaseEnd returns the time from which on a change that is not in the table may count as told. ok is false where this process does
-// not ask discovery.
+// listLeaseEnd returns the time from which on a change that is not in the table may count as known.
+// ok is false if this process does not call discovery.
 func (e *Engine) listLeaseEnd() (at time.Time, ok bool) {
 	at, ok = e.watch.ListEnds()
 	if e.peerConfirmedAt == nil {
@@ -82,20 +88,22 @@
 	return at, ok
 }
 
-// listLeaseExpired tells whether the lease of the list has run out.
+// listLeaseExpired reports whether the lease of the list has expired.
 func (e *Engine) listLeaseExpired(now time.Time) bool {
 	ends, ok := e.listLeaseEnd()
 	return ok && !now.Before(ends)
 }
 
-// maySendTo tells whether new work may go to a server so long after the lease of the list has run out.
-func (e *Engine) maySendTo(server string, now time.Time, after time.Duration) bool {
+// maySendTo reports whether new work may go to a server: until grace after the lease of the list
+// has expired, and as long as the server has a valid proof.
+func (e *Engine) maySendTo(server string, now time.Time, grace time.Duration) bool {
 	ends, ok := e.listLeaseEnd()
-	return !ok || now.Before(ends.Add(after)) || e.proofs.valid(server, now)
+	return !ok || now.Before(ends.Add(grace)) || e.proofs.valid(server, now)
 }
 
-// restrictPlacement has the module place new requests among the proven servers while the lease of the list has run out: attempts at
-// others would not be sent. Where none is proven and attempts may still wait for a list, it places among all.
+// restrictPlacement restricts the module to proven servers for new requests while the lease of the
+// list is expired, since attempts at other servers would not be sent. If none is proven and
+// attempts may still wait for a list, the module uses all servers.
 func (e *Engine) restrictPlacement() {
 	var to []string
 	if now := e.loop.Now(); e.listLeaseExpired(now) {
--- a/internal/proxy/shared.go
+++ b/internal/proxy/shared.go
@@ -8,24 +8,27 @@
 	"ospreyspan/internal/routes"
 )
 
-// What follows is for a proxy that shares the asking of discovery with others; see internal/instance.
+// This file is for a proxy that shares discovery calls, probes, limits and observations with other
+// proxies; see internal/instance.
 
-// Watch is the watch on discovery, for its guide.
+// Watch returns the watch on discovery, so that its guide can be set.
 func (e *Engine) Watch() *routes.Watch { return e.watch }
 
-// Discovery is the address that is asked, and the version of the latest list.
+// Discovery returns the address of discovery and the version of the latest list.
 func (e *Engine) Discovery() (at netip.AddrPort, seq int64) { return e.discoveryAddr, e.table.Seq }
 
-// Table is the route table, to be read only.
+// Table returns the route table, which the caller must not change.
 func (e *Engine) Table() *routes.Table { return &e.table }
 
-// SetPeerConfirmation has f asked as of when another process vouched for the list, for the counters.
+// SetPeerConfirmation sets the function that returns as of when another process has confirmed the
+// list. It extends the lease of the list and enters the counters of list ages.
 func (e *Engine) SetPeerConfirmation(f func() time.Time) { e.peerConfirmedAt = f }
 
-// OnDiscoveryAnswer has f called after each answer of discovery that was taken.
+// OnDiscoveryAnswer sets a function to call after each answer from discovery that was applied.
 func (e *Engine) OnDiscoveryAnswer(f func()) { e.onDiscoveryAnswer = f }
 
-// ApplyPeerList takes a whole list that another process passed on. One that is older than what is known changes nothing.
+// ApplyPeerList applies a whole list that another process passed on. A list that is older than the
+// table changes nothing.
 func (e *Engine) ApplyPeerList(l *routes.List) {
 	if l.Seq < e.table.Seq {
 		return
@@ -36,19 +39,20 @@
 	e.applyList(l)
 }
 
-// ShareProbes has ask called before each probe: if it returns true, it will tell Reported or ProbeAlone of the target. told is
-// called at the end of each own probe.
+// ShareProbes sets ask to be called before each probe: if it returns true, the caller must later
+// call PeerReported or ProbeDirectly for the target. ShareProbes sets told to be called at the end
+// of each probe of this process.
 func (e *Engine) ShareProbes(ask func(target string) bool, told func(target string, ok bool, rep balance.Report)) {
 	e.probeViaPeer, e.onProbed = ask, told
 }
 
-// PeerReported takes a report that another process's probe brought.
+// PeerReported takes a report from a probe of another process.
 func (e *Engine) PeerReported(target string, rep balance.Report) {
 	e.counters.ProbesShared++
 	e.push(event{kind: evProbed, target: target, outcome: balance.OK, report: rep})
 }
 
-// ProbeDirectly probes a target from here.
+// ProbeDirectly probes a target from this process.
 func (e *Engine) ProbeDirectly(target string) {
 	to := e.table.Find(target)
 	if to == nil {
@@ -59,10 +63,12 @@
 	e.prober.Probe(to)
 }
 
-// PaceMoves has pace called before each move off a target that drains: if it returns true, it will call MoveNow.
+// PaceMoves sets a function to call before each move off a draining target. If it returns true, the
+// caller must later call MoveNow.
 func (e *Engine) PaceMoves(pace func(id balance.RequestID) bool) { e.paceMove = pace }
 
-// MoveNow carries out a move that was paced. The connection may have ended meanwhile.
+// MoveNow executes a move that was delayed by the function set with PaceMoves. The connection may
+// have ended meanwhile.
 func (e *Engine) MoveNow(id balance.RequestID) {
 	if x := e.exchanges[id]; x != nil && x.hopActive && x.established {
 		e.counters.MovesPaced++
@@ -70,57 +76,62 @@
 	}
 }
 
-// Drains tells whether a target takes no new work.
+// Drains reports whether a target takes no new work.
 func (e *Engine) Drains(id string) bool { return e.draining(id) }
 
-// draining tells whether a target takes no new work.
+// draining reports whether a target is draining or is not in the route table.
 func (e *Engine) draining(id string) bool {
 	to := e.table.Find(id)
 	return to == nil || to.Health == routes.Draining
 }
 
-// OutcomeSource is what an outcome came of.
+// OutcomeSource says what kind of event an outcome belongs to.
 type OutcomeSource uint8
 
-// The occasions.
+// The kinds of OutcomeSource.
 const (
-	FromHop      OutcomeSource = iota // one that had not stood, or its standing up
-	FromStanding                      // a connection that stood and ended
+	FromHop         OutcomeSource = iota // a hop that was not established, or its establishment
+	FromEstablished                      // the end of an established connection
 	FromProbe
 )
 
-// OnOutcome has f told of what this process sees of targets that take new work.
+// OnOutcome sets a function to call with each outcome that this process observes at targets that
+// take new work.
 func (e *Engine) OnOutcome(f func(target string, o balance.Outcome, of OutcomeSource)) {
 	e.onOutcome = f
 }
 
+// reportOutcome passes an outcome on to the function set with OnOutcome.
 func (e *Engine) reportOutcome(target string, o balance.Outcome, of OutcomeSource) {
 	if e.onOutcome != nil && !e.draining(target) {
 		e.onOutcome(target, o, of)
 	}
 }
 
-// AvoidUntil passes on to the module what others know of a target: it is to be passed over until then.
+// AvoidUntil tells the module that, by the observations of other processes, a target is not to be
+// used until a time.
 func (e *Engine) AvoidUntil(target string, until time.Time) {
 	e.push(event{kind: evAvoid, target: target, until: until})
 }
 
-// Limits are what all processes together may take.
+// Limits are limits on the exchanges of all processes together.
 type Limits interface {
-	// Take counts an exchange of a class and tenant, by index, and returns under which limits, a bit for each. Where one of them
-	// leaves no room, and the exchange can be refused, it counts under none and ok is false.
+	// Take counts an exchange of a class and a tenant, both given by index, and returns the limits
+	// that it counts under, one bit each. If a limit leaves no room and the exchange can be
+	// refused, it counts under none and ok is false.
 	Take(class, tenant int, refuse bool) (under uint64, ok bool)
-	// Release takes back what Take returned.
+	// Release undoes a Take that returned these bits.
 	Release(under uint64)
 }
 
-// SetLimits has exchanges counted and limited; the module refuses those for which there is no room.
+// SetLimits sets the limits that exchanges count under. The module refuses exchanges for which
+// there is no room.
 func (e *Engine) SetLimits(l Limits) { e.limits = l }
 
-// CountUnderLimit is how many exchanges count under a limit.
+// CountUnderLimit returns how many exchanges count under a limit.
 func (e *Engine) CountUnderLimit(bit uint64) int {
 	n := 0
-	for _, x := range e.exchanges { // only counted
+	for _, x := range e.exchanges { // the order does not matter
 		if x.limitBits&bit != 0 {
 			n++
 		}
@@ -128,7 +139,8 @@
 	return n
 }
 
-// MoveUnderLimit moves n standing connections that count under a limit, the latest first, and returns how many there were to move.
+// MoveUnderLimit moves up to n established connections that count under a limit, the newest first,
+// and returns how many it moved.
 func (e *Engine) MoveUnderLimit(bit uint64, n int) int {
 	moved := 0
 	all := e.sortedExchanges()
@@ -141,8 +153,10 @@
 	return moved
 }
 
-// OnHop has f told of each hop of a class: the first one of a client that comes for the first time, or a further one.
+// OnHop sets a function to call for each hop of a class. first is true for the first hop of a
+// client's first attempt and false for any further hop.
 func (e *Engine) OnHop(f func(class int, first bool)) { e.onHop = f }
 
-// SetRetryBudgetSpent tells the module whether all processes together have made as many further hops as they may.
+// SetRetryBudgetSpent tells the module whether all processes together have used up their budget for
+// further hops.
 func (e *Engine) SetRetryBudgetSpent(on bool) { e.push(event{kind: evRetryBudget, budgetSpent: on}) }
--- a/internal/proxy/translate.go
+++ b/internal/proxy/translate.go
@@ -5,14 +5,16 @@
 	"ospreyspan/internal/routes"
 )
 
-// The module's words and this package's meet here: its backend is an egress target, its list the route table,
-// its request an exchange, its attempt a hop and its refusal a shed.
+// This file translates between the module's terms and those of this package: a backend of the
+// module is an egress target here, its list the route table, its request an exchange and its
+// attempt a hop.
 
+// moduleStates maps the health of a target to the state of the module's backend.
 var moduleStates = map[routes.Health]balance.State{
 	routes.Serving: balance.Ready, routes.Draining: balance.Draining, routes.Deleted: balance.Gone,
 }
 
-// backends translates entries of the route table.
+// backends converts entries of the route table.
 func backends(hosts []*routes.Target) []balance.Backend {
 	list := make([]balance.Backend, len(hosts))
 	for i, t := range hosts {
--- a/internal/proxy/tuning.go
+++ b/internal/proxy/tuning.go
@@ -5,24 +5,27 @@
 	"time"
 )
 
-// Tuning holds the times that were found by experiment and may be found anew. The platform's own figures are in its
-// settings, not here.
+// Tuning holds times that depend on the environment and can be changed. Times that the platform
+// specifies are in its settings.
 type Tuning struct {
-	// AnswerMargin is taken off what the client waits, so that the module's last word reaches it in time: a machine
-	// that shares its cores may keep the process from running for 100 ms and more, and a request that the module holds
-	// until its end would then have no answer. Of a short wait a smaller part is taken. Above 0.
+	// AnswerMargin is subtracted from the client's wait, so that the module's final answer arrives
+	// in time. A machine that shares its cores may stop the process for 100 ms and more, and a
+	// request that the module holds until its deadline would then have no answer. For a short wait
+	// the margin is a fraction of the wait. Must be above 0.
 	AnswerMargin time.Duration
-	// SilentAfter is how long a line of the client may stay without any sign of the target on any of its connections.
-	// A running target answers at once, also one that is slow at its work; a machine that vanished gives no other sign,
-	// and its clients are without service until they are moved. The rules leave 7 s. At least 10 ms.
+	// SilentAfter is how long a client's line may remain unanswered without any sign of life from
+	// the target on any of its connections. A running target answers at once, even if it processes
+	// slowly. A machine that vanished gives no other sign, and its clients are without service
+	// until they are moved. The rules allow 7 s. Must be at least 10 ms.
 	SilentAfter time.Duration
-	// MovesSpan and MovesDone place the moves of a planned stop: they are spread evenly over MovesSpan, which ends
-	// MovesDone before SIGKILL. They are late and close together: in a rolling restart the proxy that stopped before
-	// this one is not back sooner, and until then those who are sent away may have nowhere to go.
+	// MovesSpan and MovesDone schedule the moves of a planned stop: they are spread evenly over
+	// MovesSpan, which ends MovesDone before SIGKILL. They are late and close together because in a
+	// rolling restart the previously stopped proxy is not back sooner, and moved clients may have
+	// no other proxy until then.
 	MovesSpan, MovesDone time.Duration
 }
 
-// DefaultTuning is what serves.
+// DefaultTuning returns the values for production.
 func DefaultTuning() Tuning {
 	return Tuning{
 		AnswerMargin: 150 * time.Millisecond,
@@ -32,17 +35,17 @@
 	}
 }
 
-// Check tells what is out of its range.
+// Check returns an error for the first value that is out of range.
 func (t *Tuning) Check() error {
 	switch {
 	case t.AnswerMargin <= 0:
-		return errors.New("answer margin: not above 0")
+		return errors.New("answer margin: must be above 0")
 	case t.SilentAfter < 10*time.Millisecond:
-		return errors.New("silent after: under 10 ms")
+		return errors.New("silent after: must be at least 10 ms")
 	case t.MovesSpan < drainInterval:
-		return errors.New("moves' span: under 20 ms")
+		return errors.New("moves span: must be at least 20 ms")
 	case t.MovesDone < exitLead:
-		return errors.New("moves done: less than 350 ms before the end")
+		return errors.New("moves done: must be at least 350 ms before SIGKILL")
 	}
 	return nil
 }
