--- a/internal/proxy/bed_test.go
+++ b/internal/proxy/bed_test.go
@@ -24,26 +24,27 @@
 	`"Permissions":{"AttemptsCap":3,"Cancel":true,"Probing":%v,"DialTimeoutUs":200000,"ConnIdleUs":60000000},` +
 	`"Report":{"Fields":["cpu","x0"]}}`
 
-// end is the far end of a connection, a client's or an egress target's, on the same loop as the proxy.
-type end struct {
-	sock  *poll.Socket
-	got   []byte
-	deaf  bool
-	eof   bool
-	reset bool
+// testConn is the remote end of a connection, a client's or an egress target's. It runs on the
+// proxy's loop.
+type testConn struct {
+	sock       *poll.Socket
+	received   []byte
+	readPaused bool
+	eof        bool
+	reset      bool
 }
 
-func (e *end) Ready(r poll.Ready) {
-	if e.eof && r.Hangup { // both directions are over, which is told without end
+func (e *testConn) Ready(r poll.Ready) {
+	if e.eof && r.Hangup { // both directions are closed; the loop would report it in every turn
 		e.sock.Close()
 		return
 	}
-	if e.deaf || e.eof || e.reset {
+	if e.readPaused || e.eof || e.reset {
 		return
 	}
 	buf := make([]byte, 32<<10)
 	n, err := e.sock.Read(buf)
-	e.got = append(e.got, buf[:n]...)
+	e.received = append(e.received, buf[:n]...)
 	if err == io.EOF {
 		e.eof = true
 		e.sock.Want(false, false)
@@ -53,39 +54,40 @@
 	}
 }
 
-func (e *end) say(t testing.TB, text string) {
+func (e *testConn) write(t testing.TB, text string) {
 	t.Helper()
 	if n, err := e.sock.Write([]byte(text)); !e.reset && err == nil && n < len(text) {
 		t.Fatalf("wrote %d of %d bytes", n, len(text))
 	}
 }
 
-// loopback is an address of a real bed's own.
+// loopback returns a random loopback address for one socket test bed.
 func loopback() netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(1 + rand.IntN(250)), byte(rand.IntN(256)), byte(1 + rand.IntN(250))}), 0)
 }
 
-// bed is a proxy between ends that the test plays, all on one loop: in virtual time, or on real sockets.
-type bed struct {
-	t       testing.TB
-	world   *vnet.World // nil: real sockets
-	host    *vnet.Host
-	local   netip.AddrPort
-	raw     bool // the engine is not asked to deliver: the test looks at its events
-	loop    *poll.Loop
-	engine  *Engine
-	front   *Lines
-	count   stats.Counters
-	log     bytes.Buffer
-	hops    []*end // connections to the targets, in order
-	servers []*poll.Listener
-	base    int
-	text    string // its settings
+// testBed is a proxy with clients and egress targets that the test plays, all on one loop: in
+// virtual time on a simulated network, or on real sockets.
+type testBed struct {
+	t              testing.TB
+	world          *vnet.World // nil: real sockets
+	host           *vnet.Host
+	local          netip.AddrPort
+	manualDelivery bool // Engine.Deliver is not called: the test inspects the engine's events
+	loop           *poll.Loop
+	engine         *Engine
+	frontend       *LineFrontend
+	counters       stats.Counters
+	log            bytes.Buffer
+	targetConns    []*testConn // accepted by the targets, in order
+	servers        []*poll.Listener
+	baseSockets    int
+	settingsText   string // the proxy's settings, JSON
 }
 
-func newBed(t testing.TB, targets int, probes bool) *bed {
+func newTestBed(t testing.TB, targets int, probes bool) *testBed {
 	t.Helper()
-	b := &bed{t: t, world: vnet.New(1, nil), local: netip.MustParseAddrPort("10.0.0.1:0"), text: fmt.Sprintf(testSettings, probes)}
+	b := &testBed{t: t, world: vnet.New(1, nil), local: netip.MustParseAddrPort("10.0.0.1:0"), settingsText: fmt.Sprintf(testSettings, probes)}
 	b.host = b.world.AddHost("bed", b.local.Addr(), vnet.Limits{})
 	err := b.host.Start(func(k poll.Kernel) (func() error, error) {
 		b.loop = poll.NewOn(k, func() {})
@@ -96,50 +98,52 @@
 		t.Fatal(err)
 	}
 	b.settle()
-	b.base = b.loop.Open()
+	b.baseSockets = b.loop.Open()
 	return b
 }
 
-// watchConfig is for a watch on another discovery in place of the engine's own.
-func (b *bed) watchConfig(at netip.AddrPort) routes.WatchConfig {
-	return routes.WatchConfig{Loop: b.loop, Addr: at, Seq: 7, AskWithin: 3 * time.Second, Rand: rand.New(rand.NewPCG(1, 1)), Calls: &b.count.Watches, OnResult: b.engine.news}
+// watchConfig returns the configuration of a watch on discovery at an address, in place of the
+// engine's own watch.
+func (b *testBed) watchConfig(at netip.AddrPort) routes.WatchConfig {
+	return routes.WatchConfig{Loop: b.loop, Addr: at, Seq: 7, AskWithin: 3 * time.Second, Rand: rand.New(rand.NewPCG(1, 1)), Calls: &b.counters.Watches, OnResult: b.engine.handleDiscoveryAnswer}
 }
 
-// newRealBed is newBed on real sockets.
-func newRealBed(t testing.TB, targets int, probes bool) *bed {
+// newSocketTestBed returns a test bed on real sockets.
+func newSocketTestBed(t testing.TB, targets int, probes bool) *testBed {
 	t.Helper()
-	return newRealBedWith(t, targets, fmt.Sprintf(testSettings, probes))
+	return newSocketTestBedWithSettings(t, targets, fmt.Sprintf(testSettings, probes))
 }
 
-// newRealBedWith is newRealBed with other settings.
-func newRealBedWith(t testing.TB, targets int, text string) *bed {
+// newSocketTestBedWithSettings returns a test bed on real sockets with the given settings.
+func newSocketTestBedWithSettings(t testing.TB, targets int, text string) *testBed {
 	t.Helper()
-	b := &bed{t: t, local: loopback(), text: text}
+	b := &testBed{t: t, local: loopback(), settingsText: text}
 	var err error
 	if b.loop, err = poll.New(func() {}); err != nil {
 		t.Fatal(err)
 	}
-	return b.begin(targets)
+	return b.start(targets)
 }
 
-// newRealBedOn is newRealBed without probes, on a kernel that is put around the real one.
-func newRealBedOn(t testing.TB, targets int, around func(poll.Kernel) poll.Kernel) *bed {
+// newSocketTestBedOnKernel returns a test bed on real sockets, without probes, whose loop uses the
+// kernel that around returns for the real one.
+func newSocketTestBedOnKernel(t testing.TB, targets int, around func(poll.Kernel) poll.Kernel) *testBed {
 	t.Helper()
 	kernel, err := poll.NewEpoll(poll.LinuxCalls())
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bed{t: t, local: loopback(), text: fmt.Sprintf(testSettings, false), loop: poll.NewOn(around(kernel), func() {})}
-	return b.begin(targets)
+	b := &testBed{t: t, local: loopback(), settingsText: fmt.Sprintf(testSettings, false), loop: poll.NewOn(around(kernel), func() {})}
+	return b.start(targets)
 }
 
-// begin makes the proxy on its loop.
-func (b *bed) begin(targets int) *bed {
+// start creates the proxy and its targets on the loop, and closes them at the end of the test.
+func (b *testBed) start(targets int) *testBed {
 	b.build(targets)
 	b.settle()
-	b.base = b.loop.Open()
+	b.baseSockets = b.loop.Open()
 	b.t.Cleanup(func() {
-		for _, l := range append(b.servers, b.front.listener) {
+		for _, l := range append(b.servers, b.frontend.listener) {
 			l.Close()
 		}
 		b.loop.Close()
@@ -147,23 +151,23 @@
 	return b
 }
 
-// step is one turn.
-func (b *bed) step() error {
-	if b.raw {
+// step runs one turn of the loop.
+func (b *testBed) step() error {
+	if b.manualDelivery {
 		return b.loop.Turn(true)
 	}
 	b.engine.Deliver()
 	return b.loop.Turn(!b.engine.Pending())
 }
 
-// build makes the proxy and its targets.
-func (b *bed) build(targets int) {
+// build creates the proxy and its targets.
+func (b *testBed) build(targets int) {
 	t, local := b.t, b.local
 	known := &routes.List{Whole: true}
 	for i := range targets {
 		l, err := b.loop.Listen(local, func(s *poll.Socket, _ bool) poll.Handler {
-			h := &end{sock: s}
-			b.hops = append(b.hops, h)
+			h := &testConn{sock: s}
+			b.targetConns = append(b.targetConns, h)
 			return h
 		})
 		if err != nil {
@@ -172,36 +176,37 @@
 		b.servers = append(b.servers, l)
 		known.Hosts = append(known.Hosts, &routes.Target{ID: fmt.Sprint("s", i), Addr: l.Addr(), Site: "z"})
 	}
-	set, err := settings.Decode([]byte(b.text))
+	set, err := settings.Decode([]byte(b.settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
 	b.engine, err = NewEngine(EngineConfig{
-		Loop: b.loop, Settings: set, Known: known, Seed: 1, Count: &b.count, Log: log.New(&b.log, "", 0),
+		Loop: b.loop, Settings: set, Known: known, Seed: 1, Count: &b.counters, Log: log.New(&b.log, "", 0),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.front = NewLines(b.engine, 0)
-	if err := b.front.Listen(local); err != nil {
+	b.frontend = NewLineFrontend(b.engine, 0)
+	if err := b.frontend.Listen(local); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// now is the time of the bed's world.
-func (b *bed) now() time.Time {
+// now returns the virtual time, or the real time on real sockets.
+func (b *testBed) now() time.Time {
 	if b.world != nil {
 		return b.world.Now()
 	}
 	return time.Now()
 }
 
-func (b *bed) since(begin time.Time) time.Duration { return b.now().Sub(begin) }
+func (b *testBed) since(begin time.Time) time.Duration { return b.now().Sub(begin) }
 
-// settle turns the loop until all that the last step set off has come through.
-func (b *bed) settle() {
+// settle runs the loop until the effects of the test's last step are complete: 1 ms of virtual
+// time, or 12 turns on real sockets.
+func (b *testBed) settle() {
 	if b.world != nil {
-		b.loop.Wake() // the test may have armed timers
+		b.loop.Wake() // the test may have set timers
 		if err := b.world.Run(time.Millisecond); err != nil {
 			b.t.Fatal(err)
 		}
@@ -215,13 +220,13 @@
 	}
 }
 
-// until turns the loop until something holds.
-func (b *bed) until(what string, holds func() bool) {
+// waitFor runs the loop until holds returns true, for at most 5 s.
+func (b *testBed) waitFor(what string, holds func() bool) {
 	b.t.Helper()
 	for begin := b.now(); !holds(); {
 		b.settle()
 		if b.since(begin) > 5*time.Second {
-			b.t.Fatalf("never came: %s\n%s", what, b.log.String())
+			b.t.Fatalf("timed out after 5 s waiting for %s; log:\n%s", what, b.log.String())
 		}
 		if b.world == nil {
 			time.Sleep(time.Millisecond)
@@ -229,10 +234,10 @@
 	}
 }
 
-func (b *bed) client() *end {
+func (b *testBed) dialClient() *testConn {
 	b.t.Helper()
-	c := &end{}
-	sock, err := b.loop.Dial(b.front.listener.Addr(), c)
+	c := &testConn{}
+	sock, err := b.loop.Dial(b.frontend.listener.Addr(), c)
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -242,37 +247,37 @@
 	return c
 }
 
-// asked returns the hop that carries the client's first line.
-func (b *bed) asked(id string) *end {
-	for _, h := range b.hops {
-		if !h.reset && strings.HasPrefix(string(h.got), "OPEN "+id+" ") {
+// requestConn returns the target's end of the hop on which the client's first line arrived, or nil.
+func (b *testBed) requestConn(id string) *testConn {
+	for _, h := range b.targetConns {
+		if !h.reset && strings.HasPrefix(string(h.received), "OPEN "+id+" ") {
 			return h
 		}
 	}
 	return nil
 }
 
-// stands opens a connection through the proxy and returns both its ends.
-func (b *bed) stands(id string) (client, target *end) {
+// establish opens a connection through the proxy and returns both its remote ends.
+func (b *testBed) establish(id string) (client, target *testConn) {
 	b.t.Helper()
-	client = b.client()
-	client.say(b.t, "OPEN "+id+" k c=c,d=2000,g=1\r\n")
-	b.until("the hop", func() bool { target = b.asked(id); return target != nil })
-	target.say(b.t, "UP r-"+id+"\r\n")
-	b.until("UP", func() bool { return string(client.got) == "UP r-"+id+"\r\n" })
-	client.got, target.got = nil, nil
+	client = b.dialClient()
+	client.write(b.t, "OPEN "+id+" k c=c,d=2000,g=1\r\n")
+	b.waitFor("the hop", func() bool { target = b.requestConn(id); return target != nil })
+	target.write(b.t, "UP r-"+id+"\r\n")
+	b.waitFor("UP", func() bool { return string(client.received) == "UP r-"+id+"\r\n" })
+	client.received, target.received = nil, nil
 	return client, target
 }
 
-// over checks that everything was given back once the far ends are closed.
-func (b *bed) over(ends ...*end) {
+// checkReleased closes the remote ends and checks that the proxy releases all it held for them.
+func (b *testBed) checkReleased(ends ...*testConn) {
 	b.t.Helper()
-	for _, e := range append(ends, b.hops...) {
+	for _, e := range append(ends, b.targetConns...) {
 		if e != nil {
 			e.sock.Close()
 		}
 	}
-	b.until("all given back", func() bool {
-		return len(b.front.sessions) == 0 && len(b.engine.exchanges) == 0 && b.loop.Open() == b.base
+	b.waitFor("the release of all sessions, exchanges and sockets", func() bool {
+		return len(b.frontend.sessions) == 0 && len(b.engine.exchanges) == 0 && b.loop.Open() == b.baseSockets
 	})
 }
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -1,6 +1,6 @@
-// Package proxy runs the decision module on real connections. The engine gathers what happens, hands it to the
-// module in one go and carries out what comes back; the front in this package speaks the platform's line
-// protocol with clients and egress targets.
+// Package proxy runs the decision module on real connections. The Engine collects events, passes
+// them to the module in batches and executes the actions that the module returns. LineFrontend
+// speaks the line protocol with clients and egress targets.
 package proxy
 
 import (
@@ -22,60 +22,63 @@
 )
 
 const (
-	// answerPart is the part of a short wait that is taken in place of Tuning.AnswerMargin.
-	answerPart = 8
-	// adoptRest lies between two tries to take up a connection that was open before the start.
-	adoptRest = 100 * time.Millisecond
-	// adoptMost is how long such a connection may take to stand again, by the protocol; adoptUnknown is how long
-	// the route table may take to name its target.
-	adoptMost    = 40 * time.Second
-	adoptUnknown = 2 * time.Second
-	// readyWithin is how long after its start a process without any list waits for discovery before it takes clients all the same. A
-	// restarted process has to be ready within 6 s on the shortest days, and whoever asks it does so every second or so; discovery
-	// may be down for longer, or have more callers than it can answer, and then the others are no better off.
-	readyWithin = 4 * time.Second
-	// complainDiscovery is the least time between two lines of the log that discovery fails.
-	complainDiscovery = time.Minute
+	// answerMarginDivisor limits the answer margin to this fraction of the client's wait, where
+	// that is shorter than Tuning.AnswerMargin.
+	answerMarginDivisor = 8
+	// adoptRetryInterval is the time between two attempts to adopt a connection that was open
+	// before the process started.
+	adoptRetryInterval = 100 * time.Millisecond
+	// maxAdoptWait is how long adopting such a connection may take by the protocol.
+	// maxAdoptWaitUnlisted applies while the route table does not contain its target.
+	maxAdoptWait         = 40 * time.Second
+	maxAdoptWaitUnlisted = 2 * time.Second
+	// readyTimeout is how long after its start a process without any list waits for discovery
+	// before it accepts clients anyway. A restarted process must be ready within 6 s in the
+	// shortest runs, and readiness is polled about once a second. Discovery may be down for longer,
+	// or have more callers than it can answer; other processes are then no better off.
+	readyTimeout = 4 * time.Second
+	// discoveryLogInterval is the minimum time between two log lines about failing discovery calls.
+	discoveryLogInterval = time.Minute
 )
 
-// Engine drives the module. All of it runs on the loop.
+// Engine drives the decision module. All of its methods run on the event loop.
 type Engine struct {
-	loop      *poll.Loop
-	set       *settings.Settings
-	module    *balance.Balancer
-	table     routes.Table
-	births    *routes.StartTimes
-	watch     *routes.Watch
-	prober    Prober
-	count     *stats.Counters
-	log       *log.Logger
-	exchanges map[balance.RequestID]*Exchange
-	ids       map[string]struct{} // the clients' own ids of these
-	last      balance.RequestID
-	events    []event
-	handed    []event // the other half of events' double buffer
-	actions   []action
-	leaving   []*Exchange // whose clients left: they go once the module knows
-	broken    bool        // discovery's last answer failed, and the log says so
-	complain  time.Time   // the log said so last
-	tuning    Tuning
-	discovery netip.AddrPort
-	newest    int64 // version of the latest list that another process passed on; own answers may be older
-	onNews    func()
-	askOther  func(target string) bool        // has another process report on a target; false: it can't
-	paceMove  func(id balance.RequestID) bool // has a move wait for its time; false: it is to be made now
-	onProbed  func(target string, ok bool, rep balance.Report)
-	limits    Limits // nil: none
-	onHop     func(class int, first bool)
-	onOutcome func(target string, o balance.Outcome, of Occasion)
-	startedAt time.Time
-	heardAt   time.Time // of discovery's last answer
-	listWait  listWait
-	proofs    proofs
-	vouched   func() time.Time // as of when another process vouched for the list; nil: none does
+	loop                *poll.Loop
+	settings            *settings.Settings
+	module              *balance.Balancer
+	table               routes.Table
+	bootTimes           *routes.StartTimes
+	watch               *routes.Watch
+	prober              Prober
+	counters            *stats.Counters
+	log                 *log.Logger
+	exchanges           map[balance.RequestID]*Exchange
+	clientIDs           map[string]struct{} // client-chosen ids of the open exchanges
+	lastID              balance.RequestID
+	events              []event
+	delivering          []event // batch being delivered; swaps buffers with events
+	actions             []action
+	toRelease           []*Exchange // answered; released after the module has been told, unless a hop is active
+	discoveryFailed     bool        // the last call failed and that has been logged
+	discoveryLoggedAt   time.Time   // last log line about a failed call; zero: none yet
+	tuning              Tuning
+	discoveryAddr       netip.AddrPort
+	newestPeerSeq       int64 // latest list version that another process passed on; own answers may be older
+	onDiscoveryAnswer   func()
+	probeViaPeer        func(target string) bool        // asks another process for a report on target; false: it cannot
+	paceMove            func(id balance.RequestID) bool // delays a move to its scheduled time; false: move now
+	onProbed            func(target string, ok bool, rep balance.Report)
+	limits              Limits // nil: unlimited
+	onHop               func(class int, first bool)
+	onOutcome           func(target string, o balance.Outcome, of OutcomeSource)
+	startedAt           time.Time
+	discoveryAnsweredAt time.Time // last answer from discovery; zero: none yet
+	listWait            listWait
+	proofs              acceptanceProofs
+	peerConfirmedAt     func() time.Time // as of when another process has confirmed the list; nil: none does
 }
 
-// EngineConfig is what an Engine needs.
+// EngineConfig holds the parameters of an Engine.
 type EngineConfig struct {
 	Loop      *poll.Loop
 	Settings  *settings.Settings
@@ -87,13 +90,14 @@
 	Tuning    *Tuning // nil: DefaultTuning
 }
 
-// NewEngine returns an Engine whose module has started; its first actions are carried out by Deliver.
+// NewEngine returns an Engine whose module has started. Deliver executes the module's first
+// actions.
 func NewEngine(c EngineConfig) (*Engine, error) {
 	e := &Engine{
-		loop: c.Loop, set: c.Settings, count: c.Count, log: c.Log,
-		exchanges: make(map[balance.RequestID]*Exchange), ids: make(map[string]struct{}), discovery: c.Discovery,
+		loop: c.Loop, settings: c.Settings, counters: c.Count, log: c.Log,
+		exchanges: make(map[balance.RequestID]*Exchange), clientIDs: make(map[string]struct{}), discoveryAddr: c.Discovery,
 	}
-	e.proofs.life = proofLife(c.Settings.DrainGrace, !c.Settings.Config.Subscribe)
+	e.proofs.validity = proofValidity(c.Settings.DrainGrace, !c.Settings.Config.Subscribe)
 	e.tuning = DefaultTuning()
 	if c.Tuning != nil {
 		e.tuning = *c.Tuning
@@ -108,199 +112,209 @@
 	e.module = module
 	from, pushed := c.Known.Seq, !c.Settings.Config.Subscribe
 	if len(c.Known.Hosts) == 0 {
-		from = routes.NoVersion // nobody can be served until a list is there
+		from = routes.NoVersion // no client can be served before the first list
 	}
 	e.watch = routes.NewWatch(routes.WatchConfig{
 		Loop: c.Loop, Addr: c.Discovery, Seq: from, Processes: c.Settings.Config.Relays, AskWithin: c.Settings.Config.Rules.MaxDiscoveryGap,
-		Pushed: pushed, Rand: rand.New(rand.NewPCG(c.Seed, 1)), Calls: &c.Count.Watches, OnResult: e.news,
+		Pushed: pushed, Rand: rand.New(rand.NewPCG(c.Seed, 1)), Calls: &c.Count.Watches, OnResult: e.handleDiscoveryAnswer,
 	})
 	e.startedAt = e.loop.Now()
 	module.Start(e.startedAt)
-	e.births = routes.NewStartTimes(e.loop.Refresh(), e.loop.Wall()) // the two clocks in one moment
-	e.births.SetStarts(c.Known, e.startedAt, time.Time{})
+	e.bootTimes = routes.NewStartTimes(e.loop.Refresh(), e.loop.Wall()) // reads both clocks at the same moment
+	e.bootTimes.SetStarts(c.Known, e.startedAt, time.Time{})
 	e.table.Merge(c.Known)
 	e.push(event{kind: evList, list: balance.ListStale, entries: backends(c.Known.Hosts)})
 	if pushed && c.Discovery.IsValid() {
-		e.watch.Start() // the module asks for a watch only where nothing comes without one; here all counts as told from the start
+		e.watch.Start() // the module starts a watch only where lists are not pushed; pushed ones count as known from the start
 	}
 	return e, nil
 }
 
-// SetDiscovery moves the watch to another address of discovery. The route table stays until that one answers.
+// SetDiscovery points the watch at another discovery address. The route table is kept until the new
+// address answers.
 func (e *Engine) SetDiscovery(at netip.AddrPort) {
-	e.count.Reloads++
-	if at != e.discovery {
-		e.discovery, e.newest = at, 0 // another one's versions need not continue these
+	e.counters.Reloads++
+	if at != e.discoveryAddr {
+		e.discoveryAddr, e.newestPeerSeq = at, 0 // list versions of another discovery are unrelated to these
 	}
 	e.watch.SetAddr(at)
 }
 
-// CanServe tells whether there has been a list: a process that has just started and knows of no target would refuse whoever is
-// sent to it, while another one could serve. It stays true for an empty list, which is discovery's own word, and is true in any
-// case from readyWithin on: requests are held then until a list is there.
+// CanServe reports whether clients should be sent to this process. A process that has just started
+// and has no targets would refuse clients that another process could serve. Once discovery has
+// answered, CanServe stays true even for an empty list. It is true in any case from readyTimeout
+// on: requests are then held until a list arrives.
 func (e *Engine) CanServe() bool {
-	return !e.table.Empty() || !e.heardAt.IsZero() || e.loop.Now().Sub(e.startedAt) >= readyWithin
+	return !e.table.Empty() || !e.discoveryAnsweredAt.IsZero() || e.loop.Now().Sub(e.startedAt) >= readyTimeout
 }
 
-// Pending tells whether events wait for Deliver: the loop must not sleep then.
+// Pending reports whether events are waiting for Deliver. The loop must not sleep while they are.
 func (e *Engine) Pending() bool { return len(e.events) > 0 || len(e.actions) > 0 }
 
-// Why a request is not taken. It never gets as far as the module then: an egress target that is sent such a
-// thing answers with an error, and a sound one would be ejected for what a client did.
+// Reasons to reject a request before it reaches the module. An egress target answers such a request
+// with an error, and a healthy target would be ejected for a client's fault.
 var (
+	// ErrClass means that the settings do not contain the class of the request.
 	ErrClass = errors.New("proxy: unknown class")
-	ErrInUse = errors.New("proxy: the id of an exchange that is open")
-	// ErrTenant: the settings name tenants, and the offer names another one.
+	// ErrInUse means that another open exchange has the same client id.
+	ErrInUse = errors.New("proxy: id already used by an open exchange")
+	// ErrTenant means that the settings list tenants, but not the one that the request names.
 	ErrTenant = errors.New("proxy: unknown tenant")
 )
 
-// Take takes a client's request.
-func (e *Engine) Take(c Client, o Offer) (*Exchange, error) {
-	if class, ok := e.set.Classes[o.Class]; ok && e.set.Waits[class] > 0 {
-		o.Wait = min(o.Wait, e.set.Waits[class]) // no client of the class waits longer, whatever it says
+// Accept creates the exchange for a client's request.
+func (e *Engine) Accept(c Client, o ClientRequest) (*Exchange, error) {
+	if class, ok := e.settings.Classes[o.Class]; ok && e.settings.Waits[class] > 0 {
+		o.Wait = min(o.Wait, e.settings.Waits[class]) // the class limits the wait that a client may ask for
 	}
-	x, err := e.add(c, o)
+	x, err := e.addExchange(c, o)
 	if err != nil {
 		return nil, err
 	}
 	if e.limits != nil {
 		var ok bool
-		x.under, ok = e.limits.Take(x.request.Class, x.request.Tenant, true)
+		x.limitBits, ok = e.limits.Take(x.request.Class, x.request.Tenant, true)
 		if x.request.OverLimit = !ok; !ok {
-			e.count.Beyond++
+			e.counters.Beyond++
 		}
 	}
-	e.push(event{kind: evRequest, x: x, request: x.request})
+	e.push(event{kind: evRequest, exchange: x, request: x.request})
 	return x, nil
 }
 
-// Adopt takes a connection that an egress target holds since before the start. The module hears of it once it
-// stands; no other target can take it.
-func (e *Engine) Adopt(c Client, o Offer, id string) (*Exchange, error) {
-	if o.Wait = min(o.Wait, adoptMost); e.table.Find(id) == nil {
-		o.Wait = min(o.Wait, adoptUnknown)
-	}
-	x, err := e.add(c, o)
+// Adopt creates the exchange for a connection that an egress target has held since before this
+// process started. The module learns of it once it is established. No other target can take it
+// over.
+func (e *Engine) Adopt(c Client, o ClientRequest, id string) (*Exchange, error) {
+	if o.Wait = min(o.Wait, maxAdoptWait); e.table.Find(id) == nil {
+		o.Wait = min(o.Wait, maxAdoptWaitUnlisted)
+	}
+	x, err := e.addExchange(c, o)
 	if err != nil {
 		return nil, err
 	}
-	// The hop starts with the others: one that fails at once must find the caller holding its exchange.
-	x.adopt = id
-	if e.limits != nil { // it stands already: it is counted, and not refused
-		x.under, _ = e.limits.Take(x.request.Class, x.request.Tenant, false)
+	// Deliver starts the hop, since a hop that fails at once needs the caller to hold its exchange.
+	x.adoptTarget = id
+	if e.limits != nil { // the connection exists already: it is counted, but never refused
+		x.limitBits, _ = e.limits.Take(x.request.Class, x.request.Tenant, false)
 	}
 	e.actions = append(e.actions, action{kind: acAdopt, id: x.id})
 	return x, nil
 }
 
-func (e *Engine) add(c Client, o Offer) (*Exchange, error) {
-	class, ok := e.set.Classes[o.Class]
+// addExchange validates a request and registers its exchange.
+func (e *Engine) addExchange(c Client, o ClientRequest) (*Exchange, error) {
+	class, ok := e.settings.Classes[o.Class]
 	if !ok {
 		return nil, ErrClass
 	}
-	tenant, err := e.tenant(o.Tenant)
+	tenant, err := e.tenantIndex(o.Tenant)
 	if err != nil {
 		return nil, err
 	}
-	if _, open := e.ids[o.ID]; open {
+	if _, open := e.clientIDs[o.ID]; open {
 		return nil, ErrInUse
 	}
 	if o.ID != "" {
-		e.ids[o.ID] = struct{}{}
+		e.clientIDs[o.ID] = struct{}{}
 	}
-	e.last++
-	e.count.Exchanges++
-	x := &Exchange{id: e.last, name: o.ID, engine: e, client: c, deadline: e.loop.Now().Add(o.Wait)}
+	e.lastID++
+	e.counters.Exchanges++
+	x := &Exchange{id: e.lastID, clientID: o.ID, engine: e, client: c, deadline: e.loop.Now().Add(o.Wait)}
 	x.request = balance.Request{
 		ID: x.id, Class: class, Tenant: tenant, Key: o.Key, Reconnect: o.Again,
-		Timeout: o.Wait - e.margin(o.Wait),
+		Timeout: o.Wait - e.answerMargin(o.Wait),
 	}
-	if e.set.Config.GroupAffinity {
+	if e.settings.Config.GroupAffinity {
 		x.request.Group = o.Group
 	}
 	e.exchanges[x.id] = x
-	x.timer.Fire = func() { e.overdue(x) }
-	e.loop.Arm(&x.timer, x.deadline.Add(-e.margin(o.Wait)/2))
+	x.timer.Fire = func() { e.answerOverdue(x) }
+	e.loop.Arm(&x.timer, x.deadline.Add(-e.answerMargin(o.Wait)/2))
 	return x, nil
 }
 
-// tenant finds whose an exchange is, -1 where it names nobody or where the settings name no tenants. A name that the settings
-// lack is a fault of the client: a target would answer it with an error, for which the target is not to blame.
-func (e *Engine) tenant(name string) (int, error) {
-	if name == "" || len(e.set.Tenants) == 0 {
+// tenantIndex returns the index of a tenant, or -1 if the request names none or the settings list
+// none. An unknown name is the client's fault: a target would answer it with an error and be blamed
+// for it.
+func (e *Engine) tenantIndex(name string) (int, error) {
+	if name == "" || len(e.settings.Tenants) == 0 {
 		return -1, nil
 	}
-	i, ok := e.set.Tenants[name]
+	i, ok := e.settings.Tenants[name]
 	if !ok {
 		return -1, ErrTenant
 	}
 	return i, nil
 }
 
-// margin is the part of a client's wait that is kept for the answer's way. The module may use what is before
-// it; the engine answers in the module's place when half of it is over.
-func (e *Engine) margin(wait time.Duration) time.Duration {
-	return min(e.tuning.AnswerMargin, wait/answerPart)
+// answerMargin returns the part of a client's wait that is reserved for delivering the answer. The
+// module may use the time before it; the engine answers in the module's place when half of the
+// margin is over.
+func (e *Engine) answerMargin(wait time.Duration) time.Duration {
+	return min(e.tuning.AnswerMargin, wait/answerMarginDivisor)
 }
 
-// release forgets an exchange with which nothing more happens: the one place where its entry and its timer are
-// given back.
+// release removes an exchange that has ended. It is the only place where the table entry, the timer
+// and the limits of an exchange are given back.
 func (e *Engine) release(x *Exchange) {
 	e.loop.Disarm(&x.timer)
-	if e.limits != nil && x.under != 0 {
-		e.limits.Release(x.under)
-		x.under = 0
+	if e.limits != nil && x.limitBits != 0 {
+		e.limits.Release(x.limitBits)
+		x.limitBits = 0
 	}
 	delete(e.exchanges, x.id)
-	delete(e.ids, x.name)
+	delete(e.clientIDs, x.clientID)
 }
 
-// overdue answers a client whose time is nearly up. The module's own time ends earlier, so that this is the
-// last resort that keeps one final answer a certainty.
-func (e *Engine) overdue(x *Exchange) {
+// answerOverdue answers a client whose wait is nearly over. The module's own deadline is earlier,
+// so this is the last resort that guarantees one final answer.
+func (e *Engine) answerOverdue(x *Exchange) {
 	if x.answered {
 		return
 	}
-	e.count.Overdue++
-	e.log.Printf("exchange %d: no answer from the module in time", x.id)
-	e.cutShort(x, e.set.Config.MaxRetryAfter)
+	e.counters.Overdue++
+	e.log.Printf("exchange %d: the module did not answer before the deadline", x.id)
+	e.forceAnswer(x, e.settings.Config.MaxRetryAfter)
 }
 
-// Advice is what a refused client may be told of when to come again: not longer than the settings have it heeded, and nothing where
-// they do not pass it on.
-func (e *Engine) Advice(most time.Duration) time.Duration {
-	return min(most, e.set.Config.MaxRetryAfter)
+// RetryAfter returns the retry delay that a refused client is given: most, but no longer than the
+// settings allow, and zero where the settings pass none on.
+func (e *Engine) RetryAfter(most time.Duration) time.Duration {
+	return min(most, e.settings.Config.MaxRetryAfter)
 }
 
-// inOrder returns all exchanges, the first one first: what is done to many must not depend on the order of a map.
-func (e *Engine) inOrder() []*Exchange {
+// sortedExchanges returns all exchanges, oldest first, so that operations on many of them do not
+// depend on map order.
+func (e *Engine) sortedExchanges() []*Exchange {
 	return slices.SortedFunc(maps.Values(e.exchanges), func(a, b *Exchange) int { return cmp.Compare(a.id, b.id) })
 }
 
-// Shutdown gives every exchange that has no answer yet its final one.
+// Shutdown gives each unanswered exchange its final answer.
 func (e *Engine) Shutdown(after time.Duration) {
-	for _, x := range e.inOrder() {
-		e.cutShort(x, after)
+	for _, x := range e.sortedExchanges() {
+		e.forceAnswer(x, after)
 	}
 }
 
+// tryAdopt starts the hop of an adopted connection if the route table has its target.
 func (e *Engine) tryAdopt(x *Exchange) {
-	to := e.table.Find(x.adopt)
+	to := e.table.Find(x.adoptTarget)
 	if to == nil {
-		e.adoptAgain(x, balance.NoConnect)
+		e.retryAdopt(x, balance.NoConnect)
 		return
 	}
-	e.hop(x, to, x.deadline.Sub(e.loop.Now()))
+	e.startHop(x, to, x.deadline.Sub(e.loop.Now()))
 }
 
-// adoptAgain tries once more after a hop that never ran: the route table may be old, the target busy with all
-// the others that are opened at the start.
-func (e *Engine) adoptAgain(x *Exchange, o balance.Outcome) {
+// retryAdopt schedules another attempt after a hop that never ran: the route table may be out of
+// date, or the target busy with all other connections that are opened at the start.
+func (e *Engine) retryAdopt(x *Exchange, o balance.Outcome) {
 	if x.answered {
 		e.release(x)
 		return
 	}
-	if left := x.deadline.Sub(e.loop.Now()); !o.NeverRan() || left < 2*adoptRest {
+	if left := x.deadline.Sub(e.loop.Now()); !o.NeverRan() || left < 2*adoptRetryInterval {
 		e.answer(x, false, 0)
 		e.release(x)
 		return
@@ -311,78 +325,80 @@
 			e.tryAdopt(x)
 		}
 	}
-	e.loop.After(t, adoptRest)
+	e.loop.After(t, adoptRetryInterval)
 }
 
-func (e *Engine) hop(x *Exchange, to *routes.Target, wait time.Duration) {
-	x.target, x.out, x.sentAt = to, true, time.Time{}
-	x.hops++
-	e.count.Hops++
-	if e.onHop != nil && x.adopt == "" {
-		e.onHop(x.request.Class, x.hops == 1 && !x.request.Reconnect)
-	}
-	known := e.heardAt
-	if e.vouched != nil {
-		if at := e.vouched(); at.After(known) {
+// startHop starts a hop of an exchange at a target and counts it.
+func (e *Engine) startHop(x *Exchange, to *routes.Target, wait time.Duration) {
+	x.target, x.hopActive, x.sentAt = to, true, time.Time{}
+	x.hopCount++
+	e.counters.Hops++
+	if e.onHop != nil && x.adoptTarget == "" {
+		e.onHop(x.request.Class, x.hopCount == 1 && !x.request.Reconnect)
+	}
+	known := e.discoveryAnsweredAt
+	if e.peerConfirmedAt != nil {
+		if at := e.peerConfirmedAt(); at.After(known) {
 			known = at
 		}
 	}
-	e.count.Aged(e.loop.Now().Sub(known))
-	if !to.StartedAt.IsZero() && e.loop.Now().Sub(to.StartedAt) < e.set.Config.Rules.WarmUpTime {
-		e.count.HopsCold++
+	e.counters.Aged(e.loop.Now().Sub(known))
+	if !to.StartedAt.IsZero() && e.loop.Now().Sub(to.StartedAt) < e.settings.Config.Rules.WarmUpTime {
+		e.counters.HopsCold++
 	}
 	x.client.Hop(to, wait)
 }
 
-// Probed tells what came of a probe.
+// Probed takes the outcome of a probe.
 func (e *Engine) Probed(id string, o balance.Outcome, rep balance.Report) {
 	if o != balance.OK {
-		e.count.ProbesFailed++
+		e.counters.ProbesFailed++
 		if o == balance.Error {
-			e.count.ProbesRefused++
+			e.counters.ProbesRefused++
 		}
 	}
 	e.push(event{kind: evProbed, target: id, outcome: o, report: rep})
-	e.saw(id, o, OfProbe)
+	e.reportOutcome(id, o, FromProbe)
 	if e.onProbed != nil {
 		e.onProbed(id, o == balance.OK, rep)
 	}
 }
 
-// news takes an answer of discovery, or why there was none.
-func (e *Engine) news(l *routes.List, err error) {
+// handleDiscoveryAnswer takes a list from discovery, or the error of the call.
+func (e *Engine) handleDiscoveryAnswer(l *routes.List, err error) {
 	if err != nil {
-		e.callFailed()
-		e.count.WatchesFailed++
+		e.recordFailedCall()
+		e.counters.WatchesFailed++
 		if errors.Is(err, routes.ErrBusy) {
-			e.count.WatchesBusy++
+			e.counters.WatchesBusy++
 		}
-		// Where many share discovery, every other call may fail: the counters have them all.
-		if now := e.loop.Now(); !e.broken && (e.complain.IsZero() || now.Sub(e.complain) >= complainDiscovery) {
+		// With many processes on one discovery, every other call may fail; the counters have
+		// them all.
+		if now := e.loop.Now(); !e.discoveryFailed && (e.discoveryLoggedAt.IsZero() || now.Sub(e.discoveryLoggedAt) >= discoveryLogInterval) {
 			e.log.Printf("discovery: %v", err)
-			e.broken, e.complain = true, now
+			e.discoveryFailed, e.discoveryLoggedAt = true, now
 		}
 		e.push(event{kind: evList, list: balance.ListBroken})
 		return
 	}
-	if e.broken {
-		e.log.Printf("discovery: answers again")
+	if e.discoveryFailed {
+		e.log.Printf("discovery: answering again")
 	}
-	before := e.heardAt
-	e.broken, e.heardAt = false, e.loop.Now()
+	before := e.discoveryAnsweredAt
+	e.discoveryFailed, e.discoveryAnsweredAt = false, e.loop.Now()
 	e.resumeSends(true)
-	if l.Seq < e.newest {
-		return // it was on its way while another process passed a later one on
+	if l.Seq < e.newestPeerSeq {
+		return // another process has passed on a later list meanwhile
 	}
-	e.births.SetStarts(l, e.heardAt, before)
-	e.take(l)
-	if e.onNews != nil {
-		e.onNews()
+	e.bootTimes.SetStarts(l, e.discoveryAnsweredAt, before)
+	e.applyList(l)
+	if e.onDiscoveryAnswer != nil {
+		e.onDiscoveryAnswer()
 	}
 }
 
-// take merges a list and tells the module.
-func (e *Engine) take(l *routes.List) {
+// applyList merges a list into the route table and tells the module.
+func (e *Engine) applyList(l *routes.List) {
 	kind := balance.ListPatch
 	if l.Whole {
 		kind = balance.ListWhole
@@ -390,7 +406,7 @@
 	stopped := e.table.Merge(l)
 	e.push(event{kind: evList, list: kind, entries: backends(l.Hosts)})
 	for _, id := range stopped {
-		e.recall(id)
+		e.cancelUnsentHops(id)
 		e.proofs.forget(id)
 		if e.table.Find(id) == nil {
 			e.prober.Forget(id)
@@ -398,31 +414,32 @@
 	}
 }
 
-// recall gives up the hops that have not reached a target which takes no new work: one that is still
-// connecting could be sent after the time that the rules leave for that.
-func (e *Engine) recall(id string) {
-	for _, x := range e.inOrder() {
-		if x.out && !x.standing && x.adopt == "" && x.target.ID == id && x.client.Recall() {
+// cancelUnsentHops cancels the hops whose request has not reached a target that takes no new work:
+// a hop that is still connecting could be sent after the time that the rules allow.
+func (e *Engine) cancelUnsentHops(id string) {
+	for _, x := range e.sortedExchanges() {
+		if x.hopActive && !x.established && x.adoptTarget == "" && x.target.ID == id && x.client.CancelUnsent() {
 			x.Ended(balance.NoConnect, noReport)
 		}
 	}
 }
 
-func (e *Engine) countEnd(o balance.Outcome) {
+// countOutcome counts the end of a hop.
+func (e *Engine) countOutcome(o balance.Outcome) {
 	switch o {
 	case balance.OK:
-		e.count.HopOK++
+		e.counters.HopOK++
 	case balance.Error:
-		e.count.HopError++
+		e.counters.HopError++
 	case balance.Rejected:
-		e.count.HopFull++
+		e.counters.HopFull++
 	case balance.TimedOut:
-		e.count.HopTimeout++
+		e.counters.HopTimeout++
 	case balance.NoConnect, balance.NotSent:
-		e.count.HopNoConnect++
+		e.counters.HopNoConnect++
 	case balance.Broken:
-		e.count.HopBroken++
+		e.counters.HopBroken++
 	case balance.Cancelled:
-		e.count.HopCancelled++
+		e.counters.HopCancelled++
 	}
 }
