--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -8,7 +8,7 @@
 	"ospreyspan/balance"
 )
 
-// printer is a relay that prints what it is asked to do.
+// printer is a Host that prints its actions.
 type printer struct{}
 
 func (printer) Send(id balance.RequestID, backend string, timeout time.Duration) {
@@ -20,14 +20,15 @@
 func (printer) Move(id balance.RequestID)                         { fmt.Println("move", id) }
 func (printer) Probe(backend string)                              { fmt.Println("probe", backend) }
 func (printer) Watch()                                            { fmt.Println("watch") }
-func (printer) After(d time.Duration, token uint64)               {} // a real relay sets a timer
+func (printer) After(d time.Duration, token uint64)               {} // a real host sets a timer
 
-// A relay tells its Balancer each event with its time, and carries out what the Balancer asks of it.
+// A relay passes each event, with its time, to its Balancer, and carries out the actions that the
+// Balancer calls for through the Host.
 func Example() {
 	cfg := balance.Config{
-		Balancers: 1,
-		Classes:   []balance.Class{{Aim: 500 * time.Millisecond, Worth: 1}},
-		MayProbe:  true,
+		Relays:   1,
+		Classes:  []balance.Class{{SetupTarget: 500 * time.Millisecond, Worth: 1}},
+		MayProbe: true,
 	}
 	b, err := balance.New(cfg, 1, printer{})
 	if err != nil {
@@ -36,8 +37,8 @@
 	}
 	at := func(us int64) time.Time { return time.UnixMicro(us) }
 	b.Start(at(0))
-	b.Members(at(0), balance.ListWhole, []balance.Backend{{ID: "east"}, {ID: "west"}})
-	b.Request(at(10), balance.Request{ID: 1, Left: 3 * time.Second})
+	b.DiscoveryUpdate(at(0), balance.ListWhole, []balance.Backend{{ID: "east"}, {ID: "west"}})
+	b.Request(at(10), balance.Request{ID: 1, Timeout: 3 * time.Second})
 
 	none := balance.Report{Load: math.NaN(), CPU: math.NaN()}
 	east, west := none, none
@@ -45,7 +46,7 @@
 	b.Probed(at(900), "east", balance.OK, east)
 	b.Probed(at(950), "west", balance.OK, west)
 
-	b.Started(at(9_000), 1)
+	b.Established(at(9_000), 1)
 	b.Finished(at(20_000_000), 1, 0, true, balance.OK, none)
 	// Unordered output:
 	// probe east
--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -19,12 +19,12 @@
 
 // Fleet is what a proxy needs that shares work with others.
 type Fleet struct {
-	Mesh          mesh.Config    // Loop, Heard and Tell are set here; Tell, if it is set, is told too
-	SameAddresses bool           // of targets, for all proxies
-	Verdicts      *Verdicts      // nil: each judges targets alone
-	Limits        *Limits        // nil: none holds for all together
-	Retries       *limit.Retries // of all together; nil: no budget
-	MovesPerS     float64        // at which the owner of moves paces them; 0: they are not paced
+	Mesh           mesh.Config    // Loop, Heard and Tell are set here; Tell, if it is set, is told too
+	SameAddresses  bool           // of targets, for all proxies
+	Verdicts       *Verdicts      // nil: each judges targets alone
+	Limits         *Limits        // nil: none holds for all together
+	Retries        *limit.Retries // of all together; nil: no budget
+	MovesPerSecond float64        // at which the owner of moves paces them; 0: they are not paced
 }
 
 // fleet joins a proxy with the others: it carries out duties that are held here, and uses the words of those that are held
@@ -63,7 +63,7 @@
 )
 
 func newFleet(i *Instance, loop *poll.Loop, c Config) (*fleet, error) {
-	f := &fleet{i: i, loop: loop, session: c.Fleet.Mesh.Session, lease: c.Fleet.Mesh.Terms.Lease, begun: loop.Now(), same: c.Fleet.SameAddresses, askWithin: min(c.Settings.Config.Rules.AskWithin, routes.ListLease)}
+	f := &fleet{i: i, loop: loop, session: c.Fleet.Mesh.Session, lease: c.Fleet.Mesh.Terms.Lease, begun: loop.Now(), same: c.Fleet.SameAddresses, askWithin: min(c.Settings.Config.Rules.MaxDiscoveryGap, routes.ListLease)}
 	m := c.Fleet.Mesh
 	tell := m.Tell
 	m.Loop, m.OnAnnouncement = loop, f.heard
@@ -73,7 +73,7 @@
 		}
 		f.changed(e)
 	}
-	if c.Settings.Config.Balancers > smallFleet {
+	if c.Settings.Config.Relays > smallFleet {
 		f.patience = time.Duration(patiencePart * float64(f.askWithin))
 	}
 	var share bool
@@ -83,8 +83,8 @@
 		f.probes = newProbes(f, true)
 		m.Members = f.probes.members
 	}
-	if c.Fleet.MovesPerS > 0 {
-		f.moves = newMoves(f, c.Fleet.MovesPerS)
+	if c.Fleet.MovesPerSecond > 0 {
+		f.moves = newMoves(f, c.Fleet.MovesPerSecond)
 	}
 	m.Direct = f.direct
 	f.together(c, &m)
@@ -98,9 +98,9 @@
 		f.look()
 	}
 	if slices.Contains(m.Duties, duty.Discovery) || len(m.Keepers) > 0 {
-		i.engine.OnNews(f.news)
-		i.engine.Watch().SetGuide(f.guide)
-		i.engine.Vouched(func() time.Time {
+		i.engine.OnDiscoveryAnswer(f.news)
+		i.engine.Watch().SetQueryPolicy(f.guide)
+		i.engine.SetPeerConfirmation(func() time.Time {
 			_, at, _ := f.node.Latest(duty.Discovery)
 			return at
 		})
@@ -163,7 +163,7 @@
 	}
 	if e.What == "own" && e.Lease == duty.Discovery {
 		f.said = nil
-		f.i.engine.Watch().Nudge()
+		f.i.engine.Watch().ReevaluatePolicy()
 	}
 }
 
@@ -292,8 +292,8 @@
 		f.i.Count.ListsRefused++
 		return
 	}
-	f.i.engine.Hear(h.List)
+	f.i.engine.ApplyPeerList(h.List)
 	if h.Unknown > 0 {
-		f.i.engine.Watch().Soon()
+		f.i.engine.Watch().RefetchSoon()
 	}
 }
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -13,16 +13,16 @@
 
 // Limits are what all proxies of a fleet together may take; all of them must have the same.
 type Limits struct {
-	Soft limit.Soft
-	List []limit.Limit
-	Tell func(LimitChange) // told when a limit begins to refuse, and when it ends; may be nil
+	Soft     limit.Soft
+	List     []limit.Limit
+	OnChange func(LimitChange) // told when a limit begins to refuse, and when it ends; may be nil
 }
 
 // LimitChange is a limit that began or ended to refuse.
 type LimitChange struct {
-	Limit     limit.Limit
-	Refuses   bool
-	Use, Room int // of this proxy
+	Limit            limit.Limit
+	Refusing         bool
+	InUse, Available int // of this proxy
 }
 
 // limits counts what stands here under each limit, and keeps to this process's part of it. What that is, internal/shared/limit
@@ -53,7 +53,7 @@
 
 func newLimits(f *fleet, c Limits, conf Config) *limits {
 	l := &limits{f: f, conf: c, begun: f.loop.Now()}
-	l.conf.Soft.Expect = max(c.Soft.Expect, conf.Settings.Config.Balancers)
+	l.conf.Soft.Expect = max(c.Soft.Expect, conf.Settings.Config.Relays)
 	for _, x := range c.List {
 		li := &limited{Limit: x, key: evidence.LimitKey(x.Name), class: index(x.Class, conf.Settings.Classes), tenant: index(x.Tenant, conf.Settings.Tenants)}
 		li.gate = limit.Gate{Soft: l.conf.Soft, Limit: &li.Limit}
@@ -143,7 +143,7 @@
 // audit compares what is counted with the engine's exchanges.
 func (l *limits) audit() error {
 	for i, x := range l.list {
-		if n := l.f.i.engine.Under(1 << i); n != x.use {
+		if n := l.f.i.engine.CountUnderLimit(1 << i); n != x.use {
 			return fmt.Errorf("limit %s: %d are counted, %d exchanges are under it", x.Name, x.use, n)
 		}
 	}
@@ -185,7 +185,7 @@
 			continue
 		}
 		if over := x.use - l.capacity(now, x); over > 0 {
-			l.f.i.Count.Yielded += l.f.i.engine.Yield(1<<i, over)
+			l.f.i.Count.Yielded += l.f.i.engine.MoveUnderLimit(1<<i, over)
 		}
 	}
 }
@@ -241,8 +241,8 @@
 }
 
 func (l *limits) tell(x *limited) {
-	if l.conf.Tell != nil {
-		l.conf.Tell(LimitChange{Limit: x.Limit, Refuses: x.refusing, Use: x.counted(l.f.loop.Now()), Room: x.free})
+	if l.conf.OnChange != nil {
+		l.conf.OnChange(LimitChange{Limit: x.Limit, Refusing: x.refusing, InUse: x.counted(l.f.loop.Now()), Available: x.free})
 	}
 }
 
--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -16,7 +16,7 @@
 type Verdicts struct {
 	Evidence evidence.Config
 	Judge    verdict.Config
-	Tell     func(Change) // told of each change, for the log; may be nil
+	OnChange func(VerdictChange) // told of each change, for the log; may be nil
 }
 
 // DefaultVerdicts have the figures that serve.
@@ -24,10 +24,10 @@
 	return Verdicts{Evidence: evidence.DefaultConfig(), Judge: verdict.DefaultConfig()}
 }
 
-// Change is a verdict that changed.
-type Change struct {
+// VerdictChange is a verdict that changed.
+type VerdictChange struct {
 	verdict.Finding
-	Was verdict.Verdict
+	Previous verdict.Verdict
 }
 
 const (
@@ -57,26 +57,26 @@
 }
 
 // saw takes an outcome of this proxy's own.
-func (v *verdicts) saw(target string, o balance.Outcome, of proxy.Occasion) {
+func (v *verdicts) saw(target string, o balance.Outcome, of proxy.OutcomeSource) {
 	var c evidence.Counts
 	switch o {
 	case balance.OK:
 		switch of {
-		case proxy.OfHop:
+		case proxy.FromHop:
 			c.OK = 1
-		case proxy.OfProbe:
+		case proxy.FromProbe:
 			c.Seen = 1
 		default:
 			return // a connection that its client ended tells nothing new
 		}
 	case balance.Error, balance.Broken:
-		if of == proxy.OfProbe {
+		if of == proxy.FromProbe {
 			return // it may answer so many probes only
 		}
 		c.Fail = 1
 	case balance.TimedOut:
 		c.Slow = 1
-		if of == proxy.OfProbe {
+		if of == proxy.FromProbe {
 			c.Silent, c.Slow = 1, 0
 		}
 	case balance.NoConnect:
@@ -115,7 +115,7 @@
 			if x.Condemned() && !was.Condemned() {
 				v.f.i.Count.Condemned++
 			}
-			v.tell(Change{x, was})
+			v.tell(VerdictChange{x, was})
 		}
 		span := now.UnixMilli() / trialEvery.Milliseconds()
 		mine := verdict.Turn(v.store.Me().Session, x.Target, span, verdict.Triers)
@@ -123,18 +123,18 @@
 		if x.Verdict == verdict.Returning && mine && !x.Tried {
 			until = time.Time{}
 		}
-		v.f.i.engine.Told(x.Target, until)
+		v.f.i.engine.AvoidUntil(x.Target, until)
 		if trial && x.Verdict != verdict.Failing && verdict.Turn(v.store.Me().Session, x.Target, span, members/probers) {
 			v.tried = now
 			v.f.i.Count.Trials++
-			v.f.i.engine.ProbeAlone(x.Target)
+			v.f.i.engine.ProbeDirectly(x.Target)
 		}
 	}
 	for _, id := range v.order {
 		if _, still := v.known[id]; !still {
 			v.f.i.Count.Acquitted++
-			v.f.i.engine.Told(id, time.Time{})
-			v.tell(Change{verdict.Finding{Target: id}, before[id].Verdict})
+			v.f.i.engine.AvoidUntil(id, time.Time{})
+			v.tell(VerdictChange{verdict.Finding{Target: id}, before[id].Verdict})
 		}
 	}
 	v.order = v.order[:0]
@@ -154,8 +154,8 @@
 	return all
 }
 
-func (v *verdicts) tell(c Change) {
-	if v.conf.Tell != nil {
-		v.conf.Tell(c)
+func (v *verdicts) tell(c VerdictChange) {
+	if v.conf.OnChange != nil {
+		v.conf.OnChange(c)
 	}
 }
--- a/internal/proxy/effects_test.go
+++ b/internal/proxy/effects_test.go
@@ -16,7 +16,7 @@
 // client may be told; and where a further hop may be sent. It is written down from the protocol, not computed: asserted at the
 // client's and the targets' ends of real connections. The test plays the module, which knows of no target.
 
-var effectKinds = map[string]string{
+var effectClasses = map[string]string{
 	"free":        `"Repeat":"free"`,
 	"single_shot": `"Repeat":"single_shot"`,
 	"all":         `"Repeat":"guarded","DedupScope":"all","WindowUs":60000000`,
@@ -48,22 +48,22 @@
 	{name: "no word and the end", word: "end", ran: true},
 }
 
-// refusable are the kinds that may be refused after a hop that may have run.
-var refusable = []string{"free", "all"}
+// refusableClasses are the kinds that may be refused after a hop that may have run.
+var refusableClasses = []string{"free", "all"}
 
-// placed are the targets, by kind of class, to which a further hop may go after one that may have run at the first: it is of zone
+// allowedTargets are the targets, by kind of class, to which a further hop may go after one that may have run at the first: it is of zone
 // z and cell 0, the others of z and 1, of y and 0, of y and 1.
-var placed = map[string][]int{"free": {0, 1, 2, 3}, "all": {0, 1, 2, 3}, "zone": {0, 1}, "cell": {0, 2}}
+var allowedTargets = map[string][]int{"free": {0, 1, 2, 3}, "all": {0, 1, 2, 3}, "zone": {0, 1}, "cell": {0, 2}}
 
-// effectBed is a proxy whose table names four targets of which the module does not know.
-func effectBed(t *testing.T, kind string) *bed {
+// newEffectTestBed is a proxy whose table names four targets of which the module does not know.
+func newEffectTestBed(t *testing.T, kind string) *testBed {
 	t.Helper()
-	b := newRealBedWith(t, 0, changed(t, `"Repeat":"free"`, effectKinds[kind], `"Cancel":true`, `"Cancel":false`))
+	b := newSocketTestBedWithSettings(t, 0, settingsWith(t, `"Repeat":"free"`, effectClasses[kind], `"Cancel":true`, `"Cancel":false`))
 	list := &routes.List{Seq: 1}
 	for i := range 4 {
 		l, err := b.loop.Listen(b.local, func(s *poll.Socket, _ bool) poll.Handler {
-			h := &end{sock: s}
-			b.hops = append(b.hops, h)
+			h := &testConn{sock: s}
+			b.targetConns = append(b.targetConns, h)
 			return h
 		})
 		if err != nil {
@@ -73,23 +73,23 @@
 		list.Hosts = append(list.Hosts, &routes.Target{ID: fmt.Sprint("s", i), Addr: l.Addr(), Site: string("zy"[i/2]), Block: i % 2})
 	}
 	b.engine.table.Merge(list)
-	b.base = b.loop.Open()
+	b.baseSockets = b.loop.Open()
 	return b
 }
 
-// brought has the first target bring a request into a state.
-func (b *bed) brought(x *Exchange, state int) {
+// driveTo has the first target bring a request into a state.
+func (b *testBed) driveTo(x *Exchange, state int) {
 	b.t.Helper()
 	s := hopStates[state]
 	if s.name == "held" {
 		return
 	}
-	b.engine.send(x, &action{target: "s0", span: time.Second})
+	b.engine.send(x, &action{target: "s0", duration: time.Second})
 	if s.name == "dialling" {
 		return
 	}
-	var h *end
-	b.until("the hop", func() bool { h = b.asked("a"); return h != nil })
+	var h *testConn
+	b.waitFor("the hop", func() bool { h = b.requestConn("a"); return h != nil })
 	switch {
 	case s.out:
 		return
@@ -99,61 +99,61 @@
 	case s.word == "end":
 		h.sock.Close()
 	default:
-		h.say(b.t, s.word)
+		h.write(b.t, s.word)
 		if s.name == "half a word and the end" {
 			h.sock.Close()
 		}
 	}
-	b.until("the end of the hop", func() bool { return !x.out })
+	b.waitFor("the end of the hop", func() bool { return !x.hopActive })
 }
 
-// age has the window be over where the kind says so.
-func age(kind string, x *Exchange) {
+// expireWindow has the window be over where the kind says so.
+func expireWindow(kind string, x *Exchange) {
 	if strings.HasSuffix(kind, ", over") {
-		x.ranAt, x.sentAt = x.ranAt.Add(-time.Minute), x.sentAt.Add(-time.Minute)
+		x.maybeRanSentAt, x.sentAt = x.maybeRanSentAt.Add(-time.Minute), x.sentAt.Add(-time.Minute)
 	}
 }
 
 // Who answers: the module by either word, the engine when time is over, and a planned stop.
 func TestEffectsOfAnswers(t *testing.T) {
-	for kind := range effectKinds {
+	for kind := range effectClasses {
 		for state, s := range hopStates {
 			for _, who := range []string{"refuse", "fail", "overdue", "stop", "client ends its sending"} {
 				if s.out && (who == "refuse" || who == "fail") {
 					continue // the module answers once its hop has ended
 				}
 				t.Run(fmt.Sprintf("%s/%s/%s", kind, s.name, who), func(t *testing.T) {
-					b := effectBed(t, kind)
-					c := b.client()
-					x := b.open(c, "a")
-					b.brought(x, state)
-					age(kind, x)
+					b := newEffectTestBed(t, kind)
+					c := b.dialClient()
+					x := b.openExchange(c, "a")
+					b.driveTo(x, state)
+					expireWindow(kind, x)
 					switch who {
 					case "refuse":
-						b.engine.carryOut(&action{kind: acRefuse, id: x.id})
+						b.engine.execute(&action{kind: acRefuse, id: x.id})
 					case "fail":
-						b.engine.carryOut(&action{kind: acFail, id: x.id})
+						b.engine.execute(&action{kind: acFail, id: x.id})
 					case "overdue":
-						b.engine.overdue(x)
+						b.engine.answerOverdue(x)
 					case "stop":
 						b.engine.Shutdown(0)
 					default:
 						c.sock.CloseWrite()
 					}
-					b.until("an answer", func() bool { return c.eof || c.reset })
+					b.waitFor("an answer", func() bool { return c.eof || c.reset })
 					want := "BUSY\r\n"
-					if who == "fail" || s.ran && !slices.Contains(refusable, kind) {
+					if who == "fail" || s.ran && !slices.Contains(refusableClasses, kind) {
 						want = "ERR\r\n"
 					}
-					if string(c.got) != want || c.reset {
-						t.Errorf("the client got %q, want %q", c.got, want)
+					if string(c.received) != want || c.reset {
+						t.Errorf("the client got %q, want %q", c.received, want)
 					}
-					for i, h := range b.hops { // nothing more is sent, and what was dialling is not sent either
-						if n := strings.Count(string(h.got), "OPEN"); n > 1 || n == 1 && s.name == "dialling" {
-							t.Errorf("connection %d was sent %q", i, h.got)
+					for i, h := range b.targetConns { // nothing more is sent, and what was dialling is not sent either
+						if n := strings.Count(string(h.received), "OPEN"); n > 1 || n == 1 && s.name == "dialling" {
+							t.Errorf("connection %d was sent %q", i, h.received)
 						}
 					}
-					b.over(c)
+					b.checkReleased(c)
 				})
 			}
 		}
@@ -162,30 +162,30 @@
 
 // To which targets a request may go again.
 func TestEffectsOfFurtherHops(t *testing.T) {
-	for kind := range effectKinds {
+	for kind := range effectClasses {
 		for state, s := range hopStates {
 			if s.out {
 				continue
 			}
 			want := []int{0, 1, 2, 3}
 			if s.ran {
-				want = placed[kind]
+				want = allowedTargets[kind]
 			}
 			var got []int
 			for to := range 4 {
-				b := effectBed(t, kind)
-				c := b.client()
-				x := b.open(c, "a")
-				b.brought(x, state)
-				age(kind, x)
-				before := len(b.hops)
-				b.engine.carryOut(&action{kind: acSend, id: x.id, target: fmt.Sprint("s", to), span: time.Second})
+				b := newEffectTestBed(t, kind)
+				c := b.dialClient()
+				x := b.openExchange(c, "a")
+				b.driveTo(x, state)
+				expireWindow(kind, x)
+				before := len(b.targetConns)
+				b.engine.execute(&action{kind: acSend, id: x.id, target: fmt.Sprint("s", to), duration: time.Second})
 				b.settle()
-				if x.out {
-					b.until("the hop", func() bool { return len(b.hops) > before && len(b.hops[before].got) > 0 })
+				if x.hopActive {
+					b.waitFor("the hop", func() bool { return len(b.targetConns) > before && len(b.targetConns[before].received) > 0 })
 					got = append(got, to)
 				}
-				b.over(c)
+				b.checkReleased(c)
 			}
 			if !slices.Equal(got, want) {
 				t.Errorf("%s, %s: sent on to %v, want %v", kind, s.name, got, want)
@@ -197,17 +197,17 @@
 // Advice that ends beyond the window invites a repeat that the targets no longer drop.
 func TestAdviceEndsWithinTheWindow(t *testing.T) {
 	for after, want := range map[time.Duration]string{59 * time.Second: "BUSY 59000\r\n", time.Minute: "ERR\r\n"} {
-		b := effectBed(t, "all")
-		c := b.client()
-		x := b.open(c, "a")
-		b.brought(x, 4)
-		b.engine.carryOut(&action{kind: acRefuse, id: x.id, span: after})
-		b.until("an answer", func() bool { return c.eof })
-		if string(c.got) != want {
-			t.Errorf("%v: got %q", after, c.got)
+		b := newEffectTestBed(t, "all")
+		c := b.dialClient()
+		x := b.openExchange(c, "a")
+		b.driveTo(x, 4)
+		b.engine.execute(&action{kind: acRefuse, id: x.id, duration: after})
+		b.waitFor("an answer", func() bool { return c.eof })
+		if string(c.received) != want {
+			t.Errorf("%v: got %q", after, c.received)
 		}
 	}
-	if hop, shed := permits(balance.Class{Repeat: balance.RepeatKeyed, Window: time.Second}, true, time.Second, true); hop || shed {
+	if hop, shed := permitted(balance.Class{Idempotency: balance.IdempotentByKey, DedupWindow: time.Second}, true, time.Second, true); hop || shed {
 		t.Error("the window's last instant counts as within it")
 	}
 }
--- a/internal/proxy/listwait.go
+++ b/internal/proxy/listwait.go
@@ -8,45 +8,48 @@
 	"ospreyspan/internal/poll"
 )
 
-// listWaitPart is the part of a client's remaining time for which a request may wait, once, for a list that is up to date.
-const listWaitPart = 8
+// listWaitDivisor is the divisor of a client's remaining wait: a request may wait for that
+// fraction, once, for an up-to-date list.
+const listWaitDivisor = 8
 
-// heldSend is an attempt that the module has decided on and that waits for a list that is up to date.
+// heldSend is an attempt that the module has decided on and that waits for an up-to-date list.
 type heldSend struct {
-	request *Exchange
-	action  action
-	since   time.Time
-	until   time.Time
+	exchange *Exchange
+	action   action
+	since    time.Time
+	until    time.Time
 }
 
-// listWait holds attempts back while the lease of the list has run out, see routes.Lease. Each waits a small part of its client's
-// time for a call to discovery that is made for it, as long as no such call has failed. Where discovery does not answer by then, an
-// attempt begins only at a server that is proven to take new work, see proofs. The engine owns it; what is held is given back in take,
-// by the list or by time.
+// listWait holds attempts while the lease of the list is expired, see routes.Lease. Each attempt
+// waits a small fraction of its client's remaining wait for a discovery call that is made for it,
+// as long as no such call has failed. If discovery does not answer by then, an attempt begins only
+// at a server that is proven to take new work, see acceptanceProofs. The engine owns the listWait;
+// resumeSends releases held attempts when a list arrives or their wait ends.
 type listWait struct {
 	held   []heldSend
 	timer  poll.Timer
-	failed bool // a call has failed since the lease ran out, or did not answer in time: the next one is not waited for
+	failed bool // a call has failed or not answered in time since the lease expired: do not wait for the next one
 }
 
-// holdSend holds an attempt back where the lease of the list has run out and its request has not waited for that yet.
+// holdSend holds an attempt if the lease of the list is expired and its request has not waited for
+// a list yet. It reports whether it does.
 func (e *Engine) holdSend(x *Exchange, a *action) bool {
 	now := e.loop.Now()
-	if !e.listExpired(now) || x.waitedForList || e.listWait.failed || e.proofs.holds(a.target, now) {
+	if !e.listLeaseExpired(now) || x.waitedForList || e.listWait.failed || e.proofs.valid(a.target, now) {
 		return false
 	}
 	x.waitedForList, x.held = true, true
-	e.count.ListWaits++
-	until := now.Add(x.deadline.Sub(now) / listWaitPart)
+	e.counters.ListWaits++
+	until := now.Add(x.deadline.Sub(now) / listWaitDivisor)
 	e.listWait.held = append(e.listWait.held, heldSend{x, *a, now, until})
-	e.watch.Urge()
+	e.watch.Expedite()
 	e.armListWait()
 	return true
 }
 
-// callFailed notes that a call to discovery has brought no list.
-func (e *Engine) callFailed() {
-	if e.listExpired(e.loop.Now()) {
+// recordFailedCall notes that a discovery call returned no list.
+func (e *Engine) recordFailedCall() {
+	if e.listLeaseExpired(e.loop.Now()) {
 		e.listWait.failed = true
 	}
 }
@@ -63,8 +66,8 @@
 	e.loop.Arm(&w.timer, first.until)
 }
 
-// resumeSends has attempts that were held carried out with the next batch: all of them where a list has come, else those whose
-// wait is over.
+// resumeSends queues held attempts for the next batch: all of them if a list has arrived, otherwise
+// those whose wait is over.
 func (e *Engine) resumeSends(listed bool) {
 	now := e.loop.Now()
 	if listed {
@@ -75,22 +78,23 @@
 			return false
 		}
 		e.listWait.failed = !listed
-		h.request.held = false
-		h.action.span = max(h.action.span-now.Sub(h.since), time.Millisecond)
+		h.exchange.held = false
+		h.action.duration = max(h.action.duration-now.Sub(h.since), time.Millisecond)
 		e.actions = append(e.actions, h.action)
 		return true
 	})
 	e.armListWait()
 }
 
-// dropHeld gives up an attempt that is held, since its client has left or has its answer. Each of the module's attempts has an end.
-func (e *Engine) dropHeld(x *Exchange) {
+// dropHeldSend drops a held attempt whose client has left or has been answered. Each attempt of the
+// module must end.
+func (e *Engine) dropHeldSend(x *Exchange) {
 	if !x.held {
 		return
 	}
 	x.held = false
-	e.listWait.held = slices.DeleteFunc(e.listWait.held, func(h heldSend) bool { return h.request == x })
+	e.listWait.held = slices.DeleteFunc(e.listWait.held, func(h heldSend) bool { return h.exchange == x })
 	e.armListWait()
-	x.hops++
-	e.push(event{kind: evEnded, x: x, attempt: x.hops - 1, settled: true, outcome: balance.NotSent, report: noReport})
+	x.hopCount++
+	e.push(event{kind: evEnded, exchange: x, attempt: x.hopCount - 1, settled: true, outcome: balance.NotSent, report: noReport})
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -96,11 +96,11 @@
 	}
 }
 
-var repeats = map[string]balance.Repeat{
-	"free": balance.RepeatFree, "guarded": balance.RepeatKeyed, "single_shot": balance.RepeatNever,
+var repeats = map[string]balance.Idempotency{
+	"free": balance.Idempotent, "guarded": balance.IdempotentByKey, "single_shot": balance.NotIdempotent,
 }
 
-var scopes = map[string]balance.Scope{
+var scopes = map[string]balance.DedupScope{
 	"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell,
 }
 
@@ -112,26 +112,26 @@
 		return nil, fmt.Errorf("options: %w", err)
 	}
 	cfg := balance.Config{
-		Balancers: s.Balancers,
-		Zone:      s.Zone,
+		Relays: s.Balancers,
+		Zone:   s.Zone,
 		Rules: balance.Rules{
-			AnswerSlack:  span(s.Invariants.AnswerSlackUs),
-			AskWithin:    span(s.Invariants.AskWithinUs),
-			ColdFrom:     s.Invariants.ColdFrom,
-			WarmWithin:   span(s.Invariants.WarmWithinUs),
-			FallMultiple: s.Invariants.TipMultiple,
-			FallWithin:   span(s.Invariants.FallUs),
+			AnswerSlack:     span(s.Invariants.AnswerSlackUs),
+			MaxDiscoveryGap: span(s.Invariants.AskWithinUs),
+			InitialCapacity: s.Invariants.ColdFrom,
+			WarmUpTime:      span(s.Invariants.WarmWithinUs),
+			OverloadFactor:  s.Invariants.TipMultiple,
+			OverloadWindow:  span(s.Invariants.FallUs),
 		},
-		Prices:      balance.Prices{CrossZone: s.Prices.CrossZone},
-		MaxAttempts: s.Permissions.AttemptsCap,
-		MayProbe:    s.Permissions.Probing,
-		MayCancel:   s.Permissions.Cancel,
-		Subscribe:   s.Discovery == "subscribe",
-		Groups:      s.Domain.Groups,
-		Park:        span(s.Domain.ParkUs),
+		Prices:          balance.Prices{CrossZone: s.Prices.CrossZone},
+		MaxAttempts:     s.Permissions.AttemptsCap,
+		MayProbe:        s.Permissions.Probing,
+		MayCancel:       s.Permissions.Cancel,
+		Subscribe:       s.Discovery == "subscribe",
+		GroupAffinity:   s.Domain.Groups,
+		DetachedTimeout: span(s.Domain.ParkUs),
 	}
 	if s.Permissions.RetryAfter {
-		cfg.MaxAdvice = span(s.Permissions.MaxRetryAfterUs)
+		cfg.MaxRetryAfter = span(s.Permissions.MaxRetryAfterUs)
 	}
 	r := &Settings{
 		Classes: make(map[string]int), Tenants: make(map[string]int), Fields: s.Report.Fields,
@@ -142,22 +142,22 @@
 	for i, c := range s.Classes {
 		repeat, ok := repeats[c.Repeat]
 		if !ok {
-			repeat = balance.RepeatNever
+			repeat = balance.NotIdempotent
 		}
 		scope, ok := scopes[c.DedupScope]
 		if !ok {
 			scope = balance.ScopeCell
 		}
 		class := balance.Class{
-			Aim: span(c.TargetUs), Worth: c.Worth,
-			Repeat: repeat, Scope: scope, Window: span(c.WindowUs),
+			SetupTarget: span(c.TargetUs), Worth: c.Worth,
+			Idempotency: repeat, DedupScope: scope, DedupWindow: span(c.WindowUs),
 		}
 		r.Waits = append(r.Waits, span(c.HardLimitUs))
 		if i < len(s.Domain.MessageAimUs) {
 			if aim := span(s.Domain.MessageAimUs[i]); aim > 0 && (r.MessageAim == 0 || aim < r.MessageAim) {
 				r.MessageAim = aim
 			}
-			class.MessageAim = span(s.Domain.MessageAimUs[i])
+			class.MessageTarget = span(s.Domain.MessageAimUs[i])
 		}
 		cfg.Classes = append(cfg.Classes, class)
 		r.Classes[c.Name] = i
@@ -165,7 +165,7 @@
 	for i, t := range s.Orgs {
 		var tenant balance.Tenant
 		if i < len(s.Domain.TenantQuotaConnections) {
-			tenant.Connections = s.Domain.TenantQuotaConnections[i]
+			tenant.ConnectionQuota = s.Domain.TenantQuotaConnections[i]
 		}
 		cfg.Tenants = append(cfg.Tenants, tenant)
 		r.Tenants[t.Name] = i
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -50,7 +50,7 @@
 	Backend  string
 	Outcome  balance.Outcome
 	Report   balance.Report
-	Note     balance.Note
+	Note     balance.Metric
 	Known    bool // the kind of note is known
 	Level    float64
 	Token    uint64
@@ -73,7 +73,7 @@
 }
 
 var outcomes = map[string]balance.Outcome{
-	"pass": balance.OK, "fault": balance.Error, "no_room": balance.Full, "too_slow": balance.TimedOut,
+	"pass": balance.OK, "fault": balance.Error, "no_room": balance.Rejected, "too_slow": balance.TimedOut,
 	"no_route": balance.NoConnect, "cut": balance.Broken, "undone": balance.Cancelled,
 	"stale_send": balance.NotSent,
 }
@@ -245,7 +245,7 @@
 		sort := r.integer(4)
 		e.Known = sort == 1 || sort == 2
 		if sort == 2 {
-			e.Note = balance.NoteDelay
+			e.Note = balance.MetricDelay
 		}
 		e.Level = r.number(r.parts[5])
 	case Finished:
@@ -283,12 +283,12 @@
 	if !absent(r.parts[4]) {
 		q.Key = string(r.parts[4])
 	}
-	q.Left = time.Duration(r.optional(5)) * time.Microsecond
+	q.Timeout = time.Duration(r.optional(5)) * time.Microsecond
 	if !absent(r.parts[7]) {
 		q.Group = string(r.parts[7])
 	}
 	bits := r.optional(8)
-	q.MidFlow, q.Again = bits&bitMidFlow != 0, bits&bitAgain != 0
+	q.MidFlow, q.Reconnect = bits&bitMidFlow != 0, bits&bitAgain != 0
 	if e.Kind == Handover {
 		e.Backend = r.backend(9)
 	}
@@ -330,7 +330,7 @@
 			Size:  1,
 		}
 		if boot := r.optional(6); boot != 0 {
-			b.Boot = time.UnixMicro(boot)
+			b.StartTime = time.UnixMicro(boot)
 		}
 		if !absent(r.parts[5]) {
 			b.Size = r.number(r.parts[5])
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -52,22 +52,22 @@
 		t.Fatalf("got %+v", e)
 	}
 	c := e.Config
-	if c.Balancers != 4 || c.Zone != "z" || !c.Subscribe || !c.Groups || c.MaxAttempts != 5 ||
-		!c.MayProbe || !c.MayCancel || c.MaxAdvice != 1500*time.Millisecond || c.Park != 4*time.Second {
+	if c.Relays != 4 || c.Zone != "z" || !c.Subscribe || !c.GroupAffinity || c.MaxAttempts != 5 ||
+		!c.MayProbe || !c.MayCancel || c.MaxRetryAfter != 1500*time.Millisecond || c.DetachedTimeout != 4*time.Second {
 		t.Errorf("config %+v", c)
 	}
 	if want := (balance.Rules{
-		AnswerSlack: 8 * time.Millisecond, AskWithin: 10 * time.Second, ColdFrom: 0.12, WarmWithin: 22 * time.Second, FallMultiple: 3,
-		FallWithin: 1500 * time.Millisecond,
+		AnswerSlack: 8 * time.Millisecond, MaxDiscoveryGap: 10 * time.Second, InitialCapacity: 0.12, WarmUpTime: 22 * time.Second, OverloadFactor: 3,
+		OverloadWindow: 1500 * time.Millisecond,
 	}); c.Rules != want {
 		t.Errorf("rules %+v", c.Rules)
 	}
 	if want := (balance.Class{
-		Aim: 300 * time.Millisecond, Worth: 3, Repeat: balance.RepeatKeyed, Scope: balance.ScopeCell, Window: 5 * time.Second,
+		SetupTarget: 300 * time.Millisecond, Worth: 3, Idempotency: balance.IdempotentByKey, DedupScope: balance.ScopeCell, DedupWindow: 5 * time.Second,
 	}); c.Classes[1] != want {
 		t.Errorf("class %+v", c.Classes[1])
 	}
-	if want := (balance.Tenant{Connections: 39}); c.Tenants[0] != want {
+	if want := (balance.Tenant{ConnectionQuota: 39}); c.Tenants[0] != want {
 		t.Errorf("tenant %+v", c.Tenants[0])
 	}
 }
@@ -79,12 +79,12 @@
 	}{
 		{"INGRESS 3 2322303265968580 c1 t0 91f0 240000 12000 2b8e 24", func(e Event) bool {
 			return e.Kind == Ingress && e.Request == balance.Request{
-				ID: 2322303265968580, Class: 1, Tenant: 0, Key: "91f0", Group: "2b8e", Left: 240 * time.Millisecond,
-				MidFlow: true, Again: true,
+				ID: 2322303265968580, Class: 1, Tenant: 0, Key: "91f0", Group: "2b8e", Timeout: 240 * time.Millisecond,
+				MidFlow: true, Reconnect: true,
 			}
 		}},
 		{"INGRESS 3 1 other 0 - 5 - - 0", func(e Event) bool {
-			return e.Request == balance.Request{ID: 1, Class: -1, Tenant: -1, Left: 5 * time.Microsecond}
+			return e.Request == balance.Request{ID: 1, Class: -1, Tenant: -1, Timeout: 5 * time.Microsecond}
 		}},
 		{"HANDOVER 3 9 c0 - - 5 - - - b1", func(e Event) bool {
 			return e.Kind == Handover && e.Request.ID == 9 && e.Backend == "b1"
@@ -96,9 +96,9 @@
 			return e.Kind == Streaming && e.Request.ID == 9 && e.Backend == "b1"
 		}},
 		{"HEARTBEAT 3 9 0 b1 1 12.5", func(e Event) bool {
-			return e.Kind == Heartbeat && e.Known && e.Note == balance.NoteLoad && e.Level == 12.5
+			return e.Kind == Heartbeat && e.Known && e.Note == balance.MetricLoad && e.Level == 12.5
 		}},
-		{"HEARTBEAT 3 9 0 b1 2 80", func(e Event) bool { return e.Known && e.Note == balance.NoteDelay }},
+		{"HEARTBEAT 3 9 0 b1 2 80", func(e Event) bool { return e.Known && e.Note == balance.MetricDelay }},
 		{"HEARTBEAT 3 9 0 b1 7 80", func(e Event) bool { return !e.Known }},
 		{"FINISHED 3 9 1 b1 pass 0 18500 -", func(e Event) bool {
 			return e.Kind == Finished && e.Settled && e.Outcome == balance.OK && e.Attempt == 0 &&
@@ -145,8 +145,8 @@
 		t.Fatal(err)
 	}
 	first, second := all[2].Backends, all[3].Backends
-	want := balance.Backend{ID: "b0", Zone: "z", Cell: 4, State: balance.Ready, Size: 1.5, Boot: time.UnixMicro(6100000)}
-	if len(first) != 2 || first[0] != want || first[1].State != balance.Draining || !first[1].Boot.IsZero() {
+	want := balance.Backend{ID: "b0", Zone: "z", Cell: 4, State: balance.Ready, Size: 1.5, StartTime: time.UnixMicro(6100000)}
+	if len(first) != 2 || first[0] != want || first[1].State != balance.Draining || !first[1].StartTime.IsZero() {
 		t.Errorf("first list %+v", first)
 	}
 	if len(second) != 1 || second[0].ID != "b2" || second[0].State != balance.Gone {
@@ -199,7 +199,7 @@
 func TestLongLines(t *testing.T) {
 	long := strings.Replace(options, `"Unheard":{"of":[1]}`, `"Unheard":"`+strings.Repeat("x", 1<<18)+`"`, 1)
 	all, err := readAll("FRAME 1\nCONFIGURE 3 77 " + long + "\nYOUR_TURN\nFRAME 2\nYOUR_TURN\n")
-	if err != nil || len(all) != 5 || all[1].Config.Balancers != 4 {
+	if err != nil || len(all) != 5 || all[1].Config.Relays != 4 {
 		t.Errorf("read %d events, error %v", len(all), err)
 	}
 }
