--- a/internal/instance/descriptors_test.go
+++ b/internal/instance/descriptors_test.go
@@ -8,54 +8,54 @@
 	"time"
 )
 
-// crowd connects so many clients at once; each sends a line, or nothing if text is nil.
-func (s *scene) crowd(n int, text func(i int) string) []*end {
+// connectClients connects so many clients at once; each sends a line, or nothing if text is nil.
+func (s *testBed) connectClients(n int, text func(i int) string) []*testConn {
 	s.t.Helper()
-	all := make([]*end, n)
+	all := make([]*testConn, n)
 	for i := range all {
-		all[i] = &end{now: s.w.Now}
+		all[i] = &testConn{now: s.world.Now}
 		var err error
-		if all[i].sock, err = s.clients.loop.Dial(netip.AddrPortFrom(s.proxy.Addr(), port), all[i]); err != nil {
+		if all[i].socket, err = s.clients.loop.Dial(netip.AddrPortFrom(s.proxy.Addr(), port), all[i]); err != nil {
 			s.t.Fatal(err)
 		}
-		all[i].sock.Want(true, true)
+		all[i].socket.Want(true, true)
 	}
 	for range 10 {
 		s.run(ms)
 	}
 	for i, e := range all {
-		if text != nil && e.up && !e.over {
-			s.say(e, text(i))
+		if text != nil && e.established && !e.closed {
+			s.send(e, text(i))
 		}
 	}
 	return all
 }
 
-// serve has the relays answer each request with UP, for a while.
-func (s *scene) serve(d time.Duration) {
+// answerRequests has the relays answer each request with UP, for a while.
+func (s *testBed) answerRequests(d time.Duration) {
 	s.t.Helper()
-	for begin := s.w.Now(); s.w.Now().Sub(begin) < d; s.run(2 * ms) {
-		for _, r := range s.relays {
-			for _, e := range r.taken {
+	for begin := s.world.Now(); s.world.Now().Sub(begin) < d; s.run(2 * ms) {
+		for _, r := range s.targets {
+			for _, e := range r.accepted {
 				switch {
-				case e.over:
-				case strings.HasPrefix(e.got, "OPEN "):
-					e.got = ""
-					s.say(e, "UP r\r\n")
-				case e.got == "STATS\r\n":
-					e.got = ""
-					s.say(e, "PONG x0=0.1\r\n")
+				case e.closed:
+				case strings.HasPrefix(e.received, "OPEN "):
+					e.received = ""
+					s.send(e, "UP r\r\n")
+				case e.received == "STATS\r\n":
+					e.received = ""
+					s.send(e, "PONG x0=0.1\r\n")
 				}
 			}
 		}
 	}
 }
 
-// answers counts the clients by the first word that they got.
-func answers(all []*end) map[string]int {
+// countAnswers counts the clients by the first word that they got.
+func countAnswers(all []*testConn) map[string]int {
 	count := make(map[string]int)
 	for _, e := range all {
-		word, _, _ := strings.Cut(strings.TrimSuffix(e.got, "\r\n"), " ")
+		word, _, _ := strings.Cut(strings.TrimSuffix(e.received, "\r\n"), " ")
 		count[word]++
 	}
 	return count
@@ -67,51 +67,51 @@
 	const sockets = 200
 	for _, asking := range []int{60, 140, 190} {
 		t.Run(fmt.Sprint(asking, " requests"), func(t *testing.T) {
-			s := newSceneWith(t, 2, sockets, testSettings)
+			s := newTestBedWith(t, 2, sockets, testSettings)
 			s.discovery.host.Kill()
-			s.discovery.taken = nil
+			s.discovery.accepted = nil
 			s.run(100 * ms)
-			served := s.crowd(asking, func(i int) string { return fmt.Sprintf("OPEN a%d k%d c=c,d=2000\r\n", i, i) })
-			s.crowd(300, nil)
-			s.serve(500 * ms)
-			got := answers(served)
+			served := s.connectClients(asking, func(i int) string { return fmt.Sprintf("OPEN a%d k%d c=c,d=2000\r\n", i, i) })
+			s.connectClients(300, nil)
+			s.answerRequests(500 * ms)
+			got := countAnswers(served)
 			if got["UP"]+got["BUSY"] != asking || got["UP"] < min(asking, (sockets-60)/2) {
 				t.Errorf("%d requests were answered %v", asking, got)
 			}
 			if s.proxy.Open()+processDescriptors >= sockets {
 				t.Errorf("%d descriptors of %d are open", s.proxy.Open()+processDescriptors, sockets)
 			}
-			s.start(s.discovery, true)
-			s.crowd(300, nil)
-			s.serve(2500 * ms)
-			if len(s.discovery.taken) == 0 {
+			s.startHost(s.discovery, true)
+			s.connectClients(300, nil)
+			s.answerRequests(2500 * ms)
+			if len(s.discovery.accepted) == 0 {
 				t.Error("no call reached discovery after its return")
 			}
 		})
 	}
 }
 
-// probing is testSettings with probes.
-var probing = strings.Replace(testSettings, `"Probing":false`, `"Probing":true`, 1)
+// probingSettings is testSettings with probes.
+var probingSettings = strings.Replace(testSettings, `"Probing":false`, `"Probing":true`, 1)
 
 // A process with more targets than descriptors keeps connections for probes, over half of all that it may hold, which make room for
 // clients and their attempts.
 func TestProbesLeaveDescriptors(t *testing.T) {
 	const targets, sockets = 1024, 180
-	s := newSceneWith(t, targets, sockets, probing)
-	for i, target := range s.known.Hosts { // a few at once, as the module asks
-		if s.inst.front.Probe(target); i%8 == 7 {
-			s.serve(6 * ms)
+	s := newTestBedWith(t, targets, sockets, probingSettings)
+	for i, target := range s.knownList.Hosts { // a few at once, as the module asks
+		if s.instance.front.Probe(target); i%8 == 7 {
+			s.answerRequests(6 * ms)
 		}
 	}
-	s.serve(20 * ms)
-	if open := s.proxy.Open() + processDescriptors; s.inst.Count.ProbesFailed > 0 || open < sockets/2 {
-		t.Errorf("%d probes failed, %d descriptors are open", s.inst.Count.ProbesFailed, open)
+	s.answerRequests(20 * ms)
+	if open := s.proxy.Open() + processDescriptors; s.instance.Count.ProbesFailed > 0 || open < sockets/2 {
+		t.Errorf("%d probes failed, %d descriptors are open", s.instance.Count.ProbesFailed, open)
 	}
-	served := s.crowd(40, func(i int) string { return fmt.Sprintf("OPEN a%d k%d c=c,d=2000\r\n", i, i) })
-	s.crowd(150, nil)
-	s.serve(500 * ms)
-	if got := answers(served); got["UP"] != len(served) {
+	served := s.connectClients(40, func(i int) string { return fmt.Sprintf("OPEN a%d k%d c=c,d=2000\r\n", i, i) })
+	s.connectClients(150, nil)
+	s.answerRequests(500 * ms)
+	if got := countAnswers(served); got["UP"] != len(served) {
 		t.Errorf("%d requests were answered %v", len(served), got)
 	}
 	if open := s.proxy.Open() + processDescriptors; open >= sockets {
--- a/internal/instance/idle_test.go
+++ b/internal/instance/idle_test.go
@@ -25,14 +25,14 @@
 		"pushed":      {`"Balancers":1,"Zone":"z","Discovery":"subscribe"`, `"Balancers":300,"Zone":"z","Discovery":"automatic"`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSceneWith(t, 1, 0, strings.Replace(testSettings, change[0], change[1], 1))
-			list := fmt.Sprintf(`{"seq":2,"whole":true,"hosts":[{"host":"s0","dial":"%s","health":"SERVING","share":1}]}`, s.known.Hosts[0].Addr)
-			last, longest := s.w.Now(), time.Duration(0)
-			for begin := s.w.Now(); s.w.Now().Sub(begin) < time.Minute; s.run(20 * ms) {
+			s := newTestBedWith(t, 1, 0, strings.Replace(testSettings, change[0], change[1], 1))
+			list := fmt.Sprintf(`{"seq":2,"whole":true,"hosts":[{"host":"s0","dial":"%s","health":"SERVING","share":1}]}`, s.knownList.Hosts[0].Addr)
+			last, longest := s.world.Now(), time.Duration(0)
+			for begin := s.world.Now(); s.world.Now().Sub(begin) < time.Minute; s.run(20 * ms) {
 				if s.answerCalls(list) {
-					last = s.w.Now()
+					last = s.world.Now()
 				}
-				longest = max(longest, s.w.Now().Sub(last))
+				longest = max(longest, s.world.Now().Sub(last))
 			}
 			most := 50 * ms
 			if name == "one of many" {
@@ -46,17 +46,17 @@
 }
 
 // answerCalls has discovery answer the calls that are there with a list, watches after a second, and tells whether there was one.
-func (s *scene) answerCalls(list string) (open bool) {
-	for _, call := range s.discovery.taken {
-		if call.over || !strings.HasSuffix(call.got, "\r\n\r\n") {
+func (s *testBed) answerCalls(list string) (open bool) {
+	for _, call := range s.discovery.accepted {
+		if call.closed || !strings.HasSuffix(call.received, "\r\n\r\n") {
 			continue
 		}
 		open = true
-		if watch := strings.Contains(call.got, "index="); watch && s.w.Now().Sub(call.at) < time.Second {
+		if watch := strings.Contains(call.received, "index="); watch && s.world.Now().Sub(call.lastReadAt) < time.Second {
 			continue // it is answered when its wait is over
 		}
-		call.got = ""
-		s.say(call, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list))
+		call.received = ""
+		s.send(call, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list))
 	}
 	return open
 }
@@ -64,40 +64,40 @@
 // A process all of whose targets fail, and are well again, does not turn away its clients for good: within 4 s there is an attempt.
 // Discovery answers all the while: where it is silent for over 6 s, no attempt may go to a target that has taken nothing lately.
 func TestProcessTriesAgain(t *testing.T) {
-	s := newScene(t, 2)
-	s.crowd(0, nil)
-	for _, r := range s.relays {
+	s := newTestBed(t, 2)
+	s.connectClients(0, nil)
+	for _, r := range s.targets {
 		r.host.Kill()
-		r.taken = nil
+		r.accepted = nil
 	}
 	next := 0
 	ask := func(d time.Duration, served bool) {
-		for begin := s.w.Now(); s.w.Now().Sub(begin) < d; {
+		for begin := s.world.Now(); s.world.Now().Sub(begin) < d; {
 			s.answerCalls(`{"seq":2,"whole":false,"hosts":[]}`)
 			next++
-			s.crowd(1, func(int) string { return fmt.Sprintf("OPEN a%d k%d c=c,d=500\r\n", next, next) })
+			s.connectClients(1, func(int) string { return fmt.Sprintf("OPEN a%d k%d c=c,d=500\r\n", next, next) })
 			if served {
-				s.serve(40 * ms)
+				s.answerRequests(40 * ms)
 			} else {
 				s.run(40 * ms)
 			}
 		}
 	}
-	attempts := s.inst.Count.Hops
+	attempts := s.instance.Count.Hops
 	for range 4 {
 		ask(4*time.Second, false)
-		if s.inst.Count.Hops == attempts {
+		if s.instance.Count.Hops == attempts {
 			t.Error("no attempt for 4 s while all targets are down")
 		}
-		attempts = s.inst.Count.Hops
+		attempts = s.instance.Count.Hops
 	}
-	for _, r := range s.relays {
-		s.start(r, true)
+	for _, r := range s.targets {
+		s.startHost(r, true)
 	}
-	up := s.inst.Count.Up
+	up := s.instance.Count.Up
 	ask(4*time.Second, true)
-	if s.inst.Count.Up == up {
-		t.Errorf("nobody is served 4 s after the targets' return; %d attempts", s.inst.Count.Hops-attempts)
+	if s.instance.Count.Up == up {
+		t.Errorf("nobody is served 4 s after the targets' return; %d attempts", s.instance.Count.Hops-attempts)
 	}
 }
 
@@ -113,25 +113,25 @@
 	for i := range 90 {
 		known.Hosts = append(known.Hosts, &routes.Target{ID: fmt.Sprint("old", i), Addr: netip.MustParseAddrPort("10.9.9.9:1"), Site: "z"})
 	}
-	s := &scene{t: t, w: w, known: known}
-	s.clients, s.discovery = s.far("clients", 2, false), s.far("discovery", 3, true)
-	s.relays = []*far{s.far("relay", 10, true)}
+	s := &testBed{t: t, world: w, knownList: known}
+	s.clients, s.discovery = s.addHost("clients", 2, false), s.addHost("discovery", 3, true)
+	s.targets = []*testHost{s.addHost("relay", 10, true)}
 	s.proxy = w.AddHost("proxy", netip.MustParseAddr("10.0.0.1"), vnet.Limits{})
 	err = s.proxy.Start(func(k poll.Kernel) (func() error, error) {
-		s.inst, err = New(poll.NewOn(k, func() {}), Config{
-			Name: "p", Listen: netip.AddrPortFrom(s.proxy.Addr(), port), Discovery: s.at(s.discovery), Seed: 1,
+		s.instance, err = New(poll.NewOn(k, func() {}), Config{
+			Name: "p", Listen: netip.AddrPortFrom(s.proxy.Addr(), port), Discovery: s.addrOf(s.discovery), Seed: 1,
 			KnownList: known, Settings: set, Log: log.New(io.Discard, "", 0),
 		})
-		return func() error { return s.inst.Turn() }, err
+		return func() error { return s.instance.Turn() }, err
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.run(10 * ms)
-	s.tell(fmt.Sprintf(`{"seq":900,"whole":true,"hosts":[{"host":"s0","dial":"%s","health":"SERVING","share":1}]}`, s.at(s.relays[0])))
-	c := s.crowd(1, func(int) string { return "OPEN a k c=c,d=1000\r\n" })
-	s.serve(300 * ms)
-	if c[0].got != "UP r\r\n" {
-		t.Errorf("got %q", c[0].got)
+	s.answerCall(fmt.Sprintf(`{"seq":900,"whole":true,"hosts":[{"host":"s0","dial":"%s","health":"SERVING","share":1}]}`, s.addrOf(s.targets[0])))
+	c := s.connectClients(1, func(int) string { return "OPEN a k c=c,d=1000\r\n" })
+	s.answerRequests(300 * ms)
+	if c[0].received != "UP r\r\n" {
+		t.Errorf("got %q", c[0].received)
 	}
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -35,12 +35,12 @@
 
 // Instance is one proxy. It belongs to its loop's goroutine.
 type Instance struct {
-	Count  stats.Counters
-	loop   *poll.Loop
-	engine *proxy.Engine
-	front  *proxy.Lines
-	done   bool
-	fleet  *fleet
+	Count   stats.Counters
+	loop    *poll.Loop
+	engine  *proxy.Engine
+	front   *proxy.Lines
+	drained bool
+	fleet   *fleet
 }
 
 // New starts a proxy on a loop, which stays the caller's.
@@ -87,7 +87,7 @@
 		i.fleet.leave() // its duties go to another at once, not when the lease ends
 	}
 	i.front.Drain(func() {
-		i.done = true
+		i.drained = true
 		if i.fleet != nil {
 			i.fleet.node.Leave() // what was kept for clients that stood
 			i.fleet.close()
@@ -125,7 +125,7 @@
 }
 
 // Done tells whether a planned stop is over.
-func (i *Instance) Done() bool { return i.done }
+func (i *Instance) Done() bool { return i.drained }
 
 // Reload moves the watch to another address of discovery and changes the limit of descriptors.
 func (i *Instance) Reload(discovery netip.AddrPort, sockets int) {
--- a/internal/instance/retries.go
+++ b/internal/instance/retries.go
@@ -10,17 +10,17 @@
 // retries keeps the further hops of all proxies together to a part of the first ones. Each tells how many of both it made within
 // the budget's time; while the sum of the further ones that are known is over the budget, the module makes none.
 type retries struct {
-	f       *fleet
-	conf    limit.Retries
-	stale   time.Duration
-	first   []time.Time
-	further []time.Time
-	thrifty bool
-	told    time.Time
+	fleet       *fleet
+	config      limit.Retries
+	staleAfter  time.Duration
+	firstHops   []time.Time
+	furtherHops []time.Time
+	overBudget  bool
+	publishedAt time.Time
 }
 
-// tellEvery is the time between two words on what was made of late.
-const tellEvery = time.Second
+// publishInterval is the time between two words on what was made of late.
+const publishInterval = time.Second
 
 const (
 	firstKey   = evidence.LimitPrefix + "hops, first"
@@ -28,50 +28,50 @@
 )
 
 func newRetries(f *fleet, c limit.Retries, stale time.Duration) *retries {
-	r := &retries{f: f, conf: c, stale: stale}
-	f.i.engine.OnHop(r.hop)
+	r := &retries{fleet: f, config: c, staleAfter: stale}
+	f.instance.engine.OnHop(r.onHop)
 	return r
 }
 
-func (r *retries) hop(_ int, first bool) {
-	now := r.f.loop.Now()
+func (r *retries) onHop(_ int, first bool) {
+	now := r.fleet.loop.Now()
 	if first {
-		r.first = append(r.first, now)
+		r.firstHops = append(r.firstHops, now)
 		return
 	}
-	r.further = append(r.further, now)
-	r.f.i.Count.Further++
+	r.furtherHops = append(r.furtherHops, now)
+	r.fleet.instance.Count.Further++
 }
 
-func since(list []time.Time, from time.Time) []time.Time {
+func dropBefore(list []time.Time, from time.Time) []time.Time {
 	for len(list) > 0 && list[0].Before(from) {
 		list = list[1:]
 	}
 	return list
 }
 
-// look tells the others, and weighs what they told. What one that is not heard made of late is not known and not reckoned: the budget
+// tick tells the others, and weighs what they told. What one that is not heard made of late is not known and not reckoned: the budget
 // is then that of those who hear each other, by their own first attempts.
-func (r *retries) look(now time.Time) {
-	from := now.Add(-r.conf.Within)
-	r.first, r.further = since(r.first, from), since(r.further, from)
-	store := r.f.carrier.Store()
-	if now.Sub(r.told) >= tellEvery { // a budget over seconds needs no closer word
-		r.told = now
-		store.Use(now, firstKey, len(r.first), 0)
-		store.Use(now, furtherKey, len(r.further), 0)
+func (r *retries) tick(now time.Time) {
+	from := now.Add(-r.config.Within)
+	r.firstHops, r.furtherHops = dropBefore(r.firstHops, from), dropBefore(r.furtherHops, from)
+	store := r.fleet.carrier.Store()
+	if now.Sub(r.publishedAt) >= publishInterval { // a budget over seconds needs no closer word
+		r.publishedAt = now
+		store.Use(now, firstKey, len(r.firstHops), 0)
+		store.Use(now, furtherKey, len(r.furtherHops), 0)
 	}
 	sum := func(key string) (n int) {
 		store.Uses(now, key, func(_ evidence.Writer, use, _ int, age time.Duration) {
-			if age <= r.stale {
+			if age <= r.staleAfter {
 				n += use
 			}
 		})
 		return n
 	}
-	if thrifty := sum(furtherKey) > r.conf.Most(sum(firstKey)); thrifty != r.thrifty {
-		r.thrifty = thrifty
-		r.f.i.engine.Thrifty(thrifty)
-		r.f.i.Count.Thrifty++
+	if thrifty := sum(furtherKey) > r.config.Most(sum(firstKey)); thrifty != r.overBudget {
+		r.overBudget = thrifty
+		r.fleet.instance.engine.Thrifty(thrifty)
+		r.fleet.instance.Count.Thrifty++
 	}
 }
--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -31,33 +31,33 @@
 }
 
 const (
-	lookEvery = carrier.LookEvery
-	// trialEvery is the length of a turn.
-	trialEvery = time.Second
-	// probers is how many of all probe such a target in that time, in the mean.
-	probers = 2
+	tickInterval = carrier.LookEvery
+	// trialInterval is the length of a turn.
+	trialInterval = time.Second
+	// probersPerTrial is how many of all probe such a target in that time, in the mean.
+	probersPerTrial = 2
 )
 
 // verdicts carries the evidence between this proxy's engine and the other proxies, and passes on to the module what the fleet
 // holds of a target. What is decided is decided in internal/shared.
 type verdicts struct {
-	f       *fleet
-	conf    Verdicts
-	store   *evidence.Store
-	known   map[string]verdict.Finding
-	order   []string // of known
-	targets []verdict.Target
-	tried   time.Time
+	fleet        *fleet
+	config       Verdicts
+	store        *evidence.Store
+	findings     map[string]verdict.Finding
+	findingOrder []string // of known
+	targets      []verdict.Target
+	lastTrial    time.Time
 }
 
 func newVerdicts(f *fleet, c Verdicts) *verdicts {
-	v := &verdicts{f: f, conf: c, known: make(map[string]verdict.Finding), store: f.carrier.Store()}
-	f.i.engine.OnOutcome(v.saw)
+	v := &verdicts{fleet: f, config: c, findings: make(map[string]verdict.Finding), store: f.carrier.Store()}
+	f.instance.engine.OnOutcome(v.onOutcome)
 	return v
 }
 
-// saw takes an outcome of this proxy's own.
-func (v *verdicts) saw(target string, o balance.Outcome, of proxy.Occasion) {
+// onOutcome takes an outcome of this proxy's own.
+func (v *verdicts) onOutcome(target string, o balance.Outcome, of proxy.Occasion) {
 	var c evidence.Counts
 	switch o {
 	case balance.OK:
@@ -85,77 +85,77 @@
 		return // full, called off or not sent: that speaks against no target
 	}
 	if c.Bad() > 0 {
-		v.f.i.Count.Sightings++
+		v.fleet.instance.Count.Sightings++
 	}
-	v.store.Saw(v.f.loop.Now(), target, c)
+	v.store.Saw(v.fleet.loop.Now(), target, c)
 }
 
-// look judges if there is anything to judge.
-func (v *verdicts) look(now time.Time) {
-	if v.store.Disputed() || len(v.order) > 0 {
-		v.judge(now)
+// tick judges if there is anything to judge.
+func (v *verdicts) tick(now time.Time) {
+	if v.store.Disputed() || len(v.findingOrder) > 0 {
+		v.evaluate(now)
 	}
 }
 
-// judge looks at all targets anew.
-func (v *verdicts) judge(now time.Time) {
+// evaluate looks at all targets anew.
+func (v *verdicts) evaluate(now time.Time) {
 	v.targets = v.targets[:0]
-	for _, t := range v.f.i.engine.Table().All() {
-		if !v.f.i.engine.Drains(t.ID) {
+	for _, t := range v.fleet.instance.engine.Table().All() {
+		if !v.fleet.instance.engine.Drains(t.ID) {
 			v.targets = append(v.targets, verdict.Target{ID: t.ID, Zone: t.Site})
 		}
 	}
-	list := verdict.Judge(now, v.store, v.store.Me().Zone, v.targets, v.conf.Judge, verdict.Flaws{})
-	before := v.known
-	v.known = make(map[string]verdict.Finding, len(list))
-	trial, members := now.Sub(v.tried) >= trialEvery, v.f.node.Peers().Count()
+	list := verdict.Judge(now, v.store, v.store.Me().Zone, v.targets, v.config.Judge, verdict.Flaws{})
+	previous := v.findings
+	v.findings = make(map[string]verdict.Finding, len(list))
+	trial, members := now.Sub(v.lastTrial) >= trialInterval, v.fleet.node.Peers().Count()
 	for _, x := range list {
-		v.known[x.Target] = x
-		if was := before[x.Target].Verdict; was != x.Verdict {
+		v.findings[x.Target] = x
+		if was := previous[x.Target].Verdict; was != x.Verdict {
 			if x.Condemned() && !was.Condemned() {
-				v.f.i.Count.Condemned++
+				v.fleet.instance.Count.Condemned++
 			}
-			v.tell(VerdictChange{x, was})
+			v.notifyChange(VerdictChange{x, was})
 		}
-		span := now.UnixMilli() / trialEvery.Milliseconds()
-		mine := verdict.Turn(v.store.Me().Session, x.Target, span, verdict.Triers)
-		until := now.Add(2 * lookEvery)
+		turn := now.UnixMilli() / trialInterval.Milliseconds()
+		mine := verdict.Turn(v.store.Me().Session, x.Target, turn, verdict.Triers)
+		until := now.Add(2 * tickInterval)
 		if x.Verdict == verdict.Returning && mine && !x.Tried {
 			until = time.Time{}
 		}
-		v.f.i.engine.Told(x.Target, until)
-		if trial && x.Verdict != verdict.Failing && verdict.Turn(v.store.Me().Session, x.Target, span, members/probers) {
-			v.tried = now
-			v.f.i.Count.Trials++
-			v.f.i.engine.ProbeAlone(x.Target)
+		v.fleet.instance.engine.Told(x.Target, until)
+		if trial && x.Verdict != verdict.Failing && verdict.Turn(v.store.Me().Session, x.Target, turn, members/probersPerTrial) {
+			v.lastTrial = now
+			v.fleet.instance.Count.Trials++
+			v.fleet.instance.engine.ProbeAlone(x.Target)
 		}
 	}
-	for _, id := range v.order {
-		if _, still := v.known[id]; !still {
-			v.f.i.Count.Acquitted++
-			v.f.i.engine.Told(id, time.Time{})
-			v.tell(VerdictChange{verdict.Finding{Target: id}, before[id].Verdict})
+	for _, id := range v.findingOrder {
+		if _, still := v.findings[id]; !still {
+			v.fleet.instance.Count.Acquitted++
+			v.fleet.instance.engine.Told(id, time.Time{})
+			v.notifyChange(VerdictChange{verdict.Finding{Target: id}, previous[id].Verdict})
 		}
 	}
-	v.order = v.order[:0]
+	v.findingOrder = v.findingOrder[:0]
 	for _, x := range list {
-		v.order = append(v.order, x.Target)
+		v.findingOrder = append(v.findingOrder, x.Target)
 	}
 }
 
 // view tells operators of verdicts; targets without one are sound.
 func (v *verdicts) view() []mesh.SharedView {
 	var all []mesh.SharedView
-	for _, id := range v.order {
-		x := v.known[id]
+	for _, id := range v.findingOrder {
+		x := v.findings[id]
 		all = append(all, mesh.SharedView{Matter: "verdict", Name: id, State: x.Verdict.String(), AgeMS: x.Age.Milliseconds(),
 			Text: fmt.Sprintf("%d witnesses, %d against", x.Witnesses, x.Against)})
 	}
 	return all
 }
 
-func (v *verdicts) tell(c VerdictChange) {
-	if v.conf.OnChange != nil {
-		v.conf.OnChange(c)
+func (v *verdicts) notifyChange(c VerdictChange) {
+	if v.config.OnChange != nil {
+		v.config.OnChange(c)
 	}
 }
--- a/internal/routes/http.go
+++ b/internal/routes/http.go
@@ -7,10 +7,10 @@
 	"strconv"
 )
 
-// response is an HTTP/1.1 response with its whole body.
+// response is an HTTP/1.1 response with its complete body.
 type response struct {
 	status    int
-	keepAlive bool // the connection may carry another call
+	keepAlive bool // the connection may carry another request
 	body      []byte
 }
 
@@ -26,8 +26,8 @@
 	errTooLarge       = errors.New("http: response too large")
 )
 
-// parseResponse reads one response from the start of data; ended tells that no more will come. errMore means
-// that the response is not complete yet.
+// parseResponse parses one response from the start of data. eof means that no more data will
+// arrive. The error is errIncomplete if the response is not complete yet.
 func parseResponse(data []byte, eof bool) (*response, error) {
 	end := bytes.Index(data, []byte("\r\n\r\n"))
 	if end > maxHeadBytes || end < 0 && len(data) > maxHeadBytes {
@@ -45,7 +45,7 @@
 		return nil, errMalformedHead
 	}
 	if n < 200 {
-		return parseResponse(body, eof) // an interim response; the final one follows
+		return parseResponse(body, eof) // interim response; the final one follows
 	}
 	resp := &response{status: n, keepAlive: string(proto) == "HTTP/1.1"}
 	length, chunked := -1, false
@@ -96,7 +96,7 @@
 	return resp, nil
 }
 
-// decodeChunked joins the chunks of a body.
+// Trailer fields may follow, up to an empty line.
 func decodeChunked(data []byte) ([]byte, error) {
 	var body []byte
 	for {
@@ -116,7 +116,7 @@
 			return nil, errTooLarge
 		}
 		if n == 0 {
-			// Trailer fields may follow, up to an empty line.
+			// decodeChunked decodes a body in chunked transfer encoding.
 			if bytes.HasPrefix(rest, []byte("\r\n")) || bytes.Contains(rest, []byte("\r\n\r\n")) {
 				return body, nil
 			}
@@ -133,7 +133,8 @@
 	}
 }
 
-// appendRequest appends the call of a watch, or without a version to go on from, a call for the whole list.
+// appendRequest appends a request for the changes after the version seq, which discovery may hold
+// for waitMS milliseconds, or for the whole list if seq is negative.
 func appendRequest(dst []byte, host string, seq int64, waitMS int64) []byte {
 	if seq < 0 {
 		return fmt.Appendf(dst, "GET /registry/instances HTTP/1.1\r\nHost: %s\r\n\r\n", host)
--- a/internal/routes/large_test.go
+++ b/internal/routes/large_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// largeList is a whole list of so many entries, as discovery answers it.
+// largeList returns discovery's whole list with the given number of entries.
 func largeList(entries int) string {
 	var b strings.Builder
 	b.WriteString(`{"seq":7,"whole":true,"hosts":[`)
@@ -21,14 +21,14 @@
 	return b.String()
 }
 
-// A list of 10,000 entries is taken whole, and one that leaves nearly all of them out drops these; a list that ends in the
-// middle of an entry changes nothing.
+// A whole list of 10,000 entries is merged completely, and a whole list that lacks nearly all of
+// them removes the others. A list that is truncated in the middle of an entry is not accepted.
 func TestLargeList(t *testing.T) {
 	var table Table
-	text := plain(largeList(10000))
+	text := okResponse(largeList(10000))
 	for _, cut := range []int{len(text) / 2, len(text) - 1} {
 		if r, err := parseResponse([]byte(text[:cut]), false); err == nil {
-			t.Fatalf("%d of %d bytes pass for an answer of %d", cut, len(text), len(r.body))
+			t.Fatalf("%d of %d bytes were parsed as a complete response with a body of %d bytes", cut, len(text), len(r.body))
 		}
 	}
 	r, err := parseResponse([]byte(text), false)
@@ -40,20 +40,21 @@
 		t.Fatal(err)
 	}
 	if table.Merge(l); len(table.IDs()) != 10000 {
-		t.Fatalf("%d entries", len(table.IDs()))
+		t.Fatalf("table has %d entries, want 10000", len(table.IDs()))
 	}
 	if l, err = Decode([]byte(largeList(3))); err != nil {
 		t.Fatal(err)
 	}
 	if stopped := table.Merge(l); len(stopped) != 9997 || len(table.IDs()) != 3 {
-		t.Errorf("%d stopped, %d left", len(stopped), len(table.IDs()))
+		t.Errorf("%d targets stopped and %d left in the table, want 9997 and 3", len(stopped), len(table.IDs()))
 	}
 }
 
-// What one answer of discovery costs a proxy, by the number of entries.
+// BenchmarkWholeList measures the cost of one answer of discovery to a proxy by the number of
+// entries.
 func BenchmarkWholeList(b *testing.B) {
 	for _, n := range []int{10, 60, 1000, 10000} {
-		text := []byte(plain(largeList(n)))
+		text := []byte(okResponse(largeList(n)))
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var table Table
 			for b.Loop() {
--- a/internal/routes/lease.go
+++ b/internal/routes/lease.go
@@ -3,43 +3,48 @@
 import "time"
 
 const (
-	// ListLease is how long a change may stay unknown: by the protocol whatever discovery has to tell counts as told that long
-	// after it had it and could be reached, whatever became of the calls in between.
+	// ListLease is how long a change of the list may stay unknown to a proxy. By the rules of the
+	// protocol a change counts as delivered that long after discovery had it and was reachable,
+	// whatever became of the requests in between.
 	ListLease = 6 * time.Second
-	// watchGrace is the same for a watch that stands, counted from the end of its wait: one that fell silent is excused until then.
+	// watchGrace is how long after the end of its wait an open watch may leave a change
+	// undelivered: a watch that has stopped answering is excused until then.
 	watchGrace = 2 * time.Second
 )
 
-// Lease tells until when a list of servers may be acted upon without news of discovery. It is computed from what became of the
-// calls alone; it has no clock of its own. Where lists are pushed, a change counts as told as soon as discovery has it, unless a
-// watch stands or discovery can't be reached.
+// Lease computes the time until which a list of servers may be used without a further answer from
+// discovery. It depends only on the outcomes of requests and has no clock of its own. Where lists
+// are pushed, a change counts as delivered as soon as discovery has it, unless a watch is open or
+// discovery is unreachable.
 type Lease struct {
 	pushed       bool
-	currentAsOf  time.Time // as of when the list is known to be complete, or discovery to be out of reach
-	excusedUntil time.Time // a watch stands, and what it misses is excused until then; zero: none stands
+	currentAsOf  time.Time // latest time at which the list was complete or discovery unreachable
+	excusedUntil time.Time // what the open watch misses is excused until then; zero: no watch is open
 }
 
-// NewLease returns the lease of the list that a process has at its start.
+// NewLease returns the lease of the list that a process has when it starts.
 func NewLease(start time.Time, pushed bool) Lease { return Lease{pushed: pushed, currentAsOf: start} }
 
-// Answered takes an answer that was complete as of a time.
+// Answered records an answer that was complete as of the given time.
 func (l *Lease) Answered(at time.Time) {
 	l.currentAsOf, l.excusedUntil = later(l.currentAsOf, at), time.Time{}
 }
 
-// Watching takes a call that was made at a time and that discovery may answer only after a wait, in an order of calls that makes it
-// a watch: what changes from then on is told.
+// Watching records a request, made at the given time, that discovery may hold for wait and that
+// continues a watch: changes after that time are delivered by the watch.
 func (l *Lease) Watching(at time.Time, wait time.Duration) {
 	l.excusedUntil = later(at.Add(ListLease), at.Add(wait+watchGrace))
 }
 
-// Failed takes the end of a call without an answer. What a watch may have missed since it began is not excused any more.
+// Failed records a request that ended without an answer. Changes that its watch may have missed
+// since it began are no longer excused.
 func (l *Lease) Failed() { l.excusedUntil = time.Time{} }
 
-// Unreachable takes a proof that discovery could not be reached at a time: changes count from its return.
+// Unreachable records proof that discovery was unreachable at the given time: changes count only
+// from its return.
 func (l *Lease) Unreachable(at time.Time) { l.currentAsOf = later(l.currentAsOf, at) }
 
-// Expiry returns the time from which on a change that is not in the list may count as told.
+// Expiry returns the time from which a change that is missing from the list may count as delivered.
 func (l *Lease) Expiry() time.Time {
 	if l.pushed {
 		return later(l.currentAsOf, l.excusedUntil)
--- a/internal/routes/start_times.go
+++ b/internal/routes/start_times.go
@@ -3,61 +3,67 @@
 import "time"
 
 const (
-	// maxListDelay is how long after a server's start discovery's list usually tells of it at the latest: the list is seconds late.
+	// maxListDelay is the usual upper bound on the time from a server's start until discovery's
+	// list contains it. The list lags by seconds.
 	maxListDelay = 6 * time.Second
-	// maxRememberedStarts bounds the starts that are remembered of servers which have left the table.
+	// maxRememberedStarts bounds the number of remembered start times, which include those of
+	// servers that have left the table.
 	maxRememberedStarts = 8192
 )
 
-// StartTimes sets the starts of servers, which discovery tells in Unix time, against the loop's clock, on which a server's age is a span of
-// real time. This machine's wall clock is read once, at the start: it may be stepped at any time, and may be wrong then. What this
-// process saw itself bounds a start: it was before it was told, and one that a change of the list tells of is not much older than
-// the list that did not have it. Where the wall clock disagrees these hold: a server that is taken for older than it is would be
-// sent too much, one that is taken for younger only serves less for a while.
+// StartTimes converts the start times of servers, which discovery reports in Unix time, to the
+// clock of the event loop, on which a server's age is a span of real time. This machine's wall
+// clock is read once, when the process starts: it may be wrong at that time and may be stepped at
+// any time. The process's own observations bound a start time: a server started before it was
+// reported, and a server that a change of the list reports is not much older than the last list
+// without it. These bounds override the wall clock: a server that is taken to be older than it is
+// would receive too much load, whereas one that is taken to be younger only serves less for a
+// while.
 type StartTimes struct {
-	loopStart time.Time // of the loop's clock...
-	wallStart time.Time // ...when the wall clock showed that
-	starts    map[string]reportedStart
+	loopStart time.Time                // loop clock when the process started
+	wallStart time.Time                // wall clock at loopStart
+	starts    map[string]reportedStart // by target ID
 }
 
-// reportedStart is a start that was told of a server.
+// reportedStart is a server's start time as discovery reported it and as converted.
 type reportedStart struct {
 	unixMS    int64
 	startedAt time.Time
 }
 
-// NewStartTimes returns a Births for a process whose loop and wall clocks show these times at its start.
+// NewStartTimes returns a StartTimes for a process whose loop clock and wall clock show the given
+// times when it starts.
 func NewStartTimes(loop, wall time.Time) *StartTimes {
 	return &StartTimes{loopStart: loop, wallStart: wall.Round(0), starts: make(map[string]reportedStart)}
 }
 
-// SetStarts sets Boot of a list's targets. now is when the list came, complete as of when the table before it had all that discovery had;
-// zero: that is not known.
-func (b *StartTimes) SetStarts(l *List, now, complete time.Time) {
-	for _, h := range l.Hosts {
-		h.StartedAt = b.startedAt(h, now, complete)
+// SetStarts sets StartedAt of a list's targets. The list arrived at now, and complete is the time
+// as of which the previous table was complete; a zero complete means that this time is unknown.
+func (s *StartTimes) SetStarts(l *List, now, complete time.Time) {
+	for _, target := range l.Hosts {
+		target.StartedAt = s.startedAt(target, now, complete)
 	}
 }
 
-func (b *StartTimes) startedAt(t *Target, now, complete time.Time) time.Time {
+func (s *StartTimes) startedAt(t *Target, now, complete time.Time) time.Time {
 	if t.StartUnixMS <= 0 {
-		delete(b.starts, t.ID)
+		delete(s.starts, t.ID)
 		return time.Time{} // long ago
 	}
-	known, ok := b.starts[t.ID]
+	known, ok := s.starts[t.ID]
 	if ok && known.unixMS == t.StartUnixMS {
 		return known.startedAt
 	}
-	at := b.loopStart.Add(time.UnixMilli(t.StartUnixMS).Sub(b.wallStart))
+	at := s.loopStart.Add(time.UnixMilli(t.StartUnixMS).Sub(s.wallStart))
 	if !complete.IsZero() && at.Before(complete.Add(-maxListDelay)) {
-		at = complete // by the wall clock it is older than news can be
+		at = complete // the wall clock makes it older than a newly reported server can be
 	}
 	if at.After(now) {
 		at = now
 	}
-	if len(b.starts) >= maxRememberedStarts {
-		clear(b.starts)
+	if len(s.starts) >= maxRememberedStarts {
+		clear(s.starts)
 	}
-	b.starts[t.ID] = reportedStart{t.StartUnixMS, at}
+	s.starts[t.ID] = reportedStart{t.StartUnixMS, at}
 	return at
 }
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -1,5 +1,5 @@
-// Package routes keeps the route table: which egress targets discovery names, where they are and whether they
-// take new work. It decodes discovery's lists and keeps a watch on their changes.
+// Package routes maintains the route table: the egress targets that discovery lists, their
+// addresses and whether they accept new work. It decodes discovery's lists and watches for changes.
 package routes
 
 import (
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// Health is what discovery says of an egress target.
+// Health is the state of an egress target as discovery reports it.
 type Health uint8
 
-// The kinds of Health.
+// The values of Health.
 const (
 	Serving Health = iota
 	Draining
 	Deleted
 )
 
-// UnmarshalText reads a health by its word.
+// UnmarshalText parses a health value.
 func (h *Health) UnmarshalText(text []byte) error {
 	switch string(text) {
 	case "SERVING":
@@ -31,12 +31,12 @@
 	case "DELETED":
 		*h = Deleted
 	default:
-		return fmt.Errorf("health: unknown word %q", text)
+		return fmt.Errorf("health: unknown value %q", text)
 	}
 	return nil
 }
 
-// Target is an egress target as discovery names it.
+// Target is an egress target as discovery lists it.
 type Target struct {
 	ID          string         `json:"host"`
 	Addr        netip.AddrPort `json:"dial"`
@@ -45,12 +45,13 @@
 	Block       int            `json:"block"`
 	Health      Health         `json:"health"`
 	Share       float64        `json:"share"`
-	StartUnixMS int64          `json:"born_ms"` // its last start in Unix time, ms; 0 or less: long ago
-	StartedAt   time.Time      `json:"-"`       // the same by the loop's clock, see Births; zero: long ago
-	entryNumber int            // counts the entries; one that changes keeps its number
+	StartUnixMS int64          `json:"born_ms"` // last start, Unix time in ms; 0 or less: long ago
+	StartedAt   time.Time      `json:"-"`       // last start on the loop's clock; zero: long ago
+	entryNumber int            // sequence number of the table entry; updates of a target keep it
 }
 
-// SameEntry tells whether two are the same entry of the table, at different times: it has not left the table in between.
+// SameEntry reports whether t and other are the same entry of the table at different times, so that
+// the target did not leave the table in between.
 func (t *Target) SameEntry(other *Target) bool {
 	return t.ID == other.ID && t.entryNumber == other.entryNumber
 }
@@ -62,7 +63,7 @@
 	Hosts []*Target `json:"hosts"`
 }
 
-// Decode reads a list and checks that its entries can be used.
+// Decode parses a list and checks that its entries are usable.
 func Decode(text []byte) (*List, error) {
 	var l List
 	if err := json.Unmarshal(text, &l); err != nil {
@@ -74,7 +75,7 @@
 	return &l, nil
 }
 
-// Check tells what is wrong with a list's entries, by the field's name.
+// Check returns an error that names the field of the first unusable entry of the list.
 func (l *List) Check() error {
 	for i, t := range l.Hosts {
 		switch {
@@ -89,23 +90,23 @@
 	return nil
 }
 
-// Table is the route table. It owns its entries; they are not changed once they are in.
+// Table is the route table. It owns its entries, which are immutable once they are in the table.
 type Table struct {
 	Seq        int64
 	byID       map[string]*Target
-	entryCount int // that there have been
+	entryCount int // number of entries ever added
 }
 
-// Find returns an egress target by its id, nil if the table does not name it.
+// Find returns the egress target with the given ID, or nil if the table does not contain it.
 func (t *Table) Find(id string) *Target { return t.byID[id] }
 
-// Empty tells whether the table names no target.
+// Empty reports whether the table contains no target.
 func (t *Table) Empty() bool { return len(t.byID) == 0 }
 
-// IDs returns the ids of all targets, in order.
+// IDs returns the IDs of all targets in ascending order.
 func (t *Table) IDs() []string { return slices.Sorted(maps.Keys(t.byID)) }
 
-// All returns all targets, by id.
+// All returns all targets in ascending order of their IDs.
 func (t *Table) All() []*Target {
 	var all []*Target
 	for _, id := range t.IDs() {
@@ -114,7 +115,8 @@
 	return all
 }
 
-// Merge takes a list into the table and returns the ids of those that take no new work since.
+// Merge applies a list to the table and returns the IDs of the targets that no longer accept new
+// work.
 func (t *Table) Merge(l *List) (stopped []string) {
 	if t.byID == nil {
 		t.byID = make(map[string]*Target)
@@ -122,8 +124,8 @@
 	t.Seq = l.Seq
 	if l.Whole {
 		named := make(map[string]bool, len(l.Hosts))
-		for _, h := range l.Hosts {
-			named[h.ID] = true
+		for _, target := range l.Hosts {
+			named[target.ID] = true
 		}
 		for _, id := range slices.Sorted(maps.Keys(t.byID)) {
 			if !named[id] {
@@ -132,20 +134,20 @@
 			}
 		}
 	}
-	for _, h := range l.Hosts {
-		if h.Health != Serving {
-			stopped = append(stopped, h.ID)
+	for _, target := range l.Hosts {
+		if target.Health != Serving {
+			stopped = append(stopped, target.ID)
 		}
-		if h.Health == Deleted {
-			delete(t.byID, h.ID)
+		if target.Health == Deleted {
+			delete(t.byID, target.ID)
 		} else {
-			if old := t.byID[h.ID]; old != nil {
-				h.entryNumber = old.entryNumber
+			if old := t.byID[target.ID]; old != nil {
+				target.entryNumber = old.entryNumber
 			} else {
 				t.entryCount++
-				h.entryNumber = t.entryCount
+				target.entryNumber = t.entryCount
 			}
-			t.byID[h.ID] = h
+			t.byID[target.ID] = target
 		}
 	}
 	return stopped
--- a/internal/routes/watch.go
+++ b/internal/routes/watch.go
@@ -12,80 +12,92 @@
 )
 
 const (
-	// answerGrace is how long after its wait a watch is given up: news that it should have told counts as told 2 s after that wait,
-	// and a new watch has to be answered by then.
+	// answerGrace is how long after the end of its wait an open watch is given up. A change that it
+	// should have delivered counts as delivered 2 s after the end of the wait, and a new watch has
+	// to be answered by then.
 	answerGrace = 800 * time.Millisecond
-	// openingWait is the wait of the call that opens a watch: its answer proves at once that discovery is there, with all that was
-	// missed, and costs discovery one call where a whole list and a watch behind it cost two.
+	// openingWait is the wait of the request that opens a watch. Its answer proves at once that
+	// discovery is reachable and brings all missed changes. It costs discovery one request, whereas
+	// a whole list followed by a watch costs two.
 	openingWait = 50 * time.Millisecond
-	// leaderWait is the wait of a watch on behalf of others, who rely on how lately discovery has answered it.
+	// leaderWait is the wait of a watch on behalf of other processes, which depend on how recently
+	// discovery has answered it.
 	leaderWait = 2 * time.Second
-	// dialTimeout is how long a connection may take to come up, and openGrace how long the answer to the call that opens a watch may: a
-	// connection that comes up a second late, a silence and another such connection take 3.3 s.
+	// dialTimeout bounds the time until a connection is established, openingGrace the time until
+	// the request that opens a watch is answered. A connection that takes 1 s to establish, an
+	// unanswered request and another such connection take 3.3 s together.
 	dialTimeout  = 1200 * time.Millisecond
 	openingGrace = 1200 * time.Millisecond
-	// queueGrace is the same where a call may wait in discovery's queue: the first one of a process, one behind a refusal, and one
-	// behind a second failure. A call that is given up there has taken its turn for nothing.
+	// queueGrace replaces openingGrace where a request may wait in discovery's queue: for the first
+	// request of a process, after a refusal, and after a second failure. A request that is given up
+	// while it waits there has taken its place in the queue for nothing.
 	queueGrace = 3 * time.Second
-	// Where lists are pushed, what discovery has counts as told whether or not it was asked, and the rules leave 0.5 s: it is tried
-	// at short intervals, as nobody else's calls are in the way. One try and one pause are over in 0.45 s at the most.
+	// pushedDialTimeout replaces dialTimeout where lists are pushed. There, what discovery has
+	// counts as delivered whether or not it was asked, and the rules allow 0.5 s, so that attempts
+	// are made at short intervals; requests of other processes do not compete. One attempt and one
+	// pause take at most 0.45 s.
 	pushedDialTimeout = 300 * time.Millisecond
-	// localFailureRetryMean is the mean pause after a call that this machine could not begin, for want of memory, a port or a path: such
-	// moments are short, and the lease of the list runs on. After ownFaultTries of them in a row the usual pauses hold.
+	// localFailureRetryMean is the mean pause after a request that this machine could not start for
+	// lack of memory, a port or a route. Such failures are short, and the lease of the list
+	// continues meanwhile. After maxLocalFailureRetries of them in a row the usual pauses apply.
 	localFailureRetryMean  = 50 * time.Millisecond
 	maxLocalFailureRetries = 20
-	// A new address counts as having told all its news 4 s after it was given, reached or not: for so long the
-	// pauses between tries don't grow.
+	// shortRetryPeriod is how long after a change of discovery's address the pauses between
+	// attempts do not grow: 4 s after the change all that the new address has counts as delivered,
+	// whether or not it was reached.
 	shortRetryPeriod = 4 * time.Second
 )
 
-// NoVersion is the version to go on from where none is known: the whole list is asked for.
+// NoVersion is the version of a list that is not known yet: the whole list is requested.
 const NoVersion = -1
 
-// Watch keeps up with discovery by a watch: the next call follows each answer at once, on the same connection where that stays
-// open. Discovery takes such a call for the same watch, which costs it next to nothing; one that is opened anew takes its turn
-// in the queue of all processes' calls. The Watch owns its connection, its timer and its buffers.
+// Watch follows the changes of discovery's list with a long-polling watch: the next request follows
+// each answer at once, on the same connection if that stays open. Discovery treats such a request
+// as part of the same watch, which costs it next to nothing, whereas a newly opened watch takes its
+// turn in the queue of the requests of all processes. The Watch owns its connection, its timer and
+// its buffers.
 type Watch struct {
 	loop             *poll.Loop
 	addr             netip.AddrPort
 	pace             callPacer
 	lease            Lease
-	seq              int64
+	seq              int64 // version of the last list, or NoVersion
 	onResult         func(*List, error)
 	socket           *poll.Socket
 	timer            poll.Timer
 	writeBuffer      []byte
 	readBuffer       []byte
 	state            watchState
-	nextCallAt       time.Time // the next call is made then, in watchResting
-	established      bool      // the last call was answered: the next one goes on with the watch
-	reused           bool      // the connection has answered a call before
-	failures         int       // calls that failed in a row
-	mayQueue         bool      // others may ask at the same time: no call was answered yet, or the last one was refused
-	shortRetryUntil  time.Time // until then the pauses stay short
-	pushed           bool      // lists are pushed
-	callCount        *int      // counts them
+	nextCallAt       time.Time // time of the next request, in watchWaiting
+	established      bool      // the last request was answered: the next continues the watch
+	reused           bool      // the connection has carried an answered request
+	failures         int       // consecutive failed requests
+	mayQueue         bool      // others may ask as well: no request answered yet, or the last refused
+	shortRetryUntil  time.Time // pauses do not grow before this time
+	pushed           bool      // lists are pushed: a change counts as delivered at once
+	callCount        *int      // number of requests; owned by the caller
 	policy           QueryPolicy
-	expedited        bool // it is to ask soon, whatever the guide says
-	deferredByPolicy bool // it rests because the guide said so
+	expedited        bool // the next request is made whatever the policy says
+	deferredByPolicy bool // the next request was deferred by the policy
 }
 
-// WatchConfig is what a Watch needs.
+// WatchConfig configures a Watch.
 type WatchConfig struct {
 	Loop      *poll.Loop
 	Addr      netip.AddrPort
-	Seq       int64         // version to go on from, or FromNothing
-	Processes int           // that share discovery; a few need not draw their first calls apart
-	AskWithin time.Duration // longest time between two questions by the settings; 0: they name none
-	Pushed    bool          // what discovery has counts as told whether or not a watch is open
+	Seq       int64         // version to continue from, or NoVersion
+	Processes int           // that share discovery; the first requests of few are not spread
+	AskWithin time.Duration // longest time between two requests by the settings; 0: none given
+	Pushed    bool          // what discovery has counts as delivered whether or not a watch is open
 	Rand      *rand.Rand
-	Calls     *int               // counts the calls
-	OnResult  func(*List, error) // gets each list, or why a call failed
+	Calls     *int               // incremented with each request
+	OnResult  func(*List, error) // receives each list, or the error of a failed request
 }
 
-// QueryPolicy tells how a watch is to ask where another process may ask in its place. lead has it watch without a pause, on
-// behalf of the others; else it need not ask before rest, and draws its first question over lapse after that.
-type QueryPolicy func() (lead bool, rest time.Time, lapse time.Duration)
+// QueryPolicy decides how a watch asks discovery where another process may ask in its place. If
+// lead is true, it watches without a pause, on behalf of the others. Otherwise it need not ask
+// before deferUntil, and makes its first request at a random time within spread after that.
+type QueryPolicy func() (lead bool, deferUntil time.Time, spread time.Duration)
 
 type watchState uint8
 
@@ -93,20 +105,21 @@
 	watchOff watchState = iota
 	watchDialing
 	watchRequesting
-	watchWaiting // after a failure, until the next try
+	watchWaiting // until the next request
 )
 
-// ErrBusy is why a call failed that discovery answered 503: it waited there for too long, or discovery is down.
+// ErrBusy reports a request that discovery answered with status 503: the request waited there for
+// too long, or discovery is down.
 var ErrBusy = errors.New("status 503")
 
 var (
 	errNoAnswer  = errors.New("no answer in time")
-	errTruncated = errors.New("connection ended before the answer")
+	errTruncated = errors.New("connection closed before the answer was complete")
 )
 
-var errVersionWentBack = errors.New("the versions of the list went back")
+var errVersionWentBack = errors.New("list version went back")
 
-// NewWatch returns a Watch, which makes no call before Start.
+// NewWatch returns a Watch that makes no request before Start.
 func NewWatch(c WatchConfig) *Watch {
 	w := &Watch{
 		loop: c.Loop, addr: c.Addr, seq: c.Seq, pushed: c.Pushed, callCount: c.Calls, onResult: c.OnResult, mayQueue: !c.Pushed,
@@ -116,8 +129,9 @@
 	return w
 }
 
-// Start makes a call unless one is out or about to be made. The first calls of many processes come at drawn times: they
-// may all have started together, and know a list.
+// Start makes a request unless one is in progress or scheduled. The first request is delayed at
+// random where many processes share discovery and this one already has a list, as all of them may
+// have started together.
 func (w *Watch) Start() {
 	if w.state != watchOff {
 		return
@@ -129,11 +143,11 @@
 	w.call()
 }
 
-// LeaseExpiry returns the time from which on a change that this process does not know of may count as told to it, by its own calls.
-// ok is false where it has never been asked to call.
+// LeaseExpiry returns the time from which a change that this process does not know may count as
+// delivered to it, as far as its own requests go. ok is false if the watch was never started.
 func (w *Watch) LeaseExpiry() (at time.Time, ok bool) { return w.lease.Expiry(), w.state != watchOff }
 
-// Expedite has a call made soon, since requests wait for it.
+// Expedite brings the next request forward because client requests wait for its answer.
 func (w *Watch) Expedite() {
 	if w.state == watchWaiting && w.nextCallAt.Sub(w.loop.Now()) > busyRetryMean {
 		w.deferredByPolicy, w.expedited = false, true
@@ -141,10 +155,10 @@
 	}
 }
 
-// SetQueryPolicy has a guide asked before each call; nil: none.
-func (w *Watch) SetQueryPolicy(g QueryPolicy) { w.policy = g }
+// SetQueryPolicy sets the policy that is evaluated before each request; nil means none.
+func (w *Watch) SetQueryPolicy(policy QueryPolicy) { w.policy = policy }
 
-// ReevaluatePolicy has the watch look at its guide at once: it may lead now.
+// ReevaluatePolicy evaluates the policy at once and makes a request if this process leads now.
 func (w *Watch) ReevaluatePolicy() {
 	if lead, _, _ := w.evaluatePolicy(); lead && w.state == watchWaiting {
 		w.deferredByPolicy = false
@@ -152,7 +166,8 @@
 	}
 }
 
-// RefetchSoon has it ask itself soon, at a drawn time: what it was told is not enough.
+// RefetchSoon schedules a request for the whole list at a random time within 1 s, because a list
+// that another process passed on was not sufficient.
 func (w *Watch) RefetchSoon() {
 	if w.state == watchWaiting && !w.expedited {
 		w.deferredByPolicy, w.expedited = false, true
@@ -161,29 +176,30 @@
 	}
 }
 
-func (w *Watch) evaluatePolicy() (lead bool, rest time.Time, lapse time.Duration) {
+func (w *Watch) evaluatePolicy() (lead bool, deferUntil time.Time, spread time.Duration) {
 	if w.policy == nil {
 		return false, time.Time{}, 0
 	}
 	return w.policy()
 }
 
-// isLeader tells whether it asks on behalf of others.
+// isLeader reports whether the watch asks on behalf of other processes.
 func (w *Watch) isLeader() bool {
 	lead, _, _ := w.evaluatePolicy()
 	return lead
 }
 
-// scheduleCall makes the next call after a while.
+// scheduleCall schedules the next request after a pause.
 func (w *Watch) scheduleCall(d time.Duration) {
 	w.state = watchWaiting
 	w.nextCallAt = w.loop.Now().Add(d)
 	w.loop.Arm(&w.timer, w.nextCallAt)
 }
 
-// SetAddr moves the watch to another address, at once. Nothing that the old one may still say counts: its
-// connection goes, and what was read of an answer with it. The new one's versions need not continue the old
-// one's, so that it is asked for the whole list first. The address that it has already is only tried anew.
+// SetAddr changes the address of discovery at once. The connection to the old address is closed,
+// and a partly received answer is discarded. The versions of the new address need not continue
+// those of the old one, so that the whole list is requested first. If the address is unchanged, a
+// scheduled request is made at once.
 func (w *Watch) SetAddr(to netip.AddrPort) {
 	w.shortRetryUntil, w.failures = w.loop.Now().Add(shortRetryPeriod), 0
 	if to != w.addr {
@@ -197,7 +213,7 @@
 	}
 }
 
-// SocketCount is how many the watch has open.
+// SocketCount returns the number of sockets that the watch has open.
 func (w *Watch) SocketCount() int {
 	if w.socket == nil {
 		return 0
@@ -229,8 +245,9 @@
 			w.fail(err)
 			return
 		}
-		// After a pause of the process news may lie there together with hops that have come up meanwhile: one to a
-		// target that drains must be given up, not sent.
+		// After a stall of the process an answer may be readable together with hops whose
+		// connections were established meanwhile. It must be read first: a hop to a draining target
+		// has to be cancelled instead of sent.
 		sock.Urgent()
 		w.socket, w.state = sock, watchDialing
 		if w.pushed {
@@ -273,7 +290,7 @@
 	w.socket.Want(true, len(w.writeBuffer) > 0)
 }
 
-// Ready is called by the loop.
+// Ready implements poll.Handler.
 func (w *Watch) Ready(r poll.Ready) {
 	if w.state == watchDialing {
 		if err := w.socket.Established(); err != nil {
@@ -294,7 +311,8 @@
 	}
 }
 
-// read takes all that is there: the rest of a long list would be read a turn later, after hops were sent.
+// read reads all available data: the rest of a long list would otherwise be read one loop turn
+// later, after hops were sent.
 func (w *Watch) read() {
 	const step = 16 << 10
 	var err error
@@ -310,7 +328,7 @@
 		err = nil
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
-		if len(w.readBuffer) > 0 { // what was read of it may be of news that counts as told now
+		if len(w.readBuffer) > 0 { // the partial answer may be a change that counts as delivered now
 			err = fmt.Errorf("%w: %w", errTruncated, err)
 		}
 		w.connectionEnded(err)
@@ -338,7 +356,7 @@
 		w.fail(err)
 		return
 	}
-	if list.Seq < w.seq && !list.Whole { // another process answers, whose versions don't continue those that are known
+	if list.Seq < w.seq && !list.Whole { // from another process with its own versions
 		w.fail(errVersionWentBack)
 		return
 	}
@@ -350,19 +368,21 @@
 	} else {
 		w.closeConnection()
 	}
-	if lead, until, _ := w.evaluatePolicy(); !lead && until.After(w.loop.Now()) {
+	if lead, deferUntil, _ := w.evaluatePolicy(); !lead && deferUntil.After(w.loop.Now()) {
 		w.closeConnection()
 		w.deferredByPolicy, w.established = true, false
-		w.scheduleCall(until.Sub(w.loop.Now()))
+		w.scheduleCall(deferUntil.Sub(w.loop.Now()))
 	} else {
-		// The watch goes on only if the next call follows within 200 ms: it is made before the news is used.
+		// The watch continues only if the next request follows within 200 ms, so that it is made
+		// before the list is used.
 		w.call()
 	}
 	w.onResult(list, nil)
 }
 
-// connectionEnded deals with a connection that ended. One that was kept from an earlier call may have been closed as
-// idle just then, which is no failure of the call: it is made again at once, on a new connection.
+// connectionEnded handles a connection that has ended. A connection that was kept open after an
+// earlier answer may have been closed as idle at this moment, which is not a failure of the
+// request: it is made again at once on a new connection.
 func (w *Watch) connectionEnded(err error) {
 	if w.reused && len(w.readBuffer) == 0 {
 		w.closeConnection()
@@ -372,12 +392,13 @@
 	w.fail(err)
 }
 
-// fail ends a call that brought no list and has the next one made after a pause, which is short whenever the list's lease is
-// about to end: there is no call that makes up for one that comes late.
+// fail ends a request that brought no list and schedules the next one after a pause. The pause is
+// short if the list's lease is about to expire, as no later request makes up for a late one.
 func (w *Watch) fail(err error) {
-	busy, silent := errors.Is(err, ErrBusy), errors.Is(err, errNoAnswer) && len(w.readBuffer) == 0
-	if !busy && !silent && !isLocalFailure(err) {
-		// What answers next may be another process, whose versions don't continue those that are known.
+	busy, unanswered := errors.Is(err, ErrBusy), errors.Is(err, errNoAnswer) && len(w.readBuffer) == 0
+	if !busy && !unanswered && !isLocalFailure(err) {
+		// The next answer may come from another process, whose versions do not continue the known
+		// ones.
 		w.seq = NoVersion
 	}
 	w.closeConnection()
@@ -388,19 +409,20 @@
 	w.onResult(nil, err)
 }
 
-// isLocalFailure tells whether a call failed since this machine could not begin a connection, which says nothing of discovery.
+// isLocalFailure reports whether a request failed because this machine could not open a connection,
+// which says nothing about discovery.
 func isLocalFailure(err error) bool {
 	return errors.Is(err, poll.ErrNoSocket) || errors.Is(err, poll.ErrNoPath)
 }
 
-// pauseAfter draws the pause after a call that failed.
+// pauseAfter draws the pause after a failed request.
 func (w *Watch) pauseAfter(err error) time.Duration {
-	silent := errors.Is(err, errNoAnswer) || errors.Is(err, errTruncated)
+	interrupted := errors.Is(err, errNoAnswer) || errors.Is(err, errTruncated)
 	switch {
 	case isLocalFailure(err) && w.failures < maxLocalFailureRetries:
 		return w.pace.jitter(localFailureRetryMean)
-	case silent && w.failures < 2:
-		return 0 // the watch is opened anew at once: what it may have missed counts as told soon
+	case interrupted && w.failures < 2:
+		return 0 // reopen at once: what the watch may have missed soon counts as delivered
 	case w.pushed:
 		return w.pace.jitter(pushedRetryMean)
 	case w.loop.Now().Before(w.shortRetryUntil):
@@ -416,15 +438,16 @@
 		w.fail(errNoAnswer)
 		return
 	}
-	lead, until, lapse := w.evaluatePolicy()
+	lead, deferUntil, spread := w.evaluatePolicy()
 	switch now := w.loop.Now(); {
-	case !lead && until.After(now) && !w.expedited:
+	case !lead && deferUntil.After(now) && !w.expedited:
 		w.deferredByPolicy = true
-		w.scheduleCall(until.Sub(now))
+		w.scheduleCall(deferUntil.Sub(now))
 	case !lead && w.deferredByPolicy:
-		// The word of whoever asked for all has lapsed, here and elsewhere at once.
+		// The process that asked on behalf of all has not been heard for too long, and other
+		// processes notice it at the same time.
 		w.deferredByPolicy = false
-		w.scheduleCall(time.Duration(w.pace.rng.Float64() * float64(lapse)))
+		w.scheduleCall(time.Duration(w.pace.rng.Float64() * float64(spread)))
 	default:
 		w.deferredByPolicy, w.expedited = false, false
 		w.call()
