--- a/internal/instance/descriptors_test.go
+++ b/internal/instance/descriptors_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// connectClients connects so many clients at once; each sends a line, or nothing if text is nil.
+// connectClients connects n clients at once. Each sends a line, or nothing if text is nil.
 func (s *testBed) connectClients(n int, text func(i int) string) []*testConn {
 	s.t.Helper()
 	all := make([]*testConn, n)
@@ -31,7 +31,7 @@
 	return all
 }
 
-// answerRequests has the relays answer each request with UP, for a while.
+// answerRequests has the targets answer each request with UP for the given duration.
 func (s *testBed) answerRequests(d time.Duration) {
 	s.t.Helper()
 	for begin := s.world.Now(); s.world.Now().Sub(begin) < d; s.run(2 * ms) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// countAnswers counts the clients by the first word that they got.
+// countAnswers counts the clients by the first word that they received.
 func countAnswers(all []*testConn) map[string]int {
 	count := make(map[string]int)
 	for _, e := range all {
@@ -61,9 +61,10 @@
 	return count
 }
 
-// Discovery is down. Clients come by the hundred: most say nothing, others have requests and stand from then on, more than there
-// are descriptors for. Whoever is taken is served, and when discovery is back a call reaches it at once.
-func TestDescriptorsAreLeftForDiscovery(t *testing.T) {
+// Discovery is down, and clients connect by the hundred. Most send nothing, others send requests
+// and stay connected, more than there are descriptors. Accepted clients must be served, and a
+// request must reach discovery soon after its return.
+func TestDescriptorsReservedForDiscovery(t *testing.T) {
 	const sockets = 200
 	for _, asking := range []int{60, 140, 190} {
 		t.Run(fmt.Sprint(asking, " requests"), func(t *testing.T) {
@@ -76,16 +77,16 @@
 			s.answerRequests(500 * ms)
 			got := countAnswers(served)
 			if got["UP"]+got["BUSY"] != asking || got["UP"] < min(asking, (sockets-60)/2) {
-				t.Errorf("%d requests were answered %v", asking, got)
+				t.Errorf("%d requests: answers %v", asking, got)
 			}
 			if s.proxy.Open()+processDescriptors >= sockets {
-				t.Errorf("%d descriptors of %d are open", s.proxy.Open()+processDescriptors, sockets)
+				t.Errorf("%d of %d descriptors are open", s.proxy.Open()+processDescriptors, sockets)
 			}
 			s.startHost(s.discovery, true)
 			s.connectClients(300, nil)
 			s.answerRequests(2500 * ms)
 			if len(s.discovery.accepted) == 0 {
-				t.Error("no call reached discovery after its return")
+				t.Error("no request reached discovery after its return")
 			}
 		})
 	}
@@ -94,27 +95,27 @@
 // probingSettings is testSettings with probes.
 var probingSettings = strings.Replace(testSettings, `"Probing":false`, `"Probing":true`, 1)
 
-// A process with more targets than descriptors keeps connections for probes, over half of all that it may hold, which make room for
-// clients and their attempts.
-func TestProbesLeaveDescriptors(t *testing.T) {
+// A process with more targets than descriptors keeps connections for probes, over half of all
+// descriptors that it may hold. These connections must make room for clients and their attempts.
+func TestProbeConnectionsYieldDescriptors(t *testing.T) {
 	const targets, sockets = 1024, 180
 	s := newTestBedWith(t, targets, sockets, probingSettings)
-	for i, target := range s.knownList.Hosts { // a few at once, as the module asks
+	for i, target := range s.knownList.Hosts { // a few at once, as the module requests them
 		if s.instance.front.Probe(target); i%8 == 7 {
 			s.answerRequests(6 * ms)
 		}
 	}
 	s.answerRequests(20 * ms)
 	if open := s.proxy.Open() + processDescriptors; s.instance.Count.ProbesFailed > 0 || open < sockets/2 {
-		t.Errorf("%d probes failed, %d descriptors are open", s.instance.Count.ProbesFailed, open)
+		t.Errorf("%d probes failed and %d descriptors are open", s.instance.Count.ProbesFailed, open)
 	}
 	served := s.connectClients(40, func(i int) string { return fmt.Sprintf("OPEN a%d k%d c=c,d=2000\r\n", i, i) })
 	s.connectClients(150, nil)
 	s.answerRequests(500 * ms)
 	if got := countAnswers(served); got["UP"] != len(served) {
-		t.Errorf("%d requests were answered %v", len(served), got)
+		t.Errorf("%d requests: answers %v", len(served), got)
 	}
 	if open := s.proxy.Open() + processDescriptors; open >= sockets {
-		t.Errorf("%d descriptors of %d are open", open, sockets)
+		t.Errorf("%d of %d descriptors are open", open, sockets)
 	}
 }
--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -17,18 +17,18 @@
 	"ospreyspan/internal/shared/limit"
 )
 
-// Fleet is what a proxy needs that shares work with others.
+// Fleet configures the work that a proxy shares with other proxies.
 type Fleet struct {
-	Mesh           mesh.Config    // Loop, Heard and Tell are set here; Tell, if it is set, is told too
-	SameAddresses  bool           // of targets, for all proxies
-	Verdicts       *Verdicts      // nil: each judges targets alone
-	Limits         *Limits        // nil: none holds for all together
-	Retries        *limit.Retries // of all together; nil: no budget
-	MovesPerSecond float64        // at which the owner of moves paces them; 0: they are not paced
+	Mesh           mesh.Config    // New sets Loop and the callbacks; a given Tell is called as well
+	SameAddresses  bool           // targets have the same addresses for all proxies
+	Verdicts       *Verdicts      // nil: each proxy judges targets alone
+	Limits         *Limits        // nil: no limits on all proxies together
+	Retries        *limit.Retries // budget of all proxies together; nil: none
+	MovesPerSecond float64        // rate at which the owner of the duty paces moves; 0: not paced
 }
 
-// fleet joins a proxy with the others: it carries out duties that are held here, and uses the words of those that are held
-// elsewhere.
+// fleet connects a proxy with the other proxies: it carries out the duties that this process owns,
+// and uses what the owners of the other duties announce.
 type fleet struct {
 	instance           *Instance
 	loop               *poll.Loop
@@ -39,26 +39,28 @@
 	sameAddresses      bool
 	askWithin          time.Duration
 	startedAt          time.Time
-	initialQueryDelay  time.Duration // at the start, until the keepers have been heard; 0 in a small fleet
-	lastAnnounced      []byte        // the last list that was said
+	initialQueryDelay  time.Duration // time from the start to wait for the keepers; 0 in a small fleet
+	lastAnnounced      []byte        // encoding of the last announced list
 	lastAnnouncedToken uint64
-	baseDuties         []string // duties but for parts of probes
-	duties             []string // all that are wanted now
-	moves              *moves   // nil: moves are made when the module wants them
-	probes             *probes  // nil: each process probes alone
+	baseDuties         []string // duties except parts of probes and slices of limits
+	duties             []string // all wanted duties
+	moves              *moves   // nil: moves are made when the module requests them
+	probes             *probes  // nil: this process probes alone
 	verdicts           *verdicts
 	limits             *limits
 	retries            *retries
-	carrier            *carrier.Carrier // of evidence, where verdicts or limits need it
+	carrier            *carrier.Carrier // exchanges evidence; nil: no shared verdicts, limits or retry budget
 	tickTimer          poll.Timer
-	probeParts         []string // of probes, that this process is to claim
+	probeParts         []string // parts of probes that this process claims
 }
 
 const (
-	// smallFleetSize is how many processes can ask discovery alone without a thought of the others.
+	// smallFleetSize is the number of processes up to which each may ask discovery without regard
+	// to the others.
 	smallFleetSize = 10
-	// initialQueryDelayFraction is the part of the longest time without a question for which a process of a larger fleet waits at its start
-	// for word of who owns the asking.
+	// initialQueryDelayFraction is the fraction of the longest time between two requests to
+	// discovery for which a process of a larger fleet waits at its start to learn which process
+	// owns the asking.
 	initialQueryDelayFraction = 0.5
 )
 
@@ -108,8 +110,8 @@
 	return f, nil
 }
 
-// leave begins a planned stop: all duties go but the slices of limits under which clients stand, who are told to move as in any
-// planned stop, not all at once.
+// leave begins a planned stop. All duties are given up except the slices of strict limits that
+// clients still occupy; these clients are told to move gradually, as in any planned stop.
 func (f *fleet) leave() {
 	f.draining, f.baseDuties, f.probeParts = true, nil, nil
 	if f.limits != nil {
@@ -118,7 +120,7 @@
 	f.node.Leave(f.duties...)
 }
 
-// close ends the conversation.
+// close leaves the fleet's mesh and stops the timers.
 func (f *fleet) close() {
 	if f.probes != nil {
 		f.loop.Disarm(&f.probes.settleTimer)
@@ -127,26 +129,28 @@
 	f.node.Close()
 }
 
-// queryPolicy tells the watch how to ask: for all, if this process owns that; not at all while the owner's word is fresh; else
-// alone, as without a fleet.
-func (f *fleet) queryPolicy() (lead bool, rest time.Time, lapse time.Duration) {
+// queryPolicy decides how the watch asks discovery: on behalf of all if this process owns that
+// duty, not at all while the owner's last announcement is fresh, and otherwise on its own, as
+// without a fleet.
+func (f *fleet) queryPolicy() (lead bool, deferUntil time.Time, spread time.Duration) {
 	if _, ok := f.node.Holds(duty.Discovery); ok {
 		return true, time.Time{}, 0
 	}
 	w, vouched, ok := f.node.Latest(duty.Discovery)
 	if (!ok || w.Own || vouched.IsZero()) && f.node.HasOwner(duty.Discovery) {
-		// There is an owner that has yet to speak: hundreds that start together would keep discovery so busy that the
-		// owner's own call is lost among theirs. What is known now is as old as this process.
+		// There is an owner that has not announced a list yet. Hundreds of processes that start
+		// together would keep discovery so busy that the owner's own request is lost among theirs.
+		// The known list is as old as this process.
 		vouched = f.startedAt
 	} else if !ok || w.Own {
-		// Nobody has said yet whether there is an owner. A proxy of a large fleet draws its first question over a longer time
-		// than this in any case.
+		// It is not known yet whether there is an owner. In a large fleet a proxy spreads its first
+		// request over a longer time than this in any case.
 		return false, f.startedAt.Add(f.initialQueryDelay), duty.FallbackSpread(f.askWithin)
 	}
 	return false, duty.RelyUntil(vouched, f.askWithin), duty.FallbackSpread(f.askWithin)
 }
 
-// onOwnership looks at duties that were won or lost.
+// onOwnership handles a duty that was won or lost.
 func (f *fleet) onOwnership(e mesh.Event) {
 	if e.What == "lost" && f.limits != nil {
 		f.limits.moveExcess()
@@ -154,7 +158,7 @@
 	if e.What == "own" && f.needsOwnerKnown(e.Lease) {
 		f.announceOwnership(e.Lease)
 	}
-	if e.What == "fence-open" { // what was won before that could not be said
+	if e.What == "fence-open" { // a duty won before this event could not be announced
 		for _, d := range f.duties {
 			if _, ok := f.node.Holds(d); ok && f.needsOwnerKnown(d) {
 				f.announceOwnership(d)
@@ -167,15 +171,18 @@
 	}
 }
 
-// needsOwnerKnown tells whether a duty is one whose owner is needsOwnerKnown by others, and must be known to them.
+// needsOwnerKnown reports whether other processes send requests to the owner of the duty, so that
+// they have to know it.
 func (f *fleet) needsOwnerKnown(d string) bool {
 	return d == duty.Moves || strings.HasPrefix(d, duty.Probes+"/")
 }
 
-// announceOwnership makes this process known as a duty's owner. Who does not hear of it goes on alone.
+// announceOwnership announces this process as the owner of the duty. Processes that do not receive
+// the announcement do the work themselves.
 func (f *fleet) announceOwnership(d string) { _, _ = f.node.Announce(d, nil) }
 
-// onDiscoveryAnswer passes an answer of discovery on, if that is this process's duty.
+// onDiscoveryAnswer announces an answer of discovery to the other processes if this process owns
+// that duty.
 func (f *fleet) onDiscoveryAnswer() {
 	token, ok := f.node.Holds(duty.Discovery)
 	if !ok {
@@ -184,7 +191,7 @@
 	at, seq := f.instance.engine.Discovery()
 	text, err := duty.EncodeList(at, seq, f.instance.engine.Table().All())
 	if err != nil {
-		return // a list that can't be written is passed on by nobody, and each asks for itself
+		return // a list that cannot be encoded is not passed on, so that each process asks for itself
 	}
 	if token == f.lastAnnouncedToken && bytes.Equal(text, f.lastAnnounced) {
 		f.node.ConfirmCurrent(duty.Discovery)
@@ -195,7 +202,7 @@
 	}
 }
 
-// sharedView tells operators what this process holds of matters that have no owner.
+// sharedView returns this process's state of shared matters that have no owner, for operators.
 func (f *fleet) sharedView() []mesh.SharedView {
 	var all []mesh.SharedView
 	if f.verdicts != nil {
@@ -207,7 +214,8 @@
 	return all
 }
 
-// setUpSharing sets up what all processes hold setUpSharing: verdicts and limits, on one carrier of evidence.
+// setUpSharing sets up what all processes track together, verdicts, limits and the retry budget, on
+// one carrier of evidence.
 func (f *fleet) setUpSharing(c Config, m *mesh.Config) {
 	v, l := c.Fleet.Verdicts, c.Fleet.Limits
 	if v == nil && l == nil && c.Fleet.Retries == nil {
@@ -233,7 +241,7 @@
 	}
 }
 
-// tick tells others what is new, and looks at what came of theirs.
+// tick publishes this process's new evidence and evaluates that of the others.
 func (f *fleet) tick() {
 	now := f.loop.Now()
 	f.loop.After(&f.tickTimer, carrier.LookEvery)
@@ -249,7 +257,7 @@
 	}
 }
 
-// claimDuties has the node claimDuties all that is wanted now.
+// claimDuties sets the duties that the node claims to those that are wanted now.
 func (f *fleet) claimDuties() {
 	if f.draining {
 		f.baseDuties, f.probeParts = nil, nil
@@ -264,7 +272,7 @@
 	}
 }
 
-// handleDirect passes on what another process says to this one about a duty.
+// handleDirect dispatches a direct message from another process about a duty.
 func (f *fleet) handleDirect(from netip.AddrPort, d *mesh.Direct) {
 	switch {
 	case d.Lease == duty.Moves && f.moves != nil:
@@ -274,7 +282,8 @@
 	}
 }
 
-// setDuties takes what the operator's file says now; sharing of probes itself takes a new start.
+// setDuties applies the duties of the operator's file. Whether probes are shared changes only with
+// a restart.
 func (f *fleet) setDuties(duties []string) {
 	f.baseDuties, _ = splitProbes(duties)
 	f.claimDuties()
@@ -283,7 +292,7 @@
 	}
 }
 
-// onAnnouncement uses an owner's word.
+// onAnnouncement handles an announcement of a duty's owner.
 func (f *fleet) onAnnouncement(w mesh.Announcement) {
 	if w.Lease != duty.Discovery {
 		return
--- a/internal/instance/hard_test.go
+++ b/internal/instance/hard_test.go
@@ -21,14 +21,14 @@
 	`"Domain":{"TellsDelay":true,"TellsLoad":true,"MessageAimUs":[60000],"ReportX0":"load over capacity"},` +
 	`"Permissions":{"AttemptsCap":3,"Cancel":true,"Probing":false,"DialTimeoutUs":200000,"ConnIdleUs":60000000}}`
 
-// testConn is a far testConn that a test plays, on a machine of its own.
+// testConn is the test's end of a connection.
 type testConn struct {
 	socket      *poll.Socket
 	received    string
 	established bool
 	closed      bool
 	err         error
-	lastReadAt  time.Time // of the last bytes
+	lastReadAt  time.Time // time of the last read
 	now         func() time.Time
 }
 
@@ -61,14 +61,14 @@
 	e.socket.Close()
 }
 
-// testHost is a machine with a loop and what came to its port.
+// testHost is a host with an event loop and the connections that its port accepted.
 type testHost struct {
 	host     *vnet.Host
 	loop     *poll.Loop
 	accepted []*testConn
 }
 
-// testBed is one proxy, a machine for clients, one for discovery and one for each relay.
+// testBed is one proxy, with a host for clients, one for discovery and one for each target.
 type testBed struct {
 	t         *testing.T
 	world     *vnet.World
@@ -87,7 +87,7 @@
 	return newTestBedWith(t, relays, 0, testSettings)
 }
 
-// newTestBedWith is newScene with other settings and a proxy that may hold so many descriptors; 0: any number.
+// newTestBedWith is newTestBed with the given settings and limit of descriptors; 0 means no limit.
 func newTestBedWith(t *testing.T, relays, descriptors int, text string) *testBed {
 	t.Helper()
 	s := &testBed{t: t, world: vnet.New(1, func(_, _ *vnet.Host) vnet.Link { return vnet.Link{Delay: ms} })}
@@ -121,7 +121,8 @@
 
 const port = 8443
 
-// processDescriptors are those of a process that a loop does not open: standard streams, epoll, eventfd and the like.
+// processDescriptors is the number of descriptors of a process that the loop does not open:
+// standard streams, epoll, eventfd and the like.
 const processDescriptors = 9
 
 func (s *testBed) addrOf(f *testHost) netip.AddrPort { return netip.AddrPortFrom(f.host.Addr(), port) }
@@ -169,7 +170,7 @@
 	}
 }
 
-// connectClient connects and sends its first line.
+// connectClient connects a client and sends its first line.
 func (s *testBed) connectClient(id string, wait time.Duration) *testConn {
 	s.t.Helper()
 	e := &testConn{now: s.world.Now}
@@ -186,7 +187,8 @@
 	return e
 }
 
-// connectionFor returns the connection at a relay that asks for this id, nil if there is none.
+// connectionFor returns the connection on which the host received the request with the given ID, or
+// nil if there is none.
 func (f *testHost) connectionFor(id string) *testConn {
 	for _, e := range f.accepted {
 		if strings.HasPrefix(e.received, "OPEN "+id+" ") {
@@ -196,7 +198,7 @@
 	return nil
 }
 
-// answerCall has discovery answer the call that is out.
+// answerCall answers the pending request to discovery.
 func (s *testBed) answerCall(text string) {
 	s.t.Helper()
 	for i := len(s.discovery.accepted) - 1; i >= 0; i-- {
@@ -206,10 +208,10 @@
 			return
 		}
 	}
-	s.t.Fatal("no call of discovery is out")
+	s.t.Fatal("no pending request to discovery")
 }
 
-// answerNextCall answers the next call of discovery that is made.
+// answerNextCall answers the next request to discovery.
 func (s *testBed) answerNextCall(text string) {
 	s.t.Helper()
 	made := len(s.discovery.accepted)
@@ -219,19 +221,19 @@
 			return
 		}
 	}
-	s.t.Fatal("no call of discovery was made")
+	s.t.Fatal("no request to discovery was made")
 }
 
-// A relay falls silent in the middle of a line. Its client is told MOVE between two lines, soon after its own next line;
-// when the relay is back, cold and under its id, the client's next connection goes there and nothing of the old life is
-// passed on.
-func TestRelaySilentMidLine(t *testing.T) {
+// A target stops answering in the middle of a line. Its client receives MOVE between two lines,
+// soon after the client's own next line. When the target is back, cold and under the same ID, the
+// client's next connection goes there, and nothing of the old connection is passed on.
+func TestTargetSilentMidLine(t *testing.T) {
 	s := newTestBed(t, 1)
 	c := s.connectClient("a", 2*time.Second)
 	s.run(20 * ms)
 	r := s.targets[0].connectionFor("a")
 	if r == nil {
-		t.Fatal("the relay was not asked")
+		t.Fatal("the target received no request")
 	}
 	s.send(r, "UP r-a\r\nreading 1\r\nhalf a li")
 	s.run(20 * ms)
@@ -240,38 +242,38 @@
 	s.send(c, "beat\r\n")
 	s.run(3 * time.Second)
 	if c.received != "UP r-a\r\nreading 1\r\nMOVE\r\n" || !c.closed || c.err != nil {
-		t.Fatalf("the client got %q, %v", c.received, c.err)
+		t.Fatalf("the client received %q, error %v", c.received, c.err)
 	}
 	if took := c.lastReadAt.Sub(sent); took > 900*ms {
-		t.Errorf("moved after %v", took)
+		t.Errorf("client was moved after %v, want at most 900ms", took)
 	}
 	s.targets[0].host.Return()
 	s.targets[0].accepted = nil
 	s.startHost(s.targets[0], true)
 	s.answerCall(fmt.Sprintf(`{"seq":2,"whole":true,"hosts":[{"host":"s0","dial":%q,"health":"SERVING","site":"z","born_ms":%d}]}`,
 		s.addrOf(s.targets[0]), s.world.Now().Add(-time.Minute).UnixMilli()))
-	s.run(10 * time.Second)                                // whatever was ejected is not any more
-	s.answerNextCall(`{"seq":2,"whole":false,"hosts":[]}`) // a list of 10 s ago is not acted upon without a word of discovery
+	s.run(10 * time.Second)                                // the ejection of the target has ended
+	s.answerNextCall(`{"seq":2,"whole":false,"hosts":[]}`) // a list of 10 s ago is not used without a new answer of discovery
 	again := s.connectClient("b", 2*time.Second)
 	s.run(50 * ms)
 	r = s.targets[0].connectionFor("b")
 	if r == nil {
-		t.Fatalf("the relay that is back was not asked; the client got %q", again.received)
+		t.Fatalf("the returned target received no request; the client received %q", again.received)
 	}
 	s.send(r, "UP r-b\r\n")
 	s.run(20 * ms)
 	if again.received != "UP r-b\r\n" || s.targets[0].connectionFor("a") != nil {
-		t.Errorf("the client got %q", again.received)
+		t.Errorf("the client received %q", again.received)
 	}
 }
 
-// A partition heals while a hop is connecting across it: the SYN that is sent again finds a connection that was given up,
-// and the request has run once, at one relay.
+// A partition heals while a hop is connecting across it. The retransmitted SYN then finds a
+// connection that was given up, and the request must have run once, at one target.
 func TestPartitionHealsWhileConnecting(t *testing.T) {
 	s := newTestBed(t, 2)
 	cut := s.world.Cut([]*vnet.Host{s.proxy}, []*vnet.Host{s.targets[0].host, s.targets[1].host})
 	c := s.connectClient("a", 2*time.Second)
-	s.run(100 * ms) // in the middle of the first hop's 200 ms
+	s.run(100 * ms) // in the middle of the first hop's timeout of 200 ms
 	cut.Heal()
 	s.run(1200 * ms)
 	var asked []*testConn
@@ -281,12 +283,12 @@
 		}
 	}
 	if len(asked) != 1 {
-		t.Fatalf("%d relays were asked; the client got %q", len(asked), c.received)
+		t.Fatalf("%d targets received the request, want 1; the client received %q", len(asked), c.received)
 	}
 	s.send(asked[0], "UP r\r\n")
-	s.run(3 * time.Second) // all SYNs of the time before have been sent again by now
+	s.run(3 * time.Second) // all earlier SYNs have been retransmitted by now
 	if c.received != "UP r\r\n" || c.closed {
-		t.Errorf("the client got %q, over: %v", c.received, c.closed)
+		t.Errorf("the client received %q, closed: %v", c.received, c.closed)
 	}
 	for i, r := range s.targets {
 		n := 0
@@ -296,54 +298,56 @@
 			}
 		}
 		if n > 1 || i == 1 && n+len(s.targets[0].accepted) < 1 {
-			t.Errorf("relay %d was asked %d times", i, n)
+			t.Errorf("target %d received %d requests", i, n)
 		}
 	}
 	if s.instance.Count.HopNoConnect == 0 || s.instance.Count.Overdue != 0 {
-		t.Errorf("%+v", s.instance.Count)
+		t.Errorf("unexpected counters: %+v", s.instance.Count)
 	}
 }
 
-// The process is stalled for 300 ms just when a client's time is up. A stall that ends before the deadline costs nothing:
-// the answer is there in time. One that goes on beyond it makes the answer late, at once when it ends, and still only one.
+// The process is stalled for 300 ms around the end of a client's time limit. If the stall ends
+// before the deadline, the answer is in time. If it lasts beyond the deadline, the answer is sent
+// as soon as it ends, and there is only one.
 func TestStallAtTheDeadline(t *testing.T) {
 	for _, tt := range []struct {
 		from, most time.Duration
 	}{{570 * ms, 905 * ms}, {700 * ms, 1010 * ms}} {
-		s := newTestBed(t, 0) // nobody can take it: the module holds the request as long as it may
+		s := newTestBed(t, 0) // there is no target: the module holds the request as long as it may
 		begin := s.world.Now()
 		c := s.connectClient("a", 900*ms)
 		s.run(tt.from - s.world.Now().Sub(begin))
 		s.proxy.Stall(300 * ms)
 		s.run(3 * time.Second)
 		if c.received != "BUSY\r\n" && c.received != "BUSY 500\r\n" {
-			t.Errorf("the client got %q", c.received)
+			t.Errorf("the client received %q", c.received)
 		}
 		if at := c.lastReadAt.Sub(begin); at > tt.most {
-			t.Errorf("stalled at %v: answered after %v", tt.from, at)
+			t.Errorf("stalled at %v: answered after %v, want at most %v", tt.from, at, tt.most)
 		}
 		if n := s.instance.Count.Shed + s.instance.Count.Overdue; n != 1 {
-			t.Errorf("%d answers: %+v", n, s.instance.Count)
+			t.Errorf("%d answers, want 1: %+v", n, s.instance.Count)
 		}
 	}
 }
 
-// A process is stalled while a hop comes up and then news arrives that its target drains. The news is read first when the
-// process runs again: the hop is given up, and nothing new reaches the target.
-func TestNewsComesBeforeHopsAfterAStall(t *testing.T) {
+// A process is stalled while a hop connects, and then a list arrives by which its target drains.
+// When the process continues it must read the list first, so that the hop is cancelled and nothing
+// new reaches the target.
+func TestListReadBeforeHopsAfterStall(t *testing.T) {
 	s := newTestBed(t, 1)
 	s.connectClient("a", 2*time.Second)
 	for s.instance.Count.Hops == 0 {
 		s.run(ms / 10)
 	}
 	s.proxy.Stall(700 * ms)
-	s.run(5 * ms) // the hop is up, which the process has not seen
+	s.run(5 * ms) // the hop is connected, which the process has not seen
 	s.answerCall(fmt.Sprintf(`{"seq":2,"whole":false,"hosts":[{"host":"s0","dial":%q,"health":"DRAINING","site":"z"}]}`, s.addrOf(s.targets[0])))
 	s.run(2 * time.Second)
 	if e := s.targets[0].connectionFor("a"); e != nil {
-		t.Errorf("the target that drains got %q", e.received)
+		t.Errorf("the draining target received %q", e.received)
 	}
 	if s.instance.Count.HopNoConnect != 1 {
-		t.Errorf("%+v", s.instance.Count)
+		t.Errorf("unexpected counters: %+v", s.instance.Count)
 	}
 }
--- a/internal/instance/idle_test.go
+++ b/internal/instance/idle_test.go
@@ -15,13 +15,14 @@
 	"ospreyspan/internal/vnet"
 )
 
-// An idle process, to which no client comes for a minute, keeps its list as fresh as the rules want: as one of many it asks again
-// within the time that the settings give, as one of few and where lists are pushed a call of it is always open.
-func TestIdleProcessKeepsItsList(t *testing.T) {
+// A process that no client contacts for a minute keeps its list as fresh as the rules require. In a
+// large fleet it asks again within the time that the settings give; in a small fleet and where
+// lists are pushed, it always has a pending request.
+func TestIdleProcessRefreshesList(t *testing.T) {
 	const askWithin = 10 * time.Second
 	for name, change := range map[string][]string{
-		"one of many": {`"Balancers":1`, `"Balancers":300,"Invariants":{"AskWithinUs":10000000}`},
-		"one of few":  {`"Balancers":1`, `"Balancers":3,"Invariants":{"AskWithinUs":10000000}`},
+		"large fleet": {`"Balancers":1`, `"Balancers":300,"Invariants":{"AskWithinUs":10000000}`},
+		"small fleet": {`"Balancers":1`, `"Balancers":3,"Invariants":{"AskWithinUs":10000000}`},
 		"pushed":      {`"Balancers":1,"Zone":"z","Discovery":"subscribe"`, `"Balancers":300,"Zone":"z","Discovery":"automatic"`},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -35,17 +36,18 @@
 				longest = max(longest, s.world.Now().Sub(last))
 			}
 			most := 50 * ms
-			if name == "one of many" {
+			if name == "large fleet" {
 				most = askWithin
 			}
 			if longest > most {
-				t.Errorf("no call for %v", longest)
+				t.Errorf("no pending request for %v", longest)
 			}
 		})
 	}
 }
 
-// answerCalls has discovery answer the calls that are there with a list, watches after a second, and tells whether there was one.
+// answerCalls answers the pending requests to discovery with a list, watches only after 1 s, and
+// reports whether there was a pending request.
 func (s *testBed) answerCalls(list string) (open bool) {
 	for _, call := range s.discovery.accepted {
 		if call.closed || !strings.HasSuffix(call.received, "\r\n\r\n") {
@@ -53,7 +55,7 @@
 		}
 		open = true
 		if watch := strings.Contains(call.received, "index="); watch && s.world.Now().Sub(call.lastReadAt) < time.Second {
-			continue // it is answered when its wait is over
+			continue // answered at the end of its wait
 		}
 		call.received = ""
 		s.send(call, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list))
@@ -61,9 +63,10 @@
 	return open
 }
 
-// A process all of whose targets fail, and are well again, does not turn away its clients for good: within 4 s there is an attempt.
-// Discovery answers all the while: where it is silent for over 6 s, no attempt may go to a target that has taken nothing lately.
-func TestProcessTriesAgain(t *testing.T) {
+// A process whose targets all fail and then recover must not refuse clients for good: it makes an
+// attempt within 4 s. Discovery answers throughout, since no attempt may go to a target that has
+// accepted nothing lately after discovery was silent for over 6 s.
+func TestAttemptsResumeWhenAllTargetsFailed(t *testing.T) {
 	s := newTestBed(t, 2)
 	s.connectClients(0, nil)
 	for _, r := range s.targets {
@@ -87,7 +90,7 @@
 	for range 4 {
 		ask(4*time.Second, false)
 		if s.instance.Count.Hops == attempts {
-			t.Error("no attempt for 4 s while all targets are down")
+			t.Error("no attempt within 4 s while all targets are down")
 		}
 		attempts = s.instance.Count.Hops
 	}
@@ -97,13 +100,13 @@
 	up := s.instance.Count.Up
 	ask(4*time.Second, true)
 	if s.instance.Count.Up == up {
-		t.Errorf("nobody is served 4 s after the targets' return; %d attempts", s.instance.Count.Hops-attempts)
+		t.Errorf("no client was served within 4 s after the targets returned; %d attempts", s.instance.Count.Hops-attempts)
 	}
 }
 
-// A configuration whose list names targets of which none is there any more does not keep the process from serving what discovery
-// names.
-func TestStartWithAnOldList(t *testing.T) {
+// A configured list all of whose targets are gone does not prevent the process from using the
+// targets that discovery lists.
+func TestStartWithStaleList(t *testing.T) {
 	w := vnet.New(1, func(_, _ *vnet.Host) vnet.Link { return vnet.Link{Delay: ms} })
 	set, err := settings.Decode([]byte(testSettings))
 	if err != nil {
@@ -132,6 +135,6 @@
 	c := s.connectClients(1, func(int) string { return "OPEN a k c=c,d=1000\r\n" })
 	s.answerRequests(300 * ms)
 	if c[0].received != "UP r\r\n" {
-		t.Errorf("got %q", c[0].received)
+		t.Errorf("the client received %q", c[0].received)
 	}
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -1,5 +1,6 @@
-// Package instance is one whole proxy on a loop: the engine with its module, the front and the counters. The program runs
-// it on epoll, the emulator on a virtual kernel, unchanged.
+// Package instance assembles one whole proxy on an event loop: the engine with its placement
+// module, the listener for clients and the counters. The program runs it on epoll, the emulator on
+// a virtual kernel, without changes.
 package instance
 
 import (
@@ -17,23 +18,23 @@
 	"ospreyspan/internal/stats"
 )
 
-// Config is what an Instance needs.
+// Config configures an Instance.
 type Config struct {
 	Name           string
 	Listen         netip.AddrPort
 	Discovery      netip.AddrPort
 	Seed           uint64
-	MaxDescriptors int          // descriptors that the process may hold; 0: no limit is known
-	KnownList      *routes.List // the route table as it was last known
+	MaxDescriptors int          // descriptors that the process may hold; 0: no known limit
+	KnownList      *routes.List // last known list of targets
 	Settings       *settings.Settings
-	Tuning         *proxy.Tuning // nil: what serves
+	Tuning         *proxy.Tuning // nil: the defaults
 	Log            *log.Logger
-	Fleet          *Fleet // nil: this proxy shares nothing with others
-	// Retry tries something again while it fails for a passing reason; nil: it is tried once.
+	Fleet          *Fleet // nil: this proxy shares nothing
+	// Retry repeats an attempt while it fails for a transient reason; nil means a single attempt.
 	Retry func(try func() error) error
 }
 
-// Instance is one proxy. It belongs to its loop's goroutine.
+// Instance is one proxy. It is confined to the goroutine of its loop.
 type Instance struct {
 	Count   stats.Counters
 	loop    *poll.Loop
@@ -43,7 +44,7 @@
 	fleet   *fleet
 }
 
-// New starts a proxy on a loop, which stays the caller's.
+// New starts a proxy on a loop. The caller keeps ownership of the loop.
 func New(loop *poll.Loop, c Config) (*Instance, error) {
 	i := &Instance{loop: loop}
 	var err error
@@ -74,8 +75,8 @@
 	return i, nil
 }
 
-// Turn does one turn of the loop: what has happened goes to the module, what it asks for is carried out, and the loop
-// waits for more.
+// Turn runs one turn of the loop: it delivers pending events to the module, carries out the actions
+// that the module returns, and waits for more events.
 func (i *Instance) Turn() error {
 	i.engine.Deliver()
 	return i.loop.Turn(!i.engine.Pending())
@@ -84,33 +85,35 @@
 // Drain begins a planned stop.
 func (i *Instance) Drain() {
 	if i.fleet != nil {
-		i.fleet.leave() // its duties go to another at once, not when the lease ends
+		i.fleet.leave() // its duties pass to others at once instead of when the lease expires
 	}
 	i.front.Drain(func() {
 		i.drained = true
 		if i.fleet != nil {
-			i.fleet.node.Leave() // what was kept for clients that stood
+			i.fleet.node.Leave() // gives up what was kept for the remaining clients
 			i.fleet.close()
 			i.front.SetShared(0)
 		}
 	})
 }
 
-// SetDuties changes which of the fleet's duties this process takes.
+// SetDuties changes which of the fleet's duties this process may own.
 func (i *Instance) SetDuties(duties []string) {
 	if i.fleet != nil {
 		i.fleet.setDuties(duties)
 	}
 }
 
-// SetLimits changes how much the limits hold that it has; see limits.set.
+// SetLimits changes the sizes of existing limits. An entry that matches no existing limit in name,
+// kind and number of slices is ignored. A soft limit that shrinks affects no existing client; of a
+// strict one, the clients beyond the smaller slices are moved.
 func (i *Instance) SetLimits(list []limit.Limit) {
 	if i.fleet != nil && i.fleet.limits != nil {
 		i.fleet.limits.set(list)
 	}
 }
 
-// Node is its part of the fleet's conversation, nil if it has none.
+// Node returns this process's node in the fleet's mesh, or nil if it has none.
 func (i *Instance) Node() *mesh.Node {
 	if i.fleet == nil {
 		return nil
@@ -118,13 +121,13 @@
 	return i.fleet.node
 }
 
-// ListVersion is discovery's version of the latest list of targets that is in force here.
+// ListVersion returns discovery's version of the list of targets that is in use.
 func (i *Instance) ListVersion() int64 {
 	_, version := i.engine.Discovery()
 	return version
 }
 
-// Done tells whether a planned stop is over.
+// Done reports whether a planned stop has completed.
 func (i *Instance) Done() bool { return i.drained }
 
 // Reload moves the watch to another address of discovery and changes the limit of descriptors.
@@ -133,7 +136,8 @@
 	i.engine.SetDiscovery(discovery)
 }
 
-// Audit checks the books; see proxy.Lines. What counts under limits is what the engine's exchanges say.
+// Audit checks the internal counts for consistency; see proxy.Lines. The counts under limits must
+// match the engine's exchanges.
 func (i *Instance) Audit() error {
 	if err := i.front.Audit(); err != nil || i.fleet == nil || i.fleet.limits == nil {
 		return err
@@ -141,8 +145,8 @@
 	return i.fleet.limits.audit()
 }
 
-// Idle tells whether no client is left.
+// Idle reports whether no client is connected.
 func (i *Instance) Idle() bool { return i.front.Idle() }
 
-// MaxDrainDuration is the longest time that a planned stop may take.
+// MaxDrainDuration returns the longest time that a planned stop may take.
 func MaxDrainDuration(s *settings.Settings) time.Duration { return proxy.Longest(s) }
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -11,42 +11,43 @@
 	"ospreyspan/internal/shared/limit"
 )
 
-// Limits are what all proxies of a fleet together may take; all of them must have the same.
+// Limits configures the limits on what all proxies of a fleet together may take. All proxies must
+// have the same ones.
 type Limits struct {
 	Soft     limit.Soft
 	List     []limit.Limit
-	OnChange func(LimitChange) // told when a limit begins to refuse, and when it ends; may be nil
+	OnChange func(LimitChange) // called when a limit begins or ceases to refuse; may be nil
 }
 
-// LimitChange is a limit that began or ended to refuse.
+// LimitChange reports that a limit began or ceased to refuse.
 type LimitChange struct {
 	Limit            limit.Limit
 	Refusing         bool
 	InUse, Available int // of this proxy
 }
 
-// limits counts what stands here under each limit, and keeps to this process's part of it. What that is, internal/shared/limit
-// decides.
+// limits counts the connections of this process under each limit and keeps them within the
+// process's part. Package internal/shared/limit decides how large that part is.
 type limits struct {
 	fleet       *fleet
 	config      Limits
 	states      []*limitState
 	startedAt   time.Time
 	roster      limit.Roster
-	sliceDuties []string // slices to claim
+	sliceDuties []string // slices of strict limits to claim
 }
 
 type limitState struct {
 	limit.Limit
-	key              string // of the evidence
-	class, tenant    int    // indices; anyOf: whichever
-	inUse            int    // connections that stand or are to
-	admittedAt       []time.Time
-	refusedSinceTick int // since the last look
+	key              string      // key of the published evidence
+	class, tenant    int         // indices in the settings; anyIndex: all
+	inUse            int         // connections that are open or being opened
+	admittedAt       []time.Time // times of admissions, of which those within Within count
+	refusedSinceTick int         // clients refused since the last tick
 	refusing         bool
 	gate             limit.Gate
 	slices           *limit.Slices
-	available        int // that is known, at the last look
+	available        int // known at the last tick
 }
 
 const anyIndex = math.MaxInt
@@ -66,7 +67,8 @@
 	return l
 }
 
-// settingsIndex finds a name among the settings'; one that they lack limits nobody.
+// settingsIndex returns the index of a name in the settings. A name that the settings do not
+// contain gives an index that matches no client.
 func settingsIndex(name string, all map[string]int) int {
 	if name == "" {
 		return anyIndex
@@ -81,8 +83,9 @@
 	return (x.class == anyIndex || x.class == class) && (x.tenant == anyIndex || x.tenant == tenant)
 }
 
-// set changes how much limits hold that go on under their names and kinds. Nobody who stands under a soft one is touched: there is no
-// room until enough have left. Of a strict one the slices are smaller at once, and what is beyond them is moved.
+// set changes the sizes of limits whose name, kind and number of slices stay the same. A soft limit
+// that shrinks affects no existing client: it admits nobody until enough clients have left. The
+// slices of a strict limit shrink at once, and the clients beyond them are moved.
 func (l *limits) set(list []limit.Limit) {
 	for _, to := range list {
 		for _, x := range l.states {
@@ -94,10 +97,10 @@
 	l.moveExcess()
 }
 
-// Take is for the engine; see proxy.Limits.
+// Take implements proxy.Limits.
 func (l *limits) Take(class, tenant int, refuse bool) (under uint64, ok bool) {
 	now := l.fleet.loop.Now()
-	for _, x := range l.states { // all must have room before any is used
+	for _, x := range l.states { // all limits must have room before any is taken
 		if refuse && x.covers(class, tenant) && !l.hasRoom(now, x) {
 			x.refusedSinceTick++
 			x.gate.Wish(now.Sub(l.startedAt))
@@ -123,7 +126,7 @@
 	return under, true
 }
 
-// hasRoom tells whether one more may come in.
+// hasRoom reports whether the limit admits one more client.
 func (l *limits) hasRoom(now time.Time, x *limitState) bool {
 	if x.slices != nil {
 		return x.inUse < l.capacity(now, x)
@@ -131,7 +134,7 @@
 	return x.gate.Open()
 }
 
-// Release is for the engine; see proxy.Limits.
+// Release implements proxy.Limits.
 func (l *limits) Release(under uint64) {
 	for i, x := range l.states {
 		if under&(1<<i) != 0 {
@@ -140,17 +143,18 @@
 	}
 }
 
-// audit compares what is counted with the engine's exchanges.
+// audit compares the counts with the engine's exchanges.
 func (l *limits) audit() error {
 	for i, x := range l.states {
 		if n := l.fleet.instance.engine.Under(1 << i); n != x.inUse {
-			return fmt.Errorf("limit %s: %d are counted, %d exchanges are under it", x.Name, x.inUse, n)
+			return fmt.Errorf("limit %s: counted %d connections, engine has %d exchanges under it", x.Name, x.inUse, n)
 		}
 	}
 	return nil
 }
 
-// currentUse is what counts under a limit here now.
+// currentUse returns the number of connections, or of recent admissions, that count under the limit
+// in this process now.
 func (x *limitState) currentUse(now time.Time) int {
 	if x.Within == 0 {
 		return x.inUse
@@ -161,12 +165,12 @@
 	return len(x.admittedAt)
 }
 
-// publishUse tells the others what is used here.
+// publishUse publishes this process's use of a limit to the other processes.
 func (l *limits) publishUse(now time.Time, x *limitState) {
 	l.fleet.carrier.Store().Use(now, x.key, x.currentUse(now), x.gate.Wanted(now.Sub(l.startedAt)))
 }
 
-// capacity is what the slices that are held here allow.
+// capacity returns the sum of the sizes of the slices that this process holds.
 func (l *limits) capacity(now time.Time, x *limitState) int {
 	n := 0
 	for i := range x.Slices {
@@ -177,7 +181,7 @@
 	return n
 }
 
-// moveExcess moves clients of which the slices are gone: at once, whatever else there is to do.
+// moveExcess moves clients whose slices are lost, at once and before anything else.
 func (l *limits) moveExcess() {
 	now := l.fleet.loop.Refresh()
 	for i, x := range l.states {
@@ -190,7 +194,7 @@
 	}
 }
 
-// tick takes what has come of the others.
+// tick evaluates what the other processes have published.
 func (l *limits) tick(now time.Time) {
 	var living []limit.Living
 	for _, m := range l.fleet.node.Members() {
@@ -224,7 +228,8 @@
 	x.available = x.gate.Look(now.Sub(l.startedAt), me, l.roster.Members(now, me.Session, known))
 }
 
-// tickStrict claims slices for what stands here, and one more while clients are refused or the last one is nearly full.
+// tickStrict claims slices for the existing connections, and one more while clients are refused or
+// the last slice is nearly full.
 func (l *limits) tickStrict(now time.Time, x *limitState) {
 	held := func(i int) bool { _, ok := l.fleet.node.Holds(x.slices.Duty(i)); return ok }
 	taken := func(i int) bool { return l.fleet.node.HasOwner(x.slices.Duty(i)) }
@@ -246,12 +251,12 @@
 	}
 }
 
-// view tells operators of limits.
+// view returns the state of the limits for operators.
 func (l *limits) view() []mesh.SharedView {
 	now := l.fleet.loop.Now()
 	var all []mesh.SharedView
 	for _, x := range l.states {
-		state, text := "takes", fmt.Sprintf("%v, %d of all; here %d", x.Kind, x.Most, x.currentUse(now))
+		state, text := "takes", fmt.Sprintf("%v limit of %d for all proxies, %d used here", x.Kind, x.Most, x.currentUse(now))
 		if x.refusing {
 			state = "refuses"
 		}
@@ -262,10 +267,10 @@
 					age, use, heard = max(age, a), use+u, heard+1
 				}
 			})
-			text += fmt.Sprintf(", known of %d: %d, room %d; over by no more than came within %v, and by all of it for each further part that is cut off for over %v",
+			text += fmt.Sprintf(", %d processes heard use %d, room for %d; exceeded at most by the admissions within %v, and by the whole limit for each further partition that is cut off for over %v",
 				heard, use, x.available, l.config.Soft.Stale, l.config.Soft.Hold)
 		} else {
-			text += fmt.Sprintf(", slices here for %d; over by 0", l.capacity(now, x))
+			text += fmt.Sprintf(", slices held here for %d; exceeded by 0", l.capacity(now, x))
 		}
 		all = append(all, mesh.SharedView{Matter: "limit", Name: x.Name, State: state, AgeMS: age.Milliseconds(), Text: text})
 	}
--- a/internal/instance/moves.go
+++ b/internal/instance/moves.go
@@ -10,19 +10,19 @@
 	"ospreyspan/internal/poll"
 )
 
-// moves has moves off targets that drain wait for the time that the duty's owner gives them.
+// moves delays moves off draining targets until the times that the owner of the duty assigns.
 type moves struct {
 	fleet      *fleet
 	pacer      duty.MovePacer
 	lastSeq    uint64
-	unanswered map[uint64]*pacedMove            // asked, by question
-	waiting    map[balance.RequestID]*pacedMove // all that wait
+	unanswered map[uint64]*pacedMove            // awaiting the owner's answer, by sequence number of the request
+	waiting    map[balance.RequestID]*pacedMove // all delayed moves
 }
 
-// pacedMove is a move that waits: for the owner's answer, then for its time.
+// pacedMove is a move that waits for the owner's answer and then for its assigned time.
 type pacedMove struct {
 	id      balance.RequestID
-	seq     uint64 // of the question; 0: none
+	seq     uint64 // sequence number of the request; 0: none
 	askedAt time.Time
 	timer   poll.Timer
 }
@@ -33,10 +33,12 @@
 	return m
 }
 
-// pace takes a move that the module wants; false: it is to be carried out now, as without an owner.
+// pace schedules a move that the module requests. It returns false if the move is to be made at
+// once, as without an owner.
 func (m *moves) pace(id balance.RequestID) bool {
 	if p := m.waiting[id]; p != nil {
-		// The module wishes it once more, as its time for the target grows short: whoever waits on would be cut off.
+		// The module requests the move again because its target is about to stop. A client that
+		// waited longer would be cut off.
 		m.fleet.loop.Disarm(&p.timer)
 		delete(m.waiting, id)
 		delete(m.unanswered, p.seq)
@@ -65,7 +67,7 @@
 	return true
 }
 
-// schedule has a move carried out after a while.
+// schedule makes a move after a delay.
 func (m *moves) schedule(p *pacedMove, d time.Duration) {
 	m.waiting[p.id] = p
 	p.timer.Fire = func() {
@@ -75,7 +77,8 @@
 	m.fleet.loop.After(&p.timer, d)
 }
 
-// handleDirect takes a question to this process as the owner, or the owner's answer.
+// handleDirect handles a request to this process as the owner, or the owner's answer to a request
+// of this process.
 func (m *moves) handleDirect(from netip.AddrPort, d *mesh.Direct) {
 	now := m.fleet.loop.Now()
 	if !d.Answer {
--- a/internal/instance/probes.go
+++ b/internal/instance/probes.go
@@ -12,13 +12,14 @@
 	"ospreyspan/internal/poll"
 )
 
-// probes shares the probing of targets: each part of them has an owner that probes for all who ask it.
+// probes shares the probing of targets. The targets are divided into parts, and the owner of a part
+// probes its targets on behalf of the processes that request it.
 type probes struct {
 	fleet       *fleet
 	mayOwn      bool // this process may own parts
 	owner       *duty.ProbeOwner[netip.AddrPort]
 	client      *duty.ProbeClient
-	settleTimer poll.Timer // until the members have not changed for settleAfter
+	settleTimer poll.Timer // fires when the members have not changed for settleAfter
 }
 
 func newProbes(f *fleet, take bool) *probes {
@@ -27,11 +28,12 @@
 	return p
 }
 
-// settleAfter is how long the members must not have changed: while hundreds join, each is first of the few that it knows, and
-// all would claim all parts.
+// settleAfter is how long the membership must stay unchanged before parts are chosen. While
+// hundreds of processes join, each one is the first of the few members that it knows, and all would
+// claim all parts.
 const settleAfter = 2 * time.Second
 
-// onMembersChanged takes a change of who lives.
+// onMembersChanged handles a change of the live members.
 func (p *probes) onMembersChanged([]peers.Member) {
 	if p.mayOwn {
 		p.settleTimer.Fire = p.chooseParts
@@ -39,14 +41,15 @@
 	}
 }
 
-// chooseParts chooses the parts to claim, by who lives.
+// chooseParts chooses the parts to claim from the live members.
 func (p *probes) chooseParts() {
 	list := p.fleet.node.Members()
 	p.fleet.probeParts = duty.ProbePartsOf(p.fleet.node.Peers().Me().Session, list)
 	p.fleet.claimDuties()
 }
 
-// requestProbe has the owner of a target's part report on it.
+// requestProbe requests a report on a target from the owner of its part. It returns false if there
+// is no owner to ask.
 func (p *probes) requestProbe(targetID string) bool {
 	part := duty.ProbePart(targetID)
 	at, ok := p.fleet.node.Owner(part)
@@ -69,7 +72,7 @@
 	return true
 }
 
-// handleDirect takes a question to this process, or an owner's answer.
+// handleDirect handles a request to this process as an owner, or an owner's response.
 func (p *probes) handleDirect(from netip.AddrPort, d *mesh.Direct) {
 	now := p.fleet.loop.Now()
 	if d.Answer {
@@ -88,7 +91,7 @@
 	}
 	request, err := duty.DecodeProbeRequest(d.Data)
 	if _, holds := p.fleet.node.Holds(d.Lease); err != nil || !holds || duty.ProbePart(request.Target) != d.Lease || p.fleet.instance.engine.Table().Find(request.Target) == nil {
-		return // the asker probes itself before long
+		return // the requester times out and probes the target itself
 	}
 	answer, probe := p.owner.Request(now, request.Target, duty.Asker[netip.AddrPort]{To: from, Seq: d.Seq})
 	if answer != nil {
@@ -105,7 +108,7 @@
 	}
 }
 
-// onProbeDone takes the end of an own probe.
+// onProbeDone handles the end of a probe that this process made.
 func (p *probes) onProbeDone(target string, ok bool, rep balance.Report) {
 	list, a := p.owner.Complete(p.fleet.loop.Now(), target, ok, rep)
 	for _, to := range list {
@@ -113,7 +116,8 @@
 	}
 }
 
-// splitProbes tells whether the operators share probes: "probes" among the duties to take.
+// splitProbes reports whether probes are shared, that is whether the duties contain "probes", and
+// returns the other duties.
 func splitProbes(duties []string) (base []string, probes bool) {
 	base = slices.DeleteFunc(slices.Clone(duties), func(d string) bool { return d == duty.Probes })
 	return base, len(base) < len(duties)
--- a/internal/instance/retries.go
+++ b/internal/instance/retries.go
@@ -7,8 +7,9 @@
 	"ospreyspan/internal/shared/limit"
 )
 
-// retries keeps the further hops of all proxies together to a part of the first ones. Each tells how many of both it made within
-// the budget's time; while the sum of the further ones that are known is over the budget, the module makes none.
+// retries limits the retry hops of all proxies together to a fraction of their first hops. Each
+// proxy publishes how many of both it made within the budget's period. While the sum of the known
+// retry hops exceeds the budget, the module makes none.
 type retries struct {
 	fleet       *fleet
 	config      limit.Retries
@@ -19,7 +20,7 @@
 	publishedAt time.Time
 }
 
-// publishInterval is the time between two words on what was made of late.
+// publishInterval is the time between two publications of the counts.
 const publishInterval = time.Second
 
 const (
@@ -50,13 +51,14 @@
 	return list
 }
 
-// tick tells the others, and weighs what they told. What one that is not heard made of late is not known and not reckoned: the budget
-// is then that of those who hear each other, by their own first attempts.
+// tick publishes this process's counts and compares the sum of the known counts with the budget.
+// The hops of a process that is not heard are unknown and not counted: the budget is then that of
+// the processes that hear each other, based on their own first hops.
 func (r *retries) tick(now time.Time) {
 	from := now.Add(-r.config.Within)
 	r.firstHops, r.furtherHops = dropBefore(r.firstHops, from), dropBefore(r.furtherHops, from)
 	store := r.fleet.carrier.Store()
-	if now.Sub(r.publishedAt) >= publishInterval { // a budget over seconds needs no closer word
+	if now.Sub(r.publishedAt) >= publishInterval { // a budget over seconds needs no more frequent updates
 		r.publishedAt = now
 		store.Use(now, firstKey, len(r.firstHops), 0)
 		store.Use(now, furtherKey, len(r.furtherHops), 0)
--- a/internal/instance/start_test.go
+++ b/internal/instance/start_test.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	proxyCount  = 350 // proxies that start at the same moment
+	proxyCount  = 350 // proxies that start at the same time
 	serverCount = 90
 )
 
-// startCase is a day's moment: all proxies of a fleet startCase at once.
+// startCase is a situation in which all proxies of a fleet start at once.
 type startCase struct {
 	name             string
-	knownTargets     int           // targets in each one's configuration
-	discoveryDownFor time.Duration // discovery is down for so long
-	callTime         time.Duration // what one call takes discovery, which answers them in turn
+	knownTargets     int           // targets in the configuration of each proxy
+	discoveryDownFor time.Duration // time until discovery starts
+	callTime         time.Duration // time that discovery needs for one request; it answers them one by one
 	pushed           bool          // lists are pushed
 }
 
-// testFleet starts the proxies, discovery and a front on a virtual network.
+// testFleet runs the proxies, discovery and a front on a virtual network.
 type testFleet struct {
 	t     *testing.T
 	world *vnet.World
@@ -101,7 +101,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), port)
 }
 
-// startFront has a front ask all proxies once a second.
+// startFront starts a front that asks all proxies once a second.
 func (f *testFleet) startFront() {
 	host := f.world.AddHost("front", netip.MustParseAddr("10.3.0.1"), vnet.Limits{})
 	err := host.Start(func(k poll.Kernel) (func() error, error) {
@@ -117,14 +117,14 @@
 	}
 }
 
-// Nine in ten of the proxies that start at once are ready within 10 s, whatever discovery does meanwhile and whether or not their
-// configurations name targets; on a short day within 6 s.
+// Of the proxies that start at once, 90% must be ready within 10 s, and in a short run within 6 s,
+// whatever the state of discovery and whether or not their configurations list targets.
 func TestManyStartAtOnce(t *testing.T) {
 	for _, c := range []startCase{
 		{name: "a list, discovery down", knownTargets: serverCount, discoveryDownFor: 8 * time.Second, callTime: 80 * ms},
-		{name: "a list, discovery overbooked", knownTargets: serverCount, callTime: 80 * ms},
+		{name: "a list, discovery overloaded", knownTargets: serverCount, callTime: 80 * ms},
 		{name: "no list, discovery down", discoveryDownFor: 8 * time.Second, callTime: 80 * ms},
-		{name: "no list, discovery overbooked", callTime: 80 * ms},
+		{name: "no list, discovery overloaded", callTime: 80 * ms},
 		{name: "no list, discovery down and pushing", discoveryDownFor: 8 * time.Second, callTime: ms, pushed: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -133,7 +133,7 @@
 				t.Fatal(err)
 			}
 			if n := f.front.Admitted(); n*10 < proxyCount*9 {
-				t.Errorf("%d of %d are ready after 6 s", n, proxyCount)
+				t.Errorf("%d of %d proxies are ready after 6 s, want 90%%", n, proxyCount)
 			}
 		})
 	}
--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -12,19 +12,20 @@
 	"ospreyspan/internal/shared/verdict"
 )
 
-// Verdicts are the figures of what all proxies hold of targets together; all of a fleet must have the same.
+// Verdicts configures the verdicts on targets that all proxies of a fleet reach together. All
+// proxies must have the same configuration.
 type Verdicts struct {
 	Evidence evidence.Config
 	Judge    verdict.Config
-	OnChange func(VerdictChange) // told of each change, for the log; may be nil
+	OnChange func(VerdictChange) // called with each change, for the log; may be nil
 }
 
-// DefaultVerdicts have the figures that serve.
+// DefaultVerdicts returns the default configuration.
 func DefaultVerdicts() Verdicts {
 	return Verdicts{Evidence: evidence.DefaultConfig(), Judge: verdict.DefaultConfig()}
 }
 
-// VerdictChange is a verdict that changed.
+// VerdictChange is a change of the verdict on a target.
 type VerdictChange struct {
 	verdict.Finding
 	Previous verdict.Verdict
@@ -32,20 +33,23 @@
 
 const (
 	tickInterval = carrier.LookEvery
-	// trialInterval is the length of a turn.
+	// trialInterval is the length of a turn, in which some of the processes try a target that has a
+	// verdict.
 	trialInterval = time.Second
-	// probersPerTrial is how many of all probe such a target in that time, in the mean.
+	// probersPerTrial is the mean number of processes that probe a target with a verdict in one
+	// turn.
 	probersPerTrial = 2
 )
 
-// verdicts carries the evidence between this proxy's engine and the other proxies, and passes on to the module what the fleet
-// holds of a target. What is decided is decided in internal/shared.
+// verdicts exchanges evidence between this proxy's engine and the other proxies, and passes the
+// fleet's verdicts on targets to the module. The decisions are made in package
+// internal/shared/verdict.
 type verdicts struct {
 	fleet        *fleet
 	config       Verdicts
 	store        *evidence.Store
 	findings     map[string]verdict.Finding
-	findingOrder []string // of known
+	findingOrder []string // target IDs of findings, in the order of the last evaluation
 	targets      []verdict.Target
 	lastTrial    time.Time
 }
@@ -56,7 +60,7 @@
 	return v
 }
 
-// onOutcome takes an outcome of this proxy's own.
+// onOutcome records the outcome of a hop or probe of this proxy.
 func (v *verdicts) onOutcome(target string, o balance.Outcome, of proxy.Occasion) {
 	var c evidence.Counts
 	switch o {
@@ -67,11 +71,11 @@
 		case proxy.OfProbe:
 			c.Seen = 1
 		default:
-			return // a connection that its client ended tells nothing new
+			return // a connection that its client closed is no evidence
 		}
 	case balance.Error, balance.Broken:
 		if of == proxy.OfProbe {
-			return // it may answer so many probes only
+			return // the target may limit the rate of probes
 		}
 		c.Fail = 1
 	case balance.TimedOut:
@@ -82,7 +86,7 @@
 	case balance.NoConnect:
 		c.Silent = 1
 	default:
-		return // full, called off or not sent: that speaks against no target
+		return // full, cancelled or not sent: no evidence against the target
 	}
 	if c.Bad() > 0 {
 		v.fleet.instance.Count.Sightings++
@@ -90,14 +94,14 @@
 	v.store.Saw(v.fleet.loop.Now(), target, c)
 }
 
-// tick judges if there is anything to judge.
+// tick evaluates the verdicts if there is evidence against a target or a verdict to revise.
 func (v *verdicts) tick(now time.Time) {
 	if v.store.Disputed() || len(v.findingOrder) > 0 {
 		v.evaluate(now)
 	}
 }
 
-// evaluate looks at all targets anew.
+// evaluate computes the verdicts on all targets anew.
 func (v *verdicts) evaluate(now time.Time) {
 	v.targets = v.targets[:0]
 	for _, t := range v.fleet.instance.engine.Table().All() {
@@ -143,7 +147,7 @@
 	}
 }
 
-// view tells operators of verdicts; targets without one are sound.
+// view returns the verdicts for operators. A target without a verdict is sound.
 func (v *verdicts) view() []mesh.SharedView {
 	var all []mesh.SharedView
 	for _, id := range v.findingOrder {
