--- a/balance/balance.go
+++ b/balance/balance.go
@@ -110,11 +110,11 @@
 	if r == nil || r.backend == nil || attempt != r.attempts-1 {
 		return
 	}
-	k, stood := r.backend, r.established
+	k, wasEstablished := r.backend, r.established
 	r.established = false // a retried request must not pass for an established connection
 	b.unassign(r)
 	b.applyReport(k, rep)
-	if !stood {
+	if !wasEstablished {
 		b.pendingAttempts--
 		if o != OK && o != Cancelled && o != NotSent {
 			b.failureRate += (1 - b.failureRate) * ewmaWeight
@@ -122,7 +122,7 @@
 		}
 	}
 	b.recordOutcome(now, k, o)
-	if stood && o == OK {
+	if wasEstablished && o == OK {
 		b.grantColdCredits(now, k)
 	}
 	if !o.NeverRan() && r.ranOn == nil {
@@ -153,8 +153,8 @@
 		// that requests cause anyway.
 		budget := 1 + b.arrivals*sampleSize/2
 		b.arrivals = 0
-		for i, at := 0, b.rng.IntN(len(b.backends)+1); i < len(b.backends) && budget > 0; i++ {
-			k := b.backends[(at+i)%len(b.backends)]
+		for i, start := 0, b.rng.IntN(len(b.backends)+1); i < len(b.backends) && budget > 0; i++ {
+			k := b.backends[(start+i)%len(b.backends)]
 			if len(k.requests) > 0 && now.Sub(k.lastReport) >= probeInterval &&
 				b.probe(now, k, sampleReportMaxAge) {
 				budget--
--- a/balance/interface.go
+++ b/balance/interface.go
@@ -1,183 +1,189 @@
-// Package balance decides for one relay where its long-lived connections go.
+// Package balance is the load balancer of one relay: it chooses the backend of each long-lived
+// connection and decides on retries, refusals, probes and the moving of open connections.
 //
-// This file is the whole interface: settings, events' values and the actions asked of the host. The
-// decisions are in the other files, one job each. A Balancer has no clock, does no I/O and starts
-// no goroutine: every event carries its time, every action goes to a [Host], and the same events
-// with the same seed bring the same actions. It is not safe for concurrent use.
+// This file declares the types of the interface: the configuration, the values that events carry,
+// and the actions that a [Host] carries out. Each of the other files holds one kind of decisions. A
+// [Balancer] has no clock, does no I/O and starts no goroutine: each event carries its time, each
+// action is a call to the [Host], and the same events with the same seed produce the same actions.
+// It is not safe for concurrent use.
 package balance
 
 import "time"
 
-// RequestID names one request of a client; the host never uses one twice. It stays below 1<<52.
+// RequestID identifies one client request. The host never reuses an ID; IDs are below 1<<52.
 type RequestID = uint64
 
-// Idempotency tells what sending a request twice may do.
+// Idempotency states whether a request may be sent again after an attempt that may have run.
 type Idempotency uint8
 
-// The kinds of Repeat.
+// The values of Idempotency.
 const (
-	Idempotent      Idempotency = iota // harmless
-	IdempotentByKey                    // harmless within the backends of the class's scope, for its window
-	NotIdempotent                      // only once every earlier attempt is known not to have run
+	Idempotent      Idempotency = iota // may be sent again to any backend
+	IdempotentByKey                    // may be sent again in its DedupScope, during its DedupWindow
+	NotIdempotent                      // may be sent again only if no earlier attempt can have run
 )
 
-// DedupScope tells which backends drop the repeats of a keyed request.
+// DedupScope states which backends detect a repeated IdempotentByKey request, given the backend
+// that received its first attempt.
 type DedupScope uint8
 
-// The kinds of Scope.
+// The values of DedupScope: all backends, those of the same zone, or those of the same cell.
 const (
 	ScopeAll DedupScope = iota
 	ScopeZone
 	ScopeCell
 )
 
-// Class holds what is known of a kind of request.
+// Class describes a class of requests.
 type Class struct {
-	SetupTarget time.Duration // a connection set up within this is in time
-	Worth       float64
+	SetupTarget time.Duration // target for the time to establish a connection
+	Worth       float64       // value of a request relative to other classes
 	Idempotency Idempotency
 	DedupScope  DedupScope
-	DedupWindow time.Duration // for RepeatKeyed, from the send of the first attempt that may have run
-	// MessageTarget is the time within which an open connection wants each message; 0: not told.
+	// DedupWindow applies to IdempotentByKey. It starts when the first attempt that may have run is
+	// sent.
+	DedupWindow time.Duration
+	// MessageTarget is the target for the latency of each message on an open connection; 0 means
+	// that none is given.
 	MessageTarget time.Duration
 }
 
-// Tenant holds what one tenant may use.
+// Tenant describes one tenant.
 type Tenant struct {
-	ConnectionQuota float64 // open connections over all relays; 0: no share is set
+	ConnectionQuota float64 // open connections on all relays together; 0: no quota
 }
 
-// Rules are the figures of the rules that a relay keeps.
+// Rules are the limits that a relay keeps.
 type Rules struct {
-	AnswerSlack     time.Duration // an answer this long after the client's deadline still counts
-	MaxDiscoveryGap time.Duration // longest time without a subscription or a question to discovery
-	InitialCapacity float64       // least share of its capacity with which a backend starts
-	WarmUpTime      time.Duration // time after which a backend has all of its capacity
-	OverloadFactor  float64       // work above this many times the present capacity...
-	OverloadWindow  time.Duration // ...for this long makes a cold backend fall
+	AnswerSlack     time.Duration // an answer this long after the client's deadline is still in time
+	MaxDiscoveryGap time.Duration // longest time without a subscription or query to discovery
+	InitialCapacity float64       // minimum fraction of its capacity that a backend has when it starts
+	WarmUpTime      time.Duration // time from its start until a backend has its full capacity
+	OverloadFactor  float64       // a cold backend is overloaded by work above this multiple of its capacity
+	OverloadWindow  time.Duration // a cold backend fails if it is overloaded for this long
 }
 
-// Prices are parts of the service given up for each unit, where 1 is all of it.
+// Prices are costs per unit, where 1 is the value of the whole service.
 type Prices struct {
-	CrossZone float64 // an attempt in another zone, for each request
+	CrossZone float64 // per request, for an attempt in another zone
 }
 
-// Config is what a relay is told at its start.
+// Config is the configuration of a Balancer.
 type Config struct {
-	Relays          int // relays that serve the same backends, this one included
+	Relays          int // number of relays that share the backends, this one included; 0 counts as 1
 	Zone            string
 	Classes         []Class
 	Tenants         []Tenant
 	Rules           Rules
 	Prices          Prices
-	MaxAttempts     int           // for one request; 0: no limit
-	MaxRetryAfter   time.Duration // longest advice to stay away that a client may heed; 0: none is passed on
-	MayProbe        bool
-	MayCancel       bool
-	Subscribe       bool          // discovery answers only when asked
-	DetachedTimeout time.Duration // a backend keeps a connection whose packets stay away for this; 0: not at all
-	GroupAffinity   bool          // a backend pays once for all connections of a group that it holds
+	MaxAttempts     int           // per request; 0: no limit
+	MaxRetryAfter   time.Duration // longest retry delay that a refusal may advise; 0: none is advised
+	MayProbe        bool          // Host.Probe may be called
+	MayCancel       bool          // Host.Cancel may be called
+	Subscribe       bool          // discovery sends lists only after a call of Host.Watch
+	DetachedTimeout time.Duration // a backend keeps a connection without packets this long; 0: not at all
+	GroupAffinity   bool          // a backend bears a cost once for all its connections of a group
 }
 
-// State is what discovery says of a backend.
+// State is the state of a backend according to discovery.
 type State uint8
 
-// The kinds of State.
+// The values of State.
 const (
 	Ready State = iota
 	Draining
 	Gone
 )
 
-// Backend is one entry of discovery's list.
+// Backend is one entry of a list from discovery.
 type Backend struct {
 	ID        string
 	Zone      string
 	Cell      int
 	State     State
-	Size      float64
-	StartTime time.Time // when its process last started; the zero time: long ago
+	Size      float64   // relative capacity
+	StartTime time.Time // of its process; the zero time: unknown, so long ago that it is warm
 }
 
-// ListKind tells what a list of backends is.
+// ListKind states what a list of backends contains.
 type ListKind uint8
 
-// The kinds of ListKind.
+// The values of ListKind.
 const (
-	ListPatch  ListKind = iota // only the entries that changed
-	ListWhole                  // all; a backend that is missing is gone
-	ListStale                  // all, as this relay last had it before its start
-	ListBroken                 // a question failed or the subscription broke; no entries
+	ListPatch  ListKind = iota // only the changed entries
+	ListWhole                  // all backends; one that is missing has been removed
+	ListStale                  // all backends, from the copy that this relay had before its start
+	ListBroken                 // no entries: a query failed or the subscription broke
 )
 
 // Request is a client's request for a connection.
 type Request struct {
 	ID        RequestID
-	Class     int           // index in Config.Classes; -1: unknown
-	Tenant    int           // index in Config.Tenants; -1: none
-	Group     string        // connections of one group share work; empty: none
-	Key       string        // what the request is about; empty: unknown
+	Class     int           // index into Config.Classes; -1: unknown
+	Tenant    int           // index into Config.Tenants; -1: none
+	Group     string        // connections of one group share work on a backend; empty: none
+	Key       string        // what the request is for, such as a flow of packets; empty: unknown
 	Timeout   time.Duration // until the client gives up
-	MidFlow   bool          // packets of an open connection that another relay carried before
-	Reconnect bool          // the client came back after a break or a move
-	OverLimit bool          // all relays together have what they may take: it is refused
+	MidFlow   bool          // packets of an open connection that another relay has carried until now
+	Reconnect bool          // the client lost or was moved off an earlier connection
+	OverLimit bool          // all relays together have reached a limit: the request is refused
 }
 
-// Outcome is how an attempt or a probe ended.
+// Outcome is the result of an attempt, a connection or a probe.
 type Outcome uint8
 
-// The kinds of Outcome.
+// The values of Outcome.
 const (
 	OK        Outcome = iota
-	Error             // answered with an error
-	Rejected          // turned away unseen
-	TimedOut          // no answer in time
-	NoConnect         // no connection could be made
+	Error             // the backend answered with an error
+	Rejected          // the backend refused the request without processing it
+	TimedOut          // no answer within the timeout
+	NoConnect         // the connection to the backend could not be opened
 	Broken            // the connection broke
-	Cancelled         // called off, or the client left
+	Cancelled         // cancelled by the relay, or the client left
 	NotSent           // the host did not send it
 )
 
-// NeverRan tells whether the outcome proves that the attempt had no effect.
+// NeverRan reports whether the outcome proves that the attempt had no effect.
 func (o Outcome) NeverRan() bool { return o == Rejected || o == NoConnect || o == NotSent }
 
-// Report is a backend's word on its load. A value that is not reported is NaN or below 0.
+// Report is a backend's report of its load. A value that is not reported is NaN or below 0.
 type Report struct {
-	Load    float64 // load asked over what it can do
-	CPU     float64 // busy share of its processors
-	Active  float64 // requests or connections in hand
-	Waiting float64 // requests waiting
-	Latency float64 // recent service time in milliseconds
-	Rate    float64 // requests a second
-	Errors  float64 // errors a second
+	Load    float64 // offered load divided by capacity
+	CPU     float64 // utilization of its processors, 0 to 1
+	Active  float64 // requests or connections in progress
+	Waiting float64 // queued requests
+	Latency float64 // recent service time, in milliseconds
+	Rate    float64 // requests per second
+	Errors  float64 // errors per second
 }
 
-// Metric is word on an open connection.
+// Metric is a kind of measurement of an open connection.
 type Metric uint8
 
-// The kinds of Note.
+// The values of Metric.
 const (
-	MetricLoad  Metric = iota // its load, in microseconds of work a second
-	MetricDelay               // milliseconds that a message takes at its backend
+	MetricLoad  Metric = iota // its load, in microseconds of work per second
+	MetricDelay               // time that its backend takes for a message, in milliseconds
 )
 
-// Host carries out what a Balancer decides. Its methods must not call back into the Balancer.
+// Host carries out the decisions of a Balancer. Its methods must not call the Balancer.
 type Host interface {
-	// Send starts the next attempt of a request; attempts are numbered from 0.
+	// Send starts the next attempt of a request. Attempts are numbered from 0.
 	Send(id RequestID, backend string, timeout time.Duration)
-	// Refuse is a final answer: turned away, and harmless to try again (after the advice, if not
-	// 0).
+	// Refuse answers a request for good: it was refused and may safely be sent again, after the
+	// advised delay if that is not 0.
 	Refuse(id RequestID, advice time.Duration)
-	// Fail is a final answer: failed, with no word on its effect.
+	// Fail answers a request for good: it failed, and may or may not have taken effect.
 	Fail(id RequestID)
-	// Cancel stops waiting for an attempt.
+	// Cancel gives up an attempt whose result is still outstanding.
 	Cancel(id RequestID, attempt int)
-	// Move closes an open connection politely; its client comes again as a new request.
+	// Move closes an open connection and asks its client to reconnect, which makes a new request.
 	Move(id RequestID)
-	// Probe asks a backend for its report.
+	// Probe asks a backend for a load report; Balancer.Probed takes the result.
 	Probe(backend string)
-	// Watch subscribes to discovery's changes; Members answers.
+	// Watch subscribes to discovery; Balancer.DiscoveryUpdate takes the lists.
 	Watch()
-	// After asks for a Timer event with the token.
+	// After schedules a call of Balancer.Timer with the token.
 	After(d time.Duration, token uint64)
 }
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -1,4 +1,4 @@
-// Which backend a request goes to: its sample of the backends, and the choice among them.
+// Placement of requests: drawing a sample of the backends and choosing one of them.
 
 package balance
 
@@ -9,32 +9,63 @@
 )
 
 const (
-	sampleReportMaxAge = 200 * time.Millisecond // a scan younger than this serves further requests
-	reportLifetime     = time.Second            // how long one report is all that is known of a backend
+	// sampleReportMaxAge is the age up to which a report serves further requests without a new
+	// probe.
+	sampleReportMaxAge = 200 * time.Millisecond
+	// reportLifetime is the time for which decisions rest on one report of a backend.
+	reportLifetime = time.Second
 
-	sampleSize            = 3    // backends of a sampled scan
-	drawsPerBackend       = 6    // draws for each backend of a sample, so that few ready ones are found
-	maxExtraBackends      = 2    // backends that are looked at besides for requests that were held
-	maxReportAgeDoublings = 2    // doublings of that age for requests that were held: their looks are most by far
-	groupCandidates       = 6    // backends on which a group may spill at all relays alike
-	groupRankFactor       = 2.0  // a backend that would pay for a group anew needs this many times the weight
-	groupSpillMargin      = 25.0 // and this many more idle points, for each place after the first...
-	fullSpillRelays       = 4.0  // ...where so few relays share the backends that each knows who holds the group...
-	minSpillFraction      = 0.5  // ...and this part of them where it can't tell
-	minPlacementWeight    = 25.0 // idle points below which a backend takes no new connection
-	placementCost         = 2.0  // idle points that a placement takes until a report tells
-	maxWorthFactor        = 2.0  // most that the bar rises by a worth below the mean
-	quotaSlack            = 1.5  // a tenant's share is passed over until it is exceeded by this factor
-	maxQuotaFactor        = 3.0  // most idle points asked of a tenant beyond its share, in shedWeights
-	probeWaitFraction     = 0.1  // part of the aim for which a request waits for a scan
-	crossZoneFactor       = 10.0 // passes over a backend of another zone in a draw, for each unit of its price
-	firstAttemptFraction  = 0.4  // part of the aim that a first attempt may take: there must be time for another
+	// sampleSize is the number of backends in the sample of a request.
+	sampleSize = 3
+	// drawsPerBackend is the number of random draws for each backend of a sample. Several are
+	// needed to find the eligible backends where these are few.
+	drawsPerBackend = 6
+	// maxExtraBackends is the most by which a sample grows for a request that was held.
+	maxExtraBackends = 2
+	// maxReportAgeDoublings is the most doublings of sampleReportMaxAge for a request that was
+	// held. Held requests look at backends far more often than others.
+	maxReportAgeDoublings = 2
+
+	// groupCandidates is the number of backends to which a group may spill, the same at all relays.
+	groupCandidates = 6
+	// groupRankFactor multiplies the connection count of a backend that would have to set up the
+	// group, for each place after the first in the sample.
+	groupRankFactor = 2.0
+	// groupSpillMargin is the additional weight that a backend needs if it would have to set up the
+	// group, for each place after the first in the sample, with up to fullSpillRelays relays.
+	groupSpillMargin = 25.0
+	// fullSpillRelays is the number of relays up to which each relay knows which backends hold a
+	// group.
+	fullSpillRelays = 4.0
+	// minSpillFraction is the least part of groupSpillMargin that applies with more than
+	// fullSpillRelays relays, since a relay cannot tell then which backends hold a group.
+	minSpillFraction = 0.5
+	// minPlacementWeight is the weight below which a backend gets no new connection.
+	minPlacementWeight = 25.0
+	// placementCost is the weight that a placement is assumed to use until the next report.
+	placementCost = 2.0
+	// maxWorthFactor is the most by which a worth below the mean multiplies the required weight.
+	maxWorthFactor = 2.0
+	// quotaSlack is the factor by which a tenant may exceed its quota at no disadvantage.
+	quotaSlack = 1.5
+	// maxQuotaFactor is the most by which an exceeded quota multiplies the required weight.
+	maxQuotaFactor = 3.0
+	// probeWaitFraction is the part of the set-up target for which a request waits for reports.
+	probeWaitFraction = 0.1
+	// crossZoneFactor, times the price of crossing zones, is the probability that a draw passes
+	// over a backend of another zone.
+	crossZoneFactor = 10.0
+	// firstAttemptFraction is the part of the set-up target that a first attempt may take. The rest
+	// leaves time for another attempt.
+	firstAttemptFraction = 0.4
 )
 
-// startPlacement draws a request's sample of the backends and places it once their reports are fresh. Few probes are
-// paid for, and relays that look at different samples do not herd to the same backend.
+// startPlacement draws a sample of the backends for a request and places the request once their
+// reports are fresh. Sampling needs few probes, and relays with different samples do not herd to
+// the same backend.
 func (b *Balancer) startPlacement(now time.Time, r *request) {
-	// As in congestion control, fewer are out at a time while attempts fail, down to one.
+	// As in congestion control, the limit of concurrent attempts falls while attempts fail, down to
+	// one.
 	if float64(b.pendingAttempts) >= b.attemptWindow {
 		b.retryLater(now, r)
 		return
@@ -58,39 +89,46 @@
 	b.setRequestTimer(now, r, fromMicros(wait))
 }
 
-// drawSample takes a random sample of the warm backends, and a cold one that was offered a connection.
+// drawSample adds a random sample of the warm backends, and a cold backend for which there is a
+// credit.
 func (b *Balancer) drawSample(now time.Time, r *request) {
 	for added := false; len(b.coldCredits) > 0 && !added; b.coldCredits = b.coldCredits[1:] {
-		if o := b.coldCredits[0]; now.Sub(o.grantedAt) < b.cfg.Rules.OverloadWindow && o.backend.State == Ready {
-			r.sample = append(r.sample, o.backend)
+		if credit := b.coldCredits[0]; now.Sub(credit.grantedAt) < b.cfg.Rules.OverloadWindow &&
+			credit.backend.State == Ready {
+			r.sample = append(r.sample, credit.backend)
 			added = true
 		}
 	}
-	want := min(sampleSize+min(r.holdCount, maxExtraBackends), len(b.ready)) // one that was held found no room in a few
+	// A request that was held found no capacity in a smaller sample.
+	want := min(sampleSize+min(r.holdCount, maxExtraBackends), len(b.ready))
 	for tries := 0; tries < drawsPerBackend*sampleSize && len(r.sample) < want; tries++ {
 		k := b.ready[b.rng.IntN(len(b.ready))]
-		far := k.Zone != b.cfg.Zone && b.rng.Float64() < crossZoneFactor*b.cfg.Prices.CrossZone
-		if !far && b.warmUpFraction(now, k) >= 1 && !slices.Contains(r.sample, k) {
+		skipZone := k.Zone != b.cfg.Zone && b.rng.Float64() < crossZoneFactor*b.cfg.Prices.CrossZone
+		if !skipZone && b.warmUpFraction(now, k) >= 1 && !slices.Contains(r.sample, k) {
 			r.sample = append(r.sample, k)
 		}
 	}
 	if len(r.sample) == 0 && len(b.ready) > 0 {
-		// Perhaps all are cold: each request may then try one, as often as that one is warm.
+		// All backends may be cold. A request may then try one, with the warm-up fraction as
+		// probability.
 		if k := b.ready[b.rng.IntN(len(b.ready))]; b.rng.Float64() < b.warmUpFraction(now, k) {
 			r.sample = append(r.sample, k)
 		}
 	}
 }
 
-// drawGroupSample takes the backends that rank first and second for the request's group by a hash, alike at all
-// relays, so that few pay for the group; for a request that was held, another of the first groupRanks.
+// drawGroupSample takes the backends that rank first and second for the request's group. The ranks
+// are hashes (rendezvous hashing) and the same at all relays, so that few backends have to set up a
+// group. For a request that was held, the second is a random one of the first groupCandidates
+// without the first.
 func (b *Balancer) drawGroupSample(now time.Time, r *request) {
-	h, load := hash(r.Group), b.meanWarmLoad(now)
+	groupHash, load := hash(r.Group), b.meanWarmLoad(now)
 	var ranks [groupCandidates]uint64
 	for _, k := range b.ready {
-		rank := mix(h ^ k.idHash)
+		rank := mix(groupHash ^ k.idHash)
 		n := len(r.sample)
-		if n == groupCandidates && rank <= ranks[n-1] || k.unhealthy(now) || !b.mayTakeByRank(now, r, k, load) {
+		if n == groupCandidates && rank <= ranks[n-1] || k.unhealthy(now) ||
+			!b.mayTakeByRank(now, r, k, load) {
 			continue
 		}
 		if n < groupCandidates {
@@ -111,25 +149,29 @@
 	}
 }
 
-// place sends a request to the backend with the fewest own connections for its weight.
+// place sends a request to the backend that pick chooses. It holds the request if there is none,
+// and concludes it if no further attempt is allowed.
 func (b *Balancer) place(now time.Time, r *request) {
-	late := r.attempts > 0 && !now.Before(r.deadline)
-	spent := b.cfg.MaxAttempts > 0 && r.attempts >= b.cfg.MaxAttempts || late
-	if spent || r.ranOn != nil && b.class(r.Class).Idempotency == NotIdempotent {
+	expired := r.attempts > 0 && !now.Before(r.deadline)
+	exhausted := b.cfg.MaxAttempts > 0 && r.attempts >= b.cfg.MaxAttempts || expired
+	if exhausted || r.ranOn != nil && b.class(r.Class).Idempotency == NotIdempotent {
 		b.conclude(r)
 	} else if k := b.pick(now, r); k != nil {
 		b.send(now, r, k)
 	} else {
-		// Discovery may name a backend soon, or one may recover.
+		// Discovery may list another backend soon, or a backend may recover.
 		r.tried = r.tried[:0]
 		b.retryLater(now, r)
 	}
 }
 
+// send starts the next attempt of a request on a backend.
 func (b *Balancer) send(now time.Time, r *request, k *backend) {
 	timeout, c := r.deadline.Sub(now), b.class(r.Class)
-	if r.attempts == 0 && b.cfg.MaxAttempts != 1 && c.Idempotency != NotIdempotent && b.failureRate < widespreadFailureRate {
-		// A backend that accepts and stays silent must leave time for another try inside the aim.
+	if r.attempts == 0 && b.cfg.MaxAttempts != 1 && c.Idempotency != NotIdempotent &&
+		b.failureRate < widespreadFailureRate {
+		// If the backend accepts the connection and does not answer, there must be time for another
+		// attempt within the set-up target.
 		timeout = min(timeout, fromMicros(micros(c.SetupTarget)*firstAttemptFraction))
 	}
 	r.attempts++
@@ -139,92 +181,107 @@
 	r.tried = append(r.tried, k)
 	b.assign(r, k)
 	if now.Sub(k.lastReport) >= probeInterval {
-		k.unreported = 0 // without reports the bar would shut out for ever what this relay has used
+		// Without reports, the cost of earlier placements would exclude the backend for ever.
+		k.unreported = 0
 	}
 	k.unreported++
 	b.host.Send(r.ID, k.ID, max(timeout, time.Microsecond))
 }
 
-// pick is the rule of the design: least own connections for each unit of weight, ties at random, among the
-// request's sample. Near saturation one more spoils those that a backend has: none is placed that would
-// find less than shedWeight idle points.
+// pick chooses the backend of the request's sample that has the fewest connections of this relay
+// per unit of weight. Ties are broken at random. Near saturation another connection degrades those
+// that a backend has already: a backend needs a weight of at least minPlacementWeight. If no
+// backend qualifies, pick returns nil.
 func (b *Balancer) pick(now time.Time, r *request) *backend {
 	var best *backend
-	var least float64
-	var wanted []*backend
+	var lowest float64
+	var candidates []*backend
 	ties := 0
-	// Those that fail or leave probes unanswered are passed over wherever there is another.
-	other := slices.ContainsFunc(r.sample, func(k *backend) bool {
+	// Unhealthy backends are passed over if the sample has a usable healthy one.
+	hasHealthy := slices.ContainsFunc(r.sample, func(k *backend) bool {
 		return b.usable(now, r, k) && !k.unhealthy(now)
 	})
-	spill := groupSpillMargin * min(max(fullSpillRelays/float64(b.cfg.Relays), minSpillFraction), 1)
-	bar := minPlacementWeight * min(max(b.quotaUsage(r)/quotaSlack, 1), maxQuotaFactor)
-	if w := b.class(r.Class).Worth; w > 0 { // what is worth less than most leaves the last room to them
-		bar *= min(max(math.Sqrt(b.meanWorth/w), 1), maxWorthFactor)
+	spillMargin := groupSpillMargin * min(max(fullSpillRelays/float64(b.cfg.Relays), minSpillFraction), 1)
+	required := minPlacementWeight * min(max(b.quotaUsage(r)/quotaSlack, 1), maxQuotaFactor)
+	// Requests of less than the mean worth leave the last capacity to the others.
+	if w := b.class(r.Class).Worth; w > 0 {
+		required *= min(max(math.Sqrt(b.meanWorth/w), 1), maxWorthFactor)
 	}
 	for i, k := range r.sample {
-		if !b.usable(now, r, k) || other && k.unhealthy(now) {
+		if !b.usable(now, r, k) || hasHealthy && k.unhealthy(now) {
 			continue
 		}
-		// What it held when it was last seen is in its weight: only what went there since counts in full. The
-		// one added, as in the shortest expected delay, lets weights tell idle backends apart.
-		old := float64(len(k.requests)-k.unreported) / float64(b.cfg.Relays)
+		// The weight includes the connections that were open at the last report, so only later
+		// placements count in full. The 1 is the request itself, as in shortest expected delay: it
+		// lets weights tell idle backends apart.
+		reported := float64(len(k.requests)-k.unreported) / float64(b.cfg.Relays)
 		added := 1 + float64(k.unreported)
-		count := (added + old) / k.weight
+		count := (added + reported) / k.weight
 		if k.Zone != b.cfg.Zone {
-			count /= max(1-crossZoneFactor*b.cfg.Prices.CrossZone, 1/crossZoneFactor) // local work is worth its price
+			// A backend of this zone is preferred by the price of crossing zones.
+			count /= max(1-crossZoneFactor*b.cfg.Prices.CrossZone, 1/crossZoneFactor)
 		}
-		need := bar
+		need := required
 		if r.Group != "" && b.cfg.GroupAffinity && !k.hasGroup(r.Group) {
-			// It would pay for the group anew: later in the sample, only with ever more room.
-			need += spill * float64(i)
+			// The backend would have to set up the group: the later it is in the sample, the more
+			// weight it needs.
+			need += spillMargin * float64(i)
 			count *= math.Pow(groupRankFactor, float64(i))
 		}
-		if need <= max(bar, k.weight) { // else it would not come for a while: that room is another's
-			wanted = append(wanted, k)
+		// A request that could not be placed here for a while is no demand: it leaves the capacity
+		// to others.
+		if need <= max(required, k.weight) {
+			candidates = append(candidates, k)
 		}
-		if need+placementCost*float64(k.unreported) > k.weight || b.rng.Float64() > b.admissionProbability(now, k) {
+		if need+placementCost*float64(k.unreported) > k.weight ||
+			b.rng.Float64() > b.admissionProbability(now, k) {
 			continue
 		}
 		switch {
-		case best == nil || count < least:
-			best, least, ties = k, count, 1
-		case count == least:
+		case best == nil || count < lowest:
+			best, lowest, ties = k, count, 1
+		case count == lowest:
 			if ties++; b.rng.IntN(ties) == 0 {
 				best = k
 			}
 		}
 	}
 	if best != nil {
-		wanted = append(wanted[:0], best)
+		candidates = append(candidates[:0], best)
 	}
-	for _, k := range wanted { // one that is held would have taken whichever had room
+	// A request that is held would have taken any of these backends with free capacity.
+	for _, k := range candidates {
 		k.demand, k.demandAt = k.decayedDemand(now)+1, now
 	}
 	return best
 }
 
-// admissionProbability is the part of the requests that want a backend which may go there before its next report: own
-// wants times the relays tell how many to expect, its head admissionProbability how many it bears.
+// admissionProbability returns the probability with which a request may go to a backend before its
+// next report: the number of connections that still fit there over the number to be expected, which
+// is the demand of this relay times the number of relays. A value above 1 admits every request.
 func (b *Balancer) admissionProbability(now time.Time, k *backend) float64 {
-	wants := k.decayedDemand(now) * float64(b.cfg.Relays) * micros(reportLifetime) / micros(probeInterval)
-	if !(k.loadPerConnection > 0) || wants <= 0 {
+	expected := k.decayedDemand(now) * float64(b.cfg.Relays) * micros(reportLifetime) / micros(probeInterval)
+	if !(k.loadPerConnection > 0) || expected <= 0 {
 		return 1
 	}
-	return (k.weight - minPlacementWeight) / (fullWeight * k.loadPerConnection * wants)
+	return (k.weight - minPlacementWeight) / (fullWeight * k.loadPerConnection * expected)
 }
 
-// quotaUsage is a tenant's own connections here over this relay's part of its share.
+// quotaUsage returns the connections that a tenant has through this relay over the relay's part of
+// the tenant's quota, 0 if there is no quota.
 func (b *Balancer) quotaUsage(r *request) float64 {
 	if r.Tenant < 0 || r.Tenant >= len(b.cfg.Tenants) || b.cfg.Tenants[r.Tenant].ConnectionQuota <= 0 {
 		return 0
 	}
-	return float64(b.tenantConnections[r.Tenant]) * float64(b.cfg.Relays) / b.cfg.Tenants[r.Tenant].ConnectionQuota
+	return float64(b.tenantConnections[r.Tenant]) * float64(b.cfg.Relays) /
+		b.cfg.Tenants[r.Tenant].ConnectionQuota
 }
 
-// usable tells whether a request may go to a backend. A cold one must have told its load just now.
+// usable reports whether a request may go to a backend. A cold backend must have reported its load
+// within reportLifetime, if probes are allowed.
 func (b *Balancer) usable(now time.Time, r *request, k *backend) bool {
-	told := !b.cfg.MayProbe || now.Sub(k.lastReport) < reportLifetime || b.warmUpFraction(now, k) >= 1
-	takes := told && b.acceptsNew(k) && b.withinPermits(now, k) && (r.Reconnect || !b.filledEarly(now, k))
-	return takes && !slices.Contains(r.tried, k) && b.repeatable(now, r, k)
+	loadKnown := !b.cfg.MayProbe || now.Sub(k.lastReport) < reportLifetime || b.warmUpFraction(now, k) >= 1
+	admits := loadKnown && b.acceptsNew(k) && b.withinPermits(now, k) &&
+		(r.Reconnect || !b.filledEarly(now, k))
+	return admits && !slices.Contains(r.tried, k) && b.repeatable(now, r, k)
 }
--- a/balance/retries.go
+++ b/balance/retries.go
@@ -1,4 +1,5 @@
-// What becomes of a request whose attempt failed, or that finds no room: held, tried again, or answered.
+// Retries of requests that failed or found no backend, their final answers, and ejection of
+// backends.
 
 package balance
 
@@ -7,15 +8,24 @@
 )
 
 const (
-	backoffFraction      = 0.4  // part of the aim before a second try while most attempts fail; then doubles
-	adviceFraction       = 0.25 // part of the longest advice that a refused client gets: room is found soon
-	firstEjectionPeriods = 1.0  // first ejection of a failing backend, in probe periods; doubles each time
-	maxBackoffDoublings  = 4    // doublings of an ejection
+	// backoffFraction is the part of the set-up target for which a request is first held. The delay
+	// doubles each time.
+	backoffFraction = 0.4
+	// retryAfterFraction is the part of Config.MaxRetryAfter that a refused client is advised to
+	// wait. Capacity is usually found well before the longest delay.
+	retryAfterFraction = 0.25
+	// firstEjectionPeriods is the length of the first ejection of a failing backend, in multiples
+	// of probeInterval. It doubles each time.
+	firstEjectionPeriods = 1.0
+	// maxBackoffDoublings is the most doublings of an ejection or of a retry delay.
+	maxBackoffDoublings = 4
 )
 
-// retryLater holds a request for a while before its next try, or concludes it if its time is too short for that.
+// retryLater holds a request for a random time before its next try. It concludes the request if its
+// deadline is too near for that.
 func (b *Balancer) retryLater(now time.Time, r *request) {
-	wait := micros(b.class(r.Class).SetupTarget) * backoffFraction * float64(int64(1)<<min(r.holdCount, maxBackoffDoublings))
+	wait := micros(b.class(r.Class).SetupTarget) * backoffFraction *
+		float64(int64(1)<<min(r.holdCount, maxBackoffDoublings))
 	wait = max(wait*(0.5+b.rng.Float64()), 1)
 	r.holdCount++
 	if !now.Add(fromMicros(wait)).Before(r.deadline) {
@@ -25,7 +35,8 @@
 	b.setRequestTimer(now, r, fromMicros(wait))
 }
 
-// repeatable tells whether sending to a backend can have no effect twice.
+// repeatable reports whether an attempt of a request on a backend cannot repeat the effect of an
+// earlier one.
 func (b *Balancer) repeatable(now time.Time, r *request, k *backend) bool {
 	c := b.class(r.Class)
 	if r.ranOn == nil || c.Idempotency == Idempotent {
@@ -38,18 +49,20 @@
 		c.DedupScope == ScopeCell && k.Cell == r.ranOn.Cell
 }
 
-// conclude gives a request that cannot be placed its final answer.
+// conclude gives a request that cannot be placed its final answer: a refusal if the client may
+// safely try again, else a failure.
 func (b *Balancer) conclude(r *request) {
 	c := b.class(r.Class)
 	b.removeRequest(r)
-	if r.ranOn == nil || c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && c.DedupScope == ScopeAll {
-		b.host.Refuse(r.ID, time.Duration(float64(b.cfg.MaxRetryAfter)*adviceFraction))
+	if r.ranOn == nil || c.Idempotency == Idempotent ||
+		c.Idempotency == IdempotentByKey && c.DedupScope == ScopeAll {
+		b.host.Refuse(r.ID, time.Duration(float64(b.cfg.MaxRetryAfter)*retryAfterFraction))
 	} else {
 		b.host.Fail(r.ID)
 	}
 }
 
-// recordOutcome counts failures in a row and ejects a backend that fails.
+// recordOutcome counts consecutive failures of a backend and ejects it after each.
 func (b *Balancer) recordOutcome(now time.Time, k *backend, o Outcome) {
 	switch o {
 	case OK:
@@ -59,9 +72,10 @@
 		return
 	}
 	if now.Before(k.ejectedUntil) {
-		return // a process that dies breaks all its connections at once: that is one failure
+		// A process that dies breaks all its connections at once. That counts as one failure.
+		return
 	}
-	times := float64(int64(1) << min(k.consecutiveFailures, maxBackoffDoublings))
-	k.ejectedUntil = now.Add(b.withJitter(fromMicros(firstEjectionPeriods * micros(probeInterval) * times)))
+	factor := float64(int64(1) << min(k.consecutiveFailures, maxBackoffDoublings))
+	k.ejectedUntil = now.Add(b.withJitter(fromMicros(firstEjectionPeriods * micros(probeInterval) * factor)))
 	k.consecutiveFailures++
 }
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -11,25 +11,25 @@
 // returns for it, at once if end also returns true, else when it times out. If loads is nil, no
 // probe is answered.
 func (s *recordingHost) runUntil(until time.Time, loads func(string) float64, end func(id RequestID) (Outcome, bool)) []action {
-	type due struct {
+	type pendingAction struct {
 		at time.Time
 		a  action
 	}
-	var queue []due
+	var queue []pendingAction
 	var all []action
 	push := func() {
 		for _, a := range s.takeActions() {
 			all = append(all, a)
 			switch a.kind {
 			case "after", "probe":
-				queue = append(queue, due{s.now.Add(a.d), a})
+				queue = append(queue, pendingAction{s.now.Add(a.d), a})
 			case "send":
 				o, now := end(a.id)
 				d := time.Duration(0)
 				if !now {
 					d = a.d
 				}
-				queue = append(queue, due{s.now.Add(d), action{kind: "end", id: a.id, attempt: int(o)}})
+				queue = append(queue, pendingAction{s.now.Add(d), action{kind: "end", id: a.id, attempt: int(o)}})
 			}
 		}
 	}
@@ -45,18 +45,18 @@
 			s.now = until
 			return all
 		}
-		d := queue[best]
+		next := queue[best]
 		queue = append(queue[:best], queue[best+1:]...)
-		s.now = d.at
-		switch d.a.kind {
+		s.now = next.at
+		switch next.a.kind {
 		case "probe":
 			if loads != nil {
-				s.b.Probed(s.now, d.a.backend, OK, loadReport(loads(d.a.backend)))
+				s.b.Probed(s.now, next.a.backend, OK, loadReport(loads(next.a.backend)))
 			}
 		case "after":
-			s.b.Timer(s.now, d.a.token)
+			s.b.Timer(s.now, next.a.token)
 		case "end":
-			s.finish(d.a.id, false, Outcome(d.a.attempt))
+			s.finish(next.a.id, false, Outcome(next.a.attempt))
 		}
 		push()
 	}
--- a/balance/script_test.go
+++ b/balance/script_test.go
@@ -123,10 +123,10 @@
 // request was sent, or "" if it was not sent.
 func (s *recordingHost) place(q Request, loads func(string) float64) string {
 	s.b.Request(s.now, q)
-	as := s.takeActions()
-	s.answerProbes(as, loads)
-	as = append(as, s.takeActions()...)
-	for _, a := range as {
+	actions := s.takeActions()
+	s.answerProbes(actions, loads)
+	actions = append(actions, s.takeActions()...)
+	for _, a := range actions {
 		if a.kind == "send" && a.id == q.ID {
 			return a.backend
 		}
--- a/balance/state.go
+++ b/balance/state.go
@@ -111,12 +111,12 @@
 }
 
 // RestoreConnection adds a connection that was already open through this relay at its start.
-func (b *Balancer) RestoreConnection(now time.Time, q Request, id string) {
+func (b *Balancer) RestoreConnection(now time.Time, q Request, backendID string) {
 	r := b.addRequest(q)
 	r.attempts, r.established = 1, true
-	k := b.byID[id]
+	k := b.byID[backendID]
 	if k == nil { // removed from the list, but the connection is open
-		k = &backend{Backend: Backend{ID: id, State: Gone}}
+		k = &backend{Backend: Backend{ID: backendID, State: Gone}}
 	}
 	b.assign(r, k)
 }
@@ -140,12 +140,12 @@
 // mergeBackends updates the backends from a list of discovery.
 func (b *Balancer) mergeBackends(kind ListKind, list []Backend) {
 	if kind != ListPatch {
-		named := make(map[string]bool, len(list))
+		listed := make(map[string]bool, len(list))
 		for i := range list {
-			named[list[i].ID] = true
+			listed[list[i].ID] = true
 		}
 		for _, k := range b.backends {
-			if !named[k.ID] {
+			if !listed[k.ID] {
 				k.State = Gone
 			}
 		}
@@ -184,29 +184,29 @@
 // Restrict limits new connections to the backends with these IDs until the next call: the list may
 // be out of date, and only these are known to have accepted new work since. An empty slice allows
 // no backend, nil allows all.
-func (b *Balancer) Restrict(to []string) {
-	b.allowedIDs = to
+func (b *Balancer) Restrict(ids []string) {
+	b.allowedIDs = ids
 	b.updateReady()
 }
 
 // updateBackend adds or updates the backend of one entry of a list.
-func (b *Balancer) updateBackend(m *Backend) {
-	k := b.byID[m.ID]
+func (b *Balancer) updateBackend(entry *Backend) {
+	k := b.byID[entry.ID]
 	if k == nil {
-		if m.State == Gone {
+		if entry.State == Gone {
 			return
 		}
-		k = &backend{Backend: *m, weight: fullWeight, idHash: hash(m.ID)}
-		b.byID[m.ID] = k
+		k = &backend{Backend: *entry, weight: fullWeight, idHash: hash(entry.ID)}
+		b.byID[entry.ID] = k
 		b.backends = append(b.backends, k)
 		return
 	}
-	if m.StartTime.After(k.StartTime) {
+	if entry.StartTime.After(k.StartTime) {
 		// After a restart nothing that was known of the backend holds any more.
 		k.weight, k.consecutiveFailures, k.ejectedUntil, k.peerEjectedUntil =
 			fullWeight, 0, time.Time{}, time.Time{}
 	}
-	k.Backend = *m
+	k.Backend = *entry
 }
 
 // assign adds a request to the connections and attempts of a backend; unassign removes it again.
--- a/balance/troubles_test.go
+++ b/balance/troubles_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// world feeds a relay one request every gap and lets each attempt end as end says; a connection that is set
+// runRequests feeds a relay one request every gap and lets each attempt end as end says; a connection that is set
 // up lasts until the end of the test. It returns where the requests went.
-func (s *recordingHost) world(n int, gap time.Duration, loads func(string) float64, end func(backend string) Outcome) map[string]int {
+func (s *recordingHost) runRequests(n int, gap time.Duration, loads func(string) float64, end func(backend string) Outcome) map[string]int {
 	got := map[string]int{}
 	for id := range RequestID(n) {
 		id += 1 + RequestID(s.now.UnixMicro())
@@ -49,7 +49,7 @@
 	cfg := testConfig()
 	cfg.Relays = 1
 	s := startBalancer(t, cfg, 1, 5)
-	got := s.world(100, 300*ms, func(string) float64 { return math.NaN() }, served)
+	got := s.runRequests(100, 300*ms, func(string) float64 { return math.NaN() }, served)
 	for i := range 5 {
 		if n := got["b"+strconv.Itoa(i)]; n < 10 || n > 30 {
 			t.Errorf("b%d got %d of 100", i, n)
@@ -60,7 +60,7 @@
 // A frozen report must not draw everything to one backend for good.
 func TestReportsFrozen(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 6)
-	got := s.world(200, 300*ms, func(b string) float64 {
+	got := s.runRequests(200, 300*ms, func(b string) float64 {
 		if b == "b0" {
 			return 0.3
 		}
@@ -87,13 +87,13 @@
 		}
 		return OK
 	}
-	got := s.world(200, 300*ms, loads, end)
+	got := s.runRequests(200, 300*ms, loads, end)
 	if got["b0"] > 30 {
 		t.Errorf("%d attempts at a backend that fails all", got["b0"])
 	}
 	broken = false
 	s.now = s.now.Add(60 * sec)
-	if got = s.world(100, 300*ms, loads, end); got["b0"] == 0 {
+	if got = s.runRequests(100, 300*ms, loads, end); got["b0"] == 0 {
 		t.Error("the backend is shunned for ever after it has recovered")
 	}
 }
@@ -101,7 +101,7 @@
 // A backend that connects and never answers costs few attempts, and a request's other attempts go elsewhere.
 func TestSilentBackend(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 6)
-	got := s.world(200, 300*ms, idleLoad, func(b string) Outcome {
+	got := s.runRequests(200, 300*ms, idleLoad, func(b string) Outcome {
 		if b == "b0" {
 			return TimedOut
 		}
@@ -191,14 +191,14 @@
 // Half of the list goes at once: their connections' clients come back and find a place in the other half.
 func TestHalfGoneAtOnce(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 10)
-	s.world(50, 200*ms, idleLoad, served)
+	s.runRequests(50, 200*ms, idleLoad, served)
 	s.b.DiscoveryUpdate(s.now, ListWhole, readyBackends(10)[5:])
 	for _, r := range s.b.requests {
 		if r.backend.State == Gone {
 			s.finish(r.ID, true, Broken)
 		}
 	}
-	got := s.world(50, 50*ms, idleLoad, served)
+	got := s.runRequests(50, 50*ms, idleLoad, served)
 	for i := range 5 {
 		if n := got["b"+strconv.Itoa(i)]; n != 0 {
 			t.Errorf("%d sent to b%d, which is gone", n, i)
@@ -275,7 +275,7 @@
 // A relay that starts with an old list finds that half of it is not there any more.
 func TestStartsWithAnOldList(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 8)
-	got := s.world(100, 200*ms, idleLoad, func(b string) Outcome {
+	got := s.runRequests(100, 200*ms, idleLoad, func(b string) Outcome {
 		if b < "b4" {
 			return NoConnect
 		}
@@ -369,7 +369,7 @@
 			}
 			s.b.DiscoveryUpdate(s.now, ListWhole, list)
 			far := 0
-			for id, n := range s.world(200, 300*ms, func(b string) float64 {
+			for id, n := range s.runRequests(200, 300*ms, func(b string) float64 {
 				if s.b.byID[b].Zone == "there" {
 					return 0.1
 				}
@@ -663,22 +663,22 @@
 	idle := func(string) float64 { return 0.1 }
 	s := startBalancer(t, cfg, 1, 4)
 	s.b.EjectUntil("b2", s.now.Add(time.Minute))
-	if got := s.world(40, 10*ms, idle, served); got["b2"] != 0 || got["b0"] == 0 {
+	if got := s.runRequests(40, 10*ms, idle, served); got["b2"] != 0 || got["b0"] == 0 {
 		t.Errorf("told of b2, placed %v", got)
 	}
 	s.b.EjectUntil("b2", time.Time{})
-	if got := s.world(40, 10*ms, idle, served); got["b2"] == 0 {
+	if got := s.runRequests(40, 10*ms, idle, served); got["b2"] == 0 {
 		t.Errorf("taken back, placed %v", got)
 	}
 	s.b.EjectUntil("b3", s.now.Add(time.Minute))
 	s.now = s.now.Add(61 * sec)
-	if got := s.world(40, 10*ms, idle, served); got["b3"] == 0 {
+	if got := s.runRequests(40, 10*ms, idle, served); got["b3"] == 0 {
 		t.Errorf("over, placed %v", got)
 	}
 	for i := range 4 {
 		s.b.EjectUntil("b"+strconv.Itoa(i), s.now.Add(time.Minute))
 	}
-	if got := s.world(40, 10*ms, idle, served); len(got) != 4 {
+	if got := s.runRequests(40, 10*ms, idle, served); len(got) != 4 {
 		t.Errorf("told of all, which can't all be at fault, placed %v", got)
 	}
 	s.b.EjectUntil("nobody", s.now.Add(time.Minute))
@@ -719,7 +719,7 @@
 	for _, thrifty := range []bool{false, true} {
 		s := startBalancer(t, testConfig(), 1, 4)
 		s.b.DisableRetries(thrifty)
-		sent := s.world(1, 10*ms, func(string) float64 { return 0.1 }, func(string) Outcome { return Error })
+		sent := s.runRequests(1, 10*ms, func(string) float64 { return 0.1 }, func(string) Outcome { return Error })
 		n := 0
 		for _, k := range sent {
 			n += k
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -1,4 +1,4 @@
-// What is known of the backends' load: probes, reports and the weights that follow them.
+// Probes, load reports, and the weights of the backends that follow from them.
 
 package balance
 
@@ -9,14 +9,15 @@
 )
 
 const (
-	weightStep  = 5   // A of the paper: a smaller change of a weight is noise
-	fullWeight  = 100 // W of a backend that joins
-	floorWeight = 1   // keeps W positive, so that a full backend is still the last resort
+	weightStep  = 5   // smaller changes of a weight are noise
+	fullWeight  = 100 // weight of an idle backend, and of one that has not reported yet
+	floorWeight = 1   // keeps weights positive, so that a full backend is still the last resort
 )
 
-// probe asks for a report unless there is one younger than age. It tells whether one is to come.
-func (b *Balancer) probe(now time.Time, k *backend, age time.Duration) bool {
-	if !b.cfg.MayProbe || !k.lastReport.IsZero() && now.Sub(k.lastReport) < age {
+// probe asks a backend for a report unless its last one is younger than maxAge. The result is
+// whether a report is outstanding.
+func (b *Balancer) probe(now time.Time, k *backend, maxAge time.Duration) bool {
+	if !b.cfg.MayProbe || !k.lastReport.IsZero() && now.Sub(k.lastReport) < maxAge {
 		return false
 	}
 	if !k.probePending {
@@ -26,14 +27,15 @@
 	return true
 }
 
-// applyReport sets a backend's weight: W = 100 - L, unless it moves by less than the step.
+// applyReport sets the weight of a backend to its idle capacity, 100 less the load in percent,
+// unless the weight would change by less than weightStep.
 func (b *Balancer) applyReport(k *backend, rep Report) {
 	load := rep.Load
 	if !(load >= 0) {
 		load = rep.CPU
 	}
 	if !(load >= 0) {
-		return // no word on its load: W stays
+		return // no load is reported: the weight stays
 	}
 	k.unreported = 0
 	k.loadPerConnection = rep.Load / rep.Active
@@ -43,25 +45,29 @@
 	}
 }
 
-// Probed takes the answer to a probe; where none came, W stays.
+// Probed handles the result of a probe. If no answer came, the weight of the backend stays.
 func (b *Balancer) Probed(now time.Time, id string, o Outcome, rep Report) {
 	k := b.byID[id]
 	if k == nil {
 		return
 	}
-	if k.probePending = false; o != NotSent { // a shortage at the host tells nothing of the backend
+	// A probe that was not sent, for want of resources at the host, tells nothing about the
+	// backend.
+	if k.probePending = false; o != NotSent {
 		k.probeFailed = o != OK
 	}
 	if o == OK {
-		k.lastReport, k.unreported = now, 0 // also if it tells no load: the bar must not shut out what it cannot judge
+		// This holds also for a report without a load: placements must not exclude a backend whose
+		// load is unknown.
+		k.lastReport, k.unreported = now, 0
 		b.applyReport(k, rep)
 		b.moveOffOverloaded(now, k, rep.Load)
 	} else if o == NoConnect {
-		b.recordOutcome(now, k, o) // the process is down, which discovery learns much later
+		b.recordOutcome(now, k, o) // the process is down; discovery learns of that much later
 	}
-	held := b.awaitingReports
+	waiting := b.awaitingReports
 	b.awaitingReports = b.awaitingReports[:0]
-	for _, r := range held {
+	for _, r := range waiting {
 		if slices.Contains(r.sample, k) {
 			r.pendingReports--
 		}
@@ -75,7 +81,8 @@
 	}
 }
 
-// ConnectionMeasured takes word on an open connection. Late messages there are a reason to look at its backend at once.
+// ConnectionMeasured handles a measurement on an open connection. Late messages on a connection
+// cause a probe of its backend at once.
 func (b *Balancer) ConnectionMeasured(now time.Time, id RequestID, n Metric, level float64) {
 	r := b.requests[id]
 	if r == nil || !r.established || n != MetricDelay || now.Sub(r.backend.lastReport) < reportLifetime {
