--- a/balance/balance.go
+++ b/balance/balance.go
@@ -10,10 +10,10 @@
 const (
 	probeInterval = 3 * time.Second // mean time between rounds of probes
 
-	timerJitter           = 0.2  // random fraction of a timer's length, so that relays do not act in step
-	maxAttemptWindow      = 32.0 // most attempts without a result; established connections are not counted
-	widespreadFailureRate = 0.5  // fraction of failed attempts from which no single backend is the cause
-	ewmaWeight            = 0.25 // of a new sample in a moving average: three failures in a row exceed 0.5
+	timerJitter           = 0.2  // random fraction of a delay, so that relays do not act in step
+	maxAttemptWindow      = 32.0 // most pending attempts; established connections do not count
+	widespreadFailureRate = 0.5  // failed fraction of attempts that no single backend causes
+	ewmaWeight            = 0.25 // of a new sample: three failures in a row bring a mean over 0.5
 )
 
 // Kinds of timers. A token has the kind in its low timerKindBits bits, a request ID in the others.
@@ -44,7 +44,7 @@
 	return fromMicros(micros(d) * (1 + timerJitter*(b.rng.Float64()-0.5)))
 }
 
-// DiscoveryUpdate handles a list of backends from discovery, or the news that discovery failed.
+// DiscoveryUpdate handles a list of backends from discovery, or a failure of discovery.
 func (b *Balancer) DiscoveryUpdate(now time.Time, kind ListKind, list []Backend) {
 	if kind == ListBroken {
 		// All relays lose discovery at the same time: random delays keep their retries apart.
@@ -92,7 +92,7 @@
 	b.host.After(d, r.ID<<timerKindBits|timerRequest)
 }
 
-// Established handles the news that a request's connection is established.
+// Established records that the connection of a request is established.
 func (b *Balancer) Established(now time.Time, id RequestID) {
 	if r := b.requests[id]; r != nil && r.backend != nil && !r.established {
 		r.established = true
--- a/balance/design_test.go
+++ b/balance/design_test.go
@@ -231,17 +231,17 @@
 	s := startBalancer(t, cfg, 1, 12)
 	q := newRequest(1)
 	q.Group = "g"
-	home := s.place(q, idleLoad)
+	preferred := s.place(q, idleLoad)
 	s.now = s.now.Add(sec)
 	q.ID = 2
 	got := s.place(q, func(b string) float64 {
-		if b == home {
+		if b == preferred {
 			return 0.99
 		}
 		return 0.1
 	})
-	if got == "" || got == home {
-		t.Errorf("sent to %q although its preferred backend %q is full, want another one", got, home)
+	if got == "" || got == preferred {
+		t.Errorf("sent to %q although its preferred backend %q is full, want another one", got, preferred)
 	}
 }
 
@@ -251,7 +251,7 @@
 func TestRelaysAgreeOnSpillBackends(t *testing.T) {
 	cfg := testConfig()
 	cfg.GroupAffinity = true
-	homes := map[string]int{}
+	placed := map[string]int{}
 	for seed := range uint64(30) {
 		s := startBalancer(t, cfg, seed, 30)
 		s.takeActions()
@@ -272,16 +272,16 @@
 			return 0.5
 		}, alwaysEndWith(OK)) {
 			if a.kind == "send" {
-				homes[a.backend]++
+				placed[a.backend]++
 			}
 		}
 	}
 	most := 0
-	for _, n := range homes {
+	for _, n := range placed {
 		most = max(most, n)
 	}
 	if most < 15 {
-		t.Errorf("30 relays spread a group over %v, want at least 15 on one backend", homes)
+		t.Errorf("30 relays spread a group over %v, want at least 15 on one backend", placed)
 	}
 }
 
@@ -296,11 +296,11 @@
 	q := newRequest(1)
 	q.Group = "g"
 	s.b.startPlacement(s.now, s.b.addRequest(q))
-	home := s.b.requests[1].sample[0].ID
+	preferred := s.b.requests[1].sample[0].ID
 	s = startBalancer(t, cfg, 1, 3)
 	s.takeActions()
 	if got := s.place(q, func(b string) float64 {
-		if b == home {
+		if b == preferred {
 			return 0.99
 		}
 		return 0.6
@@ -308,8 +308,8 @@
 		t.Fatalf("sent to %q, want held", got)
 	}
 	for _, k := range s.b.ready {
-		if want := k.ID == home; (k.demand > 0) != want {
-			t.Errorf("demand for %s is %v; the preferred backend is %s", k.ID, k.demand, home)
+		if want := k.ID == preferred; (k.demand > 0) != want {
+			t.Errorf("demand for %s is %v; the preferred backend is %s", k.ID, k.demand, preferred)
 		}
 	}
 }
--- a/balance/fuzz_test.go
+++ b/balance/fuzz_test.go
@@ -7,7 +7,7 @@
 )
 
 // FuzzEvents passes arbitrary sequences of valid events to a Balancer and checks what its host can
-// see: at most one final answer for each request, no action for it afterwards, one attempt at a
+// see: at most one final answer for each request, no attempt or answer after it, one attempt at a
 // time, and nothing sent to a backend that is not ready.
 func FuzzEvents(f *testing.F) {
 	f.Add(uint64(1), []byte("abcdefghijklmnopqrstuvwxyz0123456789"))
@@ -25,14 +25,14 @@
 			{SetupTarget: 300 * ms, Idempotency: NotIdempotent},
 		}
 		s := startBalancer(t, cfg, seed, int(seed%7))
-		live := map[RequestID]time.Time{} // deadlines of the requests that need an answer
-		out := map[RequestID]bool{}       // requests with a pending attempt or open connection
+		unanswered := map[RequestID]time.Time{} // deadlines of the requests that need an answer
+		pending := map[RequestID]bool{}         // requests with an attempt or connection
 		check := func() {
 			for _, a := range s.takeActions() {
 				switch a.kind {
 				case "send":
-					if _, ok := live[a.id]; !ok || out[a.id] {
-						t.Fatalf("request %d was sent: needs an answer %v, attempt pending %v", a.id, ok, out[a.id])
+					if _, ok := unanswered[a.id]; !ok || pending[a.id] {
+						t.Fatalf("request %d was sent: needs an answer %v, attempt pending %v", a.id, ok, pending[a.id])
 					}
 					if s.sends[a.id] > cfg.MaxAttempts {
 						t.Fatalf("got %d attempts, more than MaxAttempts", s.sends[a.id])
@@ -40,20 +40,20 @@
 					if k := s.b.byID[a.backend]; k == nil || k.State != Ready {
 						t.Fatalf("sent to %s, which is not ready", a.backend)
 					}
-					out[a.id] = true
+					pending[a.id] = true
 				case "refuse", "fail":
-					if _, ok := live[a.id]; !ok || out[a.id] {
-						t.Fatalf("request %d was answered: needs an answer %v, attempt pending %v", a.id, ok, out[a.id])
+					if _, ok := unanswered[a.id]; !ok || pending[a.id] {
+						t.Fatalf("request %d was answered: needs an answer %v, attempt pending %v", a.id, ok, pending[a.id])
 					}
-					delete(live, a.id)
+					delete(unanswered, a.id)
 				}
 			}
 		}
 		end := func(id RequestID, settled bool, o Outcome) {
-			if out[id] {
-				delete(out, id)
+			if pending[id] {
+				delete(pending, id)
 				if settled {
-					delete(live, id)
+					delete(unanswered, id)
 				}
 				s.finish(id, settled, o)
 			}
@@ -72,7 +72,7 @@
 					ID: next, Class: int(arg%5) - 1, Tenant: int(arg%3) - 1, Group: string(rune('a' + arg%3)),
 					Key: string(rune('a' + arg%7)), Timeout: time.Duration(arg) * 10 * ms, MidFlow: arg%4 == 0,
 				}
-				live[next] = s.now.Add(q.Timeout)
+				unanswered[next] = s.now.Add(q.Timeout)
 				next++
 				s.b.Request(s.now, q)
 			case 3:
@@ -91,9 +91,9 @@
 			case 9:
 				s.b.Established(s.now, id)
 			case 10:
-				_, owed := live[id]
-				if owed {
-					delete(live, id)
+				_, ok := unanswered[id]
+				if ok {
+					delete(unanswered, id)
 					s.b.ClientGone(s.now, id)
 				}
 			case 11, 12:
--- a/balance/interface.go
+++ b/balance/interface.go
@@ -19,7 +19,7 @@
 // The values of Idempotency.
 const (
 	Idempotent      Idempotency = iota // may be sent again to any backend
-	IdempotentByKey                    // may be sent again in its DedupScope, during its DedupWindow
+	IdempotentByKey                    // may be sent again in DedupScope, during DedupWindow
 	NotIdempotent                      // may be sent again only if no earlier attempt can have run
 )
 
@@ -55,12 +55,12 @@
 
 // Rules are the limits that a relay keeps.
 type Rules struct {
-	AnswerSlack     time.Duration // an answer this long after the client's deadline is still in time
+	AnswerSlack     time.Duration // an answer may come this long after the client's deadline
 	MaxDiscoveryGap time.Duration // longest time without a subscription or query to discovery
-	InitialCapacity float64       // minimum fraction of its capacity that a backend has when it starts
+	InitialCapacity float64       // minimum fraction of its capacity that a new backend has
 	WarmUpTime      time.Duration // time from its start until a backend has its full capacity
-	OverloadFactor  float64       // a cold backend is overloaded by work above this multiple of its capacity
-	OverloadWindow  time.Duration // a cold backend fails if it is overloaded for this long
+	OverloadFactor  float64       // multiple of its capacity that overloads a cold backend
+	OverloadWindow  time.Duration // an overload of this length makes a cold backend fail
 }
 
 // Prices are costs per unit, where 1 is the value of the whole service.
@@ -70,18 +70,18 @@
 
 // Config is the configuration of a Balancer.
 type Config struct {
-	Relays          int // number of relays that share the backends, this one included; 0 counts as 1
+	Relays          int // relays that share the backends, this one included; 0 counts as 1
 	Zone            string
 	Classes         []Class
 	Tenants         []Tenant
 	Rules           Rules
 	Prices          Prices
 	MaxAttempts     int           // per request; 0: no limit
-	MaxRetryAfter   time.Duration // longest retry delay that a refusal may advise; 0: none is advised
+	MaxRetryAfter   time.Duration // longest delay that a refusal may advise; 0: none is advised
 	MayProbe        bool          // Host.Probe may be called
 	MayCancel       bool          // Host.Cancel may be called
 	Subscribe       bool          // discovery sends lists only after a call of Host.Watch
-	DetachedTimeout time.Duration // a backend keeps a connection without packets this long; 0: not at all
+	DetachedTimeout time.Duration // a connection without packets is kept this long; 0: not at all
 	GroupAffinity   bool          // a backend bears a cost once for all its connections of a group
 }
 
@@ -90,9 +90,9 @@
 
 // The values of State.
 const (
-	Ready State = iota
-	Draining
-	Gone
+	Ready    State = iota // accepts new connections
+	Draining              // keeps its connections, accepts no new ones
+	Gone                  // removed from the list
 )
 
 // Backend is one entry of a list from discovery.
@@ -124,7 +124,7 @@
 	Group     string        // connections of one group share work on a backend; empty: none
 	Key       string        // what the request is for, such as a flow of packets; empty: unknown
 	Timeout   time.Duration // until the client gives up
-	MidFlow   bool          // packets of an open connection that another relay has carried until now
+	MidFlow   bool          // packets of an open connection that another relay carried before
 	Reconnect bool          // the client lost or was moved off an earlier connection
 	OverLimit bool          // all relays together have reached a limit: the request is refused
 }
--- a/balance/restrict_test.go
+++ b/balance/restrict_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// While it is restricted, a relay places new connections at the named backends alone, also behind news of the list; those that stand
-// elsewhere stay. Lifted, all may be used again.
+// A restricted relay places new connections on the allowed backends alone, also after an update of
+// the list. Connections that are open on other backends stay. Without the restriction all backends
+// are used again.
 func TestRestrict(t *testing.T) {
 	for _, groups := range []bool{false, true} {
 		cfg := testConfig()
@@ -15,24 +16,24 @@
 			q.Group = string(rune('a' + id%26))
 			return s.place(q, idleLoad)
 		}
-		elsewhere := request(1)
+		openOn := request(1)
 		s.b.Established(s.now, 1)
-		named := "b7"
-		if elsewhere == named {
-			named = "b8"
+		allowed := "b7"
+		if openOn == allowed {
+			allowed = "b8"
 		}
-		s.b.Restrict([]string{named})
+		s.b.Restrict([]string{allowed})
 		for id := RequestID(2); id < 30; id++ {
 			if id == 15 {
 				s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "new", Zone: "here", Size: 1}})
 			}
-			if at := request(id); at != named {
-				t.Fatalf("groups %v: request %d goes to %q, not to %s", groups, id, at, named)
+			if at := request(id); at != allowed {
+				t.Fatalf("groups %v: request %d was sent to %q, want %s", groups, id, at, allowed)
 			}
 			s.finish(id, true, OK)
 		}
-		if s.b.ConnectionCount(elsewhere) != 1 || s.count(s.takeActions(), "move") != 0 {
-			t.Errorf("groups %v: the connection at %s does not stay", groups, elsewhere)
+		if s.b.ConnectionCount(openOn) != 1 || s.count(s.takeActions(), "move") != 0 {
+			t.Errorf("groups %v: the open connection on %s was moved or dropped", groups, openOn)
 		}
 		s.b.Restrict(nil)
 		used := make(map[string]bool)
@@ -40,12 +41,13 @@
 			used[request(id)] = true
 		}
 		if len(used) < 5 {
-			t.Errorf("groups %v: lifted, %d backends are used", groups, len(used))
+			t.Errorf("groups %v: restriction lifted, %d backends used, want at least 5", groups, len(used))
 		}
 	}
 }
 
-// Where no backend is left, a request is held and has its one refusal in time; it goes out if the restriction is lifted before.
+// If the restriction leaves no backend, a request is held and refused once before its deadline. If
+// the restriction is lifted before that, the request is sent.
 func TestRestrictToNone(t *testing.T) {
 	for _, lifted := range []bool{false, true} {
 		s := startBalancer(t, testConfig(), 6, 8)
@@ -54,7 +56,7 @@
 		from := s.now
 		s.b.Request(s.now, q)
 		if n := s.count(s.actions, "send") + s.count(s.actions, "refuse"); n != 0 {
-			t.Fatalf("answered at once: %v", s.actions)
+			t.Fatalf("request answered at once, want it held: %v", s.actions)
 		}
 		if lifted {
 			s.b.Restrict(nil)
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -85,10 +85,10 @@
 		{"not sent by the host", 4, idleLoad, NotSent},
 	}
 	for _, tt := range tests {
-		for _, repeat := range []Idempotency{Idempotent, IdempotentByKey, NotIdempotent} {
+		for _, idempotency := range []Idempotency{Idempotent, IdempotentByKey, NotIdempotent} {
 			t.Run(tt.name, func(t *testing.T) {
 				cfg := testConfig()
-				cfg.Classes[0].Idempotency, cfg.Classes[0].DedupWindow = repeat, 5*sec
+				cfg.Classes[0].Idempotency, cfg.Classes[0].DedupWindow = idempotency, 5*sec
 				s := startBalancer(t, cfg, 3, tt.n)
 				s.takeActions()
 				from := s.now
@@ -100,7 +100,7 @@
 					t.Errorf("got %d final answers, want 1", n)
 				}
 				if n := s.count(all, "send"); n > cfg.MaxAttempts {
-					t.Errorf("got %d attempts, want at most %d", n, cfg.MaxAttempts)
+					t.Errorf("got %d attempts, more than MaxAttempts", n)
 				}
 				all = s.runUntil(from.Add(60*sec), tt.loads, alwaysEndWith(tt.outcome))
 				if n := s.count(all, "send") + s.count(all, "refuse") + s.count(all, "fail"); n != 0 {
@@ -202,12 +202,12 @@
 // class allows that, and refused only if it cannot have run or the client may safely repeat it.
 func TestRequestTakesEffectAtMostOnce(t *testing.T) {
 	tests := []struct {
-		name    string
-		repeat  Idempotency
-		scope   DedupScope
-		outcome Outcome
-		resends bool // a second attempt may be made somewhere
-		refuses bool // the final answer may be a refusal
+		name        string
+		idempotency Idempotency
+		scope       DedupScope
+		outcome     Outcome
+		resends     bool // a second attempt may be made somewhere
+		refuses     bool // the final answer may be a refusal
 	}{
 		{"idempotent, may have run", Idempotent, ScopeAll, Error, true, true},
 		{"not idempotent, may have run", NotIdempotent, ScopeAll, Error, false, false},
@@ -224,7 +224,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			cfg := testConfig()
-			cfg.Classes[0].Idempotency, cfg.Classes[0].DedupScope, cfg.Classes[0].DedupWindow = tt.repeat, tt.scope, sec
+			cfg.Classes[0].Idempotency, cfg.Classes[0].DedupScope, cfg.Classes[0].DedupWindow = tt.idempotency, tt.scope, sec
 			s := startBalancer(t, cfg, 2, 6)
 			list := readyBackends(6)
 			for i := range list[:3] {
@@ -243,13 +243,13 @@
 				if first == nil {
 					first = k
 				}
-				if tt.outcome == Error && tt.repeat == IdempotentByKey &&
+				if tt.outcome == Error && tt.idempotency == IdempotentByKey &&
 					(tt.scope == ScopeZone && k.Zone != first.Zone || tt.scope == ScopeCell && k.Cell != first.Cell) {
 					t.Errorf("sent to %v after %v, outside the deduplication scope", k, first)
 				}
 			}
 			if n := s.sends[1]; n > 1 && !tt.resends || n == 0 {
-				t.Errorf("got %d attempts, further ones allowed: %v", n, tt.resends)
+				t.Errorf("got %d attempts, want at least one, and no further one where it may not be repeated", n)
 			}
 			if n := s.count(all, "refuse"); n > 0 && !tt.refuses {
 				t.Error("refused although it may have run")
@@ -303,9 +303,9 @@
 			s := startBalancer(t, testConfig(), 1, 4)
 			s.takeActions()
 			s.b.Request(s.now, newRequest(100)) // waits for its probes when the list comes
-			asked := s.takeActions()
+			actions := s.takeActions()
 			s.b.DiscoveryUpdate(s.now, tt.kind, tt.list)
-			s.answerProbes(asked, idleLoad)
+			s.answerProbes(actions, idleLoad)
 			for id := range RequestID(40) {
 				s.now = s.now.Add(100 * ms)
 				s.place(newRequest(id+1), idleLoad)
@@ -340,14 +340,14 @@
 		t.Errorf("got weight %v and %d ready backends", k.weight, len(s.b.ready))
 	}
 	if w := s.b.warmUpFraction(s.now, k); w != s.b.cfg.Rules.InitialCapacity {
-		t.Errorf("got warmth %v at the start", w)
+		t.Errorf("got warm-up fraction %v at the start", w)
 	}
 }
 
 // An idle cold backend looks the least loaded, but all relays together must not send it more than
 // its present capacity allows. Each relay keeps its part on its own: relative to a warm backend's
-// share of the connections that end well, a cold one gets at most its warmth times a fraction
-// (fallShare) of Rules.OverloadFactor.
+// share of the connections that end well, a cold one gets at most its warm-up fraction times a
+// fraction (coldCreditFraction) of Rules.OverloadFactor.
 func TestColdBackendShareFollowsWarmUp(t *testing.T) {
 	const n, requests = 10, 4000
 	tests := []struct {
@@ -468,13 +468,13 @@
 		s.now = s.now.Add(200 * ms)
 		q := newRequest(2*id + 1)
 		q.Key = string(rune('a' + id))
-		home := s.place(q, idleLoad)
+		want := s.place(q, idleLoad)
 		s.b.Established(s.now, q.ID)
 		s.finish(q.ID, true, Cancelled)
 		q.ID++
 		q.MidFlow = true
-		if got := s.place(q, idleLoad); got != home {
-			t.Errorf("sent to %s, want %s, which has the connection", got, home)
+		if got := s.place(q, idleLoad); got != want {
+			t.Errorf("sent to %s, want %s, which has the connection", got, want)
 		}
 	}
 }
@@ -494,12 +494,12 @@
 	w := s.b.warmUpFraction(s.now, s.b.byID["cold0"])
 	for range ends {
 		s.b.grantColdCredits(s.now, s.b.byID["b0"])
-		s.b.grantColdCredits(s.now, s.b.byID["cold0"]) // a connection that ends on a cold backend grants no credit
+		s.b.grantColdCredits(s.now, s.b.byID["cold0"]) // cold: no credits
 	}
-	bears := float64(ends) / 4 // one warm backend's share of the ended connections
-	most := 12 * bears * w * cfg.Rules.OverloadFactor
-	if n := float64(len(s.b.coldCredits)); n > 0.9*most || n < 0.7*most {
-		t.Errorf("got %v credits, want 0.7 to 0.9 of the %v that cold backends can bear", n, most)
+	endedPerBackend := float64(ends) / 4 // one warm backend's share of the ended connections
+	capacity := 12 * endedPerBackend * w * cfg.Rules.OverloadFactor
+	if n := float64(len(s.b.coldCredits)); n > 0.9*capacity || n < 0.7*capacity {
+		t.Errorf("got %v credits, want 0.7 to 0.9 of the %v that cold backends can bear", n, capacity)
 	}
 }
 
@@ -528,7 +528,7 @@
 	n := 0
 	for id := RequestID(1); id < 40; id++ {
 		q := newRequest(id)
-		q.Timeout = 3*sec + time.Duration(id)*7*time.Nanosecond // a real clock has fractions of a microsecond
+		q.Timeout = 3*sec + time.Duration(id)*7*time.Nanosecond // real clocks have nanoseconds
 		s.b.Request(s.now.Add(time.Duration(id)), q)
 		for _, a := range s.takeActions() {
 			if a.kind != "after" {
@@ -626,8 +626,8 @@
 // connection having ended. All relays together stay below the load that overloads a cold backend,
 // even if one group is half of the traffic. Reconnecting clients get a smaller share.
 func TestColdBackendsReceiveGroupTraffic(t *testing.T) {
-	for _, again := range []bool{false, true} {
-		const asked, relays, each = 4000, 80, 10 * ms // the requests go to the relays in turn, one each 10 ms
+	for _, reconnect := range []bool{false, true} {
+		const requests, relays, interval = 4000, 80, 10 * ms // to each relay in turn
 		fleet := startFleet(t, relays, 4, 2000)
 		var list []Backend
 		for i := range 6 {
@@ -635,16 +635,16 @@
 		}
 		sent := map[string]float64{}
 		cold, warmth := 0.0, 0.0
-		for id := RequestID(1); id <= asked; id++ {
+		for id := RequestID(1); id <= requests; id++ {
 			s := fleet[id%relays]
-			s.now = fleet[0].now.Add(time.Duration(id) * each)
+			s.now = fleet[0].now.Add(time.Duration(id) * interval)
 			for i := range list { // the backends stay equally cold
 				list[i].StartTime = s.now.Add(-5 * sec)
 			}
 			s.b.DiscoveryUpdate(s.now, ListPatch, list)
 			warmth = s.b.warmUpFraction(s.now, s.b.byID["c0"])
 			q := newRequest(id)
-			if q.Reconnect = again; id%2 == 0 {
+			if q.Reconnect = reconnect; id%2 == 0 {
 				q.Group = "half"
 			} else {
 				q.Group = strconv.Itoa(int(id % 101))
@@ -660,14 +660,14 @@
 				cold++
 			}
 		}
-		even := asked / (4 * 0.5) // capacity of a backend: the four warm ones carry the traffic at half load
+		capacity := requests / (4 * 0.5) // four warm backends carry the traffic at half load
 		for at, n := range sent {
-			if at[0] == 'c' && n > even*warmth*testConfig().Rules.OverloadFactor {
-				t.Errorf("reconnect %v: %v requests, with a capacity of %v, went to %s at warmth %.2f", again, n, even, at, warmth)
+			if at[0] == 'c' && n > capacity*warmth*testConfig().Rules.OverloadFactor {
+				t.Errorf("reconnect %v: %v requests, with a capacity of %v, went to %s at warm-up fraction %.2f", reconnect, n, capacity, at, warmth)
 			}
 		}
-		if least := map[bool]float64{false: 0.15, true: 0.05}[again]; cold < least*asked {
-			t.Errorf("reconnect %v: %v of %d requests went to cold backends, too few", again, cold, asked)
+		if least := map[bool]float64{false: 0.15, true: 0.05}[reconnect]; cold < least*requests {
+			t.Errorf("reconnect %v: %v of %d requests went to cold backends, too few", reconnect, cold, requests)
 		}
 	}
 }
@@ -759,20 +759,20 @@
 		}
 	}
 	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", StartTime: s.now.Add(-8 * sec)}})
-	part := func(weight float64, again bool) float64 {
+	part := func(weight float64, reconnect bool) float64 {
 		n := 0.0
 		k.weight = weight
 		for range 20000 {
 			k.permits = permits{} // as at another relay
-			if s.b.mayTakeByRank(s.now, &request{Request: Request{Reconnect: again}}, k, 1) {
+			if s.b.mayTakeByRank(s.now, &request{Request: Request{Reconnect: reconnect}}, k, 1) {
 				n++
 			}
 		}
 		return n
 	}
-	for _, again := range []bool{false, true} {
-		if r := part(fullWeight/2, again) / part(fullWeight, again); r < 0.45 || r > 0.55 {
-			t.Errorf("reconnect %v: at half load, got %.2f of an idle backend's share, want 0.45 to 0.55", again, r)
+	for _, reconnect := range []bool{false, true} {
+		if r := part(fullWeight/2, reconnect) / part(fullWeight, reconnect); r < 0.45 || r > 0.55 {
+			t.Errorf("reconnect %v: at half load, got %.2f of an idle backend's share, want 0.45 to 0.55", reconnect, r)
 		}
 	}
 	if r := part(fullWeight, true) / part(fullWeight, false); r > 0.7 {
@@ -791,11 +791,11 @@
 		q.Group = "g"
 		s := startBalancer(t, cfg, 1, 3)
 		s.b.startPlacement(s.now, s.b.addRequest(q))
-		home := s.b.requests[1].sample[0].ID
+		preferred := s.b.requests[1].sample[0].ID
 		s = startBalancer(t, cfg, 1, 3)
-		got := s.place(q, func(b string) float64 { return map[bool]float64{true: 0.99, false: 0.6}[b == home] })
+		got := s.place(q, func(b string) float64 { return map[bool]float64{true: 0.99, false: 0.6}[b == preferred] })
 		if (got != "") != want {
-			t.Errorf("%d relays: sent to %q, want sent: %v", relays, got, want)
+			t.Errorf("%d relays: sent to %q, want a spill with 80 relays only", relays, got)
 		}
 	}
 }
--- a/balance/script_test.go
+++ b/balance/script_test.go
@@ -53,10 +53,10 @@
 	s.record(action{kind: "after", d: d, token: token})
 }
 func (s *recordingHost) takeActions() []action { a := s.actions; s.actions = nil; return a }
-func (s *recordingHost) count(as []action, what string) int {
+func (s *recordingHost) count(actions []action, kind string) int {
 	n := 0
-	for _, a := range as {
-		if a.kind == what {
+	for _, a := range actions {
+		if a.kind == kind {
 			n++
 		}
 	}
@@ -111,8 +111,8 @@
 
 // answerProbes answers each probe among the actions with the load that loads returns for its
 // backend.
-func (s *recordingHost) answerProbes(as []action, loads func(backend string) float64) {
-	for _, a := range as {
+func (s *recordingHost) answerProbes(actions []action, loads func(backend string) float64) {
+	for _, a := range actions {
 		if a.kind == "probe" {
 			s.b.Probed(s.now, a.backend, OK, loadReport(loads(a.backend)))
 		}
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// startFleet returns the Balancers of relays that share n warm backends at half load, which hold so many connections.
+// startFleet returns the Balancers of relays that share n warm backends at half load, with a total
+// of so many connections.
 func startFleet(t *testing.T, relays, n, connections int) []*recordingHost {
 	t.Helper()
 	fleet := make([]*recordingHost, relays)
@@ -28,8 +29,9 @@
 	return fleet
 }
 
-// groupOf names a group that ranks the backend first of all that the relay knows.
-func groupOf(b *Balancer, id string) string {
+// groupRankingFirst returns the name of a group for which a backend ranks first among the ready
+// ones.
+func groupRankingFirst(b *Balancer, id string) string {
 	for i := 0; ; i++ {
 		group, best := "g"+strconv.Itoa(i), b.ready[0]
 		for _, k := range b.ready {
@@ -43,11 +45,12 @@
 	}
 }
 
-// massReturn brings clients of one group, which rank a cold backend first, to relays drawn at random within 100 ms, and returns
-// how many are sent to that backend before any report of it can show them.
-func massReturn(t *testing.T, relays, clients int, again bool, seed uint64) int {
+// massReconnect sends requests of one group, for which a cold backend ranks first, to random relays
+// within 100 ms. It returns how many are sent to that backend before a report of it can include
+// them.
+func massReconnect(t *testing.T, relays, clients int, reconnect bool, seed uint64) int {
 	t.Helper()
-	const warm, held = 12, 15 // connections of each warm backend, at half load: it is full with 30
+	const warm, held = 12, 15 // backends; connections on each at half load: 30 fill it
 	fleet := startFleet(t, relays, warm, warm*held)
 	rng := rand.New(rand.NewPCG(seed, 1))
 	cold := Backend{ID: "cold", Zone: "here", Size: 1, StartTime: fleet[0].now.Add(-10 * sec)}
@@ -55,12 +58,12 @@
 		s.b.rng = rand.New(rand.NewPCG(seed, uint64(i)))
 		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{cold})
 	}
-	sent, group := 0, groupOf(fleet[0].b, "cold")
+	sent, group := 0, groupRankingFirst(fleet[0].b, "cold")
 	for id := RequestID(1); id <= RequestID(clients); id++ {
 		s := fleet[rng.IntN(relays)]
 		s.now = s.now.Add(100 * ms / 100)
 		q := newRequest(id)
-		q.Group, q.Reconnect = group, again
+		q.Group, q.Reconnect = group, reconnect
 		if s.place(q, func(at string) float64 { return map[bool]float64{true: 0, false: 0.5}[at == "cold"] }) == "cold" {
 			sent++
 		}
@@ -68,78 +71,84 @@
 	return sent
 }
 
-// budget is what the rules allow a cold backend within FallWithin: one that is full with 30 connections, and is at 0.6 of that
-// after half of its warm-up.
-func budget() (mean, most float64) {
+// coldBudget returns the number of requests that the rules allow a cold backend within
+// OverloadWindow, and a bound for a random number with that mean. The backend is full with 30
+// connections when warm, and has 0.6 of that capacity after half of its warm-up.
+func coldBudget() (mean, most float64) {
 	rules := testConfig().Rules
 	mean = rules.OverloadFactor * 0.6 * 30 * float64(rules.OverloadWindow) / float64(rules.WarmUpTime)
 	return mean, mean + 2*math.Sqrt(mean) + 2
 }
 
-// However many relays share them, the connections of two backends that are lost with all of a group send a cold one no more than
-// the rules allow all relays together. One relay in 30 sent one request each within 100 ms to one that fell (throng days).
-func TestMassReturnStaysWithinTheBudget(t *testing.T) {
-	allowed, most := budget()
+// Two backends fail, and with them all connections of a group. Their clients reconnect through any
+// number of relays. All relays together must send a cold backend no more of them than the rules
+// allow. In simulated days with surges, one relay in 30 sent one request each within 100 ms to a
+// cold backend, which was overloaded.
+func TestMassReconnectStaysWithinBudget(t *testing.T) {
+	allowed, most := coldBudget()
 	for _, relays := range []int{3, 30, 300, 1024} {
 		const seeds, clients = 40, 30
 		total, over := 0, 0
 		for seed := range uint64(seeds) {
-			n := massReturn(t, relays, clients, true, seed)
+			n := massReconnect(t, relays, clients, true, seed)
 			if total += n; float64(n) > most {
 				over++
 			}
 		}
 		mean := float64(total) / seeds
-		t.Logf("%d relays: %.1f of %d in the mean, %.1f allowed, at most %.1f; over that %d times", relays, mean, clients, allowed, most, over)
+		t.Logf("%d relays: mean of %.1f of %d requests sent to the cold backend; allowed mean %.1f, bound %.1f exceeded %d times", relays, mean, clients, allowed, most, over)
 		if over > 1 || mean > allowed+math.Sqrt(allowed) || mean < allowed/4 {
-			t.Errorf("%d relays: %.1f of %d in the mean; %.1f are allowed; over %.1f in %d of %d", relays, mean, clients, allowed, most, over, seeds)
+			t.Errorf("%d relays: mean of %.1f of %d requests sent to the cold backend, allowed %.1f; bound %.1f exceeded with %d of %d seeds", relays, mean, clients, allowed, most, over, seeds)
 		}
 	}
 }
 
-// A return ten times as large sends no more where each relay sees more than one of its clients.
-func TestLargerReturnSendsNoMore(t *testing.T) {
-	_, most := budget()
+// Ten times as many reconnecting clients send no more to a cold backend, where each relay sees more
+// than one of them.
+func TestLargerMassReconnectSendsNoMore(t *testing.T) {
+	_, most := coldBudget()
 	for _, relays := range []int{3, 10, 30} {
 		over := 0
 		for seed := range uint64(40) {
-			if float64(massReturn(t, relays, 300, true, seed)) > most {
+			if float64(massReconnect(t, relays, 300, true, seed)) > most {
 				over++
 			}
 		}
 		if over > 1 {
-			t.Errorf("%d relays sent more than %.1f in %d of 40", relays, most, over)
+			t.Errorf("%d relays sent more than %.1f requests with %d of 40 seeds, want at most 1", relays, most, over)
 		}
 	}
 }
 
-// Few relays bound a burst of new clients too, of which each sees several.
+// Few relays, each of which sees several clients, also bound a burst of new clients.
 func TestBurstAtFewRelays(t *testing.T) {
-	_, most := budget()
+	_, most := coldBudget()
 	for seed := range uint64(40) {
-		if n := massReturn(t, 3, 60, false, seed); float64(n) > most {
-			t.Errorf("%d sent, at most %.1f are allowed", n, most)
+		if n := massReconnect(t, 3, 60, false, seed); float64(n) > most {
+			t.Errorf("%d requests sent to the cold backend, want at most %.1f", n, most)
 		}
 	}
 }
 
-// A backend stops with a large group, whose clients come again within the time in which a cold one falls, each at another relay. It
-// ranks first for them, and its reports lag ten clients behind. It bears N + 3 x root of N + 3 of them, N being the settings' three
-// times what it can take then: four, for one that is at 0.6 and takes one and a half a second when it is warm.
-func TestGroupThatComesAgainSparesTheCold(t *testing.T) {
+// A backend with a large group stops. The clients reconnect within OverloadWindow, each through
+// another relay. A cold backend ranks first for them, and its reports lag ten clients behind. It
+// can bear N + 3 x root of N + 3 of them, where N is OverloadFactor, three, times what it can take
+// in that time. N is four for a backend that has 0.6 of its capacity and takes one and a half
+// connections per second when it is warm.
+func TestReconnectingGroupDoesNotOverloadColdBackend(t *testing.T) {
 	const clients, lag, most = 45, 10, 4 + 3*2 + 3
 	const relays, seeds = 300, 200
-	fleet := startFleet(t, relays, 12, 12*15) // full with 30, which is one and a half a second over the warm-up
+	fleet := startFleet(t, relays, 12, 12*15) // 30 fill a backend: 1.5 per second of warm-up
 	cold := []Backend{{ID: "cold", Zone: "here", Size: 1, StartTime: fleet[0].now.Add(-10 * sec)}}
 	total := 0.0
 	for seed := range seeds {
-		var took [clients + 1]float64 // before each
+		var took [clients + 1]float64 // number of clients that the backend took before each client
 		for i := range clients {
 			s := fleet[(seed*clients+i)%relays]
 			s.b.DiscoveryUpdate(s.now, ListPatch, cold)
 			k := s.b.byID["cold"]
 			if w := s.b.warmUpFraction(s.now, k); w < 0.55 || w > 0.65 {
-				t.Fatalf("it is at %.2f", w)
+				t.Fatalf("the warm-up fraction is %.2f, want 0.55 to 0.65", w)
 			}
 			k.permits = permits{}
 			k.weight = fullWeight * (0.8 - 0.03*took[max(i-lag, 0)])
@@ -151,12 +160,12 @@
 		total += took[clients]
 	}
 	if mean := total / float64(seeds); mean > most || mean < 4 {
-		t.Errorf("%.1f of %d in the mean; %d make it fall", mean, clients, most)
+		t.Errorf("mean of %.1f of %d clients went to the cold backend, want 4 to %d", mean, clients, most)
 	}
 }
 
-// Where all backends are cold, clients that return are served all the same.
-func TestReturnWhereAllAreCold(t *testing.T) {
+// Reconnecting clients are served also if all backends are cold.
+func TestReconnectWithOnlyColdBackends(t *testing.T) {
 	for _, relays := range []int{1, 10, 300} {
 		cfg := testConfig()
 		cfg.Relays, cfg.GroupAffinity = relays, true
@@ -176,46 +185,48 @@
 			}
 		}
 		if placed < 8 {
-			t.Errorf("%d relays: %d of 20 requests were placed at once", relays, placed)
+			t.Errorf("%d relays: %d of 20 requests were placed at once, want at least 8", relays, placed)
 		}
 	}
 }
 
-// A relay that has to deny returning clients holds twice the permits in the next term, as far as the backend tells that it is idle,
-// and as before when none was denied.
-func TestPermitsGrowWhileReturnsAreDenied(t *testing.T) {
+// A relay that had to deny reconnecting clients draws twice the mean number of permits in the next
+// period, as far as the backend reports that it is idle. After a period without a denial it draws
+// the normal number.
+func TestPermitsDoubleWhileReconnectsAreDenied(t *testing.T) {
 	s := startFleet(t, 1, 4, 64)[0]
 	s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Size: 1, StartTime: s.now.Add(-10 * sec)}})
 	k := s.b.byID["cold"]
-	term := s.b.cfg.Rules.OverloadWindow
+	period := s.b.cfg.Rules.OverloadWindow
 	for _, tt := range []struct {
 		denied    bool
-		wait      int // terms
+		wait      int // periods since the last permits
 		doublings int
 	}{{false, 0, 0}, {true, 1, 1}, {true, 1, 2}, {true, 1, 3}, {true, 1, 3}, {false, 1, 0}, {true, 3, 0}} {
 		s.b.mayTakeReconnect(s.now, k)
 		k.permits.denied = tt.denied
 		s.now = k.permits.expires
 		if tt.wait > 1 {
-			s.now = s.now.Add(term)
+			s.now = s.now.Add(period)
 		}
 		s.b.renewPermits(s.now, k)
 		if k.permits.doublings != tt.doublings {
-			t.Fatalf("%+v: %d doublings", tt, k.permits.doublings)
+			t.Fatalf("%+v: got %d doublings", tt, k.permits.doublings)
 		}
 	}
 }
 
-// A held request looks again and again, also where others have left permits behind: that raises nothing within a term.
-func TestHeldReturnsSendNoMore(t *testing.T) {
-	_, most := budget()
+// A held request tries again and again, also at relays that have permits left. That does not raise
+// the number of requests within one period.
+func TestHeldReconnectsSendNoMore(t *testing.T) {
+	_, most := coldBudget()
 	fleet := startFleet(t, 30, 12, 12*15)
 	group := ""
 	sent := 0
 	for i, s := range fleet {
 		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "cold", Zone: "here", Size: 1, StartTime: s.now.Add(-10 * sec)}})
 		if group == "" {
-			group = groupOf(s.b, "cold")
+			group = groupRankingFirst(s.b, "cold")
 		}
 		q := newRequest(RequestID(i + 1))
 		q.Group, q.Reconnect = group, true
@@ -228,6 +239,6 @@
 		}
 	}
 	if float64(sent) > most {
-		t.Errorf("%d sent by 30 relays that are held and look again; at most %.1f are allowed", sent, most)
+		t.Errorf("30 relays with held requests sent %d to the cold backend, want at most %.1f", sent, most)
 	}
 }
--- a/balance/state.go
+++ b/balance/state.go
@@ -25,10 +25,10 @@
 	demandAt            time.Time  // when demand was last updated
 	rebalancedAt        time.Time  // when connections were last moved off it because of its load
 	consecutiveFailures int        // reset by a success
-	ejectedUntil        time.Time  // until then it is avoided because of failures seen by this relay
-	peerEjectedUntil    time.Time  // likewise because of failures seen by other relays; see EjectUntil
+	ejectedUntil        time.Time  // it is avoided until then: this relay saw failures
+	peerEjectedUntil    time.Time  // as told by other relays; see EjectUntil
 	permits             permits    // used while it is cold
-	drainBy             time.Time  // when this relay's connections must be off it; zero: it is not draining
+	drainBy             time.Time  // when all connections must be off it; zero: it is not draining
 }
 
 // request is the state of a request, from its arrival to the end of its last attempt or connection.
@@ -69,13 +69,13 @@
 	requests          map[RequestID]*request
 	awaitingReports   []*request          // requests that wait for reports of their samples
 	arrivals          int                 // requests since the probe timer last expired
-	failureRate       float64             // moving average: failed fraction of the attempts on all backends
-	coldCredits       []coldCredit        // connections that may be sent to cold backends, oldest first
+	failureRate       float64             // moving average over the attempts on all backends
+	coldCredits       []coldCredit        // connections that cold backends may get, oldest first
 	meanWorth         float64             // moving average of the worth of requests
-	pendingAttempts   int                 // attempts without a result, not counting established connections
+	pendingAttempts   int                 // without those of established connections
 	attemptWindow     float64             // limit of pendingAttempts
 	tenantConnections []int               // connections and attempts of this relay, by tenant
-	detached          map[string]*backend // by key: backends of connections whose packets go to another relay
+	detached          map[string]*backend // by Request.Key: backends of connections at other relays
 	detachedClearedAt time.Time           // when detached was last emptied
 	drainTimerSet     bool                // the timer for draining backends is set
 	retriesDisabled   bool                // see DisableRetries
@@ -110,7 +110,7 @@
 	return r
 }
 
-// RestoreConnection adds a connection that was already open through this relay at its start.
+// RestoreConnection adds a connection that was already open through the relay when it started.
 func (b *Balancer) RestoreConnection(now time.Time, q Request, backendID string) {
 	r := b.addRequest(q)
 	r.attempts, r.established = 1, true
--- a/balance/troubles_test.go
+++ b/balance/troubles_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// runRequests feeds a relay one request every gap and lets each attempt end as end says; a connection that is set
-// up lasts until the end of the test. It returns where the requests went.
+// runRequests sends n requests to a relay, one every gap. Attempts end as the function end says;
+// established connections stay open until the end of the test. It returns the number of attempts by
+// backend.
 func (s *recordingHost) runRequests(n int, gap time.Duration, loads func(string) float64, end func(backend string) Outcome) map[string]int {
 	got := map[string]int{}
 	for id := range RequestID(n) {
@@ -42,22 +43,22 @@
 	return got
 }
 
-func served(string) Outcome { return OK }
+func alwaysSucceed(string) Outcome { return OK }
 
-// With no word on load at all the paper's count alone decides, and still spreads.
+// Without any load reports, the connection counts alone decide, and requests are still spread.
 func TestReportsAbsent(t *testing.T) {
 	cfg := testConfig()
 	cfg.Relays = 1
 	s := startBalancer(t, cfg, 1, 5)
-	got := s.runRequests(100, 300*ms, func(string) float64 { return math.NaN() }, served)
+	got := s.runRequests(100, 300*ms, func(string) float64 { return math.NaN() }, alwaysSucceed)
 	for i := range 5 {
 		if n := got["b"+strconv.Itoa(i)]; n < 10 || n > 30 {
-			t.Errorf("b%d got %d of 100", i, n)
+			t.Errorf("b%d got %d of 100 requests, want 10 to 30", i, n)
 		}
 	}
 }
 
-// A frozen report must not draw everything to one backend for good.
+// A backend whose reported load never changes must not attract all requests for good.
 func TestReportsFrozen(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 6)
 	got := s.runRequests(200, 300*ms, func(b string) float64 {
@@ -65,13 +66,13 @@
 			return 0.3
 		}
 		return 0.5
-	}, served)
+	}, alwaysSucceed)
 	if got["b0"] > 140 || len(got) != 6 {
-		t.Errorf("200 requests went %v", got)
+		t.Errorf("200 requests went to %v, want at most 140 to b0 and some to each of 6", got)
 	}
 }
 
-// A backend that reports idle and fails fast must not win every sample.
+// A backend that reports zero load and fails quickly must not be chosen from every sample.
 func TestFastErrors(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 6)
 	loads := func(b string) float64 {
@@ -89,16 +90,17 @@
 	}
 	got := s.runRequests(200, 300*ms, loads, end)
 	if got["b0"] > 30 {
-		t.Errorf("%d attempts at a backend that fails all", got["b0"])
+		t.Errorf("%d attempts on a backend that always fails, want at most 30", got["b0"])
 	}
 	broken = false
 	s.now = s.now.Add(60 * sec)
 	if got = s.runRequests(100, 300*ms, loads, end); got["b0"] == 0 {
-		t.Error("the backend is shunned for ever after it has recovered")
+		t.Error("no attempts on the backend after it has recovered")
 	}
 }
 
-// A backend that connects and never answers costs few attempts, and a request's other attempts go elsewhere.
+// A backend that accepts connections and never answers costs few attempts. A request's other
+// attempts go to other backends.
 func TestSilentBackend(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 6)
 	got := s.runRequests(200, 300*ms, idleLoad, func(b string) Outcome {
@@ -108,46 +110,48 @@
 		return OK
 	})
 	if got["b0"] > 20 || got["b0"] == 0 {
-		t.Errorf("%d attempts at a silent backend", got["b0"])
+		t.Errorf("%d attempts on a backend that does not answer, want 1 to 20", got["b0"])
 	}
 }
 
-// However many backends failed of late, requests are still sent: one is passed over only for another.
-func TestAllFailedOfLate(t *testing.T) {
+// Requests are sent however many backends failed recently: an ejected backend is passed over only
+// if there is another.
+func TestAllBackendsEjected(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 10)
 	for _, k := range s.b.ready {
 		s.b.recordOutcome(s.now, k, NoConnect)
 	}
 	if s.place(newRequest(1), idleLoad) == "" {
-		t.Error("held, with all of the list ejected")
+		t.Error("request held while all backends are ejected")
 	}
 	for _, k := range s.b.ready[1:] {
 		k.ejectedUntil = s.now.Add(100 * sec)
 	}
-	fit := s.b.ready[0]
-	fit.ejectedUntil = time.Time{}
+	healthy := s.b.ready[0]
+	healthy.ejectedUntil = time.Time{}
 	seen := 0
 	for id := RequestID(2); id < 32; id++ {
 		s.now = s.now.Add(sec)
 		got := s.place(newRequest(id), idleLoad)
-		if fit.lastReport.Equal(s.now) { // it was in the sample
+		if healthy.lastReport.Equal(s.now) { // the backend was in the sample
 			seen++
-			if got != fit.ID {
-				t.Errorf("request %d went to %q, not to the one that is fit", id, got)
+			if got != healthy.ID {
+				t.Errorf("request %d went to %q, not to the only backend that is not ejected", id, got)
 			}
 		}
 	}
 	if seen == 0 {
-		t.Error("the one that is fit was never looked at")
+		t.Error("the backend that is not ejected was in no sample")
 	}
 }
 
-// A note of late messages makes the relay look at that backend, at most once in a while.
-func TestLateMessagesAreLookedInto(t *testing.T) {
+// A measurement of late messages makes the relay probe the backend of the connection, but not again
+// as long as its report is recent.
+func TestLateMessagesCauseProbe(t *testing.T) {
 	for _, tt := range []struct {
-		note  Metric
-		level float64
-		want  int
+		metric Metric
+		level  float64
+		want   int
 	}{{MetricDelay, 400, 1}, {MetricDelay, 20, 0}, {MetricLoad, 4000, 0}} {
 		cfg := testConfig()
 		cfg.Classes[0].MessageTarget = 100 * ms
@@ -155,21 +159,21 @@
 		s.b.RestoreConnection(s.now, newRequest(1), "b1")
 		s.takeActions()
 		for range 5 {
-			s.b.ConnectionMeasured(s.now, 1, tt.note, tt.level)
+			s.b.ConnectionMeasured(s.now, 1, tt.metric, tt.level)
 		}
 		if n := s.count(s.takeActions(), "probe"); n != tt.want {
-			t.Errorf("note %d of %v: %d probes, want %d", tt.note, tt.level, n, tt.want)
+			t.Errorf("metric %d of %v: %d probes, want %d", tt.metric, tt.level, n, tt.want)
 		}
 		s.b.Probed(s.now, "b1", OK, loadReport(0.5))
 		s.now = s.now.Add(100 * ms)
-		s.b.ConnectionMeasured(s.now, 1, tt.note, tt.level)
+		s.b.ConnectionMeasured(s.now, 1, tt.metric, tt.level)
 		if n := s.count(s.takeActions(), "probe"); n != 0 {
-			t.Errorf("note %d of %v: probed again at once", tt.note, tt.level)
+			t.Errorf("metric %d of %v: probed again right after a report", tt.metric, tt.level)
 		}
 	}
 }
 
-// With all at or over capacity requests are held and refused, at a bounded cost in probes.
+// With all backends over capacity, requests are held and refused with a bounded number of probes.
 func TestAllOverCapacity(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 10)
 	s.takeActions()
@@ -181,35 +185,37 @@
 		refused += s.count(all, "refuse")
 	}
 	if refused != 50 || len(s.sends) != 0 {
-		t.Errorf("%d refused, %d sent", refused, len(s.sends))
+		t.Errorf("%d requests refused and %d sent, want 50 and 0", refused, len(s.sends))
 	}
 	if probes > 50*5*sampleSize {
-		t.Errorf("%d probes for 50 requests", probes)
+		t.Errorf("%d probes for 50 requests, want at most 5 samples each", probes)
 	}
 }
 
-// Half of the list goes at once: their connections' clients come back and find a place in the other half.
-func TestHalfGoneAtOnce(t *testing.T) {
+// Half of the backends are removed at the same time. The clients of their connections reconnect and
+// are placed on the other half.
+func TestHalfOfBackendsRemoved(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 10)
-	s.runRequests(50, 200*ms, idleLoad, served)
+	s.runRequests(50, 200*ms, idleLoad, alwaysSucceed)
 	s.b.DiscoveryUpdate(s.now, ListWhole, readyBackends(10)[5:])
 	for _, r := range s.b.requests {
 		if r.backend.State == Gone {
 			s.finish(r.ID, true, Broken)
 		}
 	}
-	got := s.runRequests(50, 50*ms, idleLoad, served)
+	got := s.runRequests(50, 50*ms, idleLoad, alwaysSucceed)
 	for i := range 5 {
 		if n := got["b"+strconv.Itoa(i)]; n != 0 {
-			t.Errorf("%d sent to b%d, which is gone", n, i)
+			t.Errorf("%d requests sent to b%d, which is not in the list", n, i)
 		}
 	}
 	if len(got) != 5 {
-		t.Errorf("went to %v", got)
+		t.Errorf("requests went to %v, want all 5 remaining backends", got)
 	}
 }
 
-// A rolling deploy: many cold successors at once. The warm ones carry on and the cold ones are let in slowly.
+// A rolling deployment adds many cold backends at once. The warm ones continue to get requests and
+// the cold ones get them slowly.
 func TestRollingDeploy(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 6)
 	list := readyBackends(12)
@@ -239,11 +245,12 @@
 		s.finish(id+1, true, OK)
 	}
 	if float64(cold) > budget || cold < 10 || warm < 10 {
-		t.Errorf("%d went to cold backends, %d to warm ones, of a budget of %.1f", cold, warm, budget)
+		t.Errorf("%d requests went to cold backends and %d to warm ones, want 10 at least for each and at most %.1f for cold ones", cold, warm, budget)
 	}
 }
 
-// All clients come back within a second: each request is answered, and the attempts that are out are bounded.
+// All clients reconnect within a second. The number of pending attempts stays bounded, also if all
+// fail.
 func TestMassReconnect(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 10)
 	s.takeActions()
@@ -255,25 +262,25 @@
 		most = max(most, s.b.pendingAttempts)
 	}
 	if most > maxAttemptWindow {
-		t.Errorf("%d attempts out at once", most)
+		t.Errorf("%d pending attempts at once, want at most the window", most)
 	}
-	// The store behind all backends has stalled: every attempt fails.
+	// The storage that all backends depend on stalls: every attempt fails.
 	for id := range RequestID(300) {
 		s.finish(id+1, false, Error)
 	}
 	if s.b.attemptWindow > 2 {
-		t.Errorf("window %v after failures", s.b.attemptWindow)
+		t.Errorf("attempt window %v after failures, want at most 2", s.b.attemptWindow)
 	}
 	for id := range RequestID(300) {
 		s.b.ClientGone(s.now, id+1)
 	}
 	if s.b.pendingAttempts < 0 || s.b.pendingAttempts > maxAttemptWindow {
-		t.Errorf("%d attempts out", s.b.pendingAttempts)
+		t.Errorf("%d pending attempts after all clients left, want 0 up to the window", s.b.pendingAttempts)
 	}
 }
 
-// A relay that starts with an old list finds that half of it is not there any more.
-func TestStartsWithAnOldList(t *testing.T) {
+// A relay starts with an old list, of which half of the backends are down.
+func TestStaleInitialList(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 8)
 	got := s.runRequests(100, 200*ms, idleLoad, func(b string) Outcome {
 		if b < "b4" {
@@ -283,11 +290,11 @@
 	})
 	live := got["b4"] + got["b5"] + got["b6"] + got["b7"]
 	if live < 90 {
-		t.Errorf("%d of 100 requests were set up: %v", live, got)
+		t.Errorf("%d of 100 requests were set up, want at least 90: %v", live, got)
 	}
 }
 
-// The clock jumps far forward: nothing panics, what is held ends, and requests are placed again.
+// The clock jumps far forward. Nothing panics, held requests end, and new requests are placed.
 func TestClockJump(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 4)
 	s.b.Request(s.now, newRequest(1))
@@ -297,15 +304,16 @@
 	s.answerProbes(s.takeActions(), idleLoad)
 	for id, r := range s.b.requests {
 		if r.backend == nil {
-			t.Errorf("request %d is still held", id)
+			t.Errorf("request %d is still held after the jump", id)
 		}
 	}
 	if s.place(newRequest(2), idleLoad) == "" {
-		t.Error("not placed after the jump")
+		t.Error("request not placed after the jump")
 	}
 }
 
-// Looks of held requests are most of all looks in a bad time: they make do with reports that others asked for.
+// Held requests account for most probes while capacity is short. They use reports that others asked
+// for.
 func TestHeldRequestsProbeLess(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 3)
 	full := func(string) float64 { return 0.99 }
@@ -315,11 +323,12 @@
 	}
 	probes := s.count(s.runUntil(s.now.Add(sec), full, alwaysEndWith(OK)), "probe")
 	if probes < 3 || probes > 9 {
-		t.Errorf("%d probes of 3 backends within a second", probes)
+		t.Errorf("%d probes of 3 backends within a second, want 3 to 9", probes)
 	}
 }
 
-// One tenant floods a loaded fleet: it is held while others are placed. On an idle fleet it is not held.
+// One tenant far exceeds its quota. With loaded backends its requests are held while those of other
+// tenants are placed. With idle backends they are placed as well.
 func TestTenantFlood(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
@@ -328,7 +337,7 @@
 	}{{"loaded", 0.6, false}, {"idle", 0, true}} {
 		t.Run(tt.name, func(t *testing.T) {
 			cfg := testConfig()
-			cfg.Tenants = []Tenant{{ConnectionQuota: 50}, {ConnectionQuota: 50}} // 5 at this relay
+			cfg.Tenants = []Tenant{{ConnectionQuota: 50}, {ConnectionQuota: 50}} // 5 each at this relay
 			s := startBalancer(t, cfg, 1, 10)
 			place := func(id RequestID, tenant int) bool {
 				s.now = s.now.Add(sec)
@@ -338,29 +347,30 @@
 				s.b.Established(s.now, id)
 				return to != ""
 			}
-			flooded := true
+			lastPlaced := true
 			for id := range RequestID(14) {
-				flooded = place(id+1, 0)
+				lastPlaced = place(id+1, 0)
 			}
-			if flooded != tt.placed {
-				t.Errorf("the flooding tenant placed: %v", flooded)
+			if lastPlaced != tt.placed {
+				t.Errorf("requests of the tenant over its quota placed: %v", lastPlaced)
 			}
 			if !place(100, 1) {
-				t.Error("the other tenant was held")
+				t.Error("the request of the other tenant was held")
 			}
 		})
 	}
 }
 
-// A zone with more traffic than its own backends carry spills to others; with room at home it stays there.
-func TestZoneSpills(t *testing.T) {
+// Requests go to other zones if the backends of the own zone are full, and stay in the own zone if
+// it has capacity.
+func TestZoneSpillover(t *testing.T) {
 	cfg := testConfig()
 	cfg.Prices.CrossZone = 0.08
 	for _, tt := range []struct {
 		name string
 		home float64
 		far  bool
-	}{{"room at home", 0.3, false}, {"full at home", 0.95, true}} {
+	}{{"own zone has capacity", 0.3, false}, {"own zone is full", 0.95, true}} {
 		t.Run(tt.name, func(t *testing.T) {
 			s := startBalancer(t, cfg, 1, 12)
 			list := readyBackends(12)
@@ -374,20 +384,21 @@
 					return 0.1
 				}
 				return tt.home
-			}, served) {
+			}, alwaysSucceed) {
 				if s.b.byID[id].Zone == "there" {
 					far += n
 				}
 			}
 			if tt.far && far == 0 || !tt.far && far > 40 {
-				t.Errorf("%d of 200 crossed", far)
+				t.Errorf("%d of 200 requests crossed zones", far)
 			}
 		})
 	}
 }
 
-// Overload is relieved by moving connections off, a bounded part, and not again before reports can show it.
-func TestRelief(t *testing.T) {
+// A part of the connections is moved off an overloaded backend, and no more until reports can show
+// the effect.
+func TestOverloadMovesConnections(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 1)
 	for id := range RequestID(40) {
 		s.b.RestoreConnection(s.now, newRequest(id+1), "b0")
@@ -395,21 +406,22 @@
 	s.takeActions()
 	s.b.Probed(s.now, "b0", OK, loadReport(0.90))
 	if n := s.count(s.takeActions(), "move"); n != 0 {
-		t.Errorf("%d moved below the mark", n)
+		t.Errorf("%d connections moved below the overload threshold", n)
 	}
 	s.b.Probed(s.now, "b0", OK, loadReport(1.3))
 	if n := s.count(s.takeActions(), "move"); n < 19 || n > 21 {
-		t.Errorf("%d of 40 moved at twice the load of the bar, want half", n)
+		t.Errorf("%d of 40 connections moved at twice the target load, want half", n)
 	}
 	s.now = s.now.Add(sec)
 	s.b.Probed(s.now, "b0", OK, loadReport(1.3))
 	if n := s.count(s.takeActions(), "move"); n != 0 {
-		t.Errorf("%d moved again at once", n)
+		t.Errorf("%d connections moved again after a second, want none", n)
 	}
 }
 
-// Relief takes one group before another, the same at all relays, so that the backend soon pays for one less.
-func TestReliefTakesOneGroupFirst(t *testing.T) {
+// Connections of one group are moved off an overloaded backend before those of another, the same at
+// all relays, so that the backend soon serves one group less.
+func TestOverloadMovesOneGroupFirst(t *testing.T) {
 	var first string
 	for seed := range uint64(5) {
 		cfg := testConfig()
@@ -421,7 +433,7 @@
 			s.b.RestoreConnection(s.now, q, "b0")
 		}
 		s.takeActions()
-		s.b.Probed(s.now, "b0", OK, loadReport(1.1)) // some 16 of 40 go
+		s.b.Probed(s.now, "b0", OK, loadReport(1.1)) // about 16 of 40 are moved
 		moved := 0
 		for _, a := range s.takeActions() {
 			if a.kind != "move" {
@@ -433,18 +445,19 @@
 				first = g
 			}
 			if g != first {
-				t.Fatalf("relay %d moved one of group %q, others of %q", seed, g, first)
+				t.Fatalf("relay %d moved a connection of group %q, other relays of %q", seed, g, first)
 			}
 		}
 		if moved == 0 {
-			t.Errorf("relay %d moved none", seed)
+			t.Errorf("relay %d moved no connection", seed)
 		}
 	}
 }
 
-// Until its next report all relays read that a backend has room again: together they must not fill it far
-// beyond that. On a day of 56 relays (L10768e) they put 35 connections at a time on a backend that held 15.
-func TestRelaysShareRoom(t *testing.T) {
+// Until the next report of a backend, all relays see the same free capacity. Together they must not
+// place far more than that. In a simulation of 56 relays (L10768e) they placed 35 connections at a
+// time on a backend that held 15.
+func TestRelaysShareCapacity(t *testing.T) {
 	const relays = 50
 	sent := 0
 	for seed := range uint64(relays) {
@@ -455,7 +468,7 @@
 		rep.Active = 19
 		for id := RequestID(1); id <= 20; id++ {
 			s.now = s.now.Add(250 * ms)
-			if id > 16 { // a second with room for 5
+			if id > 16 { // one second with capacity for 5 connections
 				rep = loadReport(0.5)
 				rep.Active = 10
 			}
@@ -469,12 +482,12 @@
 		}
 	}
 	if sent < 1 || sent > 15 {
-		t.Errorf("%d relays sent %d within a second where there was room for 5", relays, sent)
+		t.Errorf("%d relays sent %d requests within a second to a backend with capacity for 5, want 1 to 15", relays, sent)
 	}
 }
 
-// Odd but legal input is taken without a panic.
-func TestOddInput(t *testing.T) {
+// Unusual but valid input causes no panic.
+func TestUnusualInput(t *testing.T) {
 	for _, cfg := range []Config{{}, testConfig()} {
 		s := startBalancer(t, cfg, 1, 0)
 		s.b.Request(s.now, Request{ID: 1, Class: 99, Tenant: 99})
@@ -489,19 +502,19 @@
 		s.b.Request(s.now, newRequest(3))
 		s.b.DiscoveryUpdate(s.now, ListPatch, []Backend{{ID: "b0"}, {ID: "b0"}})
 		if n := len(s.b.ready); n != 1 {
-			t.Errorf("%d ready", n)
+			t.Errorf("%d backends ready, want 1", n)
 		}
 		for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -3, 1e300} {
 			s.b.Probed(s.now, "b0", OK, loadReport(x))
 			if w := s.b.byID["b0"].weight; !(w >= floorWeight && w <= fullWeight) {
-				t.Errorf("load %v made the weight %v", x, w)
+				t.Errorf("load %v gave weight %v, want floorWeight to fullWeight", x, w)
 			}
 		}
 		s.runUntil(s.now.Add(60*sec), idleLoad, alwaysEndWith(OK))
 	}
 }
 
-func TestSettingsThatCannotWork(t *testing.T) {
+func TestNewRejectsInvalidConfig(t *testing.T) {
 	tests := []struct {
 		name string
 		cfg  Config
@@ -510,20 +523,21 @@
 		{"no host", testConfig(), nil},
 		{"relays", Config{Relays: -1}, &recordingHost{}},
 		{"attempts", Config{MaxAttempts: -1}, &recordingHost{}},
-		{"cold share", Config{Rules: Rules{InitialCapacity: 1.5}}, &recordingHost{}},
+		{"initial capacity", Config{Rules: Rules{InitialCapacity: 1.5}}, &recordingHost{}},
 		{"warm-up", Config{Rules: Rules{WarmUpTime: -1}}, &recordingHost{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if _, err := New(tt.cfg, 1, tt.host); err == nil {
-				t.Error("no error")
+				t.Error("New returned no error")
 			}
 		})
 	}
 }
 
-// A backend that leaves probes unanswered takes nothing while others answer theirs: slow ones kept the W of
-// better times and so won every sample (h1de8d8: 27% of the attempts timed out).
+// A backend that does not answer probes gets no requests while others answer theirs. Slow backends
+// kept the weight of their last report and were chosen from every sample; 27% of the attempts timed
+// out in a simulation (h1de8d8).
 func TestUnansweredProbes(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 5)
 	for id := RequestID(1); id <= 40; id++ {
@@ -539,16 +553,17 @@
 		}
 		for _, a := range s.takeActions() {
 			if a.kind == "send" && a.backend == "b0" {
-				t.Fatalf("request %d went to the silent backend", id)
+				t.Fatalf("request %d went to the backend that does not answer probes", id)
 			}
 		}
 	}
 	if len(s.sends) == 0 {
-		t.Error("nothing was sent")
+		t.Error("no request was sent")
 	}
 }
 
-// A probe that the host could not send, for want of a descriptor, says nothing: the backend stays in use.
+// A probe that the host could not send, for want of a file descriptor, tells nothing about the
+// backend, which stays in use.
 func TestUnsentProbes(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 2)
 	for id := RequestID(1); id <= 20; id++ {
@@ -564,12 +579,13 @@
 		}
 	}
 	if s.b.ConnectionCount("b0")+s.b.ConnectionCount("b1") != 20 || s.b.ConnectionCount("b0") < 5 {
-		t.Errorf("b0 has %d, b1 %d", s.b.ConnectionCount("b0"), s.b.ConnectionCount("b1"))
+		t.Errorf("b0 has %d connections and b1 %d, want 20 in all and at least 5 on b0", s.b.ConnectionCount("b0"), s.b.ConnectionCount("b1"))
 	}
 }
 
-// Near saturation what is worth less than most is held while the rest is placed; on an idle fleet nothing is.
-func TestWorthLessWaits(t *testing.T) {
+// Near saturation, requests of less than the mean worth are held while the others are placed. With
+// idle backends no request is held.
+func TestLowWorthIsHeldFirst(t *testing.T) {
 	for _, tt := range []struct {
 		load   float64
 		placed [2]bool
@@ -578,7 +594,7 @@
 		cfg.Classes = []Class{{SetupTarget: 500 * ms, Worth: 5}, {SetupTarget: 500 * ms, Worth: 1}}
 		s := startBalancer(t, cfg, 1, 10)
 		loads := func(string) float64 { return tt.load }
-		for id := RequestID(1); id <= 30; id++ { // the mean worth is learnt
+		for id := RequestID(1); id <= 30; id++ { // sets the mean worth
 			s.now = s.now.Add(sec)
 			s.place(newRequest(id), idleLoad)
 		}
@@ -593,14 +609,15 @@
 	}
 }
 
-// A process that dies breaks all its connections in one turn. That is one failure: counted one by one, five of
-// them kept a backend that was back at once, and empty, out of use for 48 s.
-func TestOneCauseIsOneFailure(t *testing.T) {
+// A process that dies breaks all its connections at once. That counts as one failure: when each
+// connection counted, five of them kept a backend that was back at once, with no connections, out
+// of use for 48 s.
+func TestSimultaneousFailuresCountOnce(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 1)
 	for id := RequestID(1); id <= 6; id++ {
 		s.now = s.now.Add(sec)
 		if s.place(newRequest(id), idleLoad) != "b0" {
-			t.Fatalf("request %d was held", id)
+			t.Fatalf("request %d was not placed", id)
 		}
 		s.b.Established(s.now, id)
 	}
@@ -608,19 +625,20 @@
 		s.finish(id, true, Broken)
 	}
 	k := s.b.byID["b0"]
-	if out := k.ejectedUntil.Sub(s.now); k.consecutiveFailures != 1 || out < 2*sec || out > 4*sec {
-		t.Errorf("%d strikes, ejected for %v", k.consecutiveFailures, out)
+	if ejectedFor := k.ejectedUntil.Sub(s.now); k.consecutiveFailures != 1 || ejectedFor < 2*sec || ejectedFor > 4*sec {
+		t.Errorf("%d failures, ejected for %v; want 1 failure and 2 s to 4 s", k.consecutiveFailures, ejectedFor)
 	}
-	s.now = k.ejectedUntil // what fails after that is another failure
+	s.now = k.ejectedUntil // a failure after the ejection is a new one
 	s.b.recordOutcome(s.now, k, NoConnect)
-	if out := k.ejectedUntil.Sub(s.now); k.consecutiveFailures != 2 || out < 5*sec {
-		t.Errorf("then %d strikes, ejected for %v", k.consecutiveFailures, out)
+	if ejectedFor := k.ejectedUntil.Sub(s.now); k.consecutiveFailures != 2 || ejectedFor < 5*sec {
+		t.Errorf("after another failure: %d failures, ejected for %v; want 2 failures and at least 5 s", k.consecutiveFailures, ejectedFor)
 	}
 }
 
-// Clients that come back together find room as long as a backend has idle points: what one of them takes until
-// the next report is little. As much for each as a new one must find refused them at half the load.
-func TestManyFitBetweenReports(t *testing.T) {
+// Clients that reconnect at the same time are placed as long as a backend has spare weight: each
+// takes little of it until the next report. When each was assumed to use as much as a backend must
+// have spare for a new one, they were refused at half the load.
+func TestPlacementsBetweenReports(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 1)
 	k := s.b.byID["b0"]
 	s.b.Probed(s.now, "b0", OK, loadReport(0.5))
@@ -630,13 +648,13 @@
 		placed += s.count(s.takeActions(), "send")
 	}
 	if placed < 8 || placed > 20 {
-		t.Errorf("%d placed on a backend with %v idle points", placed, k.weight)
+		t.Errorf("%d requests placed on a backend of weight %v, want 8 to 20", placed, k.weight)
 	}
 }
 
-// A refused client comes back after a part of the longest advice: room is found long before that is over, and
-// until it is back its connection is worth nothing.
-func TestAdviceIsShort(t *testing.T) {
+// A refused client is advised to wait for a part of MaxRetryAfter: capacity is found long before
+// that is over, and the connection is of no worth until the client is back.
+func TestRetryAfterOfRefusals(t *testing.T) {
 	cfg := testConfig()
 	cfg.MaxRetryAfter = 2 * sec
 	s := startBalancer(t, cfg, 1, 1)
@@ -651,81 +669,83 @@
 		}
 	}
 	if len(refused) != 1 || refused[0].d != 500*ms {
-		t.Errorf("%v", refused)
+		t.Errorf("got refusals %v, want one with an advised delay of 500 ms", refused)
 	}
 }
 
-// What other relays know of a backend counts like an own failure: it is passed over wherever there is another, and no further;
-// it is over at its time, with the word that takes it back, and when the backend has started anew.
-func TestToldByOthers(t *testing.T) {
+// A backend that other relays know to be failing is treated like one that failed at this relay: it
+// is passed over only if there is another. This ends at the given time, when EjectUntil revokes it,
+// and when the process of the backend restarts.
+func TestEjectUntil(t *testing.T) {
 	cfg := testConfig()
 	cfg.Relays = 1
 	idle := func(string) float64 { return 0.1 }
 	s := startBalancer(t, cfg, 1, 4)
 	s.b.EjectUntil("b2", s.now.Add(time.Minute))
-	if got := s.runRequests(40, 10*ms, idle, served); got["b2"] != 0 || got["b0"] == 0 {
-		t.Errorf("told of b2, placed %v", got)
+	if got := s.runRequests(40, 10*ms, idle, alwaysSucceed); got["b2"] != 0 || got["b0"] == 0 {
+		t.Errorf("b2 ejected, but requests went to %v", got)
 	}
 	s.b.EjectUntil("b2", time.Time{})
-	if got := s.runRequests(40, 10*ms, idle, served); got["b2"] == 0 {
-		t.Errorf("taken back, placed %v", got)
+	if got := s.runRequests(40, 10*ms, idle, alwaysSucceed); got["b2"] == 0 {
+		t.Errorf("ejection of b2 revoked, but requests went to %v", got)
 	}
 	s.b.EjectUntil("b3", s.now.Add(time.Minute))
 	s.now = s.now.Add(61 * sec)
-	if got := s.runRequests(40, 10*ms, idle, served); got["b3"] == 0 {
-		t.Errorf("over, placed %v", got)
+	if got := s.runRequests(40, 10*ms, idle, alwaysSucceed); got["b3"] == 0 {
+		t.Errorf("ejection of b3 over, but requests went to %v", got)
 	}
 	for i := range 4 {
 		s.b.EjectUntil("b"+strconv.Itoa(i), s.now.Add(time.Minute))
 	}
-	if got := s.runRequests(40, 10*ms, idle, served); len(got) != 4 {
-		t.Errorf("told of all, which can't all be at fault, placed %v", got)
+	if got := s.runRequests(40, 10*ms, idle, alwaysSucceed); len(got) != 4 {
+		t.Errorf("all backends ejected, which cannot all be at fault: requests went to %v, want all 4", got)
 	}
 	s.b.EjectUntil("nobody", s.now.Add(time.Minute))
 	list := readyBackends(4)
 	list[1].StartTime = s.now.Add(-30 * sec)
 	s.b.DiscoveryUpdate(s.now, ListWhole, list)
 	if s.b.byID["b1"].unhealthy(s.now) {
-		t.Error("a process that started anew is told of still")
+		t.Error("b1 is still ejected after a restart of its process")
 	}
 }
 
-// A request for which all relays together have no room is refused at once, whoever is idle, and costs no attempt and no probe.
-func TestBeyondTheLimitOfAll(t *testing.T) {
+// A request beyond the limit of all relays together is refused at once, even if backends are idle.
+// It costs no attempt and no probe.
+func TestRequestBeyondFleetLimit(t *testing.T) {
 	s := startBalancer(t, testConfig(), 1, 3)
 	s.takeActions()
-	told := map[time.Duration]bool{}
+	delays := map[time.Duration]bool{}
 	for id := range RequestID(20) {
 		q := newRequest(id + 1)
 		q.OverLimit = true
 		s.b.Request(s.now, q)
 		as := s.takeActions()
 		if len(as) != 1 || as[0].kind != "refuse" || as[0].d < sec/2 || as[0].d > sec {
-			t.Fatalf("it asked for %+v", as)
+			t.Fatalf("got actions %+v, want one refusal with a delay of 0.5 s to 1 s", as)
 		}
-		told[as[0].d] = true
+		delays[as[0].d] = true
 	}
-	if len(told) < 15 { // else they all come again together
-		t.Errorf("20 refused clients are told %d different times", len(told))
+	if len(delays) < 15 { // with equal delays the clients would all return at the same time
+		t.Errorf("20 refused clients got %d different delays, want at least 15", len(delays))
 	}
 	if len(s.b.requests) != 0 {
-		t.Error("it is kept")
+		t.Error("the refused requests are still kept")
 	}
 }
 
-// While all relays together have made the further attempts that they may, a request whose attempt failed is answered at once; else it
-// is tried elsewhere.
-func TestThrifty(t *testing.T) {
-	for _, thrifty := range []bool{false, true} {
+// While retries are disabled, since all relays together have used up their budget, a request whose
+// attempt failed is answered at once. Otherwise it is tried on another backend.
+func TestDisableRetries(t *testing.T) {
+	for _, disabled := range []bool{false, true} {
 		s := startBalancer(t, testConfig(), 1, 4)
-		s.b.DisableRetries(thrifty)
+		s.b.DisableRetries(disabled)
 		sent := s.runRequests(1, 10*ms, func(string) float64 { return 0.1 }, func(string) Outcome { return Error })
 		n := 0
 		for _, k := range sent {
 			n += k
 		}
-		if thrifty != (n == 1) || thrifty != (len(s.b.requests) == 0) {
-			t.Errorf("thrifty %v: %d attempts, %d requests kept", thrifty, n, len(s.b.requests))
+		if disabled != (n == 1) || disabled != (len(s.b.requests) == 0) {
+			t.Errorf("retries disabled %v: %d attempts, %d requests kept", disabled, n, len(s.b.requests))
 		}
 	}
 }
