--- a/balance/weights.go
+++ b/balance/weights.go
@@ -83,9 +83,9 @@
 
 // ConnectionMeasured handles a measurement on an open connection. Late messages on a connection
 // cause a probe of its backend at once.
-func (b *Balancer) ConnectionMeasured(now time.Time, id RequestID, n Metric, level float64) {
+func (b *Balancer) ConnectionMeasured(now time.Time, id RequestID, metric Metric, level float64) {
 	r := b.requests[id]
-	if r == nil || !r.established || n != MetricDelay || now.Sub(r.backend.lastReport) < reportLifetime {
+	if r == nil || !r.established || metric != MetricDelay || now.Sub(r.backend.lastReport) < reportLifetime {
 		return
 	}
 	if c := b.class(r.Class); level*1000 >= micros(c.MessageTarget) {
