--- a/balance/state.go
+++ b/balance/state.go
@@ -25,10 +25,10 @@
 	demandAt            time.Time  // when demand was last updated
 	rebalancedAt        time.Time  // when connections were last moved off it because of its load
 	consecutiveFailures int        // reset by a success
-	ejectedUntil        time.Time  // until then it is avoided because of failures seen by this relay
-	peerEjectedUntil    time.Time  // likewise because of failures seen by other relays; see EjectUntil
+	ejectedUntil        time.Time  // it is avoided until then: this relay saw failures
+	peerEjectedUntil    time.Time  // as told by other relays; see EjectUntil
 	permits             permits    // used while it is cold
-	drainBy             time.Time  // when this relay's connections must be off it; zero: it is not draining
+	drainBy             time.Time  // when all connections must be off it; zero: it is not draining
 }
 
 // request is the state of a request, from its arrival to the end of its last attempt or connection.
@@ -69,13 +69,13 @@
 	requests          map[RequestID]*request
 	awaitingReports   []*request          // requests that wait for reports of their samples
 	arrivals          int                 // requests since the probe timer last expired
-	failureRate       float64             // moving average: failed fraction of the attempts on all backends
-	coldCredits       []coldCredit        // connections that may be sent to cold backends, oldest first
+	failureRate       float64             // moving average over the attempts on all backends
+	coldCredits       []coldCredit        // connections that cold backends may get, oldest first
 	meanWorth         float64             // moving average of the worth of requests
-	pendingAttempts   int                 // attempts without a result, not counting established connections
+	pendingAttempts   int                 // without those of established connections
 	attemptWindow     float64             // limit of pendingAttempts
 	tenantConnections []int               // connections and attempts of this relay, by tenant
-	detached          map[string]*backend // by key: backends of connections whose packets go to another relay
+	detached          map[string]*backend // by Request.Key: backends of connections at other relays
 	detachedClearedAt time.Time           // when detached was last emptied
 	drainTimerSet     bool                // the timer for draining backends is set
 	retriesDisabled   bool                // see DisableRetries
@@ -110,13 +110,13 @@
 	return r
 }
 
-// RestoreConnection adds a connection that was already open through this relay at its start.
-func (b *Balancer) RestoreConnection(now time.Time, q Request, id string) {
+// RestoreConnection adds a connection that was already open through the relay when it started.
+func (b *Balancer) RestoreConnection(now time.Time, q Request, backendID string) {
 	r := b.addRequest(q)
 	r.attempts, r.established = 1, true
-	k := b.byID[id]
+	k := b.byID[backendID]
 	if k == nil { // removed from the list, but the connection is open
-		k = &backend{Backend: Backend{ID: id, State: Gone}}
+		k = &backend{Backend: Backend{ID: backendID, State: Gone}}
 	}
 	b.assign(r, k)
 }
@@ -140,12 +140,12 @@
 // mergeBackends updates the backends from a list of discovery.
 func (b *Balancer) mergeBackends(kind ListKind, list []Backend) {
 	if kind != ListPatch {
-		named := make(map[string]bool, len(list))
+		listed := make(map[string]bool, len(list))
 		for i := range list {
-			named[list[i].ID] = true
+			listed[list[i].ID] = true
 		}
 		for _, k := range b.backends {
-			if !named[k.ID] {
+			if !listed[k.ID] {
 				k.State = Gone
 			}
 		}
@@ -184,29 +184,29 @@
 // Restrict limits new connections to the backends with these IDs until the next call: the list may
 // be out of date, and only these are known to have accepted new work since. An empty slice allows
 // no backend, nil allows all.
-func (b *Balancer) Restrict(to []string) {
-	b.allowedIDs = to
+func (b *Balancer) Restrict(ids []string) {
+	b.allowedIDs = ids
 	b.updateReady()
 }
 
 // updateBackend adds or updates the backend of one entry of a list.
-func (b *Balancer) updateBackend(m *Backend) {
-	k := b.byID[m.ID]
+func (b *Balancer) updateBackend(entry *Backend) {
+	k := b.byID[entry.ID]
 	if k == nil {
-		if m.State == Gone {
+		if entry.State == Gone {
 			return
 		}
-		k = &backend{Backend: *m, weight: fullWeight, idHash: hash(m.ID)}
-		b.byID[m.ID] = k
+		k = &backend{Backend: *entry, weight: fullWeight, idHash: hash(entry.ID)}
+		b.byID[entry.ID] = k
 		b.backends = append(b.backends, k)
 		return
 	}
-	if m.StartTime.After(k.StartTime) {
+	if entry.StartTime.After(k.StartTime) {
 		// After a restart nothing that was known of the backend holds any more.
 		k.weight, k.consecutiveFailures, k.ejectedUntil, k.peerEjectedUntil =
 			fullWeight, 0, time.Time{}, time.Time{}
 	}
-	k.Backend = *m
+	k.Backend = *entry
 }
 
 // assign adds a request to the connections and attempts of a backend; unassign removes it again.
