--- a/internal/proxy/alloc_test.go
+++ b/internal/proxy/alloc_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Memory is scarce and lines are many: passing one on must not allocate.
+// Memory is limited and there are many lines: forwarding a line must not allocate.
 func TestNoAllocationPerLine(t *testing.T) {
 	b := newSocketTestBed(t, 1, false)
 	client, target := b.establish("a")
@@ -15,7 +15,7 @@
 		_, _ = client.sock.Write(text)
 		s.read()
 	}
-	step() // the client's line arms a timer, once
+	step() // the first line of the client arms a timer
 	if n := testing.AllocsPerRun(100, step); n > 0 {
 		t.Errorf("%v allocations for a line each way", n)
 	}
--- a/internal/proxy/effects_test.go
+++ b/internal/proxy/effects_test.go
@@ -12,50 +12,56 @@
 	"ospreyspan/internal/routes"
 )
 
-// The model of the rules on effects: for each kind of class, each state of a request's hops and each one who may answer, what the
-// client may be told; and where a further hop may be sent. It is written down from the protocol, not computed: asserted at the
-// client's and the targets' ends of real connections. The test plays the module, which knows of no target.
+// These tests check the rules on effects: for each class, each state of a request's hops and each
+// source of an answer, what the client may be told; and to which targets another hop may be sent.
+// The expectations are written down from the protocol, not computed, and are checked at the
+// client's and the targets' ends of real connections. The test takes the place of the module, which
+// knows no target.
 
+// effectClasses are the settings of each class. A class whose name ends in ", expired" has its
+// window expired.
 var effectClasses = map[string]string{
-	"free":        `"Repeat":"free"`,
-	"single_shot": `"Repeat":"single_shot"`,
-	"all":         `"Repeat":"guarded","DedupScope":"all","WindowUs":60000000`,
-	"all, over":   `"Repeat":"guarded","DedupScope":"all","WindowUs":60000000`,
-	"zone":        `"Repeat":"guarded","DedupScope":"zone","WindowUs":60000000`,
-	"zone, over":  `"Repeat":"guarded","DedupScope":"zone","WindowUs":60000000`,
-	"cell":        `"Repeat":"guarded","DedupScope":"cell","WindowUs":60000000`,
-	"cell, over":  `"Repeat":"guarded","DedupScope":"cell","WindowUs":60000000`,
-	"unknown":     `"Repeat":"seldom"`,
+	"free":          `"Repeat":"free"`,
+	"single_shot":   `"Repeat":"single_shot"`,
+	"all":           `"Repeat":"guarded","DedupScope":"all","WindowUs":60000000`,
+	"all, expired":  `"Repeat":"guarded","DedupScope":"all","WindowUs":60000000`,
+	"zone":          `"Repeat":"guarded","DedupScope":"zone","WindowUs":60000000`,
+	"zone, expired": `"Repeat":"guarded","DedupScope":"zone","WindowUs":60000000`,
+	"cell":          `"Repeat":"guarded","DedupScope":"cell","WindowUs":60000000`,
+	"cell, expired": `"Repeat":"guarded","DedupScope":"cell","WindowUs":60000000`,
+	"unknown":       `"Repeat":"seldom"`,
 }
 
-// hopStates are what may have come of a request's hops; ran tells those after which it may have run.
+// hopStates are the possible states of a request's hops. ran marks those after which the request
+// may have run.
 var hopStates = []struct {
-	name string
-	word string // of the target; empty: it says nothing
-	out  bool   // the hop is out
-	ran  bool
+	name   string
+	answer string // from the target; empty: none
+	active bool   // the hop has not ended
+	ran    bool
 }{
-	{name: "held"},
-	{name: "dialling", out: true},
-	{name: "asking", out: true, ran: true},
-	{name: "turned away", word: "BUSY\r\n"},
-	{name: "error", word: "ERR\r\n", ran: true},
-	{name: "moved", word: "MOVE\r\n", ran: true},
-	{name: "garbled", word: "frob\r\n", ran: true},
-	{name: "too long", word: strings.Repeat("x", 5000), ran: true},
-	{name: "half a word and the end", word: "BU", ran: true},
-	{name: "reset", word: "reset", ran: true},
-	{name: "no word and the end", word: "end", ran: true},
+	{name: "no hop"},
+	{name: "dialing", active: true},
+	{name: "sent", active: true, ran: true},
+	{name: "refused", answer: "BUSY\r\n"},
+	{name: "error", answer: "ERR\r\n", ran: true},
+	{name: "moved", answer: "MOVE\r\n", ran: true},
+	{name: "unknown answer", answer: "frob\r\n", ran: true},
+	{name: "line too long", answer: strings.Repeat("x", 5000), ran: true},
+	{name: "partial line and close", answer: "BU", ran: true},
+	{name: "reset", answer: "reset", ran: true},
+	{name: "close", answer: "end", ran: true},
 }
 
-// refusableClasses are the kinds that may be refused after a hop that may have run.
+// refusableClasses are the classes that may be refused after a hop that may have run.
 var refusableClasses = []string{"free", "all"}
 
-// allowedTargets are the targets, by kind of class, to which a further hop may go after one that may have run at the first: it is of zone
-// z and cell 0, the others of z and 1, of y and 0, of y and 1.
+// allowedTargets lists, by class, the targets to which another hop may go after one that may have
+// run at target 0. Target 0 is in zone z and cell 0, the others in z and 1, y and 0, y and 1.
 var allowedTargets = map[string][]int{"free": {0, 1, 2, 3}, "all": {0, 1, 2, 3}, "zone": {0, 1}, "cell": {0, 2}}
 
-// newEffectTestBed is a proxy whose table names four targets of which the module does not know.
+// newEffectTestBed returns a proxy whose route table has four targets that the module does not
+// know.
 func newEffectTestBed(t *testing.T, kind string) *testBed {
 	t.Helper()
 	b := newSocketTestBedWithSettings(t, 0, settingsWith(t, `"Repeat":"free"`, effectClasses[kind], `"Cancel":true`, `"Cancel":false`))
@@ -77,49 +83,50 @@
 	return b
 }
 
-// driveTo has the first target bring a request into a state.
+// driveTo brings a request into a state of hopStates at target 0.
 func (b *testBed) driveTo(x *Exchange, state int) {
 	b.t.Helper()
 	s := hopStates[state]
-	if s.name == "held" {
+	if s.name == "no hop" {
 		return
 	}
 	b.engine.send(x, &action{target: "s0", duration: time.Second})
-	if s.name == "dialling" {
+	if s.name == "dialing" {
 		return
 	}
 	var h *testConn
 	b.waitFor("the hop", func() bool { h = b.requestConn("a"); return h != nil })
 	switch {
-	case s.out:
+	case s.active:
 		return
-	case s.word == "reset":
+	case s.answer == "reset":
 		h.reset = true
 		h.sock.Reset()
-	case s.word == "end":
+	case s.answer == "end":
 		h.sock.Close()
 	default:
-		h.write(b.t, s.word)
-		if s.name == "half a word and the end" {
+		h.write(b.t, s.answer)
+		if s.name == "partial line and close" {
 			h.sock.Close()
 		}
 	}
 	b.waitFor("the end of the hop", func() bool { return !x.hopActive })
 }
 
-// expireWindow has the window be over where the kind says so.
+// expireWindow lets the window of an expired class end.
 func expireWindow(kind string, x *Exchange) {
-	if strings.HasSuffix(kind, ", over") {
+	if strings.HasSuffix(kind, ", expired") {
 		x.maybeRanSentAt, x.sentAt = x.maybeRanSentAt.Add(-time.Minute), x.sentAt.Add(-time.Minute)
 	}
 }
 
-// Who answers: the module by either word, the engine when time is over, and a planned stop.
+// The answer may come from the module, as a refusal or a failure, from the engine at the deadline,
+// from a planned stop, or from the client's half-close.
 func TestEffectsOfAnswers(t *testing.T) {
 	for kind := range effectClasses {
 		for state, s := range hopStates {
-			for _, who := range []string{"refuse", "fail", "overdue", "stop", "client ends its sending"} {
-				if s.out && (who == "refuse" || who == "fail") {
+			for _, who := range []string{"refuse", "fail", "overdue", "stop", "client half-closes"} {
+				if s.active && (who == "refuse" || who == "fail") {
 					continue // the module answers once its hop has ended
 				}
 				t.Run(fmt.Sprintf("%s/%s/%s", kind, s.name, who), func(t *testing.T) {
@@ -148,8 +155,8 @@
 					if string(c.received) != want || c.reset {
 						t.Errorf("the client got %q, want %q", c.received, want)
 					}
-					for i, h := range b.targetConns { // nothing more is sent, and what was dialling is not sent either
-						if n := strings.Count(string(h.received), "OPEN"); n > 1 || n == 1 && s.name == "dialling" {
+					for i, h := range b.targetConns { // at most one hop is sent, and none that was dialing
+						if n := strings.Count(string(h.received), "OPEN"); n > 1 || n == 1 && s.name == "dialing" {
 							t.Errorf("connection %d was sent %q", i, h.received)
 						}
 					}
@@ -160,11 +167,11 @@
 	}
 }
 
-// To which targets a request may go again.
+// A further hop is sent only to targets that drop repeats of what may have run.
 func TestEffectsOfFurtherHops(t *testing.T) {
 	for kind := range effectClasses {
 		for state, s := range hopStates {
-			if s.out {
+			if s.active {
 				continue
 			}
 			want := []int{0, 1, 2, 3}
@@ -188,14 +195,14 @@
 				b.checkReleased(c)
 			}
 			if !slices.Equal(got, want) {
-				t.Errorf("%s, %s: sent on to %v, want %v", kind, s.name, got, want)
+				t.Errorf("%s, %s: sent to %v, want %v", kind, s.name, got, want)
 			}
 		}
 	}
 }
 
-// Advice that ends beyond the window invites a repeat that the targets no longer drop.
-func TestAdviceEndsWithinTheWindow(t *testing.T) {
+// A retry delay that ends after the window would invite a repeat that the targets no longer drop.
+func TestRetryDelayEndsWithinTheWindow(t *testing.T) {
 	for after, want := range map[time.Duration]string{59 * time.Second: "BUSY 59000\r\n", time.Minute: "ERR\r\n"} {
 		b := newEffectTestBed(t, "all")
 		c := b.dialClient()
@@ -207,7 +214,7 @@
 			t.Errorf("%v: got %q", after, c.received)
 		}
 	}
-	if hop, shed := permitted(balance.Class{Repeat: balance.RepeatKeyed, Window: time.Second}, true, time.Second, true); hop || shed {
-		t.Error("the window's last instant counts as within it")
+	if hop, refuse := permitted(balance.Class{Repeat: balance.RepeatKeyed, Window: time.Second}, true, time.Second, true); hop || refuse {
+		t.Error("the end of the window counts as within the window")
 	}
 }
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -70,7 +70,7 @@
 	onProbed            func(target string, ok bool, rep balance.Report)
 	limits              Limits // nil: unlimited
 	onHop               func(class int, first bool)
-	onOutcome           func(target string, o balance.Outcome, of OutcomeSource)
+	onOutcome           func(target string, o balance.Outcome, source OutcomeSource)
 	startedAt           time.Time
 	discoveryAnsweredAt time.Time // last answer from discovery; zero: none yet
 	listWait            listWait
@@ -278,10 +278,10 @@
 	e.forceAnswer(x, e.settings.Config.MaxAdvice)
 }
 
-// RetryAfter returns the retry delay that a refused client is given: most, but no longer than the
+// RetryAfter returns the retry delay that a refused client is given: delay, but no longer than the
 // settings allow, and zero where the settings pass none on.
-func (e *Engine) RetryAfter(most time.Duration) time.Duration {
-	return min(most, e.settings.Config.MaxAdvice)
+func (e *Engine) RetryAfter(delay time.Duration) time.Duration {
+	return min(delay, e.settings.Config.MaxAdvice)
 }
 
 // sortedExchanges returns all exchanges, oldest first, so that operations on many of them do not
--- a/internal/proxy/listwait_test.go
+++ b/internal/proxy/listwait_test.go
@@ -9,7 +9,7 @@
 	"ospreyspan/internal/routes"
 )
 
-// newStaleListTestBed is a bed whose list has not been confirmed for longer than its lease: discovery is silent.
+// newStaleListTestBed returns a bed whose list lease has expired because discovery does not answer.
 func newStaleListTestBed(t *testing.T, targets int, probes bool) (*testBed, *fakeDiscovery) {
 	t.Helper()
 	b := newTestBed(t, targets, probes)
@@ -22,7 +22,7 @@
 	return b, d
 }
 
-// answerNext answers the call that is out, or else the next one that is made.
+// answerNext answers the open call, or else the next one.
 func (d *fakeDiscovery) answerNext(body string) {
 	d.b.t.Helper()
 	n := len(d.calls)
@@ -33,7 +33,8 @@
 	d.answer(n, body)
 }
 
-// auditWithoutSockets checks the books but for sockets, of which the test has some on the same loop.
+// auditWithoutSockets runs the audit except for sockets, since the test has sockets of its own on
+// the same loop.
 func (b *testBed) auditWithoutSockets() {
 	b.t.Helper()
 	out, err := b.frontend.auditExchanges()
@@ -45,32 +46,33 @@
 	}
 }
 
-// stop stops discovery and closes what the test holds of it.
+// stop stops the watch and closes the connections of discovery.
 func (d *fakeDiscovery) stop() {
 	d.b.engine.watch.Stop()
 	d.close()
 }
 
-// An attempt whose list may be 6 s behind waits for the next one, and goes to a server that this names.
+// An attempt whose list may be 6 s behind waits for the next list and goes to a server on that
+// list.
 func TestAttemptWaitsForAList(t *testing.T) {
 	b, d := newStaleListTestBed(t, 2, false)
 	c := b.dialClient()
 	c.write(t, "OPEN a k c=c,d=60000\r\n")
 	b.settle()
 	if b.requestConn("a") != nil || b.counters.ListWaits != 1 {
-		t.Errorf("sent by an old list; %d waited", b.counters.ListWaits)
+		t.Errorf("sent with an expired list, or not counted: %d attempts waited, want 1", b.counters.ListWaits)
 	}
 	b.auditWithoutSockets()
 	d.answerNext(fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"s1","dial":%q,"health":"SERVING"}]}`, b.servers[1].Addr()))
 	b.waitFor("the attempt", func() bool { return b.requestConn("a") != nil })
 	if x := b.engine.sortedExchanges()[0]; x.target.ID != "s1" {
-		t.Errorf("sent to %s, which has left", x.target.ID)
+		t.Errorf("sent to %s, which is not on the list any more", x.target.ID)
 	}
 	d.stop()
 	b.checkReleased(c)
 }
 
-// answerProbes has the servers answer the probes that have arrived.
+// answerProbes answers the probes that have arrived at the servers.
 func (b *testBed) answerProbes() {
 	for _, h := range b.targetConns {
 		if strings.HasPrefix(string(h.received), "STATS") {
@@ -80,11 +82,12 @@
 	}
 }
 
-// newProvenTestBed is a staleBed of which one server has taken a request shortly before the lease ran out.
+// newProvenTestBed returns a bed with an expired list lease, of which one server accepted a request
+// shortly before the lease expired.
 func newProvenTestBed(t *testing.T, targets int) (b *testBed, d *fakeDiscovery, standing *testConn) {
 	t.Helper()
 	b = newTestBed(t, targets, false)
-	b.engine.proofs.validity = proofValidity(b.engine.settings.DrainGrace, false) // as the watch of the bed, which asks
+	b.engine.proofs.validity = proofValidity(b.engine.settings.DrainGrace, false) // lists are not pushed, as for the watch of the bed
 	d = newFakeDiscovery(b)
 	b.watchAt(d.listener.Addr())
 	d.awaitCall(0)
@@ -99,8 +102,9 @@
 	return b, d, standing
 }
 
-// Where discovery stays silent, nothing is sent to a server that has taken no request lately: an answer to a probe does not prove that
-// it does not drain. The request is refused in time.
+// While discovery does not answer, nothing is sent to a server that has not accepted a request
+// recently: an answer to a probe does not prove that it is not draining. The request is refused in
+// time.
 func TestAttemptWithoutAList(t *testing.T) {
 	for _, probe := range []string{"none", "answered", "unanswered"} {
 		t.Run(probe, func(t *testing.T) {
@@ -126,8 +130,9 @@
 	}
 }
 
-// A server that has just taken a request is sent the next ones at once, as long as that is a proof, and each renews it; the module
-// places among such servers alone.
+// A server that has just accepted a request is sent the next ones at once while that proof is
+// valid, and each accepted request renews the proof. The module places requests only at such
+// servers.
 func TestAttemptsAtAProvenServer(t *testing.T) {
 	b, d, standing := newProvenTestBed(t, 4)
 	ends := []*testConn{standing}
@@ -148,7 +153,7 @@
 		}
 	}
 	if b.counters.ListWaits != 0 || b.counters.ListsExpired != 0 {
-		t.Errorf("%d attempts waited, %d were not made", b.counters.ListWaits, b.counters.ListsExpired)
+		t.Errorf("%d attempts waited, %d were not sent", b.counters.ListWaits, b.counters.ListsExpired)
 	}
 	for begin := b.now(); b.since(begin) < b.engine.proofs.validity; {
 		b.settle()
@@ -157,14 +162,15 @@
 	c.write(t, "OPEN late k c=c,d=2000\r\n")
 	b.waitFor("a refusal", func() bool { return strings.HasPrefix(string(c.received), "BUSY") })
 	if b.requestConn("late") != nil {
-		t.Error("sent by a proof that is over")
+		t.Error("sent with an expired proof")
 	}
 	d.stop()
 	b.checkReleased(append(ends, c)...)
 }
 
-// A proof dates from the request's last look before its write, not from the answer: the server may have begun to drain behind that, and
-// a process that was held up reads the answer late.
+// A proof dates from the last clock reading before the request was written, not from the answer:
+// the server may have begun to drain after that, and a process that was stalled reads the answer
+// late.
 func TestProofDatesFromTheWrite(t *testing.T) {
 	b, d := newStaleListTestBed(t, 1, false)
 	b.engine.proofs.validity = proofValidity(b.engine.settings.DrainGrace, false)
@@ -180,14 +186,14 @@
 	b.waitFor("UP", func() bool { return string(c.received) == "UP r\r\n" })
 	life := b.engine.proofs.validity
 	if !b.engine.proofs.valid("s0", written.Add(life-10*time.Millisecond)) || b.engine.proofs.valid("s0", written.Add(life)) {
-		t.Error("the proof does not end with its life after the write")
+		t.Error("the proof does not expire its validity after the write")
 	}
 	d.stop()
 	b.checkReleased(c)
 }
 
-// Where lists are pushed a drain counts as told at once, whether or not it arrived: a request that a server took proves nothing for the
-// next one while no watch stands.
+// Where lists are pushed, a drain counts as known at once, whether or not it has arrived: a request
+// that a server accepted proves nothing for the next one while no watch is open.
 func TestNothingIsProvenWhereListsArePushed(t *testing.T) {
 	for _, tt := range []struct {
 		grace  time.Duration
@@ -200,22 +206,23 @@
 	}
 }
 
-// A server that leaves the list proves nothing when it returns.
+// A server that leaves the list loses its proof and has none when it returns.
 func TestServerThatLeavesLosesItsProof(t *testing.T) {
 	for _, state := range []string{"DRAINING", "DELETED"} {
 		b, d, standing := newProvenTestBed(t, 1)
 		d.answerNext(fmt.Sprintf(`{"seq":9,"whole":false,"hosts":[{"host":"s0","dial":%q,"health":%q}]}`, b.servers[0].Addr(), state))
 		b.settle()
 		if b.engine.proofs.valid("s0", b.now()) {
-			t.Errorf("%s: it is proven still", state)
+			t.Errorf("%s: the proof is still valid", state)
 		}
 		d.stop()
 		b.checkReleased(standing)
 	}
 }
 
-// Once a call has failed since the lease ran out, a request does not wait for the next one; the next answer ends that.
-func TestAttemptWaitsForNoCallThatFails(t *testing.T) {
+// Once a call has failed since the lease expired, a request does not wait for the next call. The
+// next answer ends that.
+func TestAttemptDoesNotWaitAfterAFailedCall(t *testing.T) {
 	b, d := newStaleListTestBed(t, 1, true)
 	failed := b.counters.WatchesFailed
 	b.waitFor("a failure", func() bool { return b.counters.WatchesFailed > failed })
@@ -230,14 +237,14 @@
 	}
 	d.answerNext(`{"seq":9,"whole":false,"hosts":[]}`)
 	if b.engine.listWait.failed {
-		t.Error("the next request would not wait either")
+		t.Error("the next request would still not wait")
 	}
 	d.stop()
 	b.checkReleased(c)
 }
 
-// A client that leaves while its attempt waits for a list, or has its answer meanwhile, leaves nothing behind: the module's attempt
-// has an end, and nothing is sent when the list comes.
+// A client that leaves or is answered while its attempt waits for a list leaves nothing behind: the
+// module's attempt ends, and nothing is sent when the list arrives.
 func TestRequestEndsWhileItsAttemptWaits(t *testing.T) {
 	for _, end := range []string{"left", "stopped"} {
 		t.Run(end, func(t *testing.T) {
@@ -253,12 +260,12 @@
 			}
 			b.settle()
 			if n := b.engine.module.Held("s0"); n != 0 || len(b.engine.exchanges) != 0 || len(b.engine.listWait.held) != 0 {
-				t.Errorf("the module counts %d attempts, %d requests and %d attempts are kept", n, len(b.engine.exchanges), len(b.engine.listWait.held))
+				t.Errorf("the module counts %d attempts, %d exchanges and %d attempts remain", n, len(b.engine.exchanges), len(b.engine.listWait.held))
 			}
 			b.auditWithoutSockets()
 			d.answerNext(fmt.Sprintf(`{"seq":9,"whole":true,"hosts":[{"host":"s0","dial":%q,"health":"SERVING"}]}`, b.servers[0].Addr()))
 			if b.settle(); b.requestConn("a") != nil || b.counters.ListWaits != 1 {
-				t.Errorf("sent for a request that is over; %d waited", b.counters.ListWaits)
+				t.Errorf("sent for a request that has ended, or not counted: %d attempts waited, want 1", b.counters.ListWaits)
 			}
 			if end == "stopped" && string(c.received) != "BUSY\r\n" {
 				t.Errorf("the client got %q", c.received)
--- a/internal/proxy/many_test.go
+++ b/internal/proxy/many_test.go
@@ -10,7 +10,8 @@
 	"ospreyspan/internal/routes"
 )
 
-// manyTargets is a list of so many targets, all at one address, as discovery writes it; those before serving drain.
+// manyTargets returns a list of n targets, all at one address, as discovery encodes it. Those
+// before index serving are draining.
 func manyTargets(seq, n, serving int, whole bool, addr string) string {
 	var hosts []map[string]any
 	for i := range n {
@@ -22,13 +23,13 @@
 	}
 	text, err := json.MarshalIndent(map[string]any{"seq": seq, "whole": whole, "hosts": hosts}, "", "    ")
 	if err != nil {
-		panic(err) // it is made of strings and numbers
+		panic(err) // cannot fail for strings and numbers
 	}
 	return string(text)
 }
 
-// A list of 1,024 targets reaches the module whole, and so does a change of 1,023 of them: on a watch, as a whole list
-// again, and where lists are pushed. Requests find the one that still serves.
+// A list of 1,024 targets and a change of 1,023 of them reach the module whole: on a watch, as a
+// whole list again, and where lists are pushed. Requests find the one target that still serves.
 func TestManyTargets(t *testing.T) {
 	const n = 1024
 	for _, how := range []string{"watched", "whole again", "pushed"} {
@@ -62,7 +63,7 @@
 				b.waitFor("UP", func() bool { return string(c.received) == "UP r\r\n" })
 			}
 			if held := b.engine.module.Held(fmt.Sprintf("s-%08x", n-1)); held != 20 {
-				t.Errorf("%d of 20 at the target that serves", held)
+				t.Errorf("%d of 20 requests at the serving target", held)
 			}
 			b.engine.watch.Stop()
 			d.close()
@@ -84,7 +85,8 @@
 	})
 }
 
-// What a proxy keeps grows with the list, and no faster: 500 targets among 350 proxies, and 1,024 of each.
+// The memory of a proxy grows no faster than the list: 500 targets among 350 proxies, and 1,024 of
+// each.
 func TestMemoryOfManyTargets(t *testing.T) {
 	heap := func() uint64 {
 		runtime.GC()
@@ -96,7 +98,7 @@
 	for n, most := range map[int]uint64{500: 1 << 20, 1024: 2 << 20} {
 		before := heap()
 		b := newSocketTestBedWithSettings(t, 0, settingsWith(t, `"Balancers":1`, fmt.Sprintf(`"Balancers":%d`, max(n*7/10, 350))))
-		for seq := range 20 { // what earlier lists took is given back
+		for seq := range 20 { // memory of earlier lists is released
 			list, err := routes.Decode([]byte(manyTargets(seq+1, n, 0, true, "127.0.0.1:1")))
 			if err != nil {
 				t.Fatal(err)
--- a/internal/proxy/races_test.go
+++ b/internal/proxy/races_test.go
@@ -14,10 +14,11 @@
 	"ospreyspan/internal/stats"
 )
 
-// These tests force a bad order on real sockets each time: the kernel connects, takes and resets while the loop does not turn, so
-// that a test has whatever it likes lie there at the next turn, in the order in which it was done.
+// These tests force a race on real sockets deterministically: the kernel connects, accepts and
+// resets while the loop does not turn, so that a test decides which events are ready at the next
+// turn, and in which order.
 
-// settingsWith is testSettings with other words in it.
+// settingsWith returns testSettings with replacements, given as pairs of old and new text.
 func settingsWith(t testing.TB, pairs ...string) string {
 	t.Helper()
 	text := fmt.Sprintf(testSettings, false)
@@ -30,8 +31,9 @@
 	return text
 }
 
-// awaitHops turns the loop until so many hops have begun, and not once more: the last one's connection is up, and nobody knows yet.
-// The turns before that leave nothing in the kernel's queue of what is ready: what comes next is told after that connection.
+// awaitHops turns the loop until n hops have begun, and not once more: the connection of the last
+// hop is established, but not yet noticed. The turns before leave nothing in the kernel's ready
+// queue, so that later events are reported after that connection.
 func (b *testBed) awaitHops(n int) {
 	b.t.Helper()
 	for begin := b.now(); ; {
@@ -46,7 +48,7 @@
 	}
 }
 
-// openExchange sends a request and returns its exchange once it is taken.
+// openExchange sends a request and returns its exchange once it has been accepted.
 func (b *testBed) openExchange(c *testConn, id string) *Exchange {
 	b.t.Helper()
 	c.write(b.t, "OPEN "+id+" k c=c,d=2000\r\n")
@@ -60,13 +62,14 @@
 			}
 		}
 	}
-	b.t.Fatal("the request is not taken")
+	b.t.Fatal("the request was not accepted")
 	return nil
 }
 
-// A client that leaves while its hop connects is not sent on, although the kernel tells of the connection first, and whether or
-// not the settings permit to cancel. One that has only ended its sending still gets an answer.
-func TestLeftWhileDialling(t *testing.T) {
+// The request of a client that leaves while its hop connects is not sent, although the kernel
+// reports the connection first, and whether or not the settings permit cancelling. A client that
+// has only half-closed still gets an answer.
+func TestClientLeavesWhileDialing(t *testing.T) {
 	for _, cancel := range []string{"true", "false"} {
 		for _, how := range []string{"fin", "reset", "line", "line and fin"} {
 			t.Run(how+", cancel "+cancel, func(t *testing.T) {
@@ -84,10 +87,10 @@
 					c.reset = true
 					c.sock.Reset()
 				}
-				b.waitFor("the end of it", func() bool { return len(b.engine.exchanges) == 0 && (c.eof || c.reset) })
+				b.waitFor("the end of the exchange", func() bool { return len(b.engine.exchanges) == 0 && (c.eof || c.reset) })
 				b.settle()
 				if len(b.targetConns) > 0 && len(b.targetConns[0].received) > 0 {
-					t.Errorf("sent on: %q", b.targetConns[0].received)
+					t.Errorf("the target was sent %q", b.targetConns[0].received)
 				}
 				want := map[string]string{"fin": "BUSY\r\n", "reset": "", "line": "ERR\r\n", "line and fin": "ERR\r\n"}[how]
 				if string(c.received) != want || b.counters.Left != 1 || b.engine.module.Held("s0") != 0 {
@@ -99,9 +102,10 @@
 	}
 }
 
-// Where cancelling is not permitted a client that breaks the protocol while its hop asks leaves nothing behind, and a word that
-// comes later is no second answer.
-func TestLeftWhileAskingWithoutCancel(t *testing.T) {
+// Where cancelling is not permitted, a client that breaks the protocol or leaves while its hop
+// awaits an answer leaves nothing behind, and a later answer of the target is not a second answer
+// to the client.
+func TestClientLeavesAfterSendWithoutCancel(t *testing.T) {
 	for _, how := range []string{"line", "fin", "reset"} {
 		for _, word := range []string{"UP r\r\n", "BUSY\r\n", "BYE\r\n", ""} {
 			b := newSocketTestBedWithSettings(t, 1, settingsWith(t, `"Cancel":true`, `"Cancel":false`))
@@ -117,8 +121,8 @@
 				c.reset = true
 				c.sock.Reset()
 			}
-			b.waitFor("it left", func() bool { return b.counters.Left == 1 && (c.eof || c.reset) })
-			for _, x := range b.engine.exchanges { // its hop is out, and nothing more is owed
+			b.waitFor("the client to leave", func() bool { return b.counters.Left == 1 && (c.eof || c.reset) })
+			for _, x := range b.engine.exchanges { // the hop is active, but the client is owed no answer
 				if x.timer.Armed() {
 					t.Errorf("%s: the exchange still has a timer", how)
 				}
@@ -137,13 +141,13 @@
 	}
 }
 
-// A connection that comes up in the turn in which its time ends is not sent what nobody waits for.
-func TestUpWhenTimeIsOver(t *testing.T) {
+// A request whose connection is established in the turn in which its deadline passes is not sent.
+func TestConnectedAtTheDeadline(t *testing.T) {
 	b := newSocketTestBedWithSettings(t, 1, settingsWith(t, `"DialTimeoutUs":200000`, `"DialTimeoutUs":900000`))
 	c := b.dialClient()
 	c.write(t, "OPEN a k c=c,d=60\r\n")
 	b.awaitHops(1)
-	time.Sleep(80 * time.Millisecond) // the process does not run
+	time.Sleep(80 * time.Millisecond) // the process is stalled
 	b.waitFor("an answer", func() bool { return c.eof })
 	if len(b.targetConns) != 1 || len(b.targetConns[0].received) > 0 || string(c.received) != "BUSY\r\n" {
 		t.Errorf("%d connections; the first was sent %q, the client got %q", len(b.targetConns), b.targetConns[0].received, c.received)
@@ -151,17 +155,17 @@
 	b.checkReleased(c)
 }
 
-// A further hop of a guarded request begins within its window, and comes up after it: it is not sent, and the client is not told
-// to come again.
-func TestWindowEndsWhileDialling(t *testing.T) {
+// Another hop of a guarded request begins within the window and connects after its end: the request
+// is not sent, and the client is not told to repeat it.
+func TestWindowEndsWhileDialing(t *testing.T) {
 	b := newSocketTestBedWithSettings(t, 2, settingsWith(t, `"Repeat":"free"`, `"Repeat":"guarded","DedupScope":"all","WindowUs":300000`))
 	c := b.dialClient()
 	c.write(t, "OPEN a k c=c,d=1000\r\n")
 	b.waitFor("the hop", func() bool { return b.requestConn("a") != nil })
-	b.requestConn("a").write(t, "ERR\r\n") // it may have run
+	b.requestConn("a").write(t, "ERR\r\n") // the request may have run
 	b.awaitHops(2)
 	for _, x := range b.engine.exchanges {
-		x.maybeRanSentAt = x.maybeRanSentAt.Add(-300 * time.Millisecond) // the window is over
+		x.maybeRanSentAt = x.maybeRanSentAt.Add(-300 * time.Millisecond) // the window has ended
 	}
 	b.waitFor("an answer", func() bool { return c.eof })
 	sent := 0
@@ -176,8 +180,9 @@
 	b.checkReleased(c)
 }
 
-// More than a refusal is no proof that the request never ran: a class that must not run twice is not sent again.
-func TestRefusalAndMore(t *testing.T) {
+// A refusal followed by other data does not prove that the request never ran: a class that must not
+// run twice is not sent again.
+func TestRefusalFollowedByData(t *testing.T) {
 	b := newSocketTestBedWithSettings(t, 2, settingsWith(t, `"Repeat":"free"`, `"Repeat":"single_shot"`))
 	for id, more := range map[string]string{"a": "UP r\r\n", "b": "half", "c": ""} {
 		c := b.dialClient()
@@ -200,17 +205,18 @@
 	}
 }
 
-// What a planned stop ends with: a request that lies unread on a connection that had asked for nothing, one on a connection that
-// is not accepted yet, and one that comes after the refusal. None of them is lost, reset or sent on.
+// At the end of a planned stop there is an unread request on an idle connection, one on a
+// connection that is not accepted yet, and one that arrives after the refusal. None of them may be
+// lost, reset or sent to a target.
 func TestRequestsAtTheEndOfAStop(t *testing.T) {
 	b := newSocketTestBed(t, 1, false)
-	rests, unread := b.dialClient(), b.dialClient()
+	idle, unread := b.dialClient(), b.dialClient()
 	done := 0
 	b.frontend.Drain(func() { done++ })
 	b.frontend.Drain(func() { done += 10 }) // a second SIGTERM
 	b.frontend.drain.startedAt = b.loop.Now().Add(-newClientPeriod - time.Millisecond)
 	queued := &testConn{}
-	sock, err := b.loop.Dial(b.frontend.listener.Addr(), queued) // the kernel has accepted it, the proxy has not
+	sock, err := b.loop.Dial(b.frontend.listener.Addr(), queued) // accepted by the kernel, not by the proxy
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -220,13 +226,13 @@
 	queued.write(t, "OPEN q k c=c,d=2000\r\n")
 	b.frontend.drainStep() // before the loop has read any of it
 	if done != 0 {
-		t.Error("it ended while clients were still to read their answers")
+		t.Error("the stop ended before the clients had read their answers")
 	}
-	rests.write(t, "OPEN r k c=c,d=2000\r\n")
+	idle.write(t, "OPEN r k c=c,d=2000\r\n")
 	b.waitFor("all ended", func() bool {
-		return rests.eof && unread.eof && queued.eof || rests.reset || unread.reset || queued.reset
+		return idle.eof && unread.eof && queued.eof || idle.reset || unread.reset || queued.reset
 	})
-	for what, c := range map[string]*testConn{"resting": rests, "unread": unread, "queued": queued} {
+	for what, c := range map[string]*testConn{"idle": idle, "unread": unread, "queued": queued} {
 		if c.reset || string(c.received) != "BUSY\r\n" {
 			t.Errorf("%s: reset %v, got %q", what, c.reset, c.received)
 		}
@@ -238,7 +244,8 @@
 	}
 }
 
-// A target hangs at a planned stop: who waits for it is answered and told to come again only where that does no harm.
+// A target does not answer during a planned stop: its waiting clients are answered, and told to
+// repeat only where a repeat is harmless.
 func TestStopWhileATargetHangs(t *testing.T) {
 	for repeat, want := range map[string]string{"free": "BUSY\r\n", "single_shot": "ERR\r\n"} {
 		b := newSocketTestBedWithSettings(t, 1, settingsWith(t, `"Repeat":"free"`, `"Repeat":"`+repeat+`"`, `"Cancel":true`, `"Cancel":false`))
@@ -258,8 +265,9 @@
 	}
 }
 
-// Who is turned away for want of a descriptor gets its refusal, whatever it has sent by then: a close over unread bytes would
-// reset the connection and take the refusal with it. The same holds for one that has just had its last line.
+// A client that is refused for lack of a descriptor gets its refusal, whatever it has sent by then:
+// closing with unread bytes would reset the connection and lose the refusal. The same holds for a
+// client that was just sent its last line.
 func TestRefusalWithUnreadBytes(t *testing.T) {
 	b := newSocketTestBed(t, 1, false)
 	opening, closing := b.dialClient(), b.dialClient()
@@ -271,7 +279,7 @@
 		b.frontend.refuseAndClose(s)
 	}
 	if err := closing.sock.Established(); err != nil { // its pending error
-		t.Errorf("the one with its last line: %v", err)
+		t.Errorf("connection with its last line: %v", err)
 	}
 	b.waitFor("the end", func() bool { return opening.eof || opening.reset })
 	if opening.reset || string(opening.received) != "BUSY\r\n" {
@@ -280,7 +288,8 @@
 	b.checkReleased(opening, closing)
 }
 
-// Lines of the target lie in the kernel when its client is moved: the whole ones go first, half a line does not.
+// Lines of the target are unread when its client is moved: whole lines are forwarded before MOVE, a
+// partial line is not.
 func TestLinesBeforeMove(t *testing.T) {
 	b := newSocketTestBed(t, 1, false)
 	for i, act := range []func(){
@@ -296,16 +305,16 @@
 			t.Errorf("%d: got %q", i, client.received)
 		}
 		client.sock.Close()
-		b.waitFor("the end of it", func() bool { return len(b.frontend.sessions) == 0 })
+		b.waitFor("the end of the exchange", func() bool { return len(b.frontend.sessions) == 0 })
 	}
 }
 
-// A target says its last lines and resets the connection; a line of the client is passed on first, and fails. What the target
-// said reaches the client all the same.
+// A target writes its last lines and resets the connection; forwarding a line of the client fails
+// first. The target's lines still reach the client.
 func TestLastLinesBeforeAReset(t *testing.T) {
 	b := newSocketTestBed(t, 1, false)
 	client, target := b.establish("a")
-	client.write(t, "reading\r\n") // ready first
+	client.write(t, "reading\r\n") // reported before the reset
 	target.write(t, "seen\r\nBYE\r\n")
 	target.reset = true
 	target.sock.Reset()
@@ -316,7 +325,8 @@
 	b.checkReleased(client)
 }
 
-// An answer that lies unread when its hop's time ends counts: a turn takes so many events and no more.
+// An answer that is unread when its hop times out still counts, since a turn of the loop processes
+// a limited number of events.
 func TestAnswerUnreadAtTheTimeOut(t *testing.T) {
 	b := newSocketTestBed(t, 1, false)
 	c := b.dialClient()
@@ -328,13 +338,13 @@
 	}
 	b.waitFor("UP", func() bool { return string(c.received) == "UP r\r\n" })
 	if b.counters.HopTimeout != 0 {
-		t.Error("it counts as timed out")
+		t.Error("the hop is counted as timed out")
 	}
 	b.checkReleased(c)
 }
 
-// Half a line on a probe's idle connection is no beginning of the next answer.
-func TestHalfALineBetweenProbes(t *testing.T) {
+// A partial line on an idle probe connection is not the beginning of the next answer.
+func TestPartialLineBetweenProbes(t *testing.T) {
 	b := newSocketTestBed(t, 1, true)
 	b.manualDelivery = true
 	to := b.engine.table.Find("s0")
@@ -370,7 +380,8 @@
 	}
 }
 
-// Where lists are pushed, all counts as told from the first moment of a process: the program asks at once, also as one of many.
+// Where lists are pushed, all changes count as known from the start of a process: it calls
+// discovery at once, even if it is one of many processes.
 func TestPushedListsAreAskedForAtOnce(t *testing.T) {
 	b := newSocketTestBed(t, 0, false)
 	d := newFakeDiscovery(b)
@@ -398,8 +409,9 @@
 	d.close()
 }
 
-// An event that was gathered for a connection which has closed since does not reach the one that took over its descriptor: the
-// client's end and its target's word lie there in the same turn, and so does the next client.
+// An event for a connection that has closed since must not reach the connection that reuses its
+// descriptor. The client's reset, the target's lines and the next client are ready in the same
+// turn.
 func TestDescriptorReusedInTheSameTurn(t *testing.T) {
 	b := newSocketTestBed(t, 1, false)
 	for i := range 20 {
@@ -408,7 +420,7 @@
 		client.reset = true
 		client.sock.Reset()
 		target.write(t, "seen\r\nseen\r\n")
-		next := b.dialClient() // may have the descriptor of either
+		next := b.dialClient() // may reuse the descriptor of either end
 		next.write(t, "PING\r\n")
 		b.waitFor("PONG", func() bool { return string(next.received) == "PONG\r\n" })
 		next.sock.Close()
@@ -416,8 +428,8 @@
 	}
 }
 
-// A process that knows of no target says so to the front's PING until discovery's first list is there, also where that is empty; one
-// that was given a list serves at once.
+// A process without targets answers PING with NO until discovery's first list arrives, even if that
+// is empty. A process that was given a list serves at once.
 func TestPingBeforeTheFirstList(t *testing.T) {
 	for name, list := range map[string]string{
 		"a list":       `{"seq":8,"whole":true,"hosts":[{"host":"s0","dial":"127.0.0.1:1","health":"SERVING"}]}`,
@@ -445,8 +457,8 @@
 	b.waitFor("an answer", func() bool { return string(c.received) == "PONG\r\n" })
 }
 
-// A process whose configuration names no target and that discovery doesn't answer is ready all the same before long. A request is
-// held then, and sent on once a list is there.
+// A process whose configuration names no target and whose discovery does not answer becomes ready
+// after readyTimeout. A request is then held, and sent once a list arrives.
 func TestReadyWithoutAList(t *testing.T) {
 	b := newSocketTestBed(t, 0, false)
 	d := newFakeDiscovery(b)
@@ -476,18 +488,19 @@
 	l.Close()
 }
 
-// A planned stop comes while a connection of before the start is still being taken up: between two tries, while a hop connects, and
-// while its target is silent. It has one answer, and nothing is sent after that.
+// A planned stop begins while a connection from before the start is being adopted: between two
+// attempts, while a hop connects, and while its target is silent. The client gets one answer, and
+// nothing is sent after it.
 func TestStopWhileAdopting(t *testing.T) {
-	for _, when := range []string{"between tries", "dialling", "asking"} {
+	for _, when := range []string{"between attempts", "dialing", "sent"} {
 		b := newSocketTestBed(t, 1, false)
 		c := b.dialClient()
 		c.write(t, "OPEN a k c=c,d=5000,at=s0\r\n")
 		b.awaitHops(1)
-		if when != "dialling" {
+		if when != "dialing" {
 			b.waitFor("the hop", func() bool { return b.requestConn("a") != nil })
 		}
-		if when == "between tries" {
+		if when == "between attempts" {
 			b.requestConn("a").write(t, "BUSY\r\n")
 			b.waitFor("the end of the hop", func() bool { return b.counters.HopFull == 1 })
 		}
@@ -499,7 +512,7 @@
 		if string(c.received) != "BUSY\r\n" || b.counters.Hops != 1 || len(b.engine.exchanges) != 0 {
 			t.Errorf("%s: got %q, %d hops, %d exchanges", when, c.received, b.counters.Hops, len(b.engine.exchanges))
 		}
-		if when == "dialling" && len(b.targetConns) > 0 && len(b.targetConns[0].received) > 0 {
+		if when == "dialing" && len(b.targetConns) > 0 && len(b.targetConns[0].received) > 0 {
 			t.Errorf("sent %q", b.targetConns[0].received)
 		}
 		c.sock.Close()
@@ -507,8 +520,8 @@
 	}
 }
 
-// The time of a connection that has not asked for anything is over just when its request arrives, which the loop has not read: the
-// client finds a refusal, and its request is sent to nobody.
+// A connection without a request times out just when its request arrives, which the loop has not
+// read: the client gets a refusal, and its request is sent to no target.
 func TestRequestAtTheTimeOut(t *testing.T) {
 	b := newSocketTestBed(t, 1, false)
 	c := b.dialClient()
@@ -522,8 +535,9 @@
 	b.checkReleased(c)
 }
 
-// A target answers byte by byte, and a client asks so: what is whole is passed on, and nothing before. A word that does not end, or
-// ends a little later with another one behind it, is no answer of two.
+// A client sends its request byte by byte, and a target its answer: a line is forwarded once it is
+// complete, and not before. A second answer is forwarded like any line and does not count as one.
+// An answer line that never ends gets the client a refusal at its deadline.
 func TestAnswersInPieces(t *testing.T) {
 	b := newSocketTestBed(t, 1, false)
 	c := b.dialClient()
@@ -541,7 +555,7 @@
 		b.settle()
 	}
 	b.waitFor("UP", func() bool { return string(c.received) == "UP r\r\n" })
-	h.write(t, "ERR\r\nseen") // a second answer is a line like others; half a line is kept
+	h.write(t, "ERR\r\nseen") // a second answer is forwarded like any line; a partial line is kept back
 	b.waitFor("the line", func() bool { return string(c.received) == "UP r\r\nERR\r\n" })
 	h.sock.Close()
 	b.waitFor("the end", func() bool { return c.eof })
@@ -561,8 +575,8 @@
 	b.checkReleased(endless)
 }
 
-// A client that is slow to read at a planned stop gets all whole lines of its target and MOVE, if it reads before the end; the end
-// does not wait for one that never does.
+// A client that is slow to read during a planned stop gets all whole lines of its target and MOVE,
+// if it reads before the end. The stop does not wait for a client that never reads.
 func TestSlowReadersAtAStop(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		b := newSocketTestBed(t, 1, false)
@@ -572,7 +586,7 @@
 		text := strings.Repeat("x", 1022) + "\r\n"
 		sent := 0
 		s := b.session()
-		for len(s.link.unsent) == 0 { // until the kernel takes no more of it
+		for len(s.link.unsent) == 0 { // until the kernel accepts no more
 			n, err := target.sock.Write([]byte(text))
 			if err != nil {
 				t.Fatal(err)
@@ -585,7 +599,7 @@
 		done := false
 		b.frontend.Drain(func() { done = true })
 		b.frontend.drain.startedAt = b.loop.Now().Add(-newClientPeriod - time.Millisecond)
-		b.frontend.drain.killAt = b.loop.Now().Add(b.engine.tuning.MovesDone + drainInterval) // all moves are due
+		b.frontend.drain.killAt = b.loop.Now().Add(b.engine.tuning.MovesDone + drainInterval) // every move is due now
 		b.frontend.drainStep()
 		if reads {
 			c.readPaused = false
@@ -604,16 +618,17 @@
 	}
 }
 
-// What the proxy itself refuses, at a planned stop and for want of a descriptor, keeps to the settings like the module's refusals: no
-// advice where they pass none on, and none that is longer than clients heed.
-func TestAdviceKeepsToTheSettings(t *testing.T) {
+// Refusals by the proxy itself, during a planned stop and for lack of a descriptor, follow the
+// settings like those of the module: no retry delay where the settings pass none on, and none
+// longer than clients heed.
+func TestRetryDelayFollowsTheSettings(t *testing.T) {
 	for permissions, want := range map[string]string{
 		`"RetryAfter":false,"MaxRetryAfterUs":2000000`: "BUSY\r\n",
 		`"RetryAfter":true,"MaxRetryAfterUs":400000`:   "BUSY 400\r\n",
 		`"RetryAfter":true,"MaxRetryAfterUs":2000000`:  "BUSY 1000\r\n",
 	} {
 		b := newSocketTestBedWithSettings(t, 1, settingsWith(t, `"Cancel":true`, `"Cancel":true,`+permissions))
-		full, waits, unread, rests := b.dialClient(), b.dialClient(), b.dialClient(), b.dialClient()
+		full, waits, unread, idle := b.dialClient(), b.dialClient(), b.dialClient(), b.dialClient()
 		b.frontend.refuseAndClose(b.frontend.sessions[0])
 		waits.write(t, "OPEN w k c=c,d=2000\r\n")
 		b.waitFor("the hop", func() bool { return b.requestConn("w") != nil })
@@ -621,7 +636,7 @@
 		b.frontend.drain.killAt = b.loop.Now().Add(finalAnswerLead - time.Millisecond)
 		unread.write(t, "OPEN u k c=c,d=2000\r\n")
 		b.frontend.drainStep()
-		for name, c := range map[string]*testConn{"out of descriptors": full, "waiting": waits, "unread": unread, "resting": rests} {
+		for name, c := range map[string]*testConn{"out of descriptors": full, "waiting": waits, "unread": unread, "idle": idle} {
 			b.waitFor("an answer", func() bool { return c.eof })
 			if string(c.received) != want {
 				t.Errorf("%s, %s: got %q, want %q", permissions, name, c.received, want)
--- a/internal/proxy/shared.go
+++ b/internal/proxy/shared.go
@@ -40,10 +40,10 @@
 }
 
 // ShareProbes sets ask to be called before each probe: if it returns true, the caller must later
-// call PeerReported or ProbeDirectly for the target. ShareProbes sets told to be called at the end
+// call PeerReported or ProbeDirectly for the target. ShareProbes sets done to be called at the end
 // of each probe of this process.
-func (e *Engine) ShareProbes(ask func(target string) bool, told func(target string, ok bool, rep balance.Report)) {
-	e.probeViaPeer, e.onProbed = ask, told
+func (e *Engine) ShareProbes(ask func(target string) bool, done func(target string, ok bool, rep balance.Report)) {
+	e.probeViaPeer, e.onProbed = ask, done
 }
 
 // PeerReported takes a report from a probe of another process.
@@ -97,14 +97,14 @@
 
 // OnOutcome sets a function to call with each outcome that this process observes at targets that
 // take new work.
-func (e *Engine) OnOutcome(f func(target string, o balance.Outcome, of OutcomeSource)) {
+func (e *Engine) OnOutcome(f func(target string, o balance.Outcome, source OutcomeSource)) {
 	e.onOutcome = f
 }
 
 // reportOutcome passes an outcome on to the function set with OnOutcome.
-func (e *Engine) reportOutcome(target string, o balance.Outcome, of OutcomeSource) {
+func (e *Engine) reportOutcome(target string, o balance.Outcome, source OutcomeSource) {
 	if e.onOutcome != nil && !e.draining(target) {
-		e.onOutcome(target, o, of)
+		e.onOutcome(target, o, source)
 	}
 }
 
@@ -119,9 +119,9 @@
 	// Take counts an exchange of a class and a tenant, both given by index, and returns the limits
 	// that it counts under, one bit each. If a limit leaves no room and the exchange can be
 	// refused, it counts under none and ok is false.
-	Take(class, tenant int, refuse bool) (under uint64, ok bool)
+	Take(class, tenant int, refuse bool) (bits uint64, ok bool)
 	// Release undoes a Take that returned these bits.
-	Release(under uint64)
+	Release(bits uint64)
 }
 
 // SetLimits sets the limits that exchanges count under. The module refuses exchanges for which
@@ -159,4 +159,6 @@
 
 // SetRetryBudgetSpent tells the module whether all processes together have used up their budget for
 // further hops.
-func (e *Engine) SetRetryBudgetSpent(on bool) { e.push(event{kind: evRetryBudget, budgetSpent: on}) }
+func (e *Engine) SetRetryBudgetSpent(spent bool) {
+	e.push(event{kind: evRetryBudget, budgetSpent: spent})
+}
--- a/internal/proxy/stall_test.go
+++ b/internal/proxy/stall_test.go
@@ -8,10 +8,11 @@
 	"ospreyspan/internal/poll"
 )
 
-// stallingKernel is a kernel on which the process is held up behind a look at the clock: something happens meanwhile.
+// stallingKernel is a kernel on which the process stalls after reading the clock, while something
+// else happens.
 type stallingKernel struct {
 	poll.Kernel
-	clockReads  int // at the clock since the last wait; the first one is the loop's own
+	clockReads  int // since the last wait; the first is the loop's own
 	duringStall func()
 }
 
@@ -30,10 +31,11 @@
 	return now
 }
 
-// The process is held up between its look at the clock and the write of a request, and the client leaves meanwhile: nothing is sent
-// for it. An attempt that begins over 0.1 s after its client left is a lost request, and a process may be held up for 0.15 s.
+// The process stalls between reading the clock and writing a request, and the client leaves
+// meanwhile: nothing may be sent for it. An attempt that begins over 0.1 s after its client left
+// counts as a lost request, and a process may stall for 0.15 s.
 func TestClientLeavesWhileTheProcessIsStalled(t *testing.T) {
-	for _, how := range []string{"close", "reset", "end of sending"} {
+	for _, how := range []string{"close", "reset", "half-close"} {
 		t.Run(how, func(t *testing.T) {
 			k := &stallingKernel{}
 			b := newSocketTestBedOnKernel(t, 1, func(under poll.Kernel) poll.Kernel {
@@ -52,7 +54,7 @@
 					c.sock.CloseWrite()
 				}
 			}
-			b.waitFor("the process is held up", func() bool { return k.duringStall == nil })
+			b.waitFor("the stall", func() bool { return k.duringStall == nil })
 			for range 20 {
 				b.settle()
 			}
