--- a/internal/proxy/proofs.go
+++ b/internal/proxy/proofs.go
@@ -36,11 +36,11 @@
 // grace period is over, less maxListLead and the time of the next write. Where lists are pushed, a
 // change counts as known at once, and an accepted request proves nothing for the next one.
 func proofValidity(grace time.Duration, pushed bool) time.Duration {
-	toldAfter := routes.ListLease
+	knownAfter := routes.ListLease
 	if pushed {
-		toldAfter = 0
+		knownAfter = 0
 	}
-	return max(toldAfter+grace-maxListLead-maxProcessStall, 0)
+	return max(knownAfter+grace-maxListLead-maxProcessStall, 0)
 }
 
 // recordAccepted notes that a server accepted a request that was written at a time. The server may
