--- a/internal/lab/planted_test.go
+++ b/internal/lab/planted_test.go
@@ -27,8 +27,8 @@
 var planted = []plantedFault{
 	{
 		name: "a hop that timed out stays open beside the next one", file: "internal/proxy/hop.go",
-		from:  "			h.over(balance.TimedOut, noReport)\n",
-		to:    "			h.s.hop = nil\n			h.s.x.Ended(balance.TimedOut, noReport)\n",
+		from:  "			h.endWith(balance.TimedOut, noReport)\n",
+		to:    "			h.session.hop = nil\n			h.session.exchange.Ended(balance.TimedOut, noReport)\n",
 		rules: []string{"two-attempts", "given-back"},
 	},
 	{
@@ -45,26 +45,26 @@
 	},
 	{
 		name: "a refused client hears nothing", file: "internal/proxy/session.go",
-		from:  "	s.endHop()\n	s.last(busy(after))\n",
+		from:  "	s.endHop()\n	s.closeAfter(busy(after))\n",
 		to:    "	s.endHop()\n	_ = after\n",
 		rules: []string{"answer-in-time", "given-back", "one-final-answer", "counts"},
 	},
 	{
 		name: "a client's id is not given back", file: "internal/proxy/engine.go",
-		from:  "	delete(e.ids, x.name)\n",
+		from:  "	delete(e.clientIDs, x.clientID)\n",
 		to:    "",
 		rules: []string{"given-back"},
 	},
 	{
 		name: "the end of a client that waits is passed over", file: "internal/proxy/session.go",
-		from:  "		s.leave()\n		if s.x.mayShed(0) {\n",
-		to:    "		return\n		if s.x.mayShed(0) {\n",
+		from:  "		s.markLeft()\n		if s.exchange.mayRefuse(0) {\n",
+		to:    "		return\n		if s.exchange.mayRefuse(0) {\n",
 		rules: []string{"sent-after-leaving"},
 	},
 	{
 		name: "an error passes for a refusal", file: "internal/proxy/hop.go",
-		from:  "		h.over(balance.Error, h.report(rest))\n	}\n}\n",
-		to:    "		h.over(balance.Full, h.report(rest))\n	}\n}\n",
+		from:  "		h.endWith(balance.Error, h.parseReport(rest))\n	}\n}\n",
+		to:    "		h.endWith(balance.Rejected, h.parseReport(rest))\n	}\n}\n",
 		rules: []string{"effect-twice", "repeat-invited"},
 	},
 	{
@@ -83,7 +83,7 @@
 	},
 	{
 		name: "who waits at a planned stop is refused, whatever may have run", file: "internal/proxy/effect.go",
-		from:  "	if refuse && x.mayShed(after) {",
+		from:  "	if refuse && x.mayRefuse(after) {",
 		to:    "	if refuse {",
 		rules: []string{"repeat-invited"}, first: 5,
 	},
@@ -95,12 +95,12 @@
 	},
 	{
 		name: "a process asks four times as seldom after a call that failed", file: "internal/routes/watch.go",
-		function: "func (w *Watch) pauseAfter(err error) time.Duration", to: "	return w.pace.around(4 * w.pace.first)\n",
+		function: "func (w *Watch) pauseAfter(err error) time.Duration", to: "	return w.pace.jitter(4 * w.pace.initialMaxWait)\n",
 		days: "throng", set: []string{"rules.cold_budget=false"}, rules: []string{"ask-again", "stale-list"},
 	},
 	{
 		name: "a cold target passes for a warm one", file: "balance/slowstart.go",
-		function: "func (b *Balancer) warmth(now time.Time, k *backend) float64", to: "	return 1\n",
+		function: "func (b *Balancer) warmUpFraction(now time.Time, k *backend) float64", to: "	return 1\n",
 		days: "throng", set: []string{"discovery.call=20ms", "rules.news_within=0s", "rules.ask_again=0s"},
 		rules: []string{"cold-budget", "cold-relay-pushed-over"},
 	},
