--- a/internal/proxy/bed_test.go
+++ b/internal/proxy/bed_test.go
@@ -102,7 +102,7 @@
 
 // watchConfig is for a watch on another discovery in place of the engine's own.
 func (b *bed) watchConfig(at netip.AddrPort) routes.WatchConfig {
-	return routes.WatchConfig{Loop: b.loop, Addr: at, Seq: 7, AskWithin: 3 * time.Second, Rand: rand.New(rand.NewPCG(1, 1)), Calls: &b.count.Watches, OnResult: b.engine.news}
+	return routes.WatchConfig{Loop: b.loop, Addr: at, Seq: 7, AskWithin: 3 * time.Second, Rand: rand.New(rand.NewPCG(1, 1)), Requests: &b.count.Watches, OnResult: b.engine.news}
 }
 
 // newRealBed is newBed on real sockets.
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -112,7 +112,7 @@
 	}
 	e.watch = routes.NewWatch(routes.WatchConfig{
 		Loop: c.Loop, Addr: c.Discovery, Seq: from, Processes: c.Settings.Config.Balancers, AskWithin: c.Settings.Config.Rules.AskWithin,
-		Pushed: pushed, Rand: rand.New(rand.NewPCG(c.Seed, 1)), Calls: &c.Count.Watches, OnResult: e.news,
+		Pushed: pushed, Rand: rand.New(rand.NewPCG(c.Seed, 1)), Requests: &c.Count.Watches, OnResult: e.news,
 	})
 	e.startedAt = e.loop.Now()
 	module.Start(e.startedAt)
--- a/internal/routes/silent_test.go
+++ b/internal/routes/silent_test.go
@@ -44,7 +44,7 @@
 		}
 		var failures []error
 		count := 0
-		w := NewWatch(WatchConfig{Loop: loop, Addr: l.Addr(), Seq: 7, Rand: rand.New(rand.NewPCG(1, 1)), Calls: &count,
+		w := NewWatch(WatchConfig{Loop: loop, Addr: l.Addr(), Seq: 7, Rand: rand.New(rand.NewPCG(1, 1)), Requests: &count,
 			OnResult: func(_ *List, err error) { failures = append(failures, err) }})
 		w.Start()
 		waitForRequest := func(n int, prefix string) {
--- a/internal/routes/watch.go
+++ b/internal/routes/watch.go
@@ -90,7 +90,7 @@
 	AskWithin time.Duration // longest time between two requests by the settings; 0: none given
 	Pushed    bool          // what discovery has counts as delivered whether or not a watch is open
 	Rand      *rand.Rand
-	Calls     *int               // incremented with each request
+	Requests  *int               // incremented with each request
 	OnResult  func(*List, error) // receives each list, or the error of a failed request
 }
 
@@ -122,7 +122,7 @@
 // NewWatch returns a Watch that makes no request before Start.
 func NewWatch(c WatchConfig) *Watch {
 	w := &Watch{
-		loop: c.Loop, addr: c.Addr, seq: c.Seq, pushed: c.Pushed, callCount: c.Calls, onResult: c.OnResult, mayQueue: !c.Pushed,
+		loop: c.Loop, addr: c.Addr, seq: c.Seq, pushed: c.Pushed, callCount: c.Requests, onResult: c.OnResult, mayQueue: !c.Pushed,
 		pace: newCallPacer(c.Processes, c.AskWithin, c.Rand), lease: NewLease(c.Loop.Now(), c.Pushed),
 	}
 	w.timer.Fire = w.onTimer
