--- a/internal/instance/descriptors_test.go
+++ b/internal/instance/descriptors_test.go
@@ -31,8 +31,8 @@
 	return all
 }
 
-// answerRequests has the targets answer each request with UP for the given duration.
-func (s *testBed) answerRequests(d time.Duration) {
+// answerTargetRequests has the targets answer each request with UP for the given duration.
+func (s *testBed) answerTargetRequests(d time.Duration) {
 	s.t.Helper()
 	for begin := s.world.Now(); s.world.Now().Sub(begin) < d; s.run(2 * ms) {
 		for _, r := range s.targets {
@@ -74,7 +74,7 @@
 			s.run(100 * ms)
 			served := s.connectClients(asking, func(i int) string { return fmt.Sprintf("OPEN a%d k%d c=c,d=2000\r\n", i, i) })
 			s.connectClients(300, nil)
-			s.answerRequests(500 * ms)
+			s.answerTargetRequests(500 * ms)
 			got := countAnswers(served)
 			if got["UP"]+got["BUSY"] != asking || got["UP"] < min(asking, (sockets-60)/2) {
 				t.Errorf("%d requests: answers %v", asking, got)
@@ -84,7 +84,7 @@
 			}
 			s.startHost(s.discovery, true)
 			s.connectClients(300, nil)
-			s.answerRequests(2500 * ms)
+			s.answerTargetRequests(2500 * ms)
 			if len(s.discovery.accepted) == 0 {
 				t.Error("no request reached discovery after its return")
 			}
@@ -102,16 +102,16 @@
 	s := newTestBedWith(t, targets, sockets, probingSettings)
 	for i, target := range s.knownList.Hosts { // a few at once, as the module requests them
 		if s.instance.front.Probe(target); i%8 == 7 {
-			s.answerRequests(6 * ms)
+			s.answerTargetRequests(6 * ms)
 		}
 	}
-	s.answerRequests(20 * ms)
+	s.answerTargetRequests(20 * ms)
 	if open := s.proxy.Open() + processDescriptors; s.instance.Count.ProbesFailed > 0 || open < sockets/2 {
 		t.Errorf("%d probes failed and %d descriptors are open", s.instance.Count.ProbesFailed, open)
 	}
 	served := s.connectClients(40, func(i int) string { return fmt.Sprintf("OPEN a%d k%d c=c,d=2000\r\n", i, i) })
 	s.connectClients(150, nil)
-	s.answerRequests(500 * ms)
+	s.answerTargetRequests(500 * ms)
 	if got := countAnswers(served); got["UP"] != len(served) {
 		t.Errorf("%d requests: answers %v", len(served), got)
 	}
--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -34,7 +34,7 @@
 	loop               *poll.Loop
 	node               *mesh.Node
 	session            uint64
-	lease              time.Duration
+	leaseDuration      time.Duration
 	draining           bool // a planned stop has begun
 	sameAddresses      bool
 	askWithin          time.Duration
@@ -65,7 +65,7 @@
 )
 
 func newFleet(i *Instance, loop *poll.Loop, c Config) (*fleet, error) {
-	f := &fleet{instance: i, loop: loop, session: c.Fleet.Mesh.Session, lease: c.Fleet.Mesh.Terms.Lease, startedAt: loop.Now(), sameAddresses: c.Fleet.SameAddresses, askWithin: min(c.Settings.Config.Rules.AskWithin, routes.ListLease)}
+	f := &fleet{instance: i, loop: loop, session: c.Fleet.Mesh.Session, leaseDuration: c.Fleet.Mesh.Terms.Lease, startedAt: loop.Now(), sameAddresses: c.Fleet.SameAddresses, askWithin: min(c.Settings.Config.Rules.AskWithin, routes.ListLease)}
 	m := c.Fleet.Mesh
 	tell := m.Tell
 	m.Loop, m.OnAnnouncement = loop, f.onAnnouncement
@@ -136,13 +136,13 @@
 	if _, ok := f.node.Holds(duty.Discovery); ok {
 		return true, time.Time{}, 0
 	}
-	w, vouched, ok := f.node.Latest(duty.Discovery)
-	if (!ok || w.Own || vouched.IsZero()) && f.node.HasOwner(duty.Discovery) {
+	announcement, vouched, ok := f.node.Latest(duty.Discovery)
+	if (!ok || announcement.Own || vouched.IsZero()) && f.node.HasOwner(duty.Discovery) {
 		// There is an owner that has not announced a list yet. Hundreds of processes that start
 		// together would keep discovery so busy that the owner's own request is lost among theirs.
 		// The known list is as old as this process.
 		vouched = f.startedAt
-	} else if !ok || w.Own {
+	} else if !ok || announcement.Own {
 		// It is not known yet whether there is an owner. In a large fleet a proxy spreads its first
 		// request over a longer time than this in any case.
 		return false, f.startedAt.Add(f.initialQueryDelay), duty.FallbackSpread(f.askWithin)
@@ -221,12 +221,12 @@
 	if v == nil && l == nil && c.Fleet.Retries == nil {
 		return
 	}
-	conf := evidence.DefaultConfig()
+	evidenceConfig := evidence.DefaultConfig()
 	if v != nil {
-		conf = v.Evidence
+		evidenceConfig = v.Evidence
 	}
 	me := evidence.Writer{Session: m.Session, Name: cmp.Or(m.Name, c.Name), Zone: m.Zone}
-	f.carrier = carrier.New(f.loop.Now(), me, conf, evidence.Flaws{})
+	f.carrier = carrier.New(f.loop.Now(), me, evidenceConfig, evidence.Flaws{})
 	f.tickTimer.Fire = f.tick
 	m.Shared = func(from netip.AddrPort, s *mesh.Shared) { f.carrier.Take(f.loop.Now(), from, s) }
 	m.SharedView = f.sharedView
@@ -293,12 +293,12 @@
 }
 
 // onAnnouncement handles an announcement of a duty's owner.
-func (f *fleet) onAnnouncement(w mesh.Announcement) {
-	if w.Lease != duty.Discovery {
+func (f *fleet) onAnnouncement(announcement mesh.Announcement) {
+	if announcement.Lease != duty.Discovery {
 		return
 	}
 	at, seq := f.instance.engine.Discovery()
-	decoded, err := duty.DecodeList(w.Data, at, seq, f.sameAddresses, f.instance.engine.Table().Find)
+	decoded, err := duty.DecodeList(announcement.Data, at, seq, f.sameAddresses, f.instance.engine.Table().Find)
 	if err != nil {
 		f.instance.Count.ListsRefused++
 		return
--- a/internal/instance/hard_test.go
+++ b/internal/instance/hard_test.go
@@ -28,7 +28,7 @@
 	established bool
 	closed      bool
 	err         error
-	lastReadAt  time.Time // time of the last read
+	lastReadAt  time.Time
 	now         func() time.Time
 }
 
@@ -82,18 +82,18 @@
 
 const ms = time.Millisecond
 
-func newTestBed(t *testing.T, relays int) *testBed {
+func newTestBed(t *testing.T, targets int) *testBed {
 	t.Helper()
-	return newTestBedWith(t, relays, 0, testSettings)
+	return newTestBedWith(t, targets, 0, testSettings)
 }
 
 // newTestBedWith is newTestBed with the given settings and limit of descriptors; 0 means no limit.
-func newTestBedWith(t *testing.T, relays, descriptors int, text string) *testBed {
+func newTestBedWith(t *testing.T, targets, descriptors int, text string) *testBed {
 	t.Helper()
 	s := &testBed{t: t, world: vnet.New(1, func(_, _ *vnet.Host) vnet.Link { return vnet.Link{Delay: ms} })}
 	s.clients, s.discovery = s.addHost("clients", 2, false), s.addHost("discovery", 3, true)
 	known := &routes.List{Whole: true, Seq: 1}
-	for i := range relays {
+	for i := range targets {
 		r := s.addHost(fmt.Sprint("relay", i), 10+i, true)
 		s.targets = append(s.targets, r)
 		known.Hosts = append(known.Hosts, &routes.Target{ID: fmt.Sprint("s", i), Addr: s.addrOf(r), Site: "z"})
@@ -198,8 +198,8 @@
 	return nil
 }
 
-// answerCall answers the pending request to discovery.
-func (s *testBed) answerCall(text string) {
+// answerDiscoveryRequest answers the pending request to discovery.
+func (s *testBed) answerDiscoveryRequest(text string) {
 	s.t.Helper()
 	for i := len(s.discovery.accepted) - 1; i >= 0; i-- {
 		if e := s.discovery.accepted[i]; !e.closed {
@@ -211,13 +211,13 @@
 	s.t.Fatal("no pending request to discovery")
 }
 
-// answerNextCall answers the next request to discovery.
-func (s *testBed) answerNextCall(text string) {
+// answerNextDiscoveryRequest answers the next request to discovery.
+func (s *testBed) answerNextDiscoveryRequest(text string) {
 	s.t.Helper()
 	made := len(s.discovery.accepted)
 	for range 100 {
 		if s.run(50 * ms); len(s.discovery.accepted) > made && !s.discovery.accepted[made].closed {
-			s.answerCall(text)
+			s.answerDiscoveryRequest(text)
 			return
 		}
 	}
@@ -250,10 +250,10 @@
 	s.targets[0].host.Return()
 	s.targets[0].accepted = nil
 	s.startHost(s.targets[0], true)
-	s.answerCall(fmt.Sprintf(`{"seq":2,"whole":true,"hosts":[{"host":"s0","dial":%q,"health":"SERVING","site":"z","born_ms":%d}]}`,
+	s.answerDiscoveryRequest(fmt.Sprintf(`{"seq":2,"whole":true,"hosts":[{"host":"s0","dial":%q,"health":"SERVING","site":"z","born_ms":%d}]}`,
 		s.addrOf(s.targets[0]), s.world.Now().Add(-time.Minute).UnixMilli()))
-	s.run(10 * time.Second)                                // the ejection of the target has ended
-	s.answerNextCall(`{"seq":2,"whole":false,"hosts":[]}`) // a list of 10 s ago is not used without a new answer of discovery
+	s.run(10 * time.Second)                                            // the ejection of the target has ended
+	s.answerNextDiscoveryRequest(`{"seq":2,"whole":false,"hosts":[]}`) // a list of 10 s ago is not used without a new answer of discovery
 	again := s.connectClient("b", 2*time.Second)
 	s.run(50 * ms)
 	r = s.targets[0].connectionFor("b")
@@ -311,19 +311,19 @@
 // as soon as it ends, and there is only one.
 func TestStallAtTheDeadline(t *testing.T) {
 	for _, tt := range []struct {
-		from, most time.Duration
+		stallAt, latest time.Duration
 	}{{570 * ms, 905 * ms}, {700 * ms, 1010 * ms}} {
 		s := newTestBed(t, 0) // there is no target: the module holds the request as long as it may
 		begin := s.world.Now()
 		c := s.connectClient("a", 900*ms)
-		s.run(tt.from - s.world.Now().Sub(begin))
+		s.run(tt.stallAt - s.world.Now().Sub(begin))
 		s.proxy.Stall(300 * ms)
 		s.run(3 * time.Second)
 		if c.received != "BUSY\r\n" && c.received != "BUSY 500\r\n" {
 			t.Errorf("the client received %q", c.received)
 		}
-		if at := c.lastReadAt.Sub(begin); at > tt.most {
-			t.Errorf("stalled at %v: answered after %v, want at most %v", tt.from, at, tt.most)
+		if at := c.lastReadAt.Sub(begin); at > tt.latest {
+			t.Errorf("stalled at %v: answered after %v, want at most %v", tt.stallAt, at, tt.latest)
 		}
 		if n := s.instance.Count.Shed + s.instance.Count.Overdue; n != 1 {
 			t.Errorf("%d answers, want 1: %+v", n, s.instance.Count)
@@ -342,7 +342,7 @@
 	}
 	s.proxy.Stall(700 * ms)
 	s.run(5 * ms) // the hop is connected, which the process has not seen
-	s.answerCall(fmt.Sprintf(`{"seq":2,"whole":false,"hosts":[{"host":"s0","dial":%q,"health":"DRAINING","site":"z"}]}`, s.addrOf(s.targets[0])))
+	s.answerDiscoveryRequest(fmt.Sprintf(`{"seq":2,"whole":false,"hosts":[{"host":"s0","dial":%q,"health":"DRAINING","site":"z"}]}`, s.addrOf(s.targets[0])))
 	s.run(2 * time.Second)
 	if e := s.targets[0].connectionFor("a"); e != nil {
 		t.Errorf("the draining target received %q", e.received)
--- a/internal/instance/idle_test.go
+++ b/internal/instance/idle_test.go
@@ -30,7 +30,7 @@
 			list := fmt.Sprintf(`{"seq":2,"whole":true,"hosts":[{"host":"s0","dial":"%s","health":"SERVING","share":1}]}`, s.knownList.Hosts[0].Addr)
 			last, longest := s.world.Now(), time.Duration(0)
 			for begin := s.world.Now(); s.world.Now().Sub(begin) < time.Minute; s.run(20 * ms) {
-				if s.answerCalls(list) {
+				if s.answerDiscoveryRequests(list) {
 					last = s.world.Now()
 				}
 				longest = max(longest, s.world.Now().Sub(last))
@@ -46,9 +46,9 @@
 	}
 }
 
-// answerCalls answers the pending requests to discovery with a list, watches only after 1 s, and
+// answerDiscoveryRequests answers the pending requests to discovery with a list, watches only after 1 s, and
 // reports whether there was a pending request.
-func (s *testBed) answerCalls(list string) (open bool) {
+func (s *testBed) answerDiscoveryRequests(list string) (open bool) {
 	for _, call := range s.discovery.accepted {
 		if call.closed || !strings.HasSuffix(call.received, "\r\n\r\n") {
 			continue
@@ -64,8 +64,8 @@
 }
 
 // A process whose targets all fail and then recover must not refuse clients for good: it makes an
-// attempt within 4 s. Discovery answers throughout, since no attempt may go to a target that has
-// accepted nothing lately after discovery was silent for over 6 s.
+// attempt within 4 s. Discovery answers throughout: once it has been silent for over 6 s, no attempt
+// may go to a target that has accepted nothing lately.
 func TestAttemptsResumeWhenAllTargetsFailed(t *testing.T) {
 	s := newTestBed(t, 2)
 	s.connectClients(0, nil)
@@ -76,11 +76,11 @@
 	next := 0
 	ask := func(d time.Duration, served bool) {
 		for begin := s.world.Now(); s.world.Now().Sub(begin) < d; {
-			s.answerCalls(`{"seq":2,"whole":false,"hosts":[]}`)
+			s.answerDiscoveryRequests(`{"seq":2,"whole":false,"hosts":[]}`)
 			next++
 			s.connectClients(1, func(int) string { return fmt.Sprintf("OPEN a%d k%d c=c,d=500\r\n", next, next) })
 			if served {
-				s.answerRequests(40 * ms)
+				s.answerTargetRequests(40 * ms)
 			} else {
 				s.run(40 * ms)
 			}
@@ -131,9 +131,9 @@
 		t.Fatal(err)
 	}
 	s.run(10 * ms)
-	s.answerCall(fmt.Sprintf(`{"seq":900,"whole":true,"hosts":[{"host":"s0","dial":"%s","health":"SERVING","share":1}]}`, s.addrOf(s.targets[0])))
+	s.answerDiscoveryRequest(fmt.Sprintf(`{"seq":900,"whole":true,"hosts":[{"host":"s0","dial":"%s","health":"SERVING","share":1}]}`, s.addrOf(s.targets[0])))
 	c := s.connectClients(1, func(int) string { return "OPEN a k c=c,d=1000\r\n" })
-	s.answerRequests(300 * ms)
+	s.answerTargetRequests(300 * ms)
 	if c[0].received != "UP r\r\n" {
 		t.Errorf("the client received %q", c[0].received)
 	}
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -131,8 +131,8 @@
 func (i *Instance) Done() bool { return i.drained }
 
 // Reload moves the watch to another address of discovery and changes the limit of descriptors.
-func (i *Instance) Reload(discovery netip.AddrPort, sockets int) {
-	i.front.SetSockets(sockets)
+func (i *Instance) Reload(discovery netip.AddrPort, maxDescriptors int) {
+	i.front.SetSockets(maxDescriptors)
 	i.engine.SetDiscovery(discovery)
 }
 
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -23,7 +23,7 @@
 type LimitChange struct {
 	Limit            limit.Limit
 	Refusing         bool
-	InUse, Available int // of this proxy
+	InUse, Available int // counted and known to be free in this proxy
 }
 
 // limits counts the connections of this process under each limit and keeps them within the
@@ -47,21 +47,21 @@
 	refusing         bool
 	gate             limit.Gate
 	slices           *limit.Slices
-	available        int // known at the last tick
+	available        int // what was known to be free at the last tick
 }
 
 const anyIndex = math.MaxInt
 
-func newLimits(f *fleet, c Limits, conf Config) *limits {
+func newLimits(f *fleet, c Limits, proxyConfig Config) *limits {
 	l := &limits{fleet: f, config: c, startedAt: f.loop.Now()}
-	l.config.Soft.Expect = max(c.Soft.Expect, conf.Settings.Config.Balancers)
-	for _, x := range c.List {
-		li := &limitState{Limit: x, key: evidence.LimitKey(x.Name), class: settingsIndex(x.Class, conf.Settings.Classes), tenant: settingsIndex(x.Tenant, conf.Settings.Tenants)}
-		li.gate = limit.Gate{Soft: l.config.Soft, Limit: &li.Limit}
-		if x.Kind == limit.StrictKind {
-			li.slices = limit.NewSlices(&li.Limit, conf.Fleet.Mesh.Session)
+	l.config.Soft.Expect = max(c.Soft.Expect, proxyConfig.Settings.Config.Balancers)
+	for _, lim := range c.List {
+		state := &limitState{Limit: lim, key: evidence.LimitKey(lim.Name), class: settingsIndex(lim.Class, proxyConfig.Settings.Classes), tenant: settingsIndex(lim.Tenant, proxyConfig.Settings.Tenants)}
+		state.gate = limit.Gate{Soft: l.config.Soft, Limit: &state.Limit}
+		if lim.Kind == limit.StrictKind {
+			state.slices = limit.NewSlices(&state.Limit, proxyConfig.Fleet.Mesh.Session)
 		}
-		l.states = append(l.states, li)
+		l.states = append(l.states, state)
 	}
 	f.instance.engine.SetLimits(l)
 	return l
@@ -79,8 +79,8 @@
 	return -2
 }
 
-func (x *limitState) covers(class, tenant int) bool {
-	return (x.class == anyIndex || x.class == class) && (x.tenant == anyIndex || x.tenant == tenant)
+func (lim *limitState) covers(class, tenant int) bool {
+	return (lim.class == anyIndex || lim.class == class) && (lim.tenant == anyIndex || lim.tenant == tenant)
 }
 
 // set changes the sizes of limits whose name, kind and number of slices stay the same. A soft limit
@@ -88,9 +88,9 @@
 // slices of a strict limit shrink at once, and the clients beyond them are moved.
 func (l *limits) set(list []limit.Limit) {
 	for _, to := range list {
-		for _, x := range l.states {
-			if x.Name == to.Name && x.Kind == to.Kind && x.Slices == to.Slices && to.Check() == nil {
-				x.Most = to.Most
+		for _, lim := range l.states {
+			if lim.Name == to.Name && lim.Kind == to.Kind && lim.Slices == to.Slices && to.Check() == nil {
+				lim.Most = to.Most
 			}
 		}
 	}
@@ -100,54 +100,54 @@
 // Take implements proxy.Limits.
 func (l *limits) Take(class, tenant int, refuse bool) (under uint64, ok bool) {
 	now := l.fleet.loop.Now()
-	for _, x := range l.states { // all limits must have room before any is taken
-		if refuse && x.covers(class, tenant) && !l.hasRoom(now, x) {
-			x.refusedSinceTick++
-			x.gate.Wish(now.Sub(l.startedAt))
-			if !x.refusing {
-				x.refusing = true
-				l.notifyChange(x)
+	for _, lim := range l.states { // all limits must have room before any is taken
+		if refuse && lim.covers(class, tenant) && !l.hasRoom(now, lim) {
+			lim.refusedSinceTick++
+			lim.gate.Wish(now.Sub(l.startedAt))
+			if !lim.refusing {
+				lim.refusing = true
+				l.notifyChange(lim)
 			}
 			return 0, false
 		}
 	}
-	for i, x := range l.states {
-		if !x.covers(class, tenant) {
+	for i, lim := range l.states {
+		if !lim.covers(class, tenant) {
 			continue
 		}
 		under |= 1 << i
-		x.inUse++
-		x.admittedAt = append(x.admittedAt, now)
-		if x.slices == nil {
-			x.gate.Admit(now.Sub(l.startedAt))
-			l.publishUse(now, x)
+		lim.inUse++
+		lim.admittedAt = append(lim.admittedAt, now)
+		if lim.slices == nil {
+			lim.gate.Admit(now.Sub(l.startedAt))
+			l.publishUse(now, lim)
 		}
 	}
 	return under, true
 }
 
 // hasRoom reports whether the limit admits one more client.
-func (l *limits) hasRoom(now time.Time, x *limitState) bool {
-	if x.slices != nil {
-		return x.inUse < l.capacity(now, x)
+func (l *limits) hasRoom(now time.Time, lim *limitState) bool {
+	if lim.slices != nil {
+		return lim.inUse < l.capacity(now, lim)
 	}
-	return x.gate.Open()
+	return lim.gate.Open()
 }
 
 // Release implements proxy.Limits.
 func (l *limits) Release(under uint64) {
-	for i, x := range l.states {
+	for i, lim := range l.states {
 		if under&(1<<i) != 0 {
-			x.inUse--
+			lim.inUse--
 		}
 	}
 }
 
 // audit compares the counts with the engine's exchanges.
 func (l *limits) audit() error {
-	for i, x := range l.states {
-		if n := l.fleet.instance.engine.Under(1 << i); n != x.inUse {
-			return fmt.Errorf("limit %s: counted %d connections, engine has %d exchanges under it", x.Name, x.inUse, n)
+	for i, lim := range l.states {
+		if n := l.fleet.instance.engine.Under(1 << i); n != lim.inUse {
+			return fmt.Errorf("limit %s: counted %d connections, engine has %d exchanges under it", lim.Name, lim.inUse, n)
 		}
 	}
 	return nil
@@ -155,27 +155,27 @@
 
 // currentUse returns the number of connections, or of recent admissions, that count under the limit
 // in this process now.
-func (x *limitState) currentUse(now time.Time) int {
-	if x.Within == 0 {
-		return x.inUse
+func (lim *limitState) currentUse(now time.Time) int {
+	if lim.Within == 0 {
+		return lim.inUse
 	}
-	for len(x.admittedAt) > 0 && now.Sub(x.admittedAt[0]) > x.Within {
-		x.admittedAt = x.admittedAt[1:]
+	for len(lim.admittedAt) > 0 && now.Sub(lim.admittedAt[0]) > lim.Within {
+		lim.admittedAt = lim.admittedAt[1:]
 	}
-	return len(x.admittedAt)
+	return len(lim.admittedAt)
 }
 
 // publishUse publishes this process's use of a limit to the other processes.
-func (l *limits) publishUse(now time.Time, x *limitState) {
-	l.fleet.carrier.Store().Use(now, x.key, x.currentUse(now), x.gate.Wanted(now.Sub(l.startedAt)))
+func (l *limits) publishUse(now time.Time, lim *limitState) {
+	l.fleet.carrier.Store().Use(now, lim.key, lim.currentUse(now), lim.gate.Wanted(now.Sub(l.startedAt)))
 }
 
 // capacity returns the sum of the sizes of the slices that this process holds.
-func (l *limits) capacity(now time.Time, x *limitState) int {
+func (l *limits) capacity(now time.Time, lim *limitState) int {
 	n := 0
-	for i := range x.Slices {
-		if _, ok := l.fleet.node.HoldsAt(now, x.slices.Duty(i)); ok {
-			n += x.slices.Size(i)
+	for i := range lim.Slices {
+		if _, ok := l.fleet.node.HoldsAt(now, lim.slices.Duty(i)); ok {
+			n += lim.slices.Size(i)
 		}
 	}
 	return n
@@ -184,11 +184,11 @@
 // moveExcess moves clients whose slices are lost, at once and before anything else.
 func (l *limits) moveExcess() {
 	now := l.fleet.loop.Refresh()
-	for i, x := range l.states {
-		if x.slices == nil {
+	for i, lim := range l.states {
+		if lim.slices == nil {
 			continue
 		}
-		if over := x.inUse - l.capacity(now, x); over > 0 {
+		if over := lim.inUse - l.capacity(now, lim); over > 0 {
 			l.fleet.instance.Count.Yielded += l.fleet.instance.engine.Yield(1<<i, over)
 		}
 	}
@@ -202,52 +202,52 @@
 	}
 	l.roster.Look(now, l.config.Soft.Hold, living)
 	l.sliceDuties = l.sliceDuties[:0]
-	for _, x := range l.states {
-		if x.slices == nil {
-			l.tickSoft(now, x)
+	for _, lim := range l.states {
+		if lim.slices == nil {
+			l.tickSoft(now, lim)
 		} else {
-			l.tickStrict(now, x)
+			l.tickStrict(now, lim)
 		}
-		if x.refusing && x.refusedSinceTick == 0 && l.hasRoom(now, x) {
-			x.refusing = false
-			l.notifyChange(x)
+		if lim.refusing && lim.refusedSinceTick == 0 && l.hasRoom(now, lim) {
+			lim.refusing = false
+			l.notifyChange(lim)
 		}
-		x.refusedSinceTick = 0
+		lim.refusedSinceTick = 0
 	}
 	l.moveExcess()
 	l.fleet.claimDuties()
 }
 
-func (l *limits) tickSoft(now time.Time, x *limitState) {
-	l.publishUse(now, x)
+func (l *limits) tickSoft(now time.Time, lim *limitState) {
+	l.publishUse(now, lim)
 	known := make(map[uint64]limit.Member)
-	l.fleet.carrier.Store().Uses(now, x.key, func(w evidence.Writer, use, want int, age time.Duration) {
+	l.fleet.carrier.Store().Uses(now, lim.key, func(w evidence.Writer, use, want int, age time.Duration) {
 		known[w.Session] = limit.Member{Session: w.Session, Use: use, Want: want, Age: age}
 	})
-	me := limit.Member{Session: l.fleet.carrier.Store().Me().Session, Use: x.currentUse(now), Want: x.gate.Wanted(now.Sub(l.startedAt))}
-	x.available = x.gate.Look(now.Sub(l.startedAt), me, l.roster.Members(now, me.Session, known))
+	me := limit.Member{Session: l.fleet.carrier.Store().Me().Session, Use: lim.currentUse(now), Want: lim.gate.Wanted(now.Sub(l.startedAt))}
+	lim.available = lim.gate.Look(now.Sub(l.startedAt), me, l.roster.Members(now, me.Session, known))
 }
 
 // tickStrict claims slices for the existing connections, and one more while clients are refused or
 // the last slice is nearly full.
-func (l *limits) tickStrict(now time.Time, x *limitState) {
-	held := func(i int) bool { _, ok := l.fleet.node.Holds(x.slices.Duty(i)); return ok }
-	taken := func(i int) bool { return l.fleet.node.HasOwner(x.slices.Duty(i)) }
-	wanted := min(x.refusedSinceTick, x.slices.Unit()) + 1
+func (l *limits) tickStrict(now time.Time, lim *limitState) {
+	held := func(i int) bool { _, ok := l.fleet.node.Holds(lim.slices.Duty(i)); return ok }
+	taken := func(i int) bool { return l.fleet.node.HasOwner(lim.slices.Duty(i)) }
+	wanted := min(lim.refusedSinceTick, lim.slices.Unit()) + 1
 	if l.fleet.draining {
 		wanted = 0
 	}
-	for _, i := range x.slices.Want(now, x.inUse, wanted, l.fleet.lease, held, taken) {
+	for _, i := range lim.slices.Want(now, lim.inUse, wanted, l.fleet.leaseDuration, held, taken) {
 		if len(l.sliceDuties) < owner.MostLeases/2 {
-			l.sliceDuties = append(l.sliceDuties, x.slices.Duty(i))
+			l.sliceDuties = append(l.sliceDuties, lim.slices.Duty(i))
 		}
 	}
-	x.available = l.capacity(now, x) - x.inUse
+	lim.available = l.capacity(now, lim) - lim.inUse
 }
 
-func (l *limits) notifyChange(x *limitState) {
+func (l *limits) notifyChange(lim *limitState) {
 	if l.config.OnChange != nil {
-		l.config.OnChange(LimitChange{Limit: x.Limit, Refusing: x.refusing, InUse: x.currentUse(l.fleet.loop.Now()), Available: x.available})
+		l.config.OnChange(LimitChange{Limit: lim.Limit, Refusing: lim.refusing, InUse: lim.currentUse(l.fleet.loop.Now()), Available: lim.available})
 	}
 }
 
@@ -255,24 +255,24 @@
 func (l *limits) view() []mesh.SharedView {
 	now := l.fleet.loop.Now()
 	var all []mesh.SharedView
-	for _, x := range l.states {
-		state, text := "takes", fmt.Sprintf("%v limit of %d for all proxies, %d used here", x.Kind, x.Most, x.currentUse(now))
-		if x.refusing {
+	for _, lim := range l.states {
+		state, text := "takes", fmt.Sprintf("%v limit of %d for all proxies, %d used here", lim.Kind, lim.Most, lim.currentUse(now))
+		if lim.refusing {
 			state = "refuses"
 		}
 		age, use, heard := time.Duration(0), 0, 0
-		if x.slices == nil {
-			l.fleet.carrier.Store().Uses(now, x.key, func(_ evidence.Writer, u, _ int, a time.Duration) {
+		if lim.slices == nil {
+			l.fleet.carrier.Store().Uses(now, lim.key, func(_ evidence.Writer, u, _ int, a time.Duration) {
 				if a <= l.config.Soft.Stale {
 					age, use, heard = max(age, a), use+u, heard+1
 				}
 			})
 			text += fmt.Sprintf(", %d processes heard use %d, room for %d; exceeded at most by the admissions within %v, and by the whole limit for each further partition that is cut off for over %v",
-				heard, use, x.available, l.config.Soft.Stale, l.config.Soft.Hold)
+				heard, use, lim.available, l.config.Soft.Stale, l.config.Soft.Hold)
 		} else {
-			text += fmt.Sprintf(", slices held here for %d; exceeded by 0", l.capacity(now, x))
+			text += fmt.Sprintf(", slices held here for %d; exceeded by 0", l.capacity(now, lim))
 		}
-		all = append(all, mesh.SharedView{Matter: "limit", Name: x.Name, State: state, AgeMS: age.Milliseconds(), Text: text})
+		all = append(all, mesh.SharedView{Matter: "limit", Name: lim.Name, State: state, AgeMS: age.Milliseconds(), Text: text})
 	}
 	return all
 }
--- a/internal/instance/probes.go
+++ b/internal/instance/probes.go
@@ -22,8 +22,8 @@
 	settleTimer poll.Timer // fires when the members have not changed for settleAfter
 }
 
-func newProbes(f *fleet, take bool) *probes {
-	p := &probes{fleet: f, mayOwn: take, owner: duty.NewProbeOwner[netip.AddrPort](), client: duty.NewProbeClient(f.session)}
+func newProbes(f *fleet, mayOwn bool) *probes {
+	p := &probes{fleet: f, mayOwn: mayOwn, owner: duty.NewProbeOwner[netip.AddrPort](), client: duty.NewProbeClient(f.session)}
 	f.instance.engine.ShareProbes(p.requestProbe, p.onProbeDone)
 	return p
 }
--- a/internal/instance/retries.go
+++ b/internal/instance/retries.go
@@ -28,8 +28,8 @@
 	furtherKey = evidence.LimitPrefix + "hops, further"
 )
 
-func newRetries(f *fleet, c limit.Retries, stale time.Duration) *retries {
-	r := &retries{fleet: f, config: c, staleAfter: stale}
+func newRetries(f *fleet, c limit.Retries, staleAfter time.Duration) *retries {
+	r := &retries{fleet: f, config: c, staleAfter: staleAfter}
 	f.instance.engine.OnHop(r.onHop)
 	return r
 }
@@ -71,9 +71,9 @@
 		})
 		return n
 	}
-	if thrifty := sum(furtherKey) > r.config.Most(sum(firstKey)); thrifty != r.overBudget {
-		r.overBudget = thrifty
-		r.fleet.instance.engine.Thrifty(thrifty)
+	if overBudget := sum(furtherKey) > r.config.Most(sum(firstKey)); overBudget != r.overBudget {
+		r.overBudget = overBudget
+		r.fleet.instance.engine.Thrifty(overBudget)
 		r.fleet.instance.Count.Thrifty++
 	}
 }
--- a/internal/instance/start_test.go
+++ b/internal/instance/start_test.go
@@ -38,7 +38,7 @@
 	front *platform.Front
 }
 
-func (c startCase) begin(t *testing.T) *testFleet {
+func (c startCase) start(t *testing.T) *testFleet {
 	t.Helper()
 	f := &testFleet{t: t, world: vnet.New(1, func(_, _ *vnet.Host) vnet.Link { return vnet.Link{Delay: ms} })}
 	discoveryAt := netip.MustParseAddrPort("10.2.0.1:8500")
@@ -47,7 +47,7 @@
 		registry.Set(platform.Entry{Host: fmt.Sprint("s", i), Dial: fmt.Sprintf("10.1.0.%d:8443", i+1), Health: platform.Serving, Share: 1})
 	}
 	discovery := f.world.AddHost("discovery", discoveryAt.Addr(), vnet.Limits{})
-	begin := func() {
+	startDiscovery := func() {
 		err := discovery.Start(func(k poll.Kernel) (func() error, error) {
 			loop := poll.NewOn(k, func() {})
 			_, err := platform.NewDiscovery(loop, discoveryAt, platform.DiscoveryConfig{Call: c.callTime, Timeout: 2 * time.Second}, registry,
@@ -59,9 +59,9 @@
 		}
 	}
 	if c.discoveryDownFor == 0 {
-		begin()
+		startDiscovery()
 	} else {
-		f.world.After(c.discoveryDownFor, begin)
+		f.world.After(c.discoveryDownFor, startDiscovery)
 	}
 	for i := range proxyCount {
 		f.startProxy(i, c, discoveryAt)
@@ -128,7 +128,7 @@
 		{name: "no list, discovery down and pushing", discoveryDownFor: 8 * time.Second, callTime: ms, pushed: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := c.begin(t)
+			f := c.start(t)
 			if err := f.world.Run(6 * time.Second); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -113,25 +113,25 @@
 	previous := v.findings
 	v.findings = make(map[string]verdict.Finding, len(list))
 	trial, members := now.Sub(v.lastTrial) >= trialInterval, v.fleet.node.Peers().Count()
-	for _, x := range list {
-		v.findings[x.Target] = x
-		if was := previous[x.Target].Verdict; was != x.Verdict {
-			if x.Condemned() && !was.Condemned() {
+	for _, finding := range list {
+		v.findings[finding.Target] = finding
+		if was := previous[finding.Target].Verdict; was != finding.Verdict {
+			if finding.Condemned() && !was.Condemned() {
 				v.fleet.instance.Count.Condemned++
 			}
-			v.notifyChange(VerdictChange{x, was})
+			v.notifyChange(VerdictChange{finding, was})
 		}
 		turn := now.UnixMilli() / trialInterval.Milliseconds()
-		mine := verdict.Turn(v.store.Me().Session, x.Target, turn, verdict.Triers)
+		mine := verdict.Turn(v.store.Me().Session, finding.Target, turn, verdict.Triers)
 		until := now.Add(2 * tickInterval)
-		if x.Verdict == verdict.Returning && mine && !x.Tried {
+		if finding.Verdict == verdict.Returning && mine && !finding.Tried {
 			until = time.Time{}
 		}
-		v.fleet.instance.engine.Told(x.Target, until)
-		if trial && x.Verdict != verdict.Failing && verdict.Turn(v.store.Me().Session, x.Target, turn, members/probersPerTrial) {
+		v.fleet.instance.engine.Told(finding.Target, until)
+		if trial && finding.Verdict != verdict.Failing && verdict.Turn(v.store.Me().Session, finding.Target, turn, members/probersPerTrial) {
 			v.lastTrial = now
 			v.fleet.instance.Count.Trials++
-			v.fleet.instance.engine.ProbeAlone(x.Target)
+			v.fleet.instance.engine.ProbeAlone(finding.Target)
 		}
 	}
 	for _, id := range v.findingOrder {
@@ -142,8 +142,8 @@
 		}
 	}
 	v.findingOrder = v.findingOrder[:0]
-	for _, x := range list {
-		v.findingOrder = append(v.findingOrder, x.Target)
+	for _, finding := range list {
+		v.findingOrder = append(v.findingOrder, finding.Target)
 	}
 }
 
@@ -151,9 +151,9 @@
 func (v *verdicts) view() []mesh.SharedView {
 	var all []mesh.SharedView
 	for _, id := range v.findingOrder {
-		x := v.findings[id]
-		all = append(all, mesh.SharedView{Matter: "verdict", Name: id, State: x.Verdict.String(), AgeMS: x.Age.Milliseconds(),
-			Text: fmt.Sprintf("%d witnesses, %d against", x.Witnesses, x.Against)})
+		finding := v.findings[id]
+		all = append(all, mesh.SharedView{Matter: "verdict", Name: id, State: finding.Verdict.String(), AgeMS: finding.Age.Milliseconds(),
+			Text: fmt.Sprintf("%d witnesses, %d against", finding.Witnesses, finding.Against)})
 	}
 	return all
 }
--- a/internal/routes/pace.go
+++ b/internal/routes/pace.go
@@ -7,15 +7,15 @@
 
 const (
 	// busyRetryMean is the mean pause after a request that discovery refused because of its queue.
-	// It doubles with each refusal, up to busyRetryMeanMax or to the pause that keeps all processes
+	// It doubles with each refusal, up to busyRetryMeanMax or the pause that keeps all processes
 	// together below maxRefusedPerSecond refused requests a second, whichever is longer.
 	busyRetryMean       = 400 * time.Millisecond
 	busyRetryMeanMax    = 800 * time.Millisecond
 	maxRefusedPerSecond = 330
-	// A refused process whose lease ends within urgentLeaseLeft multiplies that pause by
+	// A refused process whose lease ends within urgentLeaseLeft multiplies its pause by
 	// urgentPauseFactor. One of many processes whose lease runs for longer than relaxedLeaseLeft
-	// multiplies it by relaxedPauseFactor. Processes that need an answer sooner so get a place in
-	// the queue sooner.
+	// multiplies its pause by relaxedPauseFactor. This gives a place in the queue first to those
+	// that need an answer first.
 	urgentLeaseLeft    = 2 * time.Second
 	urgentPauseFactor  = 0.25
 	relaxedLeaseLeft   = 4 * time.Second
@@ -43,26 +43,26 @@
 	waitDecayFraction = 0.05
 )
 
-// callPacer draws the times of requests to discovery and how long each may wait there. A refused
+// requestPacer draws the times of requests to discovery and how long each may wait there. A refused
 // request is a sign that all processes together ask too often: pauses and waits grow at once and
 // shrink slowly. All of them are random, so that processes that lost discovery at the same moment
 // do not return at the same moment.
-type callPacer struct {
+type requestPacer struct {
 	rng            *rand.Rand
 	processes      int           // that share discovery
 	initialMaxWait time.Duration // longest wait of a watch at the start
 	maxWait        time.Duration // longest wait of a watch now
 }
 
-func newCallPacer(processes int, askWithin time.Duration, rng *rand.Rand) callPacer {
+func newRequestPacer(processes int, askWithin time.Duration, rng *rand.Rand) requestPacer {
 	if askWithin <= 0 {
 		askWithin = defaultMaxWait
 	}
-	return callPacer{rng: rng, processes: processes, initialMaxWait: askWithin, maxWait: askWithin}
+	return requestPacer{rng: rng, processes: processes, initialMaxWait: askWithin, maxWait: askWithin}
 }
 
 // startDelay draws the pause before the first request of a process that already has a list.
-func (p *callPacer) startDelay() time.Duration {
+func (p *requestPacer) startDelay() time.Duration {
 	if p.processes <= smallFleetSize {
 		return 0
 	}
@@ -72,20 +72,20 @@
 
 // drawWait draws how long the next request of a watch may wait. Random waits spread the detection
 // of watches that stop answering at the same time.
-func (p *callPacer) drawWait() time.Duration {
+func (p *requestPacer) drawWait() time.Duration {
 	fraction := minWaitFraction + (1-minWaitFraction)*p.rng.Float64()
 	return time.Duration(fraction * float64(p.maxWait))
 }
 
 // onAnswer records an answered request.
-func (p *callPacer) onAnswer() {
+func (p *requestPacer) onAnswer() {
 	p.maxWait = max(p.maxWait-time.Duration(waitDecayFraction*float64(p.initialMaxWait)), p.initialMaxWait/2)
 }
 
 // busyPause records a refused request and draws the pause before the next one. refusals is the
 // number of consecutive refusals before it. The list's lease still runs for leaseLeft; it has
 // expired if leaseLeft is negative.
-func (p *callPacer) busyPause(refusals int, leaseLeft time.Duration) time.Duration {
+func (p *requestPacer) busyPause(refusals int, leaseLeft time.Duration) time.Duration {
 	p.maxWait = min(2*p.maxWait, 2*p.initialMaxWait)
 	maxMean := max(busyRetryMeanMax, time.Duration(p.processes)*time.Second/maxRefusedPerSecond)
 	mean := float64(min(busyRetryMean<<min(refusals, maxDoublings), maxMean))
@@ -100,7 +100,7 @@
 
 // failurePause draws the pause after a request that failed for another reason. failures is the
 // number of consecutive failures before it.
-func (p *callPacer) failurePause(failures int) time.Duration {
+func (p *requestPacer) failurePause(failures int) time.Duration {
 	return p.jitter(min(retryMean<<min(failures, maxDoublings), retryMeanMax))
 }
 
@@ -108,6 +108,6 @@
 const maxDoublings = 8
 
 // jitter draws a duration between 0.5 and 1.5 times the mean.
-func (p *callPacer) jitter(mean time.Duration) time.Duration {
+func (p *requestPacer) jitter(mean time.Duration) time.Duration {
 	return time.Duration(float64(mean) * (0.5 + p.rng.Float64()))
 }
--- a/internal/routes/pace_test.go
+++ b/internal/routes/pace_test.go
@@ -9,21 +9,21 @@
 // For any number of processes, a refused request is repeated well within the lease of a list, the
 // refused requests of all processes stay within the rate that discovery can refuse, and waits grow
 // with refusals and shrink with answers between bounds that follow from the settings.
-func TestCallPacer(t *testing.T) {
+func TestRequestPacer(t *testing.T) {
 	const askWithin = 10 * time.Second
 	for _, processes := range []int{1, 3, 30, 300, 1024} {
-		p := newCallPacer(processes, askWithin, rand.New(rand.NewPCG(1, 1)))
+		p := newRequestPacer(processes, askWithin, rand.New(rand.NewPCG(1, 1)))
 		if start := p.startDelay(); start > maxStartSpread || processes <= smallFleetSize && start != 0 {
 			t.Errorf("%d processes: first request after %v", processes, start)
 		}
-		sum, most := time.Duration(0), time.Duration(0)
+		sum, longest := time.Duration(0), time.Duration(0)
 		const refusals = 1000
 		for n := range refusals {
 			pause := p.busyPause(n, 3*time.Second)
-			sum, most = sum+pause, max(most, pause)
+			sum, longest = sum+pause, max(longest, pause)
 		}
-		if perS := float64(processes) * refusals / sum.Seconds(); most >= ListLease || processes > 300 && perS > 1.1*maxRefusedPerSecond {
-			t.Errorf("%d processes: pauses of up to %v, %.0f refused requests per second", processes, most, perS)
+		if perSecond := float64(processes) * refusals / sum.Seconds(); longest >= ListLease || processes > 300 && perSecond > 1.1*maxRefusedPerSecond {
+			t.Errorf("%d processes: pauses of up to %v, %.0f refused requests per second", processes, longest, perSecond)
 		}
 		if p.maxWait != 2*askWithin {
 			t.Errorf("%d processes: waits of up to %v after refusals", processes, p.maxWait)
@@ -31,16 +31,16 @@
 		for range 100 {
 			p.onAnswer()
 		}
-		least := askWithin
+		shortest := askWithin
 		for range 100 {
 			wait := p.drawWait()
-			least = min(least, wait)
+			shortest = min(shortest, wait)
 			if wait > askWithin/2 || wait < askWithin/8 {
 				t.Fatalf("%d processes: wait of %v after answers", processes, wait)
 			}
 		}
-		if least > askWithin/4 {
-			t.Errorf("%d processes: shortest of 100 waits is %v", processes, least)
+		if shortest > askWithin/4 {
+			t.Errorf("%d processes: shortest of 100 waits is %v", processes, shortest)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 func TestBusyPauseByLeaseLeft(t *testing.T) {
 	for _, processes := range []int{3, 300} {
 		mean := func(left time.Duration) time.Duration {
-			p, sum := newCallPacer(processes, 10*time.Second, rand.New(rand.NewPCG(1, 1))), time.Duration(0)
+			p, sum := newRequestPacer(processes, 10*time.Second, rand.New(rand.NewPCG(1, 1))), time.Duration(0)
 			for n := range 200 {
 				sum += p.busyPause(n, left)
 			}
--- a/internal/routes/watch.go
+++ b/internal/routes/watch.go
@@ -59,7 +59,7 @@
 type Watch struct {
 	loop             *poll.Loop
 	addr             netip.AddrPort
-	pace             callPacer
+	pacer            requestPacer
 	lease            Lease
 	seq              int64 // version of the last list, or NoVersion
 	onResult         func(*List, error)
@@ -68,14 +68,14 @@
 	writeBuffer      []byte
 	readBuffer       []byte
 	state            watchState
-	nextCallAt       time.Time // time of the next request, in watchWaiting
+	nextRequestAt    time.Time // time of the next request, in watchWaiting
 	established      bool      // the last request was answered: the next continues the watch
 	reused           bool      // the connection has carried an answered request
 	failures         int       // consecutive failed requests
 	mayQueue         bool      // others may ask as well: no request answered yet, or the last refused
 	shortRetryUntil  time.Time // pauses do not grow before this time
 	pushed           bool      // lists are pushed: a change counts as delivered at once
-	callCount        *int      // number of requests; owned by the caller
+	requestCount     *int      // number of requests; owned by the caller
 	policy           QueryPolicy
 	expedited        bool // the next request is made whatever the policy says
 	deferredByPolicy bool // the next request was deferred by the policy
@@ -122,8 +122,8 @@
 // NewWatch returns a Watch that makes no request before Start.
 func NewWatch(c WatchConfig) *Watch {
 	w := &Watch{
-		loop: c.Loop, addr: c.Addr, seq: c.Seq, pushed: c.Pushed, callCount: c.Requests, onResult: c.OnResult, mayQueue: !c.Pushed,
-		pace: newCallPacer(c.Processes, c.AskWithin, c.Rand), lease: NewLease(c.Loop.Now(), c.Pushed),
+		loop: c.Loop, addr: c.Addr, seq: c.Seq, pushed: c.Pushed, requestCount: c.Requests, onResult: c.OnResult, mayQueue: !c.Pushed,
+		pacer: newRequestPacer(c.Processes, c.AskWithin, c.Rand), lease: NewLease(c.Loop.Now(), c.Pushed),
 	}
 	w.timer.Fire = w.onTimer
 	return w
@@ -136,11 +136,11 @@
 	if w.state != watchOff {
 		return
 	}
-	if pause := w.pace.startDelay(); pause > 0 && w.seq != NoVersion && !w.pushed {
-		w.scheduleCall(pause)
+	if pause := w.pacer.startDelay(); pause > 0 && w.seq != NoVersion && !w.pushed {
+		w.scheduleRequest(pause)
 		return
 	}
-	w.call()
+	w.startRequest()
 }
 
 // LeaseExpiry returns the time from which a change that this process does not know may count as
@@ -149,9 +149,9 @@
 
 // Expedite brings the next request forward because client requests wait for its answer.
 func (w *Watch) Expedite() {
-	if w.state == watchWaiting && w.nextCallAt.Sub(w.loop.Now()) > busyRetryMean {
+	if w.state == watchWaiting && w.nextRequestAt.Sub(w.loop.Now()) > busyRetryMean {
 		w.deferredByPolicy, w.expedited = false, true
-		w.scheduleCall(w.pace.jitter(busyRetryMean / 2))
+		w.scheduleRequest(w.pacer.jitter(busyRetryMean / 2))
 	}
 }
 
@@ -162,7 +162,7 @@
 func (w *Watch) ReevaluatePolicy() {
 	if lead, _, _ := w.evaluatePolicy(); lead && w.state == watchWaiting {
 		w.deferredByPolicy = false
-		w.call()
+		w.startRequest()
 	}
 }
 
@@ -172,7 +172,7 @@
 	if w.state == watchWaiting && !w.expedited {
 		w.deferredByPolicy, w.expedited = false, true
 		w.seq = NoVersion
-		w.scheduleCall(time.Duration(w.pace.rng.Float64() * float64(time.Second)))
+		w.scheduleRequest(time.Duration(w.pacer.rng.Float64() * float64(time.Second)))
 	}
 }
 
@@ -189,11 +189,11 @@
 	return lead
 }
 
-// scheduleCall schedules the next request after a pause.
-func (w *Watch) scheduleCall(d time.Duration) {
+// scheduleRequest schedules the next request after a pause.
+func (w *Watch) scheduleRequest(d time.Duration) {
 	w.state = watchWaiting
-	w.nextCallAt = w.loop.Now().Add(d)
-	w.loop.Arm(&w.timer, w.nextCallAt)
+	w.nextRequestAt = w.loop.Now().Add(d)
+	w.loop.Arm(&w.timer, w.nextRequestAt)
 }
 
 // SetAddr changes the address of discovery at once. The connection to the old address is closed,
@@ -209,7 +209,7 @@
 		return
 	}
 	if w.state != watchOff {
-		w.call()
+		w.startRequest()
 	}
 }
 
@@ -237,8 +237,8 @@
 	w.lease.Failed()
 }
 
-func (w *Watch) call() {
-	*w.callCount++
+func (w *Watch) startRequest() {
+	*w.requestCount++
 	if w.socket == nil {
 		sock, err := w.loop.Dial(w.addr, w)
 		if err != nil {
@@ -268,7 +268,7 @@
 	case w.established && w.isLeader():
 		wait, grace = leaderWait, answerGrace
 	case w.established:
-		wait, grace = w.pace.drawWait(), answerGrace
+		wait, grace = w.pacer.drawWait(), answerGrace
 	case w.failures > 1 || w.mayQueue:
 		grace = queueGrace
 	}
@@ -362,7 +362,7 @@
 	}
 	w.seq, w.failures, w.established, w.mayQueue = list.Seq, 0, true, false
 	w.lease.Answered(w.loop.Now())
-	w.pace.onAnswer()
+	w.pacer.onAnswer()
 	if r.keepAlive && open {
 		w.reused = true
 	} else {
@@ -371,11 +371,11 @@
 	if lead, deferUntil, _ := w.evaluatePolicy(); !lead && deferUntil.After(w.loop.Now()) {
 		w.closeConnection()
 		w.deferredByPolicy, w.established = true, false
-		w.scheduleCall(deferUntil.Sub(w.loop.Now()))
+		w.scheduleRequest(deferUntil.Sub(w.loop.Now()))
 	} else {
 		// The watch continues only if the next request follows within 200 ms, so that it is made
 		// before the list is used.
-		w.call()
+		w.startRequest()
 	}
 	w.onResult(list, nil)
 }
@@ -386,7 +386,7 @@
 func (w *Watch) connectionEnded(err error) {
 	if w.reused && len(w.readBuffer) == 0 {
 		w.closeConnection()
-		w.call()
+		w.startRequest()
 		return
 	}
 	w.fail(err)
@@ -405,7 +405,7 @@
 	w.established, w.mayQueue = false, busy
 	pause := w.pauseAfter(err)
 	w.failures++
-	w.scheduleCall(pause)
+	w.scheduleRequest(pause)
 	w.onResult(nil, err)
 }
 
@@ -420,17 +420,17 @@
 	interrupted := errors.Is(err, errNoAnswer) || errors.Is(err, errTruncated)
 	switch {
 	case isLocalFailure(err) && w.failures < maxLocalFailureRetries:
-		return w.pace.jitter(localFailureRetryMean)
+		return w.pacer.jitter(localFailureRetryMean)
 	case interrupted && w.failures < 2:
 		return 0 // reopen at once: what the watch may have missed soon counts as delivered
 	case w.pushed:
-		return w.pace.jitter(pushedRetryMean)
+		return w.pacer.jitter(pushedRetryMean)
 	case w.loop.Now().Before(w.shortRetryUntil):
-		return w.pace.jitter(retryMean)
+		return w.pacer.jitter(retryMean)
 	case errors.Is(err, ErrBusy):
-		return w.pace.busyPause(w.failures, w.lease.Expiry().Sub(w.loop.Now()))
+		return w.pacer.busyPause(w.failures, w.lease.Expiry().Sub(w.loop.Now()))
 	}
-	return w.pace.failurePause(w.failures)
+	return w.pacer.failurePause(w.failures)
 }
 
 func (w *Watch) onTimer() {
@@ -442,14 +442,14 @@
 	switch now := w.loop.Now(); {
 	case !lead && deferUntil.After(now) && !w.expedited:
 		w.deferredByPolicy = true
-		w.scheduleCall(deferUntil.Sub(now))
+		w.scheduleRequest(deferUntil.Sub(now))
 	case !lead && w.deferredByPolicy:
 		// The process that asked on behalf of all has not been heard for too long, and other
 		// processes notice it at the same time.
 		w.deferredByPolicy = false
-		w.scheduleCall(time.Duration(w.pace.rng.Float64() * float64(spread)))
+		w.scheduleRequest(time.Duration(w.pacer.rng.Float64() * float64(spread)))
 	default:
 		w.deferredByPolicy, w.expedited = false, false
-		w.call()
+		w.startRequest()
 	}
 }
