--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -34,18 +34,18 @@
 	loop               *poll.Loop
 	node               *mesh.Node
 	session            uint64
-	leaseDuration      time.Duration
-	draining           bool // a planned stop has begun
+	leaseDuration      time.Duration // of the leases of duties
+	draining           bool          // a planned stop has begun
 	sameAddresses      bool
-	askWithin          time.Duration
+	askWithin          time.Duration // longest time between two requests to discovery
 	startedAt          time.Time
 	initialQueryDelay  time.Duration // time from the start to wait for the keepers; 0 in a small fleet
 	lastAnnounced      []byte        // encoding of the last announced list
-	lastAnnouncedToken uint64
-	baseDuties         []string // duties except parts of probes and slices of limits
-	duties             []string // all wanted duties
-	moves              *moves   // nil: moves are made when the module requests them
-	probes             *probes  // nil: this process probes alone
+	lastAnnouncedToken uint64        // fencing token with which it was announced
+	baseDuties         []string      // duties except parts of probes and slices of limits
+	duties             []string      // all wanted duties
+	moves              *moves        // nil: moves are made when the module requests them
+	probes             *probes       // nil: this process probes alone
 	verdicts           *verdicts
 	limits             *limits
 	retries            *retries
--- a/internal/routes/watch.go
+++ b/internal/routes/watch.go
@@ -86,7 +86,7 @@
 	Loop      *poll.Loop
 	Addr      netip.AddrPort
 	Seq       int64         // version to continue from, or NoVersion
-	Processes int           // that share discovery; the first requests of few are not spread
+	Processes int           // that share discovery; those of a small fleet do not spread their first requests
 	AskWithin time.Duration // longest time between two requests by the settings; 0: none given
 	Pushed    bool          // what discovery has counts as delivered whether or not a watch is open
 	Rand      *rand.Rand
