--- a/internal/instance/idle_test.go
+++ b/internal/instance/idle_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// answerDiscoveryRequests answers the pending requests to discovery with a list, watches only after 1 s, and
-// reports whether there was a pending request.
+// answerDiscoveryRequests answers the pending requests to discovery with a list, watches only after
+// 1 s, and reports whether there was a pending request.
 func (s *testBed) answerDiscoveryRequests(list string) (open bool) {
 	for _, call := range s.discovery.accepted {
 		if call.closed || !strings.HasSuffix(call.received, "\r\n\r\n") {
@@ -64,8 +64,8 @@
 }
 
 // A process whose targets all fail and then recover must not refuse clients for good: it makes an
-// attempt within 4 s. Discovery answers throughout: once it has been silent for over 6 s, no attempt
-// may go to a target that has accepted nothing lately.
+// attempt within 4 s. Discovery answers throughout: once it has been silent for over 6 s, no
+// attempt may go to a target that has accepted nothing lately.
 func TestAttemptsResumeWhenAllTargetsFailed(t *testing.T) {
 	s := newTestBed(t, 2)
 	s.connectClients(0, nil)
