--- a/internal/proxy/bed_test.go
+++ b/internal/proxy/bed_test.go
@@ -105,7 +105,7 @@
 // watchConfig returns the configuration of a watch on discovery at an address, in place of the
 // engine's own watch.
 func (b *testBed) watchConfig(at netip.AddrPort) routes.WatchConfig {
-	return routes.WatchConfig{Loop: b.loop, Addr: at, Seq: 7, AskWithin: 3 * time.Second, Rand: rand.New(rand.NewPCG(1, 1)), Calls: &b.counters.Watches, OnResult: b.engine.handleDiscoveryAnswer}
+	return routes.WatchConfig{Loop: b.loop, Addr: at, Seq: 7, AskWithin: 3 * time.Second, Rand: rand.New(rand.NewPCG(1, 1)), Requests: &b.counters.Watches, OnResult: b.engine.handleDiscoveryAnswer}
 }
 
 // newSocketTestBed returns a test bed on real sockets.
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -116,7 +116,7 @@
 	}
 	e.watch = routes.NewWatch(routes.WatchConfig{
 		Loop: c.Loop, Addr: c.Discovery, Seq: from, Processes: c.Settings.Config.Relays, AskWithin: c.Settings.Config.Rules.MaxDiscoveryGap,
-		Pushed: pushed, Rand: rand.New(rand.NewPCG(c.Seed, 1)), Calls: &c.Count.Watches, OnResult: e.handleDiscoveryAnswer,
+		Pushed: pushed, Rand: rand.New(rand.NewPCG(c.Seed, 1)), Requests: &c.Count.Watches, OnResult: e.handleDiscoveryAnswer,
 	})
 	e.startedAt = e.loop.Now()
 	module.Start(e.startedAt)
