--- a/balance/fuzz_test.go
+++ b/balance/fuzz_test.go
@@ -21,7 +21,7 @@
 		cfg.DetachedTimeout = time.Duration(seed%5) * sec
 		cfg.Classes = []Class{
 			{SetupTarget: 500 * ms, Worth: 1},
-			{SetupTarget: 300 * ms, Worth: 5, Idempotency: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: sec},
+			{SetupTarget: 300 * ms, Worth: 5, Idempotency: IdempotentByKey, DedupScope: DedupScopeCell, DedupWindow: sec},
 			{SetupTarget: 300 * ms, Idempotency: NotIdempotent},
 		}
 		s := startBalancer(t, cfg, seed, int(seed%7))
--- a/balance/interface.go
+++ b/balance/interface.go
@@ -29,9 +29,9 @@
 
 // The values of DedupScope: all backends, those of the same zone, or those of the same cell.
 const (
-	ScopeAll DedupScope = iota
-	ScopeZone
-	ScopeCell
+	DedupScopeAll DedupScope = iota
+	DedupScopeZone
+	DedupScopeCell
 )
 
 // Class describes a class of requests.
--- a/balance/retries.go
+++ b/balance/retries.go
@@ -45,8 +45,8 @@
 	if c.Idempotency == NotIdempotent || now.Sub(r.ranAt) >= c.DedupWindow {
 		return false
 	}
-	return c.DedupScope == ScopeAll || c.DedupScope == ScopeZone && k.Zone == r.ranOn.Zone ||
-		c.DedupScope == ScopeCell && k.Cell == r.ranOn.Cell
+	return c.DedupScope == DedupScopeAll || c.DedupScope == DedupScopeZone && k.Zone == r.ranOn.Zone ||
+		c.DedupScope == DedupScopeCell && k.Cell == r.ranOn.Cell
 }
 
 // conclude gives a request that cannot be placed its final answer: a refusal if the client may
@@ -55,7 +55,7 @@
 	c := b.class(r.Class)
 	b.removeRequest(r)
 	if r.ranOn == nil || c.Idempotency == Idempotent ||
-		c.Idempotency == IdempotentByKey && c.DedupScope == ScopeAll {
+		c.Idempotency == IdempotentByKey && c.DedupScope == DedupScopeAll {
 		b.host.Refuse(r.ID, time.Duration(float64(b.cfg.MaxRetryAfter)*retryAfterFraction))
 	} else {
 		b.host.Fail(r.ID)
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -209,17 +209,17 @@
 		resends     bool // a second attempt may be made somewhere
 		refuses     bool // the final answer may be a refusal
 	}{
-		{"idempotent, may have run", Idempotent, ScopeAll, Error, true, true},
-		{"not idempotent, may have run", NotIdempotent, ScopeAll, Error, false, false},
-		{"not idempotent, timed out", NotIdempotent, ScopeAll, TimedOut, false, false},
-		{"not idempotent, connection broke", NotIdempotent, ScopeAll, Broken, false, false},
-		{"not idempotent, cancelled", NotIdempotent, ScopeAll, Cancelled, false, false},
-		{"not idempotent, rejected", NotIdempotent, ScopeAll, Rejected, true, true},
-		{"not idempotent, not connected", NotIdempotent, ScopeAll, NoConnect, true, true},
-		{"deduplicated by all", IdempotentByKey, ScopeAll, Error, true, true},
-		{"deduplicated in a zone", IdempotentByKey, ScopeZone, Error, true, false},
-		{"deduplicated in a cell", IdempotentByKey, ScopeCell, Error, true, false},
-		{"deduplicated in a cell, rejected", IdempotentByKey, ScopeCell, Rejected, true, true},
+		{"idempotent, may have run", Idempotent, DedupScopeAll, Error, true, true},
+		{"not idempotent, may have run", NotIdempotent, DedupScopeAll, Error, false, false},
+		{"not idempotent, timed out", NotIdempotent, DedupScopeAll, TimedOut, false, false},
+		{"not idempotent, connection broke", NotIdempotent, DedupScopeAll, Broken, false, false},
+		{"not idempotent, cancelled", NotIdempotent, DedupScopeAll, Cancelled, false, false},
+		{"not idempotent, rejected", NotIdempotent, DedupScopeAll, Rejected, true, true},
+		{"not idempotent, not connected", NotIdempotent, DedupScopeAll, NoConnect, true, true},
+		{"deduplicated by all", IdempotentByKey, DedupScopeAll, Error, true, true},
+		{"deduplicated in a zone", IdempotentByKey, DedupScopeZone, Error, true, false},
+		{"deduplicated in a cell", IdempotentByKey, DedupScopeCell, Error, true, false},
+		{"deduplicated in a cell, rejected", IdempotentByKey, DedupScopeCell, Rejected, true, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -244,7 +244,7 @@
 					first = k
 				}
 				if tt.outcome == Error && tt.idempotency == IdempotentByKey &&
-					(tt.scope == ScopeZone && k.Zone != first.Zone || tt.scope == ScopeCell && k.Cell != first.Cell) {
+					(tt.scope == DedupScopeZone && k.Zone != first.Zone || tt.scope == DedupScopeCell && k.Cell != first.Cell) {
 					t.Errorf("sent to %v after %v, outside the deduplication scope", k, first)
 				}
 			}
@@ -265,7 +265,7 @@
 // attempt that is known not to have run does not change that.
 func TestDedupWindow(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[0] = Class{SetupTarget: 500 * ms, Worth: 1, Idempotency: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: 400 * ms}
+	cfg.Classes[0] = Class{SetupTarget: 500 * ms, Worth: 1, Idempotency: IdempotentByKey, DedupScope: DedupScopeCell, DedupWindow: 400 * ms}
 	s := startBalancer(t, cfg, 1, 1)
 	s.takeActions()
 	s.b.Request(s.now, newRequest(1))
--- a/balance/state.go
+++ b/balance/state.go
@@ -122,8 +122,8 @@
 }
 
 // ConnectionCount returns the number of connections and attempts that this relay has on a backend.
-func (b *Balancer) ConnectionCount(id string) int {
-	if k := b.byID[id]; k != nil {
+func (b *Balancer) ConnectionCount(backendID string) int {
+	if k := b.byID[backendID]; k != nil {
 		return len(k.requests)
 	}
 	return 0
--- a/internal/proxy/effect.go
+++ b/internal/proxy/effect.go
@@ -22,14 +22,14 @@
 	case !ran || c.Idempotency == balance.Idempotent:
 		return true, true
 	case c.Idempotency == balance.IdempotentByKey && since < c.DedupWindow:
-		return sameScope, c.DedupScope == balance.ScopeAll // a refused client may repeat at any target
+		return sameScope, c.DedupScope == balance.DedupScopeAll // a refused client may repeat at any target
 	}
 	return false, false
 }
 
 // sharesDedupScope reports whether target to drops repeats of a request that ran at another target.
 func sharesDedupScope(s balance.DedupScope, ran, to *routes.Target) bool {
-	return s == balance.ScopeAll || s == balance.ScopeZone && ran.Site == to.Site || s == balance.ScopeCell && ran.Block == to.Block
+	return s == balance.DedupScopeAll || s == balance.DedupScopeZone && ran.Site == to.Site || s == balance.DedupScopeCell && ran.Block == to.Block
 }
 
 // class returns the class of the exchange.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -101,7 +101,7 @@
 }
 
 var scopes = map[string]balance.DedupScope{
-	"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell,
+	"all": balance.DedupScopeAll, "zone": balance.DedupScopeZone, "cell": balance.DedupScopeCell,
 }
 
 // Decode reads the object. A class whose repeat word is unknown is taken for the
@@ -146,7 +146,7 @@
 		}
 		scope, ok := scopes[c.DedupScope]
 		if !ok {
-			scope = balance.ScopeCell
+			scope = balance.DedupScopeCell
 		}
 		class := balance.Class{
 			SetupTarget: span(c.TargetUs), Worth: c.Worth,
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -63,7 +63,7 @@
 		t.Errorf("rules %+v", c.Rules)
 	}
 	if want := (balance.Class{
-		SetupTarget: 300 * time.Millisecond, Worth: 3, Idempotency: balance.IdempotentByKey, DedupScope: balance.ScopeCell, DedupWindow: 5 * time.Second,
+		SetupTarget: 300 * time.Millisecond, Worth: 3, Idempotency: balance.IdempotentByKey, DedupScope: balance.DedupScopeCell, DedupWindow: 5 * time.Second,
 	}); c.Classes[1] != want {
 		t.Errorf("class %+v", c.Classes[1])
 	}
