--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -105,7 +105,7 @@
 func (v *verdicts) evaluate(now time.Time) {
 	v.targets = v.targets[:0]
 	for _, t := range v.fleet.instance.engine.Table().All() {
-		if !v.fleet.instance.engine.Drains(t.ID) {
+		if !v.fleet.instance.engine.IsDraining(t.ID) {
 			v.targets = append(v.targets, verdict.Target{ID: t.ID, Zone: t.Site})
 		}
 	}
--- a/internal/proxy/shared.go
+++ b/internal/proxy/shared.go
@@ -15,7 +15,7 @@
 func (e *Engine) Watch() *routes.Watch { return e.watch }
 
 // Discovery returns the address of discovery and the version of the latest list.
-func (e *Engine) Discovery() (at netip.AddrPort, seq int64) { return e.discoveryAddr, e.table.Seq }
+func (e *Engine) Discovery() (addr netip.AddrPort, seq int64) { return e.discoveryAddr, e.table.Seq }
 
 // Table returns the route table, which the caller must not change.
 func (e *Engine) Table() *routes.Table { return &e.table }
@@ -76,8 +76,8 @@
 	}
 }
 
-// Drains reports whether a target takes no new work.
-func (e *Engine) Drains(id string) bool { return e.draining(id) }
+// IsDraining reports whether a target takes no new work.
+func (e *Engine) IsDraining(targetID string) bool { return e.draining(targetID) }
 
 // draining reports whether a target is draining or is not in the route table.
 func (e *Engine) draining(id string) bool {
