--- a/internal/instance/retries.go
+++ b/internal/instance/retries.go
@@ -30,7 +30,7 @@
 
 func newRetries(f *fleet, c limit.Retries, staleAfter time.Duration) *retries {
 	r := &retries{fleet: f, config: c, staleAfter: staleAfter}
-	f.instance.engine.OnHop(r.onHop)
+	f.instance.engine.OnHopStart(r.onHop)
 	return r
 }
 
--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -66,21 +66,21 @@
 	switch o {
 	case balance.OK:
 		switch of {
-		case proxy.FromHop:
+		case proxy.OutcomeFromHop:
 			c.OK = 1
-		case proxy.FromProbe:
+		case proxy.OutcomeFromProbe:
 			c.Seen = 1
 		default:
 			return // a connection that its client closed is no evidence
 		}
 	case balance.Error, balance.Broken:
-		if of == proxy.FromProbe {
+		if of == proxy.OutcomeFromProbe {
 			return // the target may limit the rate of probes
 		}
 		c.Fail = 1
 	case balance.TimedOut:
 		c.Slow = 1
-		if of == proxy.FromProbe {
+		if of == proxy.OutcomeFromProbe {
 			c.Silent, c.Slow = 1, 0
 		}
 	case balance.NoConnect:
--- a/internal/proxy/batch.go
+++ b/internal/proxy/batch.go
@@ -32,21 +32,21 @@
 
 // event is an input to the module. The fields that are set depend on kind.
 type event struct {
-	kind        eventKind
-	exchange    *Exchange
-	request     balance.Request
-	target      string
-	attempt     int
-	settled     bool
-	outcome     balance.Outcome
-	report      balance.Report
-	note        balance.Metric
-	level       float64
-	list        balance.ListKind
-	entries     []balance.Backend
-	token       uint64
-	until       time.Time
-	budgetSpent bool
+	kind             eventKind
+	exchange         *Exchange
+	request          balance.Request
+	target           string
+	attempt          int
+	clientSettled    bool // the client needs no further answer
+	outcome          balance.Outcome
+	report           balance.Report
+	note             balance.Metric
+	level            float64
+	list             balance.ListKind
+	entries          []balance.Backend
+	token            uint64
+	until            time.Time
+	retryBudgetSpent bool // by all processes together
 }
 
 type actionKind uint8
@@ -111,7 +111,7 @@
 	case evEstablished:
 		e.module.Established(now, ev.exchange.id)
 	case evEnded:
-		e.module.Finished(now, ev.exchange.id, ev.attempt, ev.settled, ev.outcome, ev.report)
+		e.module.Finished(now, ev.exchange.id, ev.attempt, ev.clientSettled, ev.outcome, ev.report)
 	case evClientLeft:
 		e.module.ClientGone(now, ev.exchange.id)
 	case evNote:
@@ -123,7 +123,7 @@
 	case evAvoid:
 		e.module.EjectUntil(ev.target, ev.until)
 	case evRetryBudget:
-		e.module.DisableRetries(ev.budgetSpent)
+		e.module.DisableRetries(ev.retryBudgetSpent)
 	}
 }
 
@@ -192,7 +192,7 @@
 	}
 	if x.answered { // the client left in this turn; each attempt of the module must still end
 		x.hopCount++
-		e.push(event{kind: evEnded, exchange: x, attempt: x.hopCount - 1, settled: true, outcome: balance.NotSent, report: noReport})
+		e.push(event{kind: evEnded, exchange: x, attempt: x.hopCount - 1, clientSettled: true, outcome: balance.NotSent, report: noReport})
 		return
 	}
 	if e.holdSend(x, a) {
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -58,11 +58,11 @@
 	}
 }
 
-// pendingAttempts is the number of clients that wait without an attempt; each will need a
-// descriptor for one. It is counted once per turn of the loop, and only where descriptors are
-// short, since it iterates over all sessions.
+// pendingAttempts is the number of clients that wait and have no socket to a target yet; each will
+// need a descriptor for one. It is counted once per turn of the loop, and only where descriptors
+// are short, since it iterates over all sessions.
 type pendingAttempts struct {
-	count     int
+	count     int       // waiting clients without a socket to a target
 	countedAt time.Time // time of the turn of the loop in which count was determined
 }
 
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -69,7 +69,7 @@
 	paceMove            func(id balance.RequestID) bool // delays a move to its scheduled time; false: move now
 	onProbed            func(target string, ok bool, rep balance.Report)
 	limits              Limits // nil: unlimited
-	onHop               func(class int, first bool)
+	onHopStart          func(class int, first bool)
 	onOutcome           func(target string, o balance.Outcome, source OutcomeSource)
 	startedAt           time.Time
 	discoveryAnsweredAt time.Time // last answer from discovery; zero: none yet
@@ -226,7 +226,7 @@
 		Timeout: o.Wait - e.answerMargin(o.Wait),
 	}
 	if e.settings.Config.GroupAffinity {
-		x.request.Group = o.Group
+		x.request.Group = o.AffinityGroup
 	}
 	e.exchanges[x.id] = x
 	x.timer.Fire = func() { e.answerOverdue(x) }
@@ -333,8 +333,8 @@
 	x.target, x.hopActive, x.sentAt = to, true, time.Time{}
 	x.hopCount++
 	e.counters.Hops++
-	if e.onHop != nil && x.adoptTarget == "" {
-		e.onHop(x.request.Class, x.hopCount == 1 && !x.request.Reconnect)
+	if e.onHopStart != nil && x.adoptTarget == "" {
+		e.onHopStart(x.request.Class, x.hopCount == 1 && !x.request.Reconnect)
 	}
 	known := e.discoveryAnsweredAt
 	if e.peerConfirmedAt != nil {
@@ -358,7 +358,7 @@
 		}
 	}
 	e.push(event{kind: evProbed, target: id, outcome: o, report: rep})
-	e.reportOutcome(id, o, FromProbe)
+	e.reportOutcome(id, o, OutcomeFromProbe)
 	if e.onProbed != nil {
 		e.onProbed(id, o == balance.OK, rep)
 	}
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -237,7 +237,7 @@
 			ends = append(ends, ev)
 		}
 	}
-	if len(ends) != 1 || ends[0].outcome != balance.NotSent || !ends[0].settled || ends[0].attempt != 0 {
+	if len(ends) != 1 || ends[0].outcome != balance.NotSent || !ends[0].clientSettled || ends[0].attempt != 0 {
 		t.Errorf("ends of the attempt: %+v, want one, settled and not sent", ends)
 	}
 	b.settle()
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -40,11 +40,12 @@
 
 // ClientRequest describes a new exchange, as a frontend received it.
 type ClientRequest struct {
-	ID                string // chosen by the client, new for each exchange; empty: none
-	Class, Key, Group string
-	Tenant            string        // the client's tenant, named as in the settings; empty: none
-	Wait              time.Duration // until the client gives up
-	Again             bool          // the client's last connection was moved or failed
+	ID            string // chosen by the client, new for each exchange; empty: none
+	Class, Key    string
+	AffinityGroup string        // connections of one group share work on a target; empty: none
+	Tenant        string        // the client's tenant, named as in the settings; empty: none
+	Wait          time.Duration // until the client gives up
+	Again         bool          // the client's last connection was moved or failed
 }
 
 // Exchange is one request of a client, from its arrival to the end of its last hop or of its
@@ -87,7 +88,7 @@
 		x.engine.push(event{kind: evEstablished, exchange: x})
 		x.engine.proofs.recordAccepted(x.target.ID, x.sentAt)
 	}
-	x.engine.reportOutcome(x.target.ID, balance.OK, FromHop)
+	x.engine.reportOutcome(x.target.ID, balance.OK, OutcomeFromHop)
 	return true
 }
 
@@ -111,16 +112,16 @@
 	}
 	x.engine.countOutcome(o)
 	if x.established {
-		x.engine.reportOutcome(x.target.ID, o, FromEstablished)
+		x.engine.reportOutcome(x.target.ID, o, OutcomeFromEstablished)
 	} else {
-		x.engine.reportOutcome(x.target.ID, o, FromHop)
+		x.engine.reportOutcome(x.target.ID, o, OutcomeFromHop)
 	}
 	if x.adoptTarget != "" && !x.established {
 		x.engine.retryAdopt(x, o)
 		return
 	}
 	settled := x.answered
-	x.engine.push(event{kind: evEnded, exchange: x, attempt: x.hopCount - 1, settled: settled, outcome: o, report: rep})
+	x.engine.push(event{kind: evEnded, exchange: x, attempt: x.hopCount - 1, clientSettled: settled, outcome: o, report: rep})
 	if settled {
 		x.engine.release(x)
 	}
--- a/internal/proxy/hop.go
+++ b/internal/proxy/hop.go
@@ -32,11 +32,11 @@
 	dialDeadline   time.Time // for the connection to be established
 	timer          poll.Timer
 	// The following fields are used once the connection is established.
-	pendingSince     time.Time       // when the client's oldest unanswered line was sent; zero: none
-	lastHeard        time.Time       // when the target's last line arrived
-	checkAt          time.Time       // when the timer is due
-	announcedOutcome balance.Outcome // by the target's BYE or MOVE
-	endAnnounced     bool            // announcedOutcome is valid
+	pendingSince  time.Time       // when the client's oldest unanswered line was sent; zero: none
+	lastHeard     time.Time       // when the target's last line arrived
+	checkAt       time.Time       // when the timer is due
+	targetOutcome balance.Outcome // announced by the target with BYE or MOVE
+	endAnnounced  bool            // targetOutcome is valid
 }
 
 // dialRetryDelay is the pause before a connection is tried again that this machine could not begin
--- a/internal/proxy/listwait.go
+++ b/internal/proxy/listwait.go
@@ -96,5 +96,5 @@
 	e.listWait.held = slices.DeleteFunc(e.listWait.held, func(h heldSend) bool { return h.exchange == x })
 	e.armListWait()
 	x.hopCount++
-	e.push(event{kind: evEnded, exchange: x, attempt: x.hopCount - 1, settled: true, outcome: balance.NotSent, report: noReport})
+	e.push(event{kind: evEnded, exchange: x, attempt: x.hopCount - 1, clientSettled: true, outcome: balance.NotSent, report: noReport})
 }
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -19,7 +19,7 @@
 	entry            *routes.Target // in the route table
 	link             link
 	state            probeState
-	reused           bool // the connection has answered a probe before
+	connReused       bool // the connection has answered a probe before
 	timer            poll.Timer
 	lastHeard        time.Time     // when the target last sent data, on any connection
 	lastDelayNote    time.Time     // when the module was last told of the delay of messages
@@ -169,7 +169,7 @@
 	p.removeIdle()
 	p.frontend.loop.Disarm(&p.timer)
 	p.link.close()
-	p.state, p.reused = probeNone, false
+	p.state, p.connReused = probeNone, false
 }
 
 // failProbe ends a probe without a report and closes its connection: a late answer would be taken
@@ -185,7 +185,7 @@
 	switch {
 	case p.state == probeIdle:
 		p.closeConn()
-	case p.state == probeSent && p.reused:
+	case p.state == probeSent && p.connReused:
 		p.closeConn()
 		p.dial()
 	case p.state == probeDialing:
@@ -240,7 +240,7 @@
 		o = balance.Error
 	}
 	line.Figures(rest, func(name string, v float64) { p.frontend.settings.Put(&rep, name, v) })
-	p.state, p.reused = probeIdle, true
+	p.state, p.connReused = probeIdle, true
 	p.addIdle()
 	p.frontend.loop.Disarm(&p.timer)
 	if idle := p.frontend.settings.ConnIdle; idle > 0 {
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -161,7 +161,7 @@
 	// The client's time-out began when it sent the line, which may have waited in the kernel for
 	// this turn of the loop.
 	offer := ClientRequest{
-		ID: open.ID, Class: open.Class, Tenant: open.Tenant, Key: open.Key, Group: open.Group, Again: open.Again,
+		ID: open.ID, Class: open.Class, Tenant: open.Tenant, Key: open.Key, AffinityGroup: open.Group, Again: open.Again,
 		Wait: max(open.Wait-s.link.sock.Idle(), 0),
 	}
 	if open.At != "" {
--- a/internal/proxy/shared.go
+++ b/internal/proxy/shared.go
@@ -76,10 +76,11 @@
 	}
 }
 
-// IsDraining reports whether a target takes no new work.
+// IsDraining reports whether a target takes no new work: it drains, or the route table does not
+// contain it.
 func (e *Engine) IsDraining(targetID string) bool { return e.draining(targetID) }
 
-// draining reports whether a target is draining or is not in the route table.
+// draining implements IsDraining.
 func (e *Engine) draining(id string) bool {
 	to := e.table.Find(id)
 	return to == nil || to.Health == routes.Draining
@@ -90,9 +91,9 @@
 
 // The kinds of OutcomeSource.
 const (
-	FromHop         OutcomeSource = iota // a hop that was not established, or its establishment
-	FromEstablished                      // the end of an established connection
-	FromProbe
+	OutcomeFromHop         OutcomeSource = iota // a hop that was not established, or its establishment
+	OutcomeFromEstablished                      // the end of an established connection
+	OutcomeFromProbe                            // a probe
 )
 
 // OnOutcome sets a function to call with each outcome that this process observes at targets that
@@ -119,33 +120,33 @@
 	// Take counts an exchange of a class and a tenant, both given by index, and returns the limits
 	// that it counts under, one bit each. If a limit leaves no room and the exchange can be
 	// refused, it counts under none and ok is false.
-	Take(class, tenant int, refuse bool) (bits uint64, ok bool)
+	Take(class, tenant int, refuse bool) (limitBits uint64, ok bool)
 	// Release undoes a Take that returned these bits.
-	Release(bits uint64)
+	Release(limitBits uint64)
 }
 
 // SetLimits sets the limits that exchanges count under. The module refuses exchanges for which
 // there is no room.
 func (e *Engine) SetLimits(l Limits) { e.limits = l }
 
-// CountUnderLimit returns how many exchanges count under a limit.
-func (e *Engine) CountUnderLimit(bit uint64) int {
+// CountUnderLimit returns how many exchanges count under a limit, which is given by its bit.
+func (e *Engine) CountUnderLimit(limitBit uint64) int {
 	n := 0
 	for _, x := range e.exchanges { // the order does not matter
-		if x.limitBits&bit != 0 {
+		if x.limitBits&limitBit != 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// MoveUnderLimit moves up to n established connections that count under a limit, the newest first,
-// and returns how many it moved.
-func (e *Engine) MoveUnderLimit(bit uint64, n int) int {
+// MoveUnderLimit moves up to n established connections that count under a limit, which is given by
+// its bit, the newest first, and returns how many it moved.
+func (e *Engine) MoveUnderLimit(limitBit uint64, n int) int {
 	moved := 0
 	all := e.sortedExchanges()
 	for i := len(all) - 1; i >= 0 && moved < n; i-- {
-		if x := all[i]; x.limitBits&bit != 0 && x.hopActive && x.established {
+		if x := all[i]; x.limitBits&limitBit != 0 && x.hopActive && x.established {
 			e.move(x)
 			moved++
 		}
@@ -153,12 +154,13 @@
 	return moved
 }
 
-// OnHop sets a function to call for each hop of a class. first is true for the first hop of a
-// client's first attempt and false for any further hop.
-func (e *Engine) OnHop(f func(class int, first bool)) { e.onHop = f }
+// OnHopStart sets a function to call at the start of each hop, except that of an adopted
+// connection. class is the index of the class; first is true for the first hop of a client's first
+// attempt and false for any further hop.
+func (e *Engine) OnHopStart(f func(class int, first bool)) { e.onHopStart = f }
 
 // SetRetryBudgetSpent tells the module whether all processes together have used up their budget for
 // further hops.
 func (e *Engine) SetRetryBudgetSpent(spent bool) {
-	e.push(event{kind: evRetryBudget, budgetSpent: spent})
+	e.push(event{kind: evRetryBudget, retryBudgetSpent: spent})
 }
--- a/internal/proxy/standing.go
+++ b/internal/proxy/standing.go
@@ -59,9 +59,9 @@
 				s.exchange.Load(level)
 			}
 		case line.Bye:
-			h.announcedOutcome, h.endAnnounced = balance.OK, true
+			h.targetOutcome, h.endAnnounced = balance.OK, true
 		case line.Move:
-			h.announcedOutcome, h.endAnnounced = balance.Cancelled, true
+			h.targetOutcome, h.endAnnounced = balance.Cancelled, true
 		default:
 			h.measureDelay()
 		}
@@ -166,7 +166,7 @@
 func (h *hop) outcome(otherwise balance.Outcome) balance.Outcome {
 	switch {
 	case h.endAnnounced:
-		return h.announcedOutcome
+		return h.targetOutcome
 	case h.session.clientEOF:
 		return balance.Cancelled
 	}
