--- a/internal/duty/discovery.go
+++ b/internal/duty/discovery.go
@@ -68,7 +68,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("duty: target %s: %w", t.ID, err)
 		}
-		message.Targets = append(message.Targets, listEntry{t.ID, addr, t.Site, t.Kind, t.Block, t.Health, t.Share, t.StartUnixMS})
+		message.Targets = append(message.Targets, listEntry{t.ID, addr, t.Site, t.MachineKind, t.Block, t.Health, t.Share, t.StartUnixMS})
 	}
 	return cbor.Marshal(message)
 }
@@ -143,6 +143,6 @@
 // target returns the target of an entry, without its address.
 func (e *listEntry) target() *routes.Target {
 	return &routes.Target{
-		ID: e.ID, Site: e.Site, Kind: e.Kind, Block: e.Block, Health: e.Health, Share: e.Share, StartUnixMS: e.BornMS,
+		ID: e.ID, Site: e.Site, MachineKind: e.Kind, Block: e.Block, Health: e.Health, Share: e.Share, StartUnixMS: e.BornMS,
 	}
 }
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -79,7 +79,7 @@
 	var all []*routes.Target
 	for i := range n {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 8443)
-		all = append(all, &routes.Target{ID: fmt.Sprintf("s-%08x", i), Addr: addr, Site: "a", Kind: "m2", Block: i, Share: 1, StartUnixMS: 1_800_000_000_000})
+		all = append(all, &routes.Target{ID: fmt.Sprintf("s-%08x", i), Addr: addr, Site: "a", MachineKind: "m2", Block: i, Share: 1, StartUnixMS: 1_800_000_000_000})
 	}
 	text, err := EncodeList(at, 9, all)
 	if err != nil {
--- a/internal/lab/hollow/cluster.go
+++ b/internal/lab/hollow/cluster.go
@@ -138,7 +138,7 @@
 func (k *cluster) serverList() []*routes.Target {
 	list := make([]*routes.Target, 0, k.config.Servers)
 	for i := range k.config.Servers {
-		list = append(list, &routes.Target{ID: serverName(i), Addr: serverAddress(i), Site: "here", Kind: "r", Share: 1})
+		list = append(list, &routes.Target{ID: serverName(i), Addr: serverAddress(i), Site: "here", MachineKind: "r", Share: 1})
 	}
 	return list
 }
--- a/internal/lab/proxies.go
+++ b/internal/lab/proxies.go
@@ -100,7 +100,7 @@
 		}
 		n := s.nodes[i]
 		l.Hosts = append(l.Hosts, &routes.Target{
-			ID: n.plan.id, Addr: netip.AddrPortFrom(n.host.Addr(), relayPort), Site: n.plan.site, Kind: n.plan.kind.Name, Share: 1,
+			ID: n.plan.id, Addr: netip.AddrPortFrom(n.host.Addr(), relayPort), Site: n.plan.site, MachineKind: n.plan.kind.Name, Share: 1,
 			Block: i % 2,
 		})
 	}
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -41,7 +41,7 @@
 	ID          string         `json:"host"`
 	Addr        netip.AddrPort `json:"dial"`
 	Site        string         `json:"site"`
-	Kind        string         `json:"class"`
+	MachineKind string         `json:"class"`
 	Block       int            `json:"block"`
 	Health      Health         `json:"health"`
 	Share       float64        `json:"share"`
@@ -50,8 +50,9 @@
 	entryNumber int            // sequence number of the table entry; updates of a target keep it
 }
 
-// SameEntry reports whether t and other are the same entry of the table at different times, so that
-// the target did not leave the table in between.
+// SameEntry reports whether t and other are states of one table entry, so that the target did not
+// leave the table in between. Only ID and entryNumber have to be equal; the other fields may have
+// been updated.
 func (t *Target) SameEntry(other *Target) bool {
 	return t.ID == other.ID && t.entryNumber == other.entryNumber
 }
