--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -97,8 +97,8 @@
 	l.moveExcess()
 }
 
-// Take implements proxy.Limits.
-func (l *limits) Take(class, tenant int, refuse bool) (under uint64, ok bool) {
+// Acquire implements proxy.Limits.
+func (l *limits) Take(class, tenant int, refuse bool) (limitBits uint64, ok bool) {
 	now := l.fleet.loop.Now()
 	for _, lim := range l.states { // all limits must have room before any is taken
 		if refuse && lim.covers(class, tenant) && !l.hasRoom(now, lim) {
@@ -115,7 +115,7 @@
 		if !lim.covers(class, tenant) {
 			continue
 		}
-		under |= 1 << i
+		limitBits |= 1 << i
 		lim.inUse++
 		lim.admittedAt = append(lim.admittedAt, now)
 		if lim.slices == nil {
@@ -123,7 +123,7 @@
 			l.publishUse(now, lim)
 		}
 	}
-	return under, true
+	return limitBits, true
 }
 
 // hasRoom reports whether the limit admits one more client.
@@ -135,9 +135,9 @@
 }
 
 // Release implements proxy.Limits.
-func (l *limits) Release(under uint64) {
+func (l *limits) Release(limitBits uint64) {
 	for i, lim := range l.states {
-		if under&(1<<i) != 0 {
+		if limitBits&(1<<i) != 0 {
 			lim.inUse--
 		}
 	}
--- a/internal/proxy/shared.go
+++ b/internal/proxy/shared.go
@@ -117,11 +117,11 @@
 
 // Limits are limits on the exchanges of all processes together.
 type Limits interface {
-	// Take counts an exchange of a class and a tenant, both given by index, and returns the limits
+	// Acquire counts an exchange of a class and a tenant, both given by index, and returns the limits
 	// that it counts under, one bit each. If a limit leaves no room and the exchange can be
 	// refused, it counts under none and ok is false.
 	Take(class, tenant int, refuse bool) (limitBits uint64, ok bool)
-	// Release undoes a Take that returned these bits.
+	// Release undoes an Acquire that returned these bits.
 	Release(limitBits uint64)
 }
 
