--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -98,7 +98,7 @@
 }
 
 // Acquire implements proxy.Limits.
-func (l *limits) Take(class, tenant int, refuse bool) (limitBits uint64, ok bool) {
+func (l *limits) Acquire(class, tenant int, refuse bool) (limitBits uint64, ok bool) {
 	now := l.fleet.loop.Now()
 	for _, lim := range l.states { // all limits must have room before any is taken
 		if refuse && lim.covers(class, tenant) && !l.hasRoom(now, lim) {
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -173,7 +173,7 @@
 	}
 	if e.limits != nil {
 		var ok bool
-		x.limitBits, ok = e.limits.Take(x.request.Class, x.request.Tenant, true)
+		x.limitBits, ok = e.limits.Acquire(x.request.Class, x.request.Tenant, true)
 		if x.request.OverLimit = !ok; !ok {
 			e.counters.Beyond++
 		}
@@ -196,7 +196,7 @@
 	// Deliver starts the hop, since a hop that fails at once needs the caller to hold its exchange.
 	x.adoptTarget = id
 	if e.limits != nil { // the connection exists already: it is counted, but never refused
-		x.limitBits, _ = e.limits.Take(x.request.Class, x.request.Tenant, false)
+		x.limitBits, _ = e.limits.Acquire(x.request.Class, x.request.Tenant, false)
 	}
 	e.actions = append(e.actions, action{kind: acAdopt, id: x.id})
 	return x, nil
--- a/internal/proxy/shared.go
+++ b/internal/proxy/shared.go
@@ -120,7 +120,7 @@
 	// Acquire counts an exchange of a class and a tenant, both given by index, and returns the limits
 	// that it counts under, one bit each. If a limit leaves no room and the exchange can be
 	// refused, it counts under none and ok is false.
-	Take(class, tenant int, refuse bool) (limitBits uint64, ok bool)
+	Acquire(class, tenant int, refuse bool) (limitBits uint64, ok bool)
 	// Release undoes an Acquire that returned these bits.
 	Release(limitBits uint64)
 }
