--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -58,7 +58,7 @@
 }
 
 // fleet returns what the proxy needs to take part, nil if it does not.
-func (s *sharing) fleet(c *config, loop *poll.Loop, logger *log.Logger) (*instance.Fleet, error) {
+func (s *sharing) fleet(c *config, loop *poll.Loop, logger *log.Logger) (*instance.FleetConfig, error) {
 	if s == nil || !s.conf.Fleet.On {
 		return nil, nil
 	}
@@ -84,9 +84,9 @@
 			return nil, err
 		}
 	}
-	f := &instance.Fleet{Mesh: m, SameAddresses: s.conf.Discovery.SameAddresses, MovesPerSecond: s.conf.Moves.PerSecond}
+	f := &instance.FleetConfig{Mesh: m, SameAddresses: s.conf.Discovery.SameAddresses, MovesPerSecond: s.conf.Moves.PerSecond}
 	if o := s.conf.Verdicts; o.On {
-		v := instance.DefaultVerdicts()
+		v := instance.DefaultVerdictConfig()
 		v.Judge = verdict.Config{Fresh: o.Fresh, Forget: o.Forget, Witnesses: o.Witnesses, Part: o.Part}
 		v.Evidence.Keep = o.Forget + v.Evidence.Width
 		v.OnChange = s.judged
@@ -97,7 +97,7 @@
 	}
 	if len(s.conf.Limits) > 0 {
 		o := s.conf.Soft
-		f.Limits = &instance.Limits{Soft: limit.Soft{Stale: o.Stale, Hold: o.Hold, Expect: o.Expect}, List: s.conf.Limits, OnChange: s.limited}
+		f.Limits = &instance.LimitsConfig{Soft: limit.Soft{Stale: o.Stale, Hold: o.Hold, Expect: o.Expect}, List: s.conf.Limits, OnChange: s.limited}
 		for _, l := range s.conf.Limits {
 			if err := named(c, l); err != nil {
 				return nil, fmt.Errorf("%s: [limit %s] %w", s.path, l.Name, err)
--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -17,12 +17,12 @@
 	"ospreyspan/internal/shared/limit"
 )
 
-// Fleet configures the work that a proxy shares with other proxies.
-type Fleet struct {
+// FleetConfig configures the work that a proxy shares with other proxies.
+type FleetConfig struct {
 	Mesh           mesh.Config    // New sets Loop and the callbacks; a given Tell is called as well
 	SameAddresses  bool           // targets have the same addresses for all proxies
-	Verdicts       *Verdicts      // nil: each proxy judges targets alone
-	Limits         *Limits        // nil: no limits on all proxies together
+	Verdicts       *VerdictConfig // nil: each proxy judges targets alone
+	Limits         *LimitsConfig  // nil: no limits on all proxies together
 	Retries        *limit.Retries // budget of all proxies together; nil: none
 	MovesPerSecond float64        // rate at which the owner of the duty paces moves; 0: not paced
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -29,7 +29,7 @@
 	Settings       *settings.Settings
 	Tuning         *proxy.Tuning // nil: the defaults
 	Log            *log.Logger
-	Fleet          *Fleet // nil: this proxy shares nothing
+	Fleet          *FleetConfig // nil: this proxy shares nothing
 	// Retry repeats an attempt while it fails for a transient reason; nil means a single attempt.
 	Retry func(try func() error) error
 }
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -11,9 +11,9 @@
 	"ospreyspan/internal/shared/limit"
 )
 
-// Limits configures the limits on what all proxies of a fleet together may take. All proxies must
-// have the same ones.
-type Limits struct {
+// LimitsConfig configures the limits on what all proxies of a fleet together may take. All proxies
+// must have the same ones.
+type LimitsConfig struct {
 	Soft     limit.Soft
 	List     []limit.Limit
 	OnChange func(LimitChange) // called when a limit begins or ceases to refuse; may be nil
@@ -30,7 +30,7 @@
 // process's part. Package internal/shared/limit decides how large that part is.
 type limits struct {
 	fleet       *fleet
-	config      Limits
+	config      LimitsConfig
 	states      []*limitState
 	startedAt   time.Time
 	roster      limit.Roster
@@ -52,7 +52,7 @@
 
 const anyIndex = math.MaxInt
 
-func newLimits(f *fleet, c Limits, proxyConfig Config) *limits {
+func newLimits(f *fleet, c LimitsConfig, proxyConfig Config) *limits {
 	l := &limits{fleet: f, config: c, startedAt: f.loop.Now()}
 	l.config.Soft.Expect = max(c.Soft.Expect, proxyConfig.Settings.Config.Relays)
 	for _, lim := range c.List {
--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -12,17 +12,17 @@
 	"ospreyspan/internal/shared/verdict"
 )
 
-// Verdicts configures the verdicts on targets that all proxies of a fleet reach together. All
+// VerdictConfig configures the verdicts on targets that all proxies of a fleet reach together. All
 // proxies must have the same configuration.
-type Verdicts struct {
+type VerdictConfig struct {
 	Evidence evidence.Config
 	Judge    verdict.Config
 	OnChange func(VerdictChange) // called with each change, for the log; may be nil
 }
 
-// DefaultVerdicts returns the default configuration.
-func DefaultVerdicts() Verdicts {
-	return Verdicts{Evidence: evidence.DefaultConfig(), Judge: verdict.DefaultConfig()}
+// DefaultVerdictConfig returns the default configuration.
+func DefaultVerdictConfig() VerdictConfig {
+	return VerdictConfig{Evidence: evidence.DefaultConfig(), Judge: verdict.DefaultConfig()}
 }
 
 // VerdictChange is a change of the verdict on a target.
@@ -46,7 +46,7 @@
 // internal/shared/verdict.
 type verdicts struct {
 	fleet        *fleet
-	config       Verdicts
+	config       VerdictConfig
 	store        *evidence.Store
 	findings     map[string]verdict.Finding
 	findingOrder []string // target IDs of findings, in the order of the last evaluation
@@ -54,7 +54,7 @@
 	lastTrial    time.Time
 }
 
-func newVerdicts(f *fleet, c Verdicts) *verdicts {
+func newVerdicts(f *fleet, c VerdictConfig) *verdicts {
 	v := &verdicts{fleet: f, config: c, findings: make(map[string]verdict.Finding), store: f.carrier.Store()}
 	f.instance.engine.OnOutcome(v.onOutcome)
 	return v
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -159,11 +159,11 @@
 			return err
 		}
 	}
-	shared := instance.DefaultVerdicts()
+	shared := instance.DefaultVerdictConfig()
 	i, err := instance.New(loop, instance.Config{
 		Name: p.name, Listen: netip.AddrPortFrom(p.host.Addr(), proxyPort), Discovery: c.discovery.address(), Seed: c.config.Seed ^ p.session,
 		KnownList: c.known, Settings: c.settings, Log: log.New(io.Discard, "", 0),
-		Fleet: &instance.Fleet{Mesh: m, SameAddresses: true, MovesPerSecond: movesPerSecond, Verdicts: &shared},
+		Fleet: &instance.FleetConfig{Mesh: m, SameAddresses: true, MovesPerSecond: movesPerSecond, Verdicts: &shared},
 	})
 	if err != nil {
 		return err
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -18,7 +18,7 @@
 const meshPort = 7946
 
 // shares is what a proxy needs that shares work with the others, nil where the scenario has no keepers.
-func (s *stage) shares(p *proxyNode) (*instance.Fleet, error) {
+func (s *stage) shares(p *proxyNode) (*instance.FleetConfig, error) {
 	n := s.s.Proxies.Keepers
 	if n == 0 || s.real != nil {
 		return nil, nil
@@ -43,9 +43,9 @@
 			return nil, err
 		}
 	}
-	f := &instance.Fleet{Mesh: m, SameAddresses: true, MovesPerSecond: s.s.Proxies.PerS}
+	f := &instance.FleetConfig{Mesh: m, SameAddresses: true, MovesPerSecond: s.s.Proxies.PerS}
 	if s.s.Proxies.Verdicts {
-		v := instance.DefaultVerdicts()
+		v := instance.DefaultVerdictConfig()
 		v.OnChange = func(c instance.VerdictChange) { s.judged(p, c) }
 		f.Verdicts = &v
 	}
@@ -53,7 +53,7 @@
 		f.Retries = &limit.Retries{Part: part, Within: 10 * time.Second, Least: 10}
 	}
 	if l := s.limit(); l != nil {
-		f.Limits = &instance.Limits{Soft: limit.DefaultSoft(), List: []limit.Limit{*l}}
+		f.Limits = &instance.LimitsConfig{Soft: limit.DefaultSoft(), List: []limit.Limit{*l}}
 	}
 	return f, nil
 }
