--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -711,7 +711,8 @@
 		q := newRequest(1)
 		q.Group = "g"
 		s.b.Request(s.now, q)
-		for end := s.now.Add(q.Timeout + 100*ms); s.now.Before(end); s.now = s.now.Add(20 * ms) { // no probe is answered
+		// no probe is answered
+		for end := s.now.Add(q.Timeout + 100*ms); s.now.Before(end); s.now = s.now.Add(20 * ms) {
 			s.b.Timer(s.now, q.ID<<timerKindBits|timerRequest)
 			if s.count(s.takeActions(), "send") > 0 {
 				t.Fatalf("seed %d: sent to a cold backend that has not reported its load", seed)
--- a/balance/troubles_test.go
+++ b/balance/troubles_test.go
@@ -337,7 +337,8 @@
 	}{{"loaded", 0.6, false}, {"idle", 0, true}} {
 		t.Run(tt.name, func(t *testing.T) {
 			cfg := testConfig()
-			cfg.Tenants = []Tenant{{ConnectionQuota: 50}, {ConnectionQuota: 50}} // 5 each at this relay
+			// 5 each at this relay
+			cfg.Tenants = []Tenant{{ConnectionQuota: 50}, {ConnectionQuota: 50}}
 			s := startBalancer(t, cfg, 1, 10)
 			place := func(id RequestID, tenant int) bool {
 				s.now = s.now.Add(sec)
--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -39,7 +39,7 @@
 	sameAddresses      bool
 	askWithin          time.Duration // longest time between two requests to discovery
 	startedAt          time.Time
-	initialQueryDelay  time.Duration // time from the start to wait for the keepers; 0 in a small fleet
+	initialQueryDelay  time.Duration // wait for the keepers after the start; 0 in a small fleet
 	lastAnnounced      []byte        // encoding of the last announced list
 	lastAnnouncedToken uint64        // fencing token with which it was announced
 	baseDuties         []string      // duties except parts of probes and slices of limits
@@ -49,7 +49,7 @@
 	verdicts           *verdicts
 	limits             *limits
 	retries            *retries
-	carrier            *carrier.Carrier // exchanges evidence; nil: no shared verdicts, limits or retry budget
+	carrier            *carrier.Carrier // of evidence; nil: no verdicts, limits or retry budget
 	tickTimer          poll.Timer
 	probeParts         []string // parts of probes that this process claims
 }
@@ -191,7 +191,8 @@
 	at, seq := f.instance.engine.Discovery()
 	text, err := duty.EncodeList(at, seq, f.instance.engine.Table().All())
 	if err != nil {
-		return // a list that cannot be encoded is not passed on, so that each process asks for itself
+		// a list that cannot be encoded is not passed on, so that each process asks for itself
+		return
 	}
 	if token == f.lastAnnouncedToken && bytes.Equal(text, f.lastAnnounced) {
 		f.node.ConfirmCurrent(duty.Discovery)
--- a/internal/instance/hard_test.go
+++ b/internal/instance/hard_test.go
@@ -252,8 +252,10 @@
 	s.startHost(s.targets[0], true)
 	s.answerDiscoveryRequest(fmt.Sprintf(`{"seq":2,"whole":true,"hosts":[{"host":"s0","dial":%q,"health":"SERVING","site":"z","born_ms":%d}]}`,
 		s.addrOf(s.targets[0]), s.world.Now().Add(-time.Minute).UnixMilli()))
-	s.run(10 * time.Second)                                            // the ejection of the target has ended
-	s.answerNextDiscoveryRequest(`{"seq":2,"whole":false,"hosts":[]}`) // a list of 10 s ago is not used without a new answer of discovery
+	// the ejection of the target has ended
+	s.run(10 * time.Second)
+	// a list of 10 s ago is not used without a new answer of discovery
+	s.answerNextDiscoveryRequest(`{"seq":2,"whole":false,"hosts":[]}`)
 	again := s.connectClient("b", 2*time.Second)
 	s.run(50 * ms)
 	r = s.targets[0].connectionFor("b")
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -21,9 +21,10 @@
 
 // LimitChange reports that a limit began or ceased to refuse.
 type LimitChange struct {
-	Limit            limit.Limit
-	Refusing         bool
-	InUse, Available int // counted and known to be free in this proxy
+	Limit     limit.Limit
+	Refusing  bool
+	InUse     int // connections of this proxy, or its admissions within Limit.Within if that is set
+	Available int // known to be free at the last tick, see limitState.available; 0 or less: nothing
 }
 
 // limits counts the connections of this process under each limit and keeps them within the
@@ -39,18 +40,28 @@
 
 type limitState struct {
 	limit.Limit
-	key              string      // key of the published evidence
-	class, tenant    int         // indices in the settings; anyIndex: all
+	key string // key of the published evidence
+	// class and tenant are indices in the settings. anyIndex: all; unknownIndex: none. Clients
+	// without a tenant have index -1, so that only a limit for all tenants covers them.
+	class, tenant    int
 	inUse            int         // connections that are open or being opened
 	admittedAt       []time.Time // times of admissions, of which those within Within count
 	refusedSinceTick int         // clients refused since the last tick
 	refusing         bool
 	gate             limit.Gate
 	slices           *limit.Slices
-	available        int // what was known to be free at the last tick
+	// available is what was known to be free at the last tick, in connections (or in admissions
+	// within Within): of a soft limit in the whole fleet, 0 or more; of a strict one in the slices
+	// of this process, below 0 if clients beyond them have still to move. It is 0 before the first
+	// tick.
+	available int
 }
 
-const anyIndex = math.MaxInt
+// Indices in limits; proxy uses 0 and more, and -1 for no tenant.
+const (
+	anyIndex     = math.MaxInt
+	unknownIndex = -2
+)
 
 func newLimits(f *fleet, c LimitsConfig, proxyConfig Config) *limits {
 	l := &limits{fleet: f, config: c, startedAt: f.loop.Now()}
@@ -76,7 +87,7 @@
 	if i, ok := all[name]; ok {
 		return i
 	}
-	return -2
+	return unknownIndex
 }
 
 func (lim *limitState) covers(class, tenant int) bool {
--- a/internal/instance/moves.go
+++ b/internal/instance/moves.go
@@ -15,7 +15,7 @@
 	fleet      *fleet
 	pacer      duty.MovePacer
 	lastSeq    uint64
-	unanswered map[uint64]*pacedMove            // awaiting the owner's answer, by sequence number of the request
+	unanswered map[uint64]*pacedMove            // not answered yet, by the request's seq
 	waiting    map[balance.RequestID]*pacedMove // all delayed moves
 }
 
--- a/internal/instance/probes.go
+++ b/internal/instance/probes.go
@@ -16,7 +16,7 @@
 // probes its targets on behalf of the processes that request it.
 type probes struct {
 	fleet       *fleet
-	mayOwn      bool // this process may own parts
+	mayOwn      bool // this process claims parts; false: it only asks their owners
 	owner       *duty.ProbeOwner[netip.AddrPort]
 	client      *duty.ProbeClient
 	settleTimer poll.Timer // fires when the members have not changed for settleAfter
--- a/internal/instance/retries.go
+++ b/internal/instance/retries.go
@@ -58,7 +58,8 @@
 	from := now.Add(-r.config.Within)
 	r.firstHops, r.furtherHops = dropBefore(r.firstHops, from), dropBefore(r.furtherHops, from)
 	store := r.fleet.carrier.Store()
-	if now.Sub(r.publishedAt) >= publishInterval { // a budget over seconds needs no more frequent updates
+	// a budget over seconds needs no more frequent updates
+	if now.Sub(r.publishedAt) >= publishInterval {
 		r.publishedAt = now
 		store.Use(now, firstKey, len(r.firstHops), 0)
 		store.Use(now, furtherKey, len(r.furtherHops), 0)
--- a/internal/instance/start_test.go
+++ b/internal/instance/start_test.go
@@ -27,7 +27,7 @@
 	name             string
 	knownTargets     int           // targets in the configuration of each proxy
 	discoveryDownFor time.Duration // time until discovery starts
-	callTime         time.Duration // time that discovery needs for one request; it answers them one by one
+	callTime         time.Duration // time per request to discovery, which answers one by one
 	pushed           bool          // lists are pushed
 }
 
--- a/internal/proxy/audit.go
+++ b/internal/proxy/audit.go
@@ -84,7 +84,8 @@
 func (f *LineFrontend) auditSockets(out []*Exchange) error {
 	hops := 0
 	for _, x := range out {
-		if s, ours := x.client.(*session); !ours || s.hop.link.sock != nil { // a hop has no socket while this machine cannot begin its connection
+		// a hop has no socket while this machine cannot begin its connection
+		if s, ours := x.client.(*session); !ours || s.hop.link.sock != nil {
 			hops++
 		}
 	}
--- a/internal/proxy/batch.go
+++ b/internal/proxy/batch.go
@@ -85,7 +85,8 @@
 		e.deliverEvent(now, &e.delivering[i])
 		e.delivering[i] = event{}
 	}
-	for i := 0; i < len(e.actions); i++ { // executing one may append another: freeing a descriptor may read a client's request
+	// executing one may append another: freeing a descriptor may read a client's request
+	for i := 0; i < len(e.actions); i++ {
 		a := e.actions[i]
 		e.execute(&a)
 	}
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -127,7 +127,8 @@
 // been read. What has arrived is read first: closing a connection with unread bytes resets it, and
 // the answer may be lost.
 func (f *LineFrontend) refuseAndClose(s *session) {
-	s.link.discard(f.scratch, maxDiscard) // a last line that was written before may still be in flight
+	// a last line that was written before may still be in flight
+	s.link.discard(f.scratch, maxDiscard)
 	if s.state == opening {
 		f.countDescriptorRefusal()
 		_ = s.link.write(busy(f.engine.RetryAfter(noDescriptorRetryAfter)))
--- a/internal/proxy/effect.go
+++ b/internal/proxy/effect.go
@@ -22,7 +22,8 @@
 	case !ran || c.Idempotency == balance.Idempotent:
 		return true, true
 	case c.Idempotency == balance.IdempotentByKey && since < c.DedupWindow:
-		return sameScope, c.DedupScope == balance.DedupScopeAll // a refused client may repeat at any target
+		// a refused client may repeat at any target
+		return sameScope, c.DedupScope == balance.DedupScopeAll
 	}
 	return false, false
 }
--- a/internal/proxy/effects_test.go
+++ b/internal/proxy/effects_test.go
@@ -155,7 +155,8 @@
 					if string(c.received) != want || c.reset {
 						t.Errorf("the client got %q, want %q", c.received, want)
 					}
-					for i, h := range b.targetConns { // at most one hop is sent, and none that was dialing
+					// at most one hop is sent, and none that was dialing
+					for i, h := range b.targetConns {
 						if n := strings.Count(string(h.received), "OPEN"); n > 1 || n == 1 && s.name == "dialing" {
 							t.Errorf("connection %d was sent %q", i, h.received)
 						}
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -58,15 +58,15 @@
 	events              []event
 	delivering          []event // batch being delivered; swaps buffers with events
 	actions             []action
-	toRelease           []*Exchange // answered; released after the module has been told, unless a hop is active
+	toRelease           []*Exchange // answered; released by Deliver unless a hop is active
 	discoveryFailed     bool        // the last call failed and that has been logged
 	discoveryLoggedAt   time.Time   // last log line about a failed call; zero: none yet
 	tuning              Tuning
 	discoveryAddr       netip.AddrPort
-	newestPeerSeq       int64 // latest list version that another process passed on; own answers may be older
+	newestPeerSeq       int64 // latest list version from another process; own ones may be older
 	onDiscoveryAnswer   func()
-	probeViaPeer        func(target string) bool        // asks another process for a report on target; false: it cannot
-	paceMove            func(id balance.RequestID) bool // delays a move to its scheduled time; false: move now
+	probeViaPeer        func(target string) bool        // has another process probe; false: cannot
+	paceMove            func(id balance.RequestID) bool // delays a move to its time; false: now
 	onProbed            func(target string, ok bool, rep balance.Report)
 	limits              Limits // nil: unlimited
 	onHopStart          func(class int, first bool)
@@ -75,7 +75,7 @@
 	discoveryAnsweredAt time.Time // last answer from discovery; zero: none yet
 	listWait            listWait
 	proofs              acceptanceProofs
-	peerConfirmedAt     func() time.Time // as of when another process has confirmed the list; nil: none does
+	peerConfirmedAt     func() time.Time // see SetPeerConfirmation; nil: none confirms
 }
 
 // EngineConfig holds the parameters of an Engine.
@@ -120,12 +120,14 @@
 	})
 	e.startedAt = e.loop.Now()
 	module.Start(e.startedAt)
-	e.bootTimes = routes.NewStartTimes(e.loop.Refresh(), e.loop.Wall()) // reads both clocks at the same moment
+	// reads both clocks at the same moment
+	e.bootTimes = routes.NewStartTimes(e.loop.Refresh(), e.loop.Wall())
 	e.bootTimes.SetStarts(c.Known, e.startedAt, time.Time{})
 	e.table.Merge(c.Known)
 	e.push(event{kind: evList, list: balance.ListStale, entries: backends(c.Known.Hosts)})
+	// Changes of pushed lists count as known from the start, so that they need a watch as well.
 	if pushed && c.Discovery.IsValid() {
-		e.watch.Start() // the module starts a watch only where lists are not pushed; pushed ones count as known from the start
+		e.watch.Start() // the module starts a watch only where lists are not pushed
 	}
 	return e, nil
 }
@@ -135,7 +137,8 @@
 func (e *Engine) SetDiscovery(at netip.AddrPort) {
 	e.counters.Reloads++
 	if at != e.discoveryAddr {
-		e.discoveryAddr, e.newestPeerSeq = at, 0 // list versions of another discovery are unrelated to these
+		// list versions of another discovery are unrelated to these
+		e.discoveryAddr, e.newestPeerSeq = at, 0
 	}
 	e.watch.SetAddr(at)
 }
@@ -165,7 +168,8 @@
 // Accept creates the exchange for a client's request.
 func (e *Engine) Accept(c Client, o ClientRequest) (*Exchange, error) {
 	if class, ok := e.settings.Classes[o.Class]; ok && e.settings.Waits[class] > 0 {
-		o.Wait = min(o.Wait, e.settings.Waits[class]) // the class limits the wait that a client may ask for
+		// the class limits the wait that a client may ask for
+		o.Wait = min(o.Wait, e.settings.Waits[class])
 	}
 	x, err := e.addExchange(c, o)
 	if err != nil {
--- a/internal/proxy/hop.go
+++ b/internal/proxy/hop.go
@@ -32,7 +32,7 @@
 	dialDeadline   time.Time // for the connection to be established
 	timer          poll.Timer
 	// The following fields are used once the connection is established.
-	pendingSince  time.Time       // when the client's oldest unanswered line was sent; zero: none
+	pendingSince  time.Time       // when the oldest unanswered line was sent; zero: none
 	lastHeard     time.Time       // when the target's last line arrived
 	checkAt       time.Time       // when the timer is due
 	targetOutcome balance.Outcome // announced by the target with BYE or MOVE
--- a/internal/proxy/left_test.go
+++ b/internal/proxy/left_test.go
@@ -111,7 +111,8 @@
 				default:
 					first.write(t, ending)
 				}
-				b.awaitHops(2) // the second attempt is connected, and the process has not seen it yet
+				// the second attempt is connected, and the process has not seen it yet
+				b.awaitHops(2)
 				leave(c)
 				b.checkNoAttempt()
 				b.checkReleased(c)
--- a/internal/proxy/listwait.go
+++ b/internal/proxy/listwait.go
@@ -26,9 +26,11 @@
 // at a server that is proven to take new work, see acceptanceProofs. The engine owns the listWait;
 // resumeSends releases held attempts when a list arrives or their wait ends.
 type listWait struct {
-	held   []heldSend
-	timer  poll.Timer
-	failed bool // a call has failed or not answered in time since the lease expired: do not wait for the next one
+	held  []heldSend
+	timer poll.Timer
+	// failed: a call has failed or was not answered in time since the lease expired, so that the
+	// next one is not waited for.
+	failed bool
 }
 
 // holdSend holds an attempt if the lease of the list is expired and its request has not waited for
--- a/internal/proxy/listwait_test.go
+++ b/internal/proxy/listwait_test.go
@@ -87,7 +87,8 @@
 func newProvenTestBed(t *testing.T, targets int) (b *testBed, d *fakeDiscovery, standing *testConn) {
 	t.Helper()
 	b = newTestBed(t, targets, false)
-	b.engine.proofs.validity = proofValidity(b.engine.settings.DrainGrace, false) // lists are not pushed, as for the watch of the bed
+	// lists are not pushed, as for the watch of the bed
+	b.engine.proofs.validity = proofValidity(b.engine.settings.DrainGrace, false)
 	d = newFakeDiscovery(b)
 	b.watchAt(d.listener.Addr())
 	d.awaitCall(0)
--- a/internal/proxy/model_test.go
+++ b/internal/proxy/model_test.go
@@ -143,7 +143,8 @@
 		m.client.write(b.t, malformedFirstLines[n%len(malformedFirstLines)]+"\r\n")
 		m.state = mEnded
 		b.waitFor("ERR", func() bool { return m.client.eof && strings.HasSuffix(string(m.client.received), "ERR\r\n") })
-	case what == 15 && m.state == mAsked && !m.client.eof: // the client sends a line before its answer
+	// the client sends a line before its answer
+	case what == 15 && m.state == mAsked && !m.client.eof:
 		m.client.write(b.t, "early\r\n")
 		m.state = mEnded
 		b.waitFor("an answer", func() bool { return m.client.eof })
--- a/internal/proxy/races_test.go
+++ b/internal/proxy/races_test.go
@@ -122,7 +122,8 @@
 				c.sock.Reset()
 			}
 			b.waitFor("the client to leave", func() bool { return b.counters.Left == 1 && (c.eof || c.reset) })
-			for _, x := range b.engine.exchanges { // the hop is active, but the client is owed no answer
+			// the hop is active, but the client is owed no answer
+			for _, x := range b.engine.exchanges {
 				if x.timer.Armed() {
 					t.Errorf("%s: the exchange still has a timer", how)
 				}
@@ -216,7 +217,8 @@
 	b.frontend.Drain(func() { done += 10 }) // a second SIGTERM
 	b.frontend.drain.startedAt = b.loop.Now().Add(-newClientPeriod - time.Millisecond)
 	queued := &testConn{}
-	sock, err := b.loop.Dial(b.frontend.listener.Addr(), queued) // accepted by the kernel, not by the proxy
+	// accepted by the kernel, not by the proxy
+	sock, err := b.loop.Dial(b.frontend.listener.Addr(), queued)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -599,7 +601,8 @@
 		done := false
 		b.frontend.Drain(func() { done = true })
 		b.frontend.drain.startedAt = b.loop.Now().Add(-newClientPeriod - time.Millisecond)
-		b.frontend.drain.killAt = b.loop.Now().Add(b.engine.tuning.MovesDone + drainInterval) // every move is due now
+		// every move is due now
+		b.frontend.drain.killAt = b.loop.Now().Add(b.engine.tuning.MovesDone + drainInterval)
 		b.frontend.drainStep()
 		if reads {
 			c.readPaused = false
--- a/internal/proxy/shared.go
+++ b/internal/proxy/shared.go
@@ -91,7 +91,7 @@
 
 // The kinds of OutcomeSource.
 const (
-	OutcomeFromHop         OutcomeSource = iota // a hop that was not established, or its establishment
+	OutcomeFromHop         OutcomeSource = iota // the set-up of a hop, established or not
 	OutcomeFromEstablished                      // the end of an established connection
 	OutcomeFromProbe                            // a probe
 )
@@ -117,8 +117,8 @@
 
 // Limits are limits on the exchanges of all processes together.
 type Limits interface {
-	// Acquire counts an exchange of a class and a tenant, both given by index, and returns the limits
-	// that it counts under, one bit each. If a limit leaves no room and the exchange can be
+	// Acquire counts an exchange of a class and a tenant, both given by index, and returns the
+	// limits that it counts under, one bit each. If a limit leaves no room and the exchange can be
 	// refused, it counts under none and ok is false.
 	Acquire(class, tenant int, refuse bool) (limitBits uint64, ok bool)
 	// Release undoes an Acquire that returned these bits.
--- a/internal/routes/lease.go
+++ b/internal/routes/lease.go
@@ -3,23 +3,24 @@
 import "time"
 
 const (
-	// ListLease is how long a change of the list may stay unknown to a proxy. By the rules of the
-	// protocol a change counts as delivered that long after discovery had it and was reachable,
-	// whatever became of the requests in between.
+	// ListLease is a duration: how long a change of the list may stay unknown to a proxy. By the
+	// rules of the protocol a change counts as delivered that long after discovery had it and was
+	// reachable, whatever became of the requests in between.
 	ListLease = 6 * time.Second
 	// watchGrace is how long after the end of its wait an open watch may leave a change
 	// undelivered: a watch that has stopped answering is excused until then.
 	watchGrace = 2 * time.Second
 )
 
-// Lease computes the time until which a list of servers may be used without a further answer from
-// discovery. It depends only on the outcomes of requests and has no clock of its own. Where lists
-// are pushed, a change counts as delivered as soon as discovery has it, unless a watch is open or
-// discovery is unreachable.
+// Lease computes the time until which one list of servers may be used without a further answer from
+// discovery: ListLease, a fixed duration, after the last answer or proof that discovery was
+// unreachable, or later while a watch is open. It depends only on the outcomes of requests and has
+// no clock of its own. Where lists are pushed, a change counts as delivered as soon as discovery
+// has it, unless a watch is open or discovery is unreachable.
 type Lease struct {
 	pushed       bool
 	currentAsOf  time.Time // latest time at which the list was complete or discovery unreachable
-	excusedUntil time.Time // what the open watch misses is excused until then; zero: no watch is open
+	excusedUntil time.Time // what an open watch misses is excused until then; zero: none is open
 }
 
 // NewLease returns the lease of the list that a process has when it starts.
--- a/internal/routes/watch.go
+++ b/internal/routes/watch.go
@@ -71,8 +71,8 @@
 	nextRequestAt    time.Time // time of the next request, in watchWaiting
 	established      bool      // the last request was answered: the next continues the watch
 	reused           bool      // the connection has carried an answered request
-	failures         int       // consecutive failed requests
-	mayQueue         bool      // others may ask as well: no request answered yet, or the last refused
+	failures         int       // consecutive failed requests; 0 after an answer
+	mayQueue         bool      // others may ask too: no request answered yet, or the last refused
 	shortRetryUntil  time.Time // pauses do not grow before this time
 	pushed           bool      // lists are pushed: a change counts as delivered at once
 	requestCount     *int      // number of requests; owned by the caller
@@ -86,7 +86,7 @@
 	Loop      *poll.Loop
 	Addr      netip.AddrPort
 	Seq       int64         // version to continue from, or NoVersion
-	Processes int           // that share discovery; those of a small fleet do not spread their first requests
+	Processes int           // that share discovery; a small fleet does not spread first requests
 	AskWithin time.Duration // longest time between two requests by the settings; 0: none given
 	Pushed    bool          // what discovery has counts as delivered whether or not a watch is open
 	Rand      *rand.Rand
@@ -328,7 +328,8 @@
 		err = nil
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
-		if len(w.readBuffer) > 0 { // the partial answer may be a change that counts as delivered now
+		// the partial answer may be a change that counts as delivered now
+		if len(w.readBuffer) > 0 {
 			err = fmt.Errorf("%w: %w", errTruncated, err)
 		}
 		w.connectionEnded(err)
