--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -17,12 +17,12 @@
 	"ospreyspan/internal/shared/limit"
 )
 
-// Fleet configures the work that a proxy shares with other proxies.
-type Fleet struct {
+// FleetConfig configures the work that a proxy shares with other proxies.
+type FleetConfig struct {
 	Mesh           mesh.Config    // New sets Loop and the callbacks; a given Tell is called as well
 	SameAddresses  bool           // targets have the same addresses for all proxies
-	Verdicts       *Verdicts      // nil: each proxy judges targets alone
-	Limits         *Limits        // nil: no limits on all proxies together
+	Verdicts       *VerdictConfig // nil: each proxy judges targets alone
+	Limits         *LimitsConfig  // nil: no limits on all proxies together
 	Retries        *limit.Retries // budget of all proxies together; nil: none
 	MovesPerSecond float64        // rate at which the owner of the duty paces moves; 0: not paced
 }
@@ -39,7 +39,7 @@
 	sameAddresses      bool
 	askWithin          time.Duration // longest time between two requests to discovery
 	startedAt          time.Time
-	initialQueryDelay  time.Duration // time from the start to wait for the keepers; 0 in a small fleet
+	initialQueryDelay  time.Duration // wait for the keepers after the start; 0 in a small fleet
 	lastAnnounced      []byte        // encoding of the last announced list
 	lastAnnouncedToken uint64        // fencing token with which it was announced
 	baseDuties         []string      // duties except parts of probes and slices of limits
@@ -49,7 +49,7 @@
 	verdicts           *verdicts
 	limits             *limits
 	retries            *retries
-	carrier            *carrier.Carrier // exchanges evidence; nil: no shared verdicts, limits or retry budget
+	carrier            *carrier.Carrier // of evidence; nil: no verdicts, limits or retry budget
 	tickTimer          poll.Timer
 	probeParts         []string // parts of probes that this process claims
 }
@@ -191,7 +191,8 @@
 	at, seq := f.instance.engine.Discovery()
 	text, err := duty.EncodeList(at, seq, f.instance.engine.Table().All())
 	if err != nil {
-		return // a list that cannot be encoded is not passed on, so that each process asks for itself
+		// a list that cannot be encoded is not passed on, so that each process asks for itself
+		return
 	}
 	if token == f.lastAnnouncedToken && bytes.Equal(text, f.lastAnnounced) {
 		f.node.ConfirmCurrent(duty.Discovery)
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -11,9 +11,9 @@
 	"ospreyspan/internal/shared/limit"
 )
 
-// Limits configures the limits on what all proxies of a fleet together may take. All proxies must
-// have the same ones.
-type Limits struct {
+// LimitsConfig configures the limits on what all proxies of a fleet together may take. All proxies
+// must have the same ones.
+type LimitsConfig struct {
 	Soft     limit.Soft
 	List     []limit.Limit
 	OnChange func(LimitChange) // called when a limit begins or ceases to refuse; may be nil
@@ -21,16 +21,17 @@
 
 // LimitChange reports that a limit began or ceased to refuse.
 type LimitChange struct {
-	Limit            limit.Limit
-	Refusing         bool
-	InUse, Available int // counted and known to be free in this proxy
+	Limit     limit.Limit
+	Refusing  bool
+	InUse     int // connections of this proxy, or its admissions within Limit.Within if that is set
+	Available int // known to be free at the last tick, see limitState.available; 0 or less: nothing
 }
 
 // limits counts the connections of this process under each limit and keeps them within the
 // process's part. Package internal/shared/limit decides how large that part is.
 type limits struct {
 	fleet       *fleet
-	config      Limits
+	config      LimitsConfig
 	states      []*limitState
 	startedAt   time.Time
 	roster      limit.Roster
@@ -39,20 +40,30 @@
 
 type limitState struct {
 	limit.Limit
-	key              string      // key of the published evidence
-	class, tenant    int         // indices in the settings; anyIndex: all
+	key string // key of the published evidence
+	// class and tenant are indices in the settings. anyIndex: all; unknownIndex: none. Clients
+	// without a tenant have index -1, so that only a limit for all tenants covers them.
+	class, tenant    int
 	inUse            int         // connections that are open or being opened
 	admittedAt       []time.Time // times of admissions, of which those within Within count
 	refusedSinceTick int         // clients refused since the last tick
 	refusing         bool
 	gate             limit.Gate
 	slices           *limit.Slices
-	available        int // what was known to be free at the last tick
+	// available is what was known to be free at the last tick, in connections (or in admissions
+	// within Within): of a soft limit in the whole fleet, 0 or more; of a strict one in the slices
+	// of this process, below 0 if clients beyond them have still to move. It is 0 before the first
+	// tick.
+	available int
 }
 
-const anyIndex = math.MaxInt
+// Indices in limits; proxy uses 0 and more, and -1 for no tenant.
+const (
+	anyIndex     = math.MaxInt
+	unknownIndex = -2
+)
 
-func newLimits(f *fleet, c Limits, proxyConfig Config) *limits {
+func newLimits(f *fleet, c LimitsConfig, proxyConfig Config) *limits {
 	l := &limits{fleet: f, config: c, startedAt: f.loop.Now()}
 	l.config.Soft.Expect = max(c.Soft.Expect, proxyConfig.Settings.Config.Relays)
 	for _, lim := range c.List {
@@ -76,7 +87,7 @@
 	if i, ok := all[name]; ok {
 		return i
 	}
-	return -2
+	return unknownIndex
 }
 
 func (lim *limitState) covers(class, tenant int) bool {
@@ -97,8 +108,8 @@
 	l.moveExcess()
 }
 
-// Take implements proxy.Limits.
-func (l *limits) Take(class, tenant int, refuse bool) (under uint64, ok bool) {
+// Acquire implements proxy.Limits.
+func (l *limits) Acquire(class, tenant int, refuse bool) (limitBits uint64, ok bool) {
 	now := l.fleet.loop.Now()
 	for _, lim := range l.states { // all limits must have room before any is taken
 		if refuse && lim.covers(class, tenant) && !l.hasRoom(now, lim) {
@@ -115,7 +126,7 @@
 		if !lim.covers(class, tenant) {
 			continue
 		}
-		under |= 1 << i
+		limitBits |= 1 << i
 		lim.inUse++
 		lim.admittedAt = append(lim.admittedAt, now)
 		if lim.slices == nil {
@@ -123,7 +134,7 @@
 			l.publishUse(now, lim)
 		}
 	}
-	return under, true
+	return limitBits, true
 }
 
 // hasRoom reports whether the limit admits one more client.
@@ -135,9 +146,9 @@
 }
 
 // Release implements proxy.Limits.
-func (l *limits) Release(under uint64) {
+func (l *limits) Release(limitBits uint64) {
 	for i, lim := range l.states {
-		if under&(1<<i) != 0 {
+		if limitBits&(1<<i) != 0 {
 			lim.inUse--
 		}
 	}
--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -12,17 +12,17 @@
 	"ospreyspan/internal/shared/verdict"
 )
 
-// Verdicts configures the verdicts on targets that all proxies of a fleet reach together. All
+// VerdictConfig configures the verdicts on targets that all proxies of a fleet reach together. All
 // proxies must have the same configuration.
-type Verdicts struct {
+type VerdictConfig struct {
 	Evidence evidence.Config
 	Judge    verdict.Config
 	OnChange func(VerdictChange) // called with each change, for the log; may be nil
 }
 
-// DefaultVerdicts returns the default configuration.
-func DefaultVerdicts() Verdicts {
-	return Verdicts{Evidence: evidence.DefaultConfig(), Judge: verdict.DefaultConfig()}
+// DefaultVerdictConfig returns the default configuration.
+func DefaultVerdictConfig() VerdictConfig {
+	return VerdictConfig{Evidence: evidence.DefaultConfig(), Judge: verdict.DefaultConfig()}
 }
 
 // VerdictChange is a change of the verdict on a target.
@@ -46,7 +46,7 @@
 // internal/shared/verdict.
 type verdicts struct {
 	fleet        *fleet
-	config       Verdicts
+	config       VerdictConfig
 	store        *evidence.Store
 	findings     map[string]verdict.Finding
 	findingOrder []string // target IDs of findings, in the order of the last evaluation
@@ -54,7 +54,7 @@
 	lastTrial    time.Time
 }
 
-func newVerdicts(f *fleet, c Verdicts) *verdicts {
+func newVerdicts(f *fleet, c VerdictConfig) *verdicts {
 	v := &verdicts{fleet: f, config: c, findings: make(map[string]verdict.Finding), store: f.carrier.Store()}
 	f.instance.engine.OnOutcome(v.onOutcome)
 	return v
@@ -66,21 +66,21 @@
 	switch o {
 	case balance.OK:
 		switch of {
-		case proxy.FromHop:
+		case proxy.OutcomeFromHop:
 			c.OK = 1
-		case proxy.FromProbe:
+		case proxy.OutcomeFromProbe:
 			c.Seen = 1
 		default:
 			return // a connection that its client closed is no evidence
 		}
 	case balance.Error, balance.Broken:
-		if of == proxy.FromProbe {
+		if of == proxy.OutcomeFromProbe {
 			return // the target may limit the rate of probes
 		}
 		c.Fail = 1
 	case balance.TimedOut:
 		c.Slow = 1
-		if of == proxy.FromProbe {
+		if of == proxy.OutcomeFromProbe {
 			c.Silent, c.Slow = 1, 0
 		}
 	case balance.NoConnect:
@@ -105,7 +105,7 @@
 func (v *verdicts) evaluate(now time.Time) {
 	v.targets = v.targets[:0]
 	for _, t := range v.fleet.instance.engine.Table().All() {
-		if !v.fleet.instance.engine.Drains(t.ID) {
+		if !v.fleet.instance.engine.IsDraining(t.ID) {
 			v.targets = append(v.targets, verdict.Target{ID: t.ID, Zone: t.Site})
 		}
 	}
--- a/internal/proxy/descriptors.go
+++ b/internal/proxy/descriptors.go
@@ -58,11 +58,11 @@
 	}
 }
 
-// pendingAttempts is the number of clients that wait without an attempt; each will need a
-// descriptor for one. It is counted once per turn of the loop, and only where descriptors are
-// short, since it iterates over all sessions.
+// pendingAttempts is the number of clients that wait and have no socket to a target yet; each will
+// need a descriptor for one. It is counted once per turn of the loop, and only where descriptors
+// are short, since it iterates over all sessions.
 type pendingAttempts struct {
-	count     int
+	count     int       // waiting clients without a socket to a target
 	countedAt time.Time // time of the turn of the loop in which count was determined
 }
 
@@ -127,7 +127,8 @@
 // been read. What has arrived is read first: closing a connection with unread bytes resets it, and
 // the answer may be lost.
 func (f *LineFrontend) refuseAndClose(s *session) {
-	s.link.discard(f.scratch, maxDiscard) // a last line that was written before may still be in flight
+	// a last line that was written before may still be in flight
+	s.link.discard(f.scratch, maxDiscard)
 	if s.state == opening {
 		f.countDescriptorRefusal()
 		_ = s.link.write(busy(f.engine.RetryAfter(noDescriptorRetryAfter)))
--- a/internal/proxy/listwait.go
+++ b/internal/proxy/listwait.go
@@ -26,9 +26,11 @@
 // at a server that is proven to take new work, see acceptanceProofs. The engine owns the listWait;
 // resumeSends releases held attempts when a list arrives or their wait ends.
 type listWait struct {
-	held   []heldSend
-	timer  poll.Timer
-	failed bool // a call has failed or not answered in time since the lease expired: do not wait for the next one
+	held  []heldSend
+	timer poll.Timer
+	// failed: a call has failed or was not answered in time since the lease expired, so that the
+	// next one is not waited for.
+	failed bool
 }
 
 // holdSend holds an attempt if the lease of the list is expired and its request has not waited for
@@ -96,5 +98,5 @@
 	e.listWait.held = slices.DeleteFunc(e.listWait.held, func(h heldSend) bool { return h.exchange == x })
 	e.armListWait()
 	x.hopCount++
-	e.push(event{kind: evEnded, exchange: x, attempt: x.hopCount - 1, settled: true, outcome: balance.NotSent, report: noReport})
+	e.push(event{kind: evEnded, exchange: x, attempt: x.hopCount - 1, clientSettled: true, outcome: balance.NotSent, report: noReport})
 }
