--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -238,7 +238,7 @@
 		wanted = 0
 	}
 	for _, i := range x.slices.Want(now, x.inUse, wanted, l.fleet.lease, held, taken) {
-		if len(l.sliceDuties) < owner.MostLeases/2 {
+		if len(l.sliceDuties) < owner.MaxLeases/2 {
 			l.sliceDuties = append(l.sliceDuties, x.slices.Duty(i))
 		}
 	}
--- a/internal/keeper/command.go
+++ b/internal/keeper/command.go
@@ -36,7 +36,7 @@
 // CheckRequest returns an error, an ErrCommand, if a request breaks the bounds: nothing that a peer sends may grow the state
 // without bound.
 func CheckRequest(r *owner.LeaseRequest) error {
-	if r.Session == 0 || r.Seq == 0 || len(r.Name) > mostName || len(r.Claims) == 0 || len(r.Claims) > owner.MostLeases {
+	if r.Session == 0 || r.Seq == 0 || len(r.Name) > mostName || len(r.Claims) == 0 || len(r.Claims) > owner.MaxLeases {
 		return fmt.Errorf("%w: session %d, seq %d, %d leases", ErrCommand, r.Session, r.Seq, len(r.Claims))
 	}
 	for _, claim := range r.Claims {
--- a/internal/owner/client.go
+++ b/internal/owner/client.go
@@ -66,7 +66,7 @@
 		l.wanted = slices.Contains(names, l.name)
 	}
 	for _, name := range names {
-		if c.find(name) == nil && len(c.leases) < MostLeases {
+		if c.find(name) == nil && len(c.leases) < MaxLeases {
 			c.leases = append(c.leases, &leaseState{name: name, wanted: true})
 		}
 	}
--- a/internal/owner/lease.go
+++ b/internal/owner/lease.go
@@ -38,8 +38,8 @@
 // Drift is the largest error of a clock's rate for which two holders never overlap by their own clocks.
 func (t Terms) Drift() float64 { return float64(t.Margin) / float64(t.Lease) }
 
-// MostLeases is how many leases a request may name.
-const MostLeases = 24
+// MaxLeases is how many leases a request may name.
+const MaxLeases = 24
 
 // LeaseRequest asks the keepers for leases, all in one step: those that are held are renewed, the others granted if they are
 // free. The same request, sent again, is applied once. The names on the wire are those of the first version.
