--- a/internal/keeper/renewals.go
+++ b/internal/keeper/renewals.go
@@ -38,7 +38,7 @@
 
 // proposeExpiries proposes the end of grants that nobody has renewed for the whole lease and the margin.
 func (k *Core) proposeExpiries(now time.Time) {
-	wait := k.cfg.Terms.Wait()
+	wait := k.cfg.Terms.KeeperTimeout()
 	if k.cfg.Flaws.EarlyGrant {
 		wait /= earlyGrantPart
 	}
--- a/internal/owner/client.go
+++ b/internal/owner/client.go
@@ -113,7 +113,7 @@
 	if now.Before(c.nextAt) {
 		return nil
 	}
-	if c.pending != nil && now.Sub(c.sentAt) >= c.terms.Held()/2 {
+	if c.pending != nil && now.Sub(c.sentAt) >= c.terms.HolderTimeout()/2 {
 		c.pending = nil
 	}
 	if c.pending == nil {
@@ -185,7 +185,7 @@
 	l.latestToken, l.holder = status.Token, status.Holder
 	l.token, l.until = 0, time.Time{}
 	if status.Mine {
-		l.token, l.until = status.Token, from.Add(c.terms.Held())
+		l.token, l.until = status.Token, from.Add(c.terms.HolderTimeout())
 	}
 }
 
--- a/internal/owner/lease.go
+++ b/internal/owner/lease.go
@@ -29,14 +29,14 @@
 	return nil
 }
 
-// Held is how long a holder may rely on a grant, from before it sent its request.
-func (t Terms) Held() time.Duration { return t.Lease - t.Margin }
+// HolderTimeout is how long a holder may rely on a grant, from before it sent its request.
+func (t Terms) HolderTimeout() time.Duration { return t.Lease - t.Margin }
 
-// Wait is how long the keepers grant a lease to nobody else after they granted or renewed it.
-func (t Terms) Wait() time.Duration { return t.Lease + t.Margin }
+// KeeperTimeout is how long the keepers grant a lease to nobody else after they granted or renewed it.
+func (t Terms) KeeperTimeout() time.Duration { return t.Lease + t.Margin }
 
-// Drift is the largest error of a clock's rate for which two holders never overlap by their own clocks.
-func (t Terms) Drift() float64 { return float64(t.Margin) / float64(t.Lease) }
+// MaxClockDrift is the largest error of a clock's rate for which two holders never overlap by their own clocks.
+func (t Terms) MaxClockDrift() float64 { return float64(t.Margin) / float64(t.Lease) }
 
 // MaxLeases is how many leases a request may name.
 const MaxLeases = 24
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -22,7 +22,7 @@
 	if token, ok := c.Holds(late, "d"); !ok || token != 3 {
 		t.Fatalf("token %d, %v", token, ok)
 	}
-	if _, ok := c.Holds(t0.Add(terms.Held()), "d"); ok {
+	if _, ok := c.Holds(t0.Add(terms.HolderTimeout()), "d"); ok {
 		t.Error("it holds the lease a whole lease after it asked")
 	}
 	if c.HandleResponse(late, told(a, 4, true)) {
