--- a/internal/lab/owners/run.go
+++ b/internal/lab/owners/run.go
@@ -212,7 +212,7 @@
 	c := mesh.Config{
 		Loop: loop, Cluster: "lab", Name: m.host.Name(), Listen: netip.AddrPortFrom(m.host.Addr(), meshPort),
 		Session: r.ids.Uint64() | 1, Keepers: r.at, Terms: r.terms, Duties: duties, Seed: r.world.Seed(),
-		Flaws:          owner.Flaws{LeaseFromAnswer: plant == "lease-from-answer", NoFence: plant == "no-fence"},
+		Flaws:          owner.Flaws{LeaseFromResponse: plant == "lease-from-answer", NoFence: plant == "no-fence"},
 		ForgetFloors:   plant == "forgetful-receiver" || plant == "no-fence",
 		Seeds:          []netip.AddrPort{r.at[0].Addr, r.at[1].Addr},
 		OnAnnouncement: func(w mesh.Announcement) { r.judge.take(m.host.Name(), w.Lease, w.Token) },
--- a/internal/mesh/settle.go
+++ b/internal/mesh/settle.go
@@ -58,7 +58,7 @@
 		next = earlier(next, n.client.floorsAt)
 	}
 	for _, lease := range n.cfg.Duties {
-		if until, ok := n.leases.Until(n.loop.Now(), lease); ok {
+		if until, ok := n.leases.HeldUntil(n.loop.Now(), lease); ok {
 			next = earlier(next, until) // the end of a lease is a change of its own
 		}
 	}
--- a/internal/owner/client.go
+++ b/internal/owner/client.go
@@ -81,8 +81,8 @@
 	return l.token, true
 }
 
-// Until returns when a lease that is held now ends; ok is false if it is not held.
-func (c *LeaseClient) Until(now time.Time, lease string) (until time.Time, ok bool) {
+// HeldUntil returns when a lease that is held now ends; ok is false if it is not held.
+func (c *LeaseClient) HeldUntil(now time.Time, lease string) (until time.Time, ok bool) {
 	l := c.find(lease)
 	if l == nil || !l.held(now) {
 		return time.Time{}, false
@@ -161,7 +161,7 @@
 		return false
 	}
 	from := c.sentAt
-	if c.flaws.LeaseFromAnswer {
+	if c.flaws.LeaseFromResponse {
 		from = now
 	}
 	for _, status := range r.Leases {
--- a/internal/owner/doc.go
+++ b/internal/owner/doc.go
@@ -12,6 +12,6 @@
 
 // Flaws are mistakes to be planted in tests, which must find each of them. The zero value has none.
 type Flaws struct {
-	LeaseFromAnswer bool // the lease is counted from the response
-	NoFence         bool // receivers accept every effect
+	LeaseFromResponse bool // the lease is counted from the response
+	NoFence           bool // receivers accept every effect
 }
