--- a/internal/keeper/file.go
+++ b/internal/keeper/file.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return fmt.Errorf("keeper: %w", err)
 	}
-	_, err = f.Write(Fresh(identity))
+	_, err = f.Write(InitialRecord(identity))
 	return errors.Join(err, f.Sync(), f.Close(), syncDir(dir))
 }
 
--- a/internal/keeper/file_test.go
+++ b/internal/keeper/file_test.go
@@ -81,11 +81,11 @@
 	w.system.create = refusing
 	w.file = refusingFile{w.file.(*os.File), &now}
 
-	want := Fresh(7)
+	want := InitialRecord(7)
 	write := func(n int) {
-		text := Fresh(uint64(100 + n)) // any whole record
+		text := InitialRecord(uint64(100 + n)) // any whole record
 		if rng.IntN(4) == 0 {
-			want = append(Fresh(7), text...)
+			want = append(InitialRecord(7), text...)
 			w.Replace(want, func(err error) { reported(t, err) })
 		} else {
 			want = append(bytes.Clone(want), text...)
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -93,7 +93,7 @@
 
 // A torn last record is cut off, at whichever byte; damage with a good record behind it stops the member.
 func TestTornAndDamaged(t *testing.T) {
-	head := append(Fresh(5), entry(2)...)
+	head := append(InitialRecord(5), entry(2)...)
 	whole := append(append([]byte(nil), head...), entry(3)...)
 	for cut := len(head); cut < len(whole); cut++ {
 		r, err := Restore(whole[:cut])
@@ -101,7 +101,7 @@
 			t.Fatalf("cut at byte %d: %+v, %v", cut, r, err)
 		}
 	}
-	for i := len(Fresh(5)); i < len(head); i++ {
+	for i := len(InitialRecord(5)); i < len(head); i++ {
 		bad := append([]byte(nil), whole...)
 		bad[i] ^= 0x40
 		if _, err := Restore(bad); !errors.Is(err, ErrDamaged) {
@@ -114,7 +114,7 @@
 }
 
 func FuzzRestore(f *testing.F) {
-	f.Add(append(Fresh(5), entry(2)...))
+	f.Add(append(InitialRecord(5), entry(2)...))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if r, err := Restore(text); err == nil && (r.ValidBytes > len(text) || r.Identity == 0) {
 			t.Errorf("%+v", r)
@@ -149,7 +149,7 @@
 	}
 	w.Append(entry(2), fail)
 	(<-posted)()
-	w.Replace(append(Fresh(9), entry(2)...), fail)
+	w.Replace(append(InitialRecord(9), entry(2)...), fail)
 	(<-posted)()
 	w.Append(entry(3), fail)
 	(<-posted)()
@@ -191,7 +191,7 @@
 func newCores(t *testing.T, n int, change func(*Config)) *cores {
 	w := &cores{now: time.Unix(1e9, 0), logs: make([][]byte, n), all: make([]*Core, n)}
 	for i := range n {
-		w.logs[i] = Fresh(uint64(100 + i))
+		w.logs[i] = InitialRecord(uint64(100 + i))
 		w.start(t, i, change)
 	}
 	return w
@@ -302,7 +302,7 @@
 	w := newCores(t, 3, nil)
 	w.run(2 * time.Second)
 	for i := 1; i < 3; i++ {
-		w.logs[i] = Fresh(uint64(900 + i))
+		w.logs[i] = InitialRecord(uint64(900 + i))
 		w.start(t, i, nil)
 	}
 	w.run(5 * time.Second)
@@ -328,7 +328,7 @@
 		t.Fatal("two of three grant nothing")
 	}
 	w.all[lead], w.all[behind] = nil, old
-	w.logs[wiped] = Fresh(777)
+	w.logs[wiped] = InitialRecord(777)
 	w.start(t, wiped, nil)
 	w.run(10 * time.Second)
 	if w.leader() != nil || w.all[wiped].Participates() {
--- a/internal/keeper/log.go
+++ b/internal/keeper/log.go
@@ -95,9 +95,9 @@
 	participates bool
 }
 
-// Fresh returns the first record of a new disk's log. The identity, above 0, must differ from those of all other disks that the
+// InitialRecord returns the first record of a new disk's log. The identity, above 0, must differ from those of all other disks that the
 // same keeper ever had.
-func Fresh(identity uint64) []byte {
+func InitialRecord(identity uint64) []byte {
 	var r record
 	r.addItem(itemIdentity, binary.BigEndian.AppendUint64(nil, identity))
 	return r.seal()
--- a/internal/lab/changes/wholelist.go
+++ b/internal/lab/changes/wholelist.go
@@ -124,7 +124,7 @@
 	host := f.world.AddHost(config.Name, wholeListAddress(i).Addr(), vnet.Limits{})
 	if i < keepers {
 		disk := host.Disk("log")
-		disk.SetText(keeper.Fresh(uint64(1000 + i)))
+		disk.SetText(keeper.InitialRecord(uint64(1000 + i)))
 		log, err := keeper.Restore(disk.Text())
 		if err != nil {
 			return err
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -84,7 +84,7 @@
 func (p *process) makeDisk() {
 	d := p.host.Disk("keeper")
 	d.SetFaults(vnet.DiskFaults{Delay: time.Millisecond, Jitter: 2 * time.Millisecond})
-	d.SetText(keeper.Fresh(p.cluster.sessions.Uint64() | 1))
+	d.SetText(keeper.InitialRecord(p.cluster.sessions.Uint64() | 1))
 }
 
 // start begins a life, if none runs. Lives after the first one have a session of their own.
--- a/internal/lab/owners/faults.go
+++ b/internal/lab/owners/faults.go
@@ -205,4 +205,4 @@
 	}
 }
 
-func freshDisk(r *run) []byte { return keeper.Fresh(r.ids.Uint64() | 1) }
+func freshDisk(r *run) []byte { return keeper.InitialRecord(r.ids.Uint64() | 1) }
--- a/internal/lab/owners/run.go
+++ b/internal/lab/owners/run.go
@@ -177,7 +177,7 @@
 			r.at = append(r.at, mesh.KeeperAddress{ID: uint64(i + 1), Addr: netip.AddrPortFrom(h.Addr(), meshPort)})
 			d := h.Disk("keeper")
 			d.SetFaults(vnet.DiskFaults{Delay: time.Millisecond, Jitter: 6 * time.Millisecond, Torn: 0.7, Scrambled: 0.3})
-			d.SetText(keeper.Fresh(r.ids.Uint64() | 1))
+			d.SetText(keeper.InitialRecord(r.ids.Uint64() | 1))
 		}
 	}
 	for _, m := range r.members {
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -122,7 +122,7 @@
 	d := p.virtual().Disk("keeper")
 	if len(d.Text()) == 0 {
 		d.SetFaults(vnet.DiskFaults{Delay: 1e6, Jitter: 4e6, Torn: 0.7, Scrambled: 0.3})
-		d.SetText(keeper.Fresh(p.rng.Uint64() | 1))
+		d.SetText(keeper.InitialRecord(p.rng.Uint64() | 1))
 	}
 	log, err := keeper.Restore(d.Text())
 	if err != nil {
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -47,7 +47,7 @@
 		h := b.world.AddHost(c.Name, at(i).Addr(), vnet.Limits{})
 		if i%4 < 3 {
 			d := h.Disk("log")
-			d.SetText(keeper.Fresh(uint64(1000 + i)))
+			d.SetText(keeper.InitialRecord(uint64(1000 + i)))
 			log, err := keeper.Restore(d.Text())
 			if err != nil {
 				t.Fatal(err)
