--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -59,7 +59,7 @@
 }
 
 // New returns a Core that goes on from a log.
-func New(now time.Time, c Config, log *Restored) (*Core, error) {
+func New(now time.Time, c Config, log *RestoredLog) (*Core, error) {
 	if err := c.check(); err != nil {
 		return nil, err
 	}
--- a/internal/keeper/file.go
+++ b/internal/keeper/file.go
@@ -91,7 +91,7 @@
 
 // OpenFile opens a log, cuts off a torn last record and returns what it holds. post passes a function to the goroutine that
 // drives the keeper. ErrEmpty means that there is no log, ErrDamaged that it can't be trusted.
-func OpenFile(dir string, post func(func())) (*File, *Restored, error) {
+func OpenFile(dir string, post func(func())) (*File, *RestoredLog, error) {
 	path := logPath(dir)
 	lock, err := os.OpenFile(filepath.Join(dir, "keeper.lock"), os.O_RDWR|os.O_CREATE, 0o600)
 	if errors.Is(err, os.ErrNotExist) {
@@ -111,7 +111,7 @@
 	return w, restored, nil
 }
 
-func open(path string, lock *os.File) (*os.File, []byte, *Restored, error) {
+func open(path string, lock *os.File) (*os.File, []byte, *RestoredLog, error) {
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return nil, nil, nil, fmt.Errorf("keeper: %s: another process has it: %w", path, err)
 	}
--- a/internal/keeper/handshake.go
+++ b/internal/keeper/handshake.go
@@ -22,7 +22,7 @@
 	nextAt   time.Time         // the next hellos go out then
 }
 
-func newHandshake(now time.Time, log *Restored) handshake {
+func newHandshake(now time.Time, log *RestoredLog) handshake {
 	h := handshake{identity: log.Identity, disks: log.disks, done: log.participates, nextAt: now}
 	if h.disks == nil {
 		h.disks = make(map[uint64]uint64)
--- a/internal/keeper/log.go
+++ b/internal/keeper/log.go
@@ -81,8 +81,8 @@
 	return r.bytes
 }
 
-// Restored is what a log holds.
-type Restored struct {
+// RestoredLog is what a log holds.
+type RestoredLog struct {
 	// Identity is that of the disk.
 	Identity uint64
 	// ValidBytes is how many bytes are valid; what follows was torn and is to be cut off.
@@ -104,8 +104,8 @@
 }
 
 // Restore reads a log. A torn last record is left out. It returns ErrEmpty for no bytes, ErrDamaged for a log that can't be trusted.
-func Restore(text []byte) (*Restored, error) {
-	out := &Restored{hard: &pb.HardState{}}
+func Restore(text []byte) (*RestoredLog, error) {
+	out := &RestoredLog{hard: &pb.HardState{}}
 	if len(text) == 0 {
 		return nil, ErrEmpty
 	}
@@ -159,7 +159,7 @@
 }
 
 // addBody takes the items of a record.
-func (o *Restored) addBody(body []byte) error {
+func (o *RestoredLog) addBody(body []byte) error {
 	for len(body) > 0 {
 		if len(body) < itemHeaderBytes {
 			return errors.New("an item is cut off")
@@ -179,7 +179,7 @@
 }
 
 // addItem takes one item.
-func (o *Restored) addItem(kind byte, text []byte) error {
+func (o *RestoredLog) addItem(kind byte, text []byte) error {
 	switch kind {
 	case itemIdentity:
 		if len(text) != 8 {
@@ -214,7 +214,7 @@
 }
 
 // addEntry takes an entry. A later leader may have replaced what followed its index.
-func (o *Restored) addEntry(text []byte) error {
+func (o *RestoredLog) addEntry(text []byte) error {
 	e := &pb.Entry{}
 	if err := proto.Unmarshal(text, e); err != nil {
 		return err
@@ -232,7 +232,7 @@
 }
 
 // storage returns the library's storage with what the log holds; voters are those of a new fleet.
-func (o *Restored) storage(voters []uint64) (*raft.MemoryStorage, error) {
+func (o *RestoredLog) storage(voters []uint64) (*raft.MemoryStorage, error) {
 	mem := raft.NewMemoryStorage()
 	snap := o.snapshot
 	if snap == nil {
--- a/internal/mesh/config.go
+++ b/internal/mesh/config.go
@@ -31,13 +31,13 @@
 	Listen  netip.AddrPort // UDP
 	// Advertise is the address by which the others reach this process, where that is another one; the keepers' list names it.
 	Advertise netip.AddrPort
-	Session   uint64           // of this life of the process, random; above 0
-	Seeds     []netip.AddrPort // members to begin with
-	Known     []peers.Member   // members that live, from before this life; see peers.Config
-	Keepers   []KeeperAddress  // all of them; empty: there are no leases
-	Keeper    *keeper.Config   // of the keeper here; nil: there is none
-	Log       *keeper.Restored // with Keeper
-	Disk      Disk             // with Keeper
+	Session   uint64              // of this life of the process, random; above 0
+	Seeds     []netip.AddrPort    // members to begin with
+	Known     []peers.Member      // members that live, from before this life; see peers.Config
+	Keepers   []KeeperAddress     // all of them; empty: there are no leases
+	Keeper    *keeper.Config      // of the keeper here; nil: there is none
+	Log       *keeper.RestoredLog // with Keeper
+	Disk      Disk                // with Keeper
 	Terms     owner.Terms
 	Duties    []string // leases that this process takes if it may
 	Seed      uint64   // of random choices
