--- a/internal/keeper/command.go
+++ b/internal/keeper/command.go
@@ -30,18 +30,18 @@
 // mostName is how many bytes the name of a lease or of a client may have.
 const mostName = 64
 
-// ErrCommand is why a request is refused before it is proposed: it is malformed.
-var ErrCommand = errors.New("keeper: not a command")
+// ErrInvalidRequest is why a request is refused before it is proposed: it is malformed.
+var ErrInvalidRequest = errors.New("keeper: not a command")
 
 // CheckRequest returns an error, an ErrCommand, if a request breaks the bounds: nothing that a peer sends may grow the state
 // without bound.
 func CheckRequest(r *owner.LeaseRequest) error {
 	if r.Session == 0 || r.Seq == 0 || len(r.Name) > mostName || len(r.Claims) == 0 || len(r.Claims) > owner.MaxLeases {
-		return fmt.Errorf("%w: session %d, seq %d, %d leases", ErrCommand, r.Session, r.Seq, len(r.Claims))
+		return fmt.Errorf("%w: session %d, seq %d, %d leases", ErrInvalidRequest, r.Session, r.Seq, len(r.Claims))
 	}
 	for _, claim := range r.Claims {
 		if claim.Lease == "" || len(claim.Lease) > mostName {
-			return fmt.Errorf("%w: a lease's name of %d bytes", ErrCommand, len(claim.Lease))
+			return fmt.Errorf("%w: a lease's name of %d bytes", ErrInvalidRequest, len(claim.Lease))
 		}
 	}
 	return nil
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -263,7 +263,7 @@
 // RequestFloors takes a request for the latest token of each lease; its response goes to from. Errors are those of RequestLeases.
 func (k *Core) RequestFloors(now time.Time, from netip.AddrPort, r *FloorsRequest) error {
 	if r.Session == 0 {
-		return ErrCommand
+		return ErrInvalidRequest
 	}
 	return k.propose(now, &Command{Floors: r}, from)
 }
