--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -127,8 +127,8 @@
 	return k.electionAt
 }
 
-// Identity is that of its disk.
-func (k *Core) Identity() uint64 { return k.handshake.identity }
+// DiskIdentity is that of its disk.
+func (k *Core) DiskIdentity() uint64 { return k.handshake.identity }
 
 // KnownDisk is the identity of the disk that another keeper was first met with, 0 if it was not. What is sent to it must say so:
 // a disk that took its place has not got what this one believes it has.
--- a/internal/keeper/handshake.go
+++ b/internal/keeper/handshake.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// Hello takes another keeper's hello. One whose disk is not the one that was met before is not answered.
-func (k *Core) Hello(now time.Time, from, disk uint64, answer bool) {
+// HandleHello takes another keeper's hello. One whose disk is not the one that was met before is not answered.
+func (k *Core) HandleHello(now time.Time, from, disk uint64, answer bool) {
 	if k.stopped != nil || from == 0 || from == k.cfg.ID || disk == 0 {
 		return
 	}
@@ -115,7 +115,7 @@
 // answerHellos answers the hellos of keepers whose disks are on disk here.
 func (k *Core) answerHellos() {
 	for _, id := range k.handshake.replies {
-		k.out.Hellos = append(k.out.Hellos, Hello{To: id, Answer: true})
+		k.out.Hellos = append(k.out.Hellos, Hello{To: id, IsReply: true})
 	}
 	k.handshake.replies = k.handshake.replies[:0]
 }
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -232,14 +232,14 @@
 			}
 			w.heard = append(w.heard, o.Responses...)
 			for _, m := range o.Messages {
-				if to := w.all[m.GetTo()-1]; to != nil && (k.KnownDisk(m.GetTo()) == 0 || k.KnownDisk(m.GetTo()) == to.Identity()) {
-					to.Step(w.now, k.Identity(), proto.Clone(m).(*pb.Message))
+				if to := w.all[m.GetTo()-1]; to != nil && (k.KnownDisk(m.GetTo()) == 0 || k.KnownDisk(m.GetTo()) == to.DiskIdentity()) {
+					to.Step(w.now, k.DiskIdentity(), proto.Clone(m).(*pb.Message))
 				}
 				again = true
 			}
 			for _, h := range o.Hellos {
 				if to := w.all[h.To-1]; to != nil {
-					to.Hello(w.now, k.cfg.ID, k.Identity(), h.Answer)
+					to.HandleHello(w.now, k.cfg.ID, k.DiskIdentity(), h.IsReply)
 				}
 				again = true
 			}
--- a/internal/keeper/output.go
+++ b/internal/keeper/output.go
@@ -21,14 +21,14 @@
 
 // Hello tells another keeper under which disk this one speaks.
 type Hello struct {
-	To     uint64
-	Answer bool // else one is wanted
+	To      uint64
+	IsReply bool // else one is wanted
 }
 
 // Response is the response to a request of leases or of floors, and where it goes.
 type Response struct {
-	To      netip.AddrPort
-	Leases  *owner.LeaseResponse // to a lease request
-	Request *FloorsRequest       // with Floors: the request
-	Floors  map[string]uint64    // latest token by lease
+	To            netip.AddrPort
+	Leases        *owner.LeaseResponse // to a lease request
+	FloorsRequest *FloorsRequest       // with Floors: the request
+	Floors        map[string]uint64    // latest token by lease
 }
--- a/internal/keeper/progress.go
+++ b/internal/keeper/progress.go
@@ -178,7 +178,7 @@
 		}
 	case c.Floors != nil:
 		if to, owed := k.requests.take(c.key()); owed {
-			k.out.Responses = append(k.out.Responses, Response{To: to, Request: c.Floors, Floors: k.state.Floors()})
+			k.out.Responses = append(k.out.Responses, Response{To: to, FloorsRequest: c.Floors, Floors: k.state.Floors()})
 		}
 	}
 	return nil
--- a/internal/mesh/keeperlink.go
+++ b/internal/mesh/keeperlink.go
@@ -53,11 +53,11 @@
 	if n.core == nil || n.client.indexOf(r.From) < 0 {
 		return
 	}
-	if r.To != 0 && r.To != n.core.Identity() {
+	if r.To != 0 && r.To != n.core.DiskIdentity() {
 		return // for the disk that this keeper had before: what that one promised is not known here
 	}
 	if r.Hello > 0 {
-		n.core.Hello(now, r.From, r.Disk, r.Hello == helloAnswer)
+		n.core.HandleHello(now, r.From, r.Disk, r.Hello == helloAnswer)
 		return
 	}
 	text := n.link.add(r)
@@ -147,7 +147,7 @@
 	parts := fragments(text)
 	for i, part := range parts {
 		n.send(n.cfg.Keepers[to].Addr, &envelope{Raft: &raftFragment{
-			Disk: n.core.Identity(), ID: n.link.messageID, Index: i, Count: len(parts), Data: part, From: n.cfg.Keeper.ID,
+			Disk: n.core.DiskIdentity(), ID: n.link.messageID, Index: i, Count: len(parts), Data: part, From: n.cfg.Keeper.ID,
 			To: n.core.KnownDisk(m.GetTo()),
 		}})
 	}
@@ -160,11 +160,11 @@
 		return
 	}
 	kind := uint8(helloRequest)
-	if h.Answer {
+	if h.IsReply {
 		kind = helloAnswer
 	}
 	n.send(n.cfg.Keepers[to].Addr, &envelope{Raft: &raftFragment{
-		Disk: n.core.Identity(), Hello: kind, From: n.cfg.Keeper.ID, To: n.core.KnownDisk(h.To),
+		Disk: n.core.DiskIdentity(), Hello: kind, From: n.cfg.Keeper.ID, To: n.core.KnownDisk(h.To),
 	}})
 }
 
@@ -205,7 +205,7 @@
 		for _, lease := range leases[i*leasesPerFragment : min((i+1)*leasesPerFragment, len(leases))] {
 			tokens[lease] = a.Floors[lease]
 		}
-		pieces[i] = &floorsFragment{Session: a.Request.Session, Seq: a.Request.Seq, Index: i, Count: len(pieces), Tokens: tokens}
+		pieces[i] = &floorsFragment{Session: a.FloorsRequest.Session, Seq: a.FloorsRequest.Seq, Index: i, Count: len(pieces), Tokens: tokens}
 	}
 	return pieces
 }
