--- a/internal/keeper/command.go
+++ b/internal/keeper/command.go
@@ -27,8 +27,8 @@
 	Seq     uint64 `cbor:"2,keyasint"` // grows with each request of the session
 }
 
-// mostName is how many bytes the name of a lease or of a client may have.
-const mostName = 64
+// maxNameBytes is how many bytes the name of a lease or of a client may have.
+const maxNameBytes = 64
 
 // ErrInvalidRequest is why a request is refused before it is proposed: it is malformed.
 var ErrInvalidRequest = errors.New("keeper: not a command")
@@ -36,11 +36,11 @@
 // CheckRequest returns an error, an ErrCommand, if a request breaks the bounds: nothing that a peer sends may grow the state
 // without bound.
 func CheckRequest(r *owner.LeaseRequest) error {
-	if r.Session == 0 || r.Seq == 0 || len(r.Name) > mostName || len(r.Claims) == 0 || len(r.Claims) > owner.MaxLeases {
+	if r.Session == 0 || r.Seq == 0 || len(r.Name) > maxNameBytes || len(r.Claims) == 0 || len(r.Claims) > owner.MaxLeases {
 		return fmt.Errorf("%w: session %d, seq %d, %d leases", ErrInvalidRequest, r.Session, r.Seq, len(r.Claims))
 	}
 	for _, claim := range r.Claims {
-		if claim.Lease == "" || len(claim.Lease) > mostName {
+		if claim.Lease == "" || len(claim.Lease) > maxNameBytes {
 			return fmt.Errorf("%w: a lease's name of %d bytes", ErrInvalidRequest, len(claim.Lease))
 		}
 	}
--- a/internal/keeper/config.go
+++ b/internal/keeper/config.go
@@ -39,15 +39,15 @@
 	}
 }
 
-// leastHeartbeats is how many heartbeats fit at least into the time without one after which a follower stands for election.
-const leastHeartbeats = 4
+// minHeartbeatsPerElection is how many heartbeats fit at least into the time without one after which a follower stands for election.
+const minHeartbeatsPerElection = 4
 
 // check returns an error that tells the values if one is out of its range.
 func (c *Config) check() error {
 	if err := c.Terms.Check(); err != nil {
 		return err
 	}
-	if c.ID == 0 || c.HeartbeatInterval <= 0 || c.ElectionTimeout < leastHeartbeats*c.HeartbeatInterval || c.SnapshotEvery == 0 {
+	if c.ID == 0 || c.HeartbeatInterval <= 0 || c.ElectionTimeout < minHeartbeatsPerElection*c.HeartbeatInterval || c.SnapshotEvery == 0 {
 		return fmt.Errorf("keeper: id %d, beat %v, election %v, snapshot every %d entries", c.ID, c.HeartbeatInterval, c.ElectionTimeout, c.SnapshotEvery)
 	}
 	return nil
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -17,14 +17,14 @@
 
 // The library's limits.
 const (
-	mostMessageBytes     = 600 // of entries in one message
-	mostInflightMessages = 64
-	mostUncommittedBytes = 256 << 10
-	mostCommittedBytes   = 64 << 10 // applied at once
+	maxMessageBytes     = 600 // of entries in one message
+	maxInflightMessages = 64
+	maxUncommittedBytes = 256 << 10
+	maxCommittedBytes   = 64 << 10 // applied at once
 )
 
-// afterStop is how far behind its last time a member that has ended says to be due: never, in effect.
-const afterStop = 1000 * time.Hour
+// stoppedDelay is how far behind its last time a member that has ended says to be due: never, in effect.
+const stoppedDelay = 1000 * time.Hour
 
 // ErrNotLeader is why a request is refused: Leader returns which keeper to ask.
 var ErrNotLeader = errors.New("keeper: not the leader")
@@ -40,7 +40,7 @@
 	voters       *pb.ConfState
 	state        *State
 	snapshotAt   uint64 // index of the latest snapshot
-	out          Output
+	output       Output
 	writing      bool        // what out last had for the disk is not known to be there yet
 	unsavedReady *raft.Ready // whose record is being written; nil: none
 	requests     pendingRequests
@@ -78,7 +78,7 @@
 		return nil, fmt.Errorf("keeper: %w", err)
 	}
 	k.resetElection(now)
-	k.progress(now)
+	k.processReady(now)
 	return k, nil
 }
 
@@ -101,16 +101,16 @@
 	return &raft.Config{
 		ID: k.cfg.ID, ElectionTick: int(k.cfg.ElectionTimeout / k.cfg.HeartbeatInterval), HeartbeatTick: 1,
 		Storage: k.storage, Applied: k.snapshotAt,
-		MaxSizePerMsg: mostMessageBytes, MaxInflightMsgs: mostInflightMessages,
-		MaxUncommittedEntriesSize: mostUncommittedBytes, MaxCommittedSizePerReady: mostCommittedBytes,
+		MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: maxInflightMessages,
+		MaxUncommittedEntriesSize: maxUncommittedBytes, MaxCommittedSizePerReady: maxCommittedBytes,
 		CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, Logger: quietLogger{},
 	}
 }
 
 // Take returns what is to be done since the last call.
 func (k *Core) Take() Output {
-	out := k.out
-	k.out = Output{}
+	out := k.output
+	k.output = Output{}
 	return out
 }
 
@@ -118,7 +118,7 @@
 func (k *Core) Due() time.Time {
 	switch {
 	case k.stopped != nil:
-		return k.electionAt.Add(afterStop)
+		return k.electionAt.Add(stoppedDelay)
 	case !k.handshake.done:
 		return k.handshake.nextAt
 	case k.leading:
@@ -174,7 +174,7 @@
 	default:
 		k.campaign(now)
 	}
-	k.progress(now)
+	k.processReady(now)
 }
 
 // resetElection draws the time of the next election. A follower's ticks of the library are never called: its own draw of the
@@ -201,8 +201,8 @@
 	}
 }
 
-// noteLeadership notes whether this one leads, if that has changed.
-func (k *Core) noteLeadership(now time.Time) {
+// updateLeadership notes whether this one leads, if that has changed.
+func (k *Core) updateLeadership(now time.Time) {
 	leading := k.raft.BasicStatus().RaftState == raft.StateLeader
 	if leading == k.leading {
 		return
@@ -224,14 +224,14 @@
 	if k.stopped != nil || !k.handshake.done || disk == 0 || !k.acceptable(m) {
 		return
 	}
-	if !k.handshake.meet(m.GetFrom(), disk) || k.raft.Step(m) != nil {
+	if !k.handshake.checkDisk(m.GetFrom(), disk) || k.raft.Step(m) != nil {
 		k.Count.Refused++
 		return
 	}
 	if k.defersElection(m) {
 		k.resetElection(now)
 	}
-	k.progress(now)
+	k.processReady(now)
 }
 
 // acceptable tells whether a message is one that another keeper may send to this one.
@@ -280,12 +280,12 @@
 	if err := k.raft.ProposeConfChange(&pb.ConfChange{Type: kind.Enum(), NodeId: proto.Uint64(id)}); err != nil {
 		return fmt.Errorf("keeper: change of members: %w", err)
 	}
-	k.progress(now)
+	k.processReady(now)
 	return nil
 }
 
 // stop ends the member.
 func (k *Core) stop(err error) {
 	k.stopped = err
-	k.out.Stopped = err
+	k.output.Stopped = err
 }
--- a/internal/keeper/file.go
+++ b/internal/keeper/file.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	logName = "keeper.log"
-	tmpName = "keeper.tmp"
+	logName  = "keeper.log"
+	tempName = "keeper.tmp"
 )
 
 // File is a keeper's log on a real disk. One goroutine of its own writes and syncs, so that the loop never waits for a
 // disk; it reports by post what it has done. It owns the file and the lock on its folder.
 type File struct {
-	dir      string
-	lock     *os.File
-	file     logFile
-	system   fileSystem
-	text     []byte // what is on disk for certain
-	doubtful bool   // a write has failed since: what the file holds behind that text, or in its place, is not known
-	jobs     chan writeJob
-	post     func(func())
-	closing  chan struct{}
-	finished chan struct{}
+	dir             string
+	lock            *os.File
+	file            logFile
+	system          fileSystem
+	durable         []byte // what is on disk for certain
+	contentsUnknown bool   // a write has failed since: what the file holds behind that text, or in its place, is not known
+	jobs            chan writeJob
+	post            func(func())
+	closing         chan struct{}
+	finished        chan struct{}
 }
 
 // logFile is an open file that is written and synced.
@@ -100,12 +100,12 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("keeper: %w", err)
 	}
-	file, text, restored, err := open(path, lock)
+	file, data, restored, err := open(path, lock)
 	if err != nil {
 		lock.Close()
 		return nil, nil, err
 	}
-	w := &File{dir: dir, lock: lock, file: file, system: realFileSystem(), text: text, jobs: make(chan writeJob, 64), post: post,
+	w := &File{dir: dir, lock: lock, file: file, system: realFileSystem(), durable: data, jobs: make(chan writeJob, 64), post: post,
 		closing: make(chan struct{}), finished: make(chan struct{})}
 	go w.run()
 	return w, restored, nil
@@ -115,14 +115,14 @@
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return nil, nil, nil, fmt.Errorf("keeper: %s: another process has it: %w", path, err)
 	}
-	text, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil, nil, fmt.Errorf("%w at %s", ErrEmpty, path)
 	}
 	if err != nil {
 		return nil, nil, nil, fmt.Errorf("keeper: %w", err)
 	}
-	restored, err := Restore(text)
+	restored, err := Restore(data)
 	if err != nil {
 		return nil, nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -134,7 +134,7 @@
 		f.Close()
 		return nil, nil, nil, fmt.Errorf("keeper: %s: the torn end can't be cut off: %w", path, err)
 	}
-	return f, text[:restored.ValidBytes], restored, nil
+	return f, data[:restored.ValidBytes], restored, nil
 }
 
 // truncateAt cuts a file off behind its first size bytes and syncs that.
@@ -159,41 +159,41 @@
 }
 
 const (
-	// A disk that refuses is tried again after refusedPause, which doubles up to refusedMost.
-	refusedPause = 50 * time.Millisecond
-	refusedMost  = 2 * time.Second
+	// A disk that refuses is tried again after minRetryDelay, which doubles up to maxRetryDelay.
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
 )
 
 // run writes until Close.
 func (w *File) run() {
 	defer close(w.finished)
 	for j := range w.jobs {
-		err := w.carryOut(j)
+		err := w.execute(j)
 		w.post(func() { j.done(err) })
 	}
 	w.file.Close()
 	w.lock.Close()
 }
 
-// carryOut carries a write out, however long the disk refuses. After a failed write nobody knows what the file holds, and after a failed
+// execute carries a write out, however long the disk refuses. After a failed write nobody knows what the file holds, and after a failed
 // sync the kernel may have dropped pages and call the next sync good. So nothing more is written to that file: a new one with all that
-// is owed takes its place. Until that is on disk the write is not done, and whoever waits for it is not answered.
-func (w *File) carryOut(j writeJob) error {
-	text := j.data
+// is pending takes its place. Until that is on disk the write is not done, and whoever waits for it is not answered.
+func (w *File) execute(j writeJob) error {
+	contents := j.data
 	if !j.replace {
-		text = append(slices.Clip(w.text), j.data...)
+		contents = append(slices.Clip(w.durable), j.data...)
 	}
 	var err error
-	if !w.doubtful {
+	if !w.contentsUnknown {
 		if err = w.write(j); err == nil {
-			w.text = text
+			w.durable = contents
 			return nil
 		}
-		w.doubtful = true
+		w.contentsUnknown = true
 	}
-	for pause := refusedPause; ; pause = min(2*pause, refusedMost) {
-		if err = w.replace(text); err == nil {
-			w.doubtful, w.text = false, text
+	for pause := minRetryDelay; ; pause = min(2*pause, maxRetryDelay) {
+		if err = w.replace(contents); err == nil {
+			w.contentsUnknown, w.durable = false, contents
 			return nil
 		}
 		select {
@@ -216,7 +216,7 @@
 
 // replace writes a new file and puts it in the log's place once it is on disk.
 func (w *File) replace(data []byte) error {
-	path := filepath.Join(w.dir, tmpName)
+	path := filepath.Join(w.dir, tempName)
 	file, err := w.system.create(path)
 	if err != nil {
 		return err
--- a/internal/keeper/handshake.go
+++ b/internal/keeper/handshake.go
@@ -31,7 +31,7 @@
 }
 
 // meet notes the disk of a keeper that is met for the first time; it is false for another disk than the one that was met before.
-func (h *handshake) meet(id, disk uint64) bool {
+func (h *handshake) checkDisk(id, disk uint64) bool {
 	known := h.disks[id]
 	if known == 0 {
 		h.disks[id] = disk
@@ -74,8 +74,8 @@
 }
 
 func (h *handshake) addDisk(r *record, id uint64) {
-	text := binary.BigEndian.AppendUint64(nil, id)
-	r.addItem(itemDisk, binary.BigEndian.AppendUint64(text, h.disks[id]))
+	data := binary.BigEndian.AppendUint64(nil, id)
+	r.addItem(itemDisk, binary.BigEndian.AppendUint64(data, h.disks[id]))
 }
 
 // sendHellos says hello to those that were not met yet.
@@ -85,12 +85,12 @@
 	for _, id := range k.cfg.Voters {
 		if id != k.cfg.ID && k.handshake.disks[id] == 0 {
 			missing = true
-			k.out.Hellos = append(k.out.Hellos, Hello{To: id})
+			k.output.Hellos = append(k.output.Hellos, Hello{To: id})
 		}
 	}
 	if !missing {
 		k.handshake.saving = true
-		k.progress(now)
+		k.processReady(now)
 	}
 }
 
@@ -99,7 +99,7 @@
 	if k.stopped != nil || from == 0 || from == k.cfg.ID || disk == 0 {
 		return
 	}
-	if !k.handshake.meet(from, disk) {
+	if !k.handshake.checkDisk(from, disk) {
 		k.Count.Refused++
 		return
 	}
@@ -109,13 +109,13 @@
 	if !k.handshake.done {
 		k.handshake.nextAt = now // perhaps that was the last one
 	}
-	k.progress(now)
+	k.processReady(now)
 }
 
 // answerHellos answers the hellos of keepers whose disks are on disk here.
 func (k *Core) answerHellos() {
 	for _, id := range k.handshake.replies {
-		k.out.Hellos = append(k.out.Hellos, Hello{To: id, IsReply: true})
+		k.output.Hellos = append(k.output.Hellos, Hello{To: id, IsReply: true})
 	}
 	k.handshake.replies = k.handshake.replies[:0]
 }
--- a/internal/keeper/log.go
+++ b/internal/keeper/log.go
@@ -23,7 +23,7 @@
 	recordMagic       = 0x6f737031
 	recordHeaderBytes = 12
 	itemHeaderBytes   = 5
-	mostRecordBytes   = 8 << 20 // of a body
+	maxRecordBytes    = 8 << 20 // of a body
 )
 
 // The kinds of items in a record.
@@ -50,22 +50,22 @@
 type record struct{ bytes []byte }
 
 // addItem adds an item of a kind.
-func (r *record) addItem(kind byte, text []byte) {
+func (r *record) addItem(kind byte, data []byte) {
 	if r.bytes == nil {
 		r.bytes = make([]byte, recordHeaderBytes, 512)
 	}
 	r.bytes = append(r.bytes, kind)
-	r.bytes = binary.BigEndian.AppendUint32(r.bytes, uint32(len(text)))
-	r.bytes = append(r.bytes, text...)
+	r.bytes = binary.BigEndian.AppendUint32(r.bytes, uint32(len(data)))
+	r.bytes = append(r.bytes, data...)
 }
 
 // addMessage adds an item that is a protobuf message.
 func (r *record) addMessage(kind byte, m proto.Message) error {
-	text, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
+	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
 		return fmt.Errorf("keeper: log: %w", err)
 	}
-	r.addItem(kind, text)
+	r.addItem(kind, data)
 	return nil
 }
 
@@ -104,15 +104,15 @@
 }
 
 // Restore reads a log. A torn last record is left out. It returns ErrEmpty for no bytes, ErrDamaged for a log that can't be trusted.
-func Restore(text []byte) (*RestoredLog, error) {
+func Restore(data []byte) (*RestoredLog, error) {
 	out := &RestoredLog{hard: &pb.HardState{}}
-	if len(text) == 0 {
+	if len(data) == 0 {
 		return nil, ErrEmpty
 	}
-	for at := 0; at < len(text); {
-		body := recordBody(text[at:])
+	for at := 0; at < len(data); {
+		body := recordBody(data[at:])
 		if body == nil {
-			if next := findRecord(text[at+1:]); next >= 0 {
+			if next := findRecord(data[at+1:]); next >= 0 {
 				return nil, fmt.Errorf("%w: byte %d is no record, and byte %d begins a good one", ErrDamaged, at, at+1+next)
 			}
 			break
@@ -132,26 +132,26 @@
 	return out, nil
 }
 
-// recordBody returns the body of the valid record that text begins with, nil if there is none.
-func recordBody(text []byte) []byte {
-	if len(text) < recordHeaderBytes || binary.BigEndian.Uint32(text) != recordMagic {
+// recordBody returns the body of the valid record that data begins with, nil if there is none.
+func recordBody(data []byte) []byte {
+	if len(data) < recordHeaderBytes || binary.BigEndian.Uint32(data) != recordMagic {
 		return nil
 	}
-	n := binary.BigEndian.Uint32(text[4:])
-	if n > mostRecordBytes || int(n) > len(text)-recordHeaderBytes {
+	n := binary.BigEndian.Uint32(data[4:])
+	if n > maxRecordBytes || int(n) > len(data)-recordHeaderBytes {
 		return nil
 	}
-	body := text[recordHeaderBytes : recordHeaderBytes+int(n)]
-	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(text[8:]) {
+	body := data[recordHeaderBytes : recordHeaderBytes+int(n)]
+	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(data[8:]) {
 		return nil
 	}
 	return body
 }
 
 // findRecord returns the offset of the first valid record, -1 if there is none.
-func findRecord(text []byte) int {
-	for i := 0; i+recordHeaderBytes <= len(text); i++ {
-		if text[i] == recordMagic>>24 && recordBody(text[i:]) != nil {
+func findRecord(data []byte) int {
+	for i := 0; i+recordHeaderBytes <= len(data); i++ {
+		if data[i] == recordMagic>>24 && recordBody(data[i:]) != nil {
 			return i
 		}
 	}
@@ -169,9 +169,9 @@
 		if length > len(body) {
 			return errors.New("an item is longer than its record")
 		}
-		text := body[:length]
+		data := body[:length]
 		body = body[length:]
-		if err := o.addItem(kind, text); err != nil {
+		if err := o.addItem(kind, data); err != nil {
 			return err
 		}
 	}
@@ -179,34 +179,34 @@
 }
 
 // addItem takes one item.
-func (o *RestoredLog) addItem(kind byte, text []byte) error {
+func (o *RestoredLog) addItem(kind byte, data []byte) error {
 	switch kind {
 	case itemIdentity:
-		if len(text) != 8 {
-			return fmt.Errorf("an identity of %d bytes", len(text))
+		if len(data) != 8 {
+			return fmt.Errorf("an identity of %d bytes", len(data))
 		}
-		o.Identity = binary.BigEndian.Uint64(text)
+		o.Identity = binary.BigEndian.Uint64(data)
 	case itemParticipates:
 		o.participates = true
 	case itemDisk:
-		if len(text) != 16 {
-			return fmt.Errorf("a pair of %d bytes", len(text))
+		if len(data) != 16 {
+			return fmt.Errorf("a pair of %d bytes", len(data))
 		}
 		if o.disks == nil {
 			o.disks = make(map[uint64]uint64)
 		}
-		o.disks[binary.BigEndian.Uint64(text)] = binary.BigEndian.Uint64(text[8:])
+		o.disks[binary.BigEndian.Uint64(data)] = binary.BigEndian.Uint64(data[8:])
 	case itemHardState:
 		o.hard = &pb.HardState{}
-		return proto.Unmarshal(text, o.hard)
+		return proto.Unmarshal(data, o.hard)
 	case itemSnapshot:
 		o.snapshot = &pb.Snapshot{}
-		if err := proto.Unmarshal(text, o.snapshot); err != nil {
+		if err := proto.Unmarshal(data, o.snapshot); err != nil {
 			return err
 		}
 		o.entries = nil
 	case itemEntry:
-		return o.addEntry(text)
+		return o.addEntry(data)
 	default:
 		return fmt.Errorf("an item of unknown kind %q", kind)
 	}
@@ -214,9 +214,9 @@
 }
 
 // addEntry takes an entry. A later leader may have replaced what followed its index.
-func (o *RestoredLog) addEntry(text []byte) error {
+func (o *RestoredLog) addEntry(data []byte) error {
 	e := &pb.Entry{}
-	if err := proto.Unmarshal(text, e); err != nil {
+	if err := proto.Unmarshal(data, e); err != nil {
 		return err
 	}
 	first := max(o.snapshot.GetMetadata().GetIndex(), 1) + 1 // a new log begins behind index 1, see storage
--- a/internal/keeper/progress.go
+++ b/internal/keeper/progress.go
@@ -17,7 +17,7 @@
 		return
 	}
 	if err != nil {
-		k.out = Output{}
+		k.output = Output{}
 		k.stop(fmt.Errorf("keeper: the log could not be written: %w", err))
 		return
 	}
@@ -27,15 +27,15 @@
 	}
 	if ready := k.unsavedReady; ready != nil {
 		k.unsavedReady = nil
-		k.finish(now, *ready)
+		k.finishReady(now, *ready)
 	}
-	k.progress(now)
+	k.processReady(now)
 }
 
 // progress takes what the library has ready, up to the next write.
-func (k *Core) progress(now time.Time) {
+func (k *Core) processReady(now time.Time) {
 	for k.idle() && k.raft.HasReady() {
-		k.takeReady(now)
+		k.handleReady(now)
 	}
 	if k.idle() && k.handshake.needsSaving() {
 		k.saveHandshake()
@@ -43,40 +43,40 @@
 	if k.idle() {
 		k.answerHellos()
 	}
-	k.noteLeadership(now)
+	k.updateLeadership(now)
 }
 
 // idle tells whether nothing is being written, and the member has not ended.
 func (k *Core) idle() bool { return !k.writing && k.stopped == nil }
 
-// takeReady has the record of what is ready written; what needs none is finished at once.
-func (k *Core) takeReady(now time.Time) {
+// handleReady has the record of what is ready written; what needs none is finished at once.
+func (k *Core) handleReady(now time.Time) {
 	ready := k.raft.Ready()
-	text, err := k.record(ready)
+	data, err := k.encodeReady(ready)
 	if err != nil {
 		k.stop(err)
 		return
 	}
-	k.out.Append = append(k.out.Append, text...)
-	if text != nil && !k.cfg.Flaws.AckBeforeSync {
+	k.output.Append = append(k.output.Append, data...)
+	if data != nil && !k.cfg.Flaws.AckBeforeSync {
 		k.writing, k.unsavedReady = true, &ready
 		return
 	}
-	k.finish(now, ready)
+	k.finishReady(now, ready)
 }
 
 // saveHandshake has what the handshake learnt written.
 func (k *Core) saveHandshake() {
-	text, err := k.record(raft.Ready{})
+	data, err := k.encodeReady(raft.Ready{})
 	if err != nil {
 		return
 	}
-	k.out.Append = append(k.out.Append, text...)
+	k.output.Append = append(k.output.Append, data...)
 	k.writing = true
 }
 
 // record returns what must be on disk before a Ready is finished, nil for nothing.
-func (k *Core) record(ready raft.Ready) ([]byte, error) {
+func (k *Core) encodeReady(ready raft.Ready) ([]byte, error) {
 	var r record
 	k.handshake.addUnsaved(&r)
 	if !raft.IsEmptySnap(ready.Snapshot) {
@@ -98,7 +98,7 @@
 }
 
 // finish takes a Ready whose record is durable.
-func (k *Core) finish(now time.Time, ready raft.Ready) {
+func (k *Core) finishReady(now time.Time, ready raft.Ready) {
 	if err := k.store(ready); err != nil {
 		k.stop(fmt.Errorf("keeper: %w", err))
 		return
@@ -107,9 +107,9 @@
 		if m.GetType() == pb.MsgSnap {
 			k.transfers.begin(now, m.GetTo())
 		}
-		k.out.Messages = append(k.out.Messages, m)
+		k.output.Messages = append(k.output.Messages, m)
 	}
-	k.noteLeadership(now) // what is applied now is timed by whoever leads
+	k.updateLeadership(now) // what is applied now is timed by whoever leads
 	for _, e := range ready.CommittedEntries {
 		if err := k.apply(now, e); err != nil {
 			k.stop(fmt.Errorf("keeper: %w", err))
@@ -169,16 +169,16 @@
 	response := k.state.Apply(e.GetIndex(), &c)
 	switch {
 	case c.Request != nil:
-		if to, owed := k.requests.take(c.key()); owed && response != nil {
-			k.out.Responses = append(k.out.Responses, Response{To: to, Leases: response})
+		if to, pending := k.requests.take(c.key()); pending && response != nil {
+			k.output.Responses = append(k.output.Responses, Response{To: to, Leases: response})
 		}
 		for _, claim := range c.Request.Claims {
 			lease, _ := k.state.lease(claim.Lease)
-			k.renewals.note(now, lease)
+			k.renewals.update(now, lease)
 		}
 	case c.Floors != nil:
-		if to, owed := k.requests.take(c.key()); owed {
-			k.out.Responses = append(k.out.Responses, Response{To: to, FloorsRequest: c.Floors, Floors: k.state.Floors()})
+		if to, pending := k.requests.take(c.key()); pending {
+			k.output.Responses = append(k.output.Responses, Response{To: to, FloorsRequest: c.Floors, Floors: k.state.Floors()})
 		}
 	}
 	return nil
--- a/internal/keeper/requests.go
+++ b/internal/keeper/requests.go
@@ -8,8 +8,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// mostPending is how many responses may be owed.
-const mostPending = 4096
+// maxPendingRequests is how many responses may be pending.
+const maxPendingRequests = 4096
 
 // requestKey tells requests apart.
 type requestKey struct {
@@ -17,10 +17,10 @@
 	session, seq uint64
 }
 
-// pendingRequests are the addresses to which responses are owed.
+// pendingRequests are the addresses to which responses are pending.
 type pendingRequests map[requestKey]netip.AddrPort
 
-// take returns where the response to a request goes, and forgets it; ok is false if none is owed here.
+// take returns where the response to a request goes, and forgets it; ok is false if none is pending here.
 func (p pendingRequests) take(key requestKey) (to netip.AddrPort, ok bool) {
 	to, ok = p[key]
 	delete(p, key)
@@ -45,17 +45,17 @@
 		k.requests[key] = from
 		return nil // it is in the log already
 	}
-	if len(k.requests) >= mostPending {
-		return fmt.Errorf("keeper: %d answers owed", len(k.requests))
+	if len(k.requests) >= maxPendingRequests {
+		return fmt.Errorf("keeper: %d answers pending", len(k.requests))
 	}
-	text, err := cbor.Marshal(c)
+	data, err := cbor.Marshal(c)
 	if err != nil {
 		return fmt.Errorf("keeper: %w", err)
 	}
-	if err := k.raft.Propose(text); err != nil {
+	if err := k.raft.Propose(data); err != nil {
 		return fmt.Errorf("keeper: %w", err)
 	}
 	k.requests[key] = from
-	k.progress(now)
+	k.processReady(now)
 	return nil
 }
--- a/internal/keeper/snapshot.go
+++ b/internal/keeper/snapshot.go
@@ -10,13 +10,15 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// snapshotWait is how long a snapshot may be on its way to another keeper before it is sent again.
-const snapshotWait = time.Second
+// snapshotTimeout is how long a snapshot may be on its way to another keeper before it is sent again.
+const snapshotTimeout = time.Second
 
 // snapshotTransfers are the times at which snapshots under way count as lost, by receiver.
 type snapshotTransfers map[uint64]time.Time
 
-func (s snapshotTransfers) begin(now time.Time, receiver uint64) { s[receiver] = now.Add(snapshotWait) }
+func (s snapshotTransfers) begin(now time.Time, receiver uint64) {
+	s[receiver] = now.Add(snapshotTimeout)
+}
 
 // takeOverdue returns the receivers whose snapshots count as lost, in the order of their ids, and forgets them.
 func (s snapshotTransfers) takeOverdue(now time.Time) []uint64 {
@@ -55,13 +57,13 @@
 		k.stop(fmt.Errorf("keeper: snapshot: %w", err))
 		return
 	}
-	text, err := k.replacement(snapshot)
+	data, err := k.replacement(snapshot)
 	if err != nil {
 		k.stop(fmt.Errorf("keeper: snapshot: %w", err))
 		return
 	}
 	k.Count.Snapshots++
-	k.out.Replace, k.writing = text, true
+	k.output.Replace, k.writing = data, true
 }
 
 // makeSnapshot makes a snapshot of the state and drops the entries before it, but for the last ones.
--- a/internal/keeper/state.go
+++ b/internal/keeper/state.go
@@ -12,8 +12,8 @@
 
 // Bounds on the state.
 const (
-	mostSessions = 2048 // the least recently used one is forgotten
-	mostLeases   = 256
+	maxSessions = 2048 // the least recently used one is forgotten
+	maxLeases   = 256
 )
 
 // State is what the keepers agree on. It has no clock: time comes in as Expire entries.
@@ -44,7 +44,7 @@
 	ID       uint64              `cbor:"1,keyasint"`
 	Seq      uint64              `cbor:"2,keyasint"`
 	Response owner.LeaseResponse `cbor:"3,keyasint"`
-	Used     uint64              `cbor:"4,keyasint"` // index of its last entry
+	LastUsed uint64              `cbor:"4,keyasint"` // index of its last entry
 }
 
 // lease finds a lease by its name, nil if there is none, and the index at which it is or would be.
@@ -99,7 +99,7 @@
 func (s *State) applyClaim(r *owner.LeaseRequest, claim owner.LeaseClaim) owner.LeaseStatus {
 	l, at := s.lease(claim.Lease)
 	if l == nil {
-		if claim.Drop || claim.Token != 0 || len(s.Leases) >= mostLeases {
+		if claim.Drop || claim.Token != 0 || len(s.Leases) >= maxLeases {
 			return owner.LeaseStatus{Lease: claim.Lease}
 		}
 		l = &Lease{Name: claim.Lease}
@@ -134,13 +134,13 @@
 func (s *State) session(index, id uint64) *sessionRecord {
 	at, found := s.findSession(id)
 	if !found {
-		if len(s.Sessions) >= mostSessions {
-			s.forgetOldestSession()
+		if len(s.Sessions) >= maxSessions {
+			s.evictOldestSession()
 			at, _ = s.findSession(id)
 		}
 		s.Sessions = slices.Insert(s.Sessions, at, &sessionRecord{ID: id})
 	}
-	s.Sessions[at].Used = index
+	s.Sessions[at].LastUsed = index
 	return s.Sessions[at]
 }
 
@@ -148,11 +148,11 @@
 	return slices.BinarySearchFunc(s.Sessions, id, func(r *sessionRecord, id uint64) int { return cmp.Compare(r.ID, id) })
 }
 
-// forgetOldestSession forgets the least recently used session.
-func (s *State) forgetOldestSession() {
+// evictOldestSession forgets the least recently used session.
+func (s *State) evictOldestSession() {
 	oldest := 0
 	for i, r := range s.Sessions {
-		if r.Used < s.Sessions[oldest].Used {
+		if r.LastUsed < s.Sessions[oldest].LastUsed {
 			oldest = i
 		}
 	}
@@ -174,9 +174,9 @@
 func (s *State) Encode() ([]byte, error) { return cbor.Marshal(s) }
 
 // DecodeState reads a snapshot.
-func DecodeState(text []byte) (*State, error) {
+func DecodeState(data []byte) (*State, error) {
 	var s State
-	if err := cbor.Unmarshal(text, &s); err != nil {
+	if err := cbor.Unmarshal(data, &s); err != nil {
 		return nil, fmt.Errorf("keeper: snapshot: %w", err)
 	}
 	return &s, nil
