--- a/internal/keeper/command.go
+++ b/internal/keeper/command.go
@@ -7,41 +7,43 @@
 	"ospreyspan/internal/owner"
 )
 
-// Command is one entry of the log: exactly one of its parts is set.
+// Command is the content of one log entry. Exactly one of its fields is set.
 type Command struct {
 	Request *owner.LeaseRequest `cbor:"1,keyasint,omitempty"`
 	Expire  *Expire             `cbor:"2,keyasint,omitempty"`
 	Floors  *FloorsRequest      `cbor:"3,keyasint,omitempty"`
 }
 
-// Expire ends a grant whose time is over by the leader's clock. It changes nothing if the grant was renewed meanwhile.
+// Expire ends a grant that has expired by the leader's clock. It has no effect if the grant was
+// renewed in the meantime.
 type Expire struct {
-	Lease    string `cbor:"1,keyasint"` // name
-	Token    uint64 `cbor:"2,keyasint"`
-	Renewals uint64 `cbor:"3,keyasint"`
+	Lease    string `cbor:"1,keyasint"` // name of the lease
+	Token    uint64 `cbor:"2,keyasint"` // fencing token of the grant
+	Renewals uint64 `cbor:"3,keyasint"` // Lease.Renewals when Expire was proposed
 }
 
-// FloorsRequest asks for the latest token of each lease, through the log, so that no grant before it is missing.
+// FloorsRequest asks for the floors: the latest fencing token of each lease. It passes through the
+// log, so that the response covers every grant before it.
 type FloorsRequest struct {
-	Session uint64 `cbor:"1,keyasint"` // of this life of the process that asks; never 0
-	Seq     uint64 `cbor:"2,keyasint"` // grows with each request of the session
+	Session uint64 `cbor:"1,keyasint"` // identifies one run of the requesting process; never 0
+	Seq     uint64 `cbor:"2,keyasint"` // increases with each request of the session
 }
 
-// maxNameBytes is how many bytes the name of a lease or of a client may have.
+// maxNameBytes limits the names of leases and of clients.
 const maxNameBytes = 64
 
-// ErrInvalidRequest is why a request is refused before it is proposed: it is malformed.
-var ErrInvalidRequest = errors.New("keeper: not a command")
+// ErrInvalidRequest is returned for a malformed request, which is refused before it is proposed.
+var ErrInvalidRequest = errors.New("keeper: invalid request")
 
-// CheckRequest returns an error, an ErrCommand, if a request breaks the bounds: nothing that a peer sends may grow the state
-// without bound.
+// CheckRequest returns an ErrInvalidRequest for a request that exceeds the limits: no peer may make
+// the replicated state grow without bound.
 func CheckRequest(r *owner.LeaseRequest) error {
 	if r.Session == 0 || r.Seq == 0 || len(r.Name) > maxNameBytes || len(r.Claims) == 0 || len(r.Claims) > owner.MaxLeases {
-		return fmt.Errorf("%w: session %d, seq %d, %d leases", ErrInvalidRequest, r.Session, r.Seq, len(r.Claims))
+		return fmt.Errorf("%w: session %d, seq %d, %d leases; session and seq must be above 0, leases from 1 to %d, names at most %d bytes", ErrInvalidRequest, r.Session, r.Seq, len(r.Claims), owner.MaxLeases, maxNameBytes)
 	}
 	for _, claim := range r.Claims {
 		if claim.Lease == "" || len(claim.Lease) > maxNameBytes {
-			return fmt.Errorf("%w: a lease's name of %d bytes", ErrInvalidRequest, len(claim.Lease))
+			return fmt.Errorf("%w: lease name of %d bytes, want 1 to %d", ErrInvalidRequest, len(claim.Lease), maxNameBytes)
 		}
 	}
 	return nil
--- a/internal/keeper/config.go
+++ b/internal/keeper/config.go
@@ -9,29 +9,35 @@
 
 // Config is the configuration of a Core.
 type Config struct {
-	ID     uint64   // of this keeper, above 0
-	Voters []uint64 // ids of a new fleet's keepers, this one among them; a log that has later ones takes precedence
+	// ID is the Raft id of this keeper, above 0.
+	ID uint64
+	// Voters are the ids of the keepers of a new fleet, ID included. Later voters that the log
+	// holds take precedence.
+	Voters []uint64
 	Terms  owner.Terms
 	// HeartbeatInterval is the time between two heartbeats of a leader. Above 0.
 	HeartbeatInterval time.Duration
-	// ElectionTimeout is the least time without a heartbeat after which a follower stands for election; the time is drawn up to
-	// twice that. At least 4 heartbeats.
+	// ElectionTimeout is the minimum time without a heartbeat after which a follower starts an
+	// election. Each timeout is drawn at random from ElectionTimeout to twice that. At least 4
+	// heartbeat intervals.
 	ElectionTimeout time.Duration
-	// SnapshotEvery is how many entries are applied between two snapshots. Above 0.
+	// SnapshotEvery is the number of entries applied between two snapshots. Above 0.
 	SnapshotEvery uint64
-	// TrailingEntries is how many entries are kept behind a snapshot, for members that are only a little late.
+	// TrailingEntries is the number of entries kept before a snapshot, so that a follower that lags
+	// only slightly catches up without a snapshot.
 	TrailingEntries uint64
-	Seed            uint64 // of random choices
+	Seed            uint64 // seeds the random choices
 	Flaws           Flaws
 }
 
-// Flaws are mistakes to be planted in tests, which must find each of them. The zero value has none.
+// Flaws are deliberate defects that tests enable, to verify that the checks detect each of them.
+// The zero value has none.
 type Flaws struct {
-	EarlyGrant    bool // leases are granted to others after a quarter of the time
-	AckBeforeSync bool // messages go out before the log is on disk
+	EarlyGrant    bool // a lease is granted to another client after a quarter of the required time
+	AckBeforeSync bool // messages are sent before the log is synced to disk
 }
 
-// DefaultConfig returns the values that serve; ID, Voters and Seed remain to be set.
+// DefaultConfig returns the defaults. The caller still sets ID, Voters and Seed.
 func DefaultConfig() Config {
 	return Config{
 		Terms: owner.DefaultTerms(), HeartbeatInterval: 50 * time.Millisecond, ElectionTimeout: 400 * time.Millisecond,
@@ -39,16 +45,16 @@
 	}
 }
 
-// minHeartbeatsPerElection is how many heartbeats fit at least into the time without one after which a follower stands for election.
+// minHeartbeatsPerElection is the minimum ratio of ElectionTimeout to HeartbeatInterval.
 const minHeartbeatsPerElection = 4
 
-// check returns an error that tells the values if one is out of its range.
+// check returns an error that lists the values if one of them is out of range.
 func (c *Config) check() error {
 	if err := c.Terms.Check(); err != nil {
 		return err
 	}
 	if c.ID == 0 || c.HeartbeatInterval <= 0 || c.ElectionTimeout < minHeartbeatsPerElection*c.HeartbeatInterval || c.SnapshotEvery == 0 {
-		return fmt.Errorf("keeper: id %d, beat %v, election %v, snapshot every %d entries", c.ID, c.HeartbeatInterval, c.ElectionTimeout, c.SnapshotEvery)
+		return fmt.Errorf("keeper: invalid configuration: id %d, heartbeat interval %v, election timeout %v, snapshot every %d entries", c.ID, c.HeartbeatInterval, c.ElectionTimeout, c.SnapshotEvery)
 	}
 	return nil
 }
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -15,22 +15,24 @@
 	"ospreyspan/internal/owner"
 )
 
-// The library's limits.
+// Limits of the Raft library.
 const (
-	maxMessageBytes     = 600 // of entries in one message
+	maxMessageBytes     = 600 // entries of one message
 	maxInflightMessages = 64
 	maxUncommittedBytes = 256 << 10
-	maxCommittedBytes   = 64 << 10 // applied at once
+	maxCommittedBytes   = 64 << 10 // entries applied at once
 )
 
-// stoppedDelay is how far behind its last time a member that has ended says to be due: never, in effect.
+// stoppedDelay is added to the last election time to get Due of a stopped keeper: practically
+// never.
 const stoppedDelay = 1000 * time.Hour
 
-// ErrNotLeader is why a request is refused: Leader returns which keeper to ask.
+// ErrNotLeader is returned for a request to a keeper that is not the leader. Core.Leader returns
+// the keeper to ask instead.
 var ErrNotLeader = errors.New("keeper: not the leader")
 
-// Core is one keeper without its disk and its network. It is driven by one goroutine, which tells it of events with their
-// time and takes its Output after each.
+// Core is one keeper without its disk and its network. A single goroutine drives it: it passes
+// events with their time and takes the Output after each.
 type Core struct {
 	cfg          Config
 	rng          *rand.Rand
@@ -39,26 +41,27 @@
 	storage      *raft.MemoryStorage
 	voters       *pb.ConfState
 	state        *State
-	snapshotAt   uint64 // index of the latest snapshot
+	snapshotAt   uint64 // log index of the latest snapshot
 	output       Output
-	writing      bool        // what out last had for the disk is not known to be there yet
-	unsavedReady *raft.Ready // whose record is being written; nil: none
+	writing      bool        // the write of the last Output has not been reported by Synced yet
+	unsavedReady *raft.Ready // its record is being written; nil: none
 	requests     pendingRequests
-	renewals     renewalTimers
+	renewals     renewalTimers // valid while leading
 	leading      bool
-	electionAt   time.Time // it stands for election then
-	heartbeatAt  time.Time // of a leader
+	electionAt   time.Time // when it starts the next election, unless it leads
+	heartbeatAt  time.Time // when the leader sends the next heartbeats
 	transfers    snapshotTransfers
-	stopped      error
+	stopped      error // nil while the keeper runs
 	Count        Counters
 }
 
-// Counters count what a Core did: elections that it stood for, entries applied, snapshots made or installed, and messages refused.
+// Counters counts the events of a Core: elections started, entries applied, snapshots created or
+// installed, and messages refused.
 type Counters struct {
 	Elections, Applied, Snapshots, Refused uint64
 }
 
-// New returns a Core that goes on from a log.
+// New returns a Core that continues from a log.
 func New(now time.Time, c Config, log *RestoredLog) (*Core, error) {
 	if err := c.check(); err != nil {
 		return nil, err
@@ -82,7 +85,7 @@
 	return k, nil
 }
 
-// restoreSnapshot begins with what the log's snapshot holds.
+// restoreSnapshot loads the state and the voters from the snapshot in storage.
 func (k *Core) restoreSnapshot() error {
 	snapshot, err := k.storage.Snapshot()
 	if err != nil {
@@ -107,14 +110,14 @@
 	}
 }
 
-// Take returns what is to be done since the last call.
+// Take returns the Output accumulated since the last call.
 func (k *Core) Take() Output {
 	out := k.output
 	k.output = Output{}
 	return out
 }
 
-// Due tells when Tick is to be called next.
+// Due returns when Tick is to be called next.
 func (k *Core) Due() time.Time {
 	switch {
 	case k.stopped != nil:
@@ -127,17 +130,19 @@
 	return k.electionAt
 }
 
-// DiskIdentity is that of its disk.
+// DiskIdentity returns the identity of this keeper's disk.
 func (k *Core) DiskIdentity() uint64 { return k.handshake.identity }
 
-// KnownDisk is the identity of the disk that another keeper was first met with, 0 if it was not. What is sent to it must say so:
-// a disk that took its place has not got what this one believes it has.
+// KnownDisk returns the disk identity with which another keeper was first met, 0 if it has not been
+// met. Each message to that keeper must carry it: a replacement disk lacks the entries that this
+// keeper believes the other one has.
 func (k *Core) KnownDisk(id uint64) uint64 { return k.handshake.disks[id] }
 
-// Participates tells whether it votes and acknowledges: it has met all other keepers once.
+// Participates reports whether the keeper votes and acknowledges entries, which it does once it has
+// met all other keepers.
 func (k *Core) Participates() bool { return k.handshake.done }
 
-// Leader is the id of the leader as far as it is known, 0 if it is not; a member that has ended knows none.
+// Leader returns the id of the current leader, 0 if it is unknown or this keeper has stopped.
 func (k *Core) Leader() uint64 {
 	if k.stopped != nil {
 		return 0
@@ -145,22 +150,22 @@
 	return k.raft.BasicStatus().Lead
 }
 
-// Term is the present term.
+// Term returns the current Raft term.
 func (k *Core) Term() uint64 { return k.raft.BasicStatus().GetTerm() }
 
-// Leading tells whether this one leads.
+// Leading reports whether this keeper is the leader.
 func (k *Core) Leading() bool { return k.leading && k.stopped == nil }
 
-// Stopped is why the member has ended, nil while it has not.
+// Stopped returns why the keeper has stopped, nil while it runs.
 func (k *Core) Stopped() error { return k.stopped }
 
-// State is what has been applied here; it must not be changed.
+// State returns the state applied so far. The caller must not modify it.
 func (k *Core) State() *State { return k.state }
 
-// Voters are the members of the present configuration.
+// Voters returns the ids of the voters of the current configuration.
 func (k *Core) Voters() []uint64 { return slices.Clone(k.voters.GetVoters()) }
 
-// Tick does what is due; it may be called at any time.
+// Tick performs the timed action that is due. It may be called at any time.
 func (k *Core) Tick(now time.Time) {
 	if k.stopped != nil || now.Before(k.Due()) {
 		return
@@ -177,13 +182,14 @@
 	k.processReady(now)
 }
 
-// resetElection draws the time of the next election. A follower's ticks of the library are never called: its own draw of the
-// time can't be seeded. Elections come from here, by Campaign, and the library's lease ends with its leader.
+// resetElection draws the time of the next election. A follower never calls the library's Tick,
+// since the library's random election timeout can't be seeded. Elections are started here by
+// Campaign, and the library's leader lease ends with its leader.
 func (k *Core) resetElection(now time.Time) {
 	k.electionAt = now.Add(k.cfg.ElectionTimeout + time.Duration(k.rng.Int64N(int64(k.cfg.ElectionTimeout))))
 }
 
-// campaign stands for election.
+// campaign starts an election.
 func (k *Core) campaign(now time.Time) {
 	k.resetElection(now)
 	if err := k.raft.Campaign(); err == nil {
@@ -191,7 +197,8 @@
 	}
 }
 
-// sendHeartbeats sends a leader's heartbeats and ends what is overdue.
+// sendHeartbeats sends the leader's heartbeats, proposes the expiry of overdue grants and reports
+// overdue snapshot transfers as failed.
 func (k *Core) sendHeartbeats(now time.Time) {
 	k.heartbeatAt = now.Add(k.cfg.HeartbeatInterval)
 	k.raft.Tick()
@@ -201,7 +208,7 @@
 	}
 }
 
-// updateLeadership notes whether this one leads, if that has changed.
+// updateLeadership compares the role in the library with the last one seen and handles a change.
 func (k *Core) updateLeadership(now time.Time) {
 	leading := k.raft.BasicStatus().RaftState == raft.StateLeader
 	if leading == k.leading {
@@ -210,7 +217,7 @@
 	k.leading = leading
 	clear(k.transfers)
 	if !leading {
-		clear(k.requests) // another leader answers, or nobody: whoever asked asks again
+		clear(k.requests) // clients repeat their requests, to the new leader
 		k.resetElection(now)
 		return
 	}
@@ -218,8 +225,9 @@
 	k.renewals.restart(now, k.state.Leases)
 }
 
-// Step takes a message of another keeper, with the identity of the disk that it speaks for. A keeper whose disk is not the
-// one that was first met under its id may have forgotten what it promised: nothing it says is heard.
+// Step handles a message of another keeper, with the identity of the sender's disk. A message is
+// refused if that disk is not the one first met under the sender's id: a keeper with another disk
+// may have lost votes and entries that it acknowledged.
 func (k *Core) Step(now time.Time, disk uint64, m *pb.Message) {
 	if k.stopped != nil || !k.handshake.done || disk == 0 || !k.acceptable(m) {
 		return
@@ -234,7 +242,7 @@
 	k.processReady(now)
 }
 
-// acceptable tells whether a message is one that another keeper may send to this one.
+// acceptable reports whether a message is of a kind that another keeper may send to this one.
 func (k *Core) acceptable(m *pb.Message) bool {
 	from := m.GetFrom()
 	if from == 0 || from == k.cfg.ID || m.GetTo() != k.cfg.ID {
@@ -243,7 +251,8 @@
 	return !raft.IsLocalMsg(m.GetType()) && m.GetType() != pb.MsgProp
 }
 
-// defersElection tells whether a message that was taken is a sign of a leader, or got this one's vote.
+// defersElection reports whether an accepted message came from the leader or got this keeper's
+// vote, so that the election timeout restarts.
 func (k *Core) defersElection(m *pb.Message) bool {
 	status := k.raft.BasicStatus()
 	fromLeader := status.RaftState == raft.StateFollower && status.Lead == m.GetFrom()
@@ -251,8 +260,9 @@
 	return fromLeader || voted
 }
 
-// RequestLeases takes a lease request; its response goes to from once it is durable at a majority. It returns ErrNotLeader, an
-// ErrCommand for a malformed request, or why it can't be proposed.
+// RequestLeases proposes a lease request. Its response goes to from once the entry is durable on a
+// majority. It returns ErrNotLeader, an ErrInvalidRequest for a malformed request, or the error of
+// the proposal.
 func (k *Core) RequestLeases(now time.Time, from netip.AddrPort, r *owner.LeaseRequest) error {
 	if err := CheckRequest(r); err != nil {
 		return err
@@ -260,7 +270,8 @@
 	return k.propose(now, &Command{Request: r}, from)
 }
 
-// RequestFloors takes a request for the latest token of each lease; its response goes to from. Errors are those of RequestLeases.
+// RequestFloors proposes a request for the latest token of each lease. Its response goes to from.
+// The errors are those of RequestLeases.
 func (k *Core) RequestFloors(now time.Time, from netip.AddrPort, r *FloorsRequest) error {
 	if r.Session == 0 {
 		return ErrInvalidRequest
@@ -268,7 +279,8 @@
 	return k.propose(now, &Command{Floors: r}, from)
 }
 
-// ChangeVoters adds or removes one voter; one change at a time. It returns ErrNotLeader, or why it can't be proposed.
+// ChangeVoters proposes to add or remove one voter. Only one change may be in progress at a time.
+// It returns ErrNotLeader or the error of the proposal.
 func (k *Core) ChangeVoters(now time.Time, add bool, id uint64) error {
 	if !k.Leading() {
 		return ErrNotLeader
@@ -278,13 +290,13 @@
 		kind = pb.ConfChangeAddNode
 	}
 	if err := k.raft.ProposeConfChange(&pb.ConfChange{Type: kind.Enum(), NodeId: proto.Uint64(id)}); err != nil {
-		return fmt.Errorf("keeper: change of members: %w", err)
+		return fmt.Errorf("keeper: change of voters: %w", err)
 	}
 	k.processReady(now)
 	return nil
 }
 
-// stop ends the member.
+// stop stops the keeper for good and reports the reason in the Output.
 func (k *Core) stop(err error) {
 	k.stopped = err
 	k.output.Stopped = err
