--- a/internal/keeper/file.go
+++ b/internal/keeper/file.go
@@ -16,31 +16,32 @@
 	tempName = "keeper.tmp"
 )
 
-// File is a keeper's log on a real disk. One goroutine of its own writes and syncs, so that the loop never waits for a
-// disk; it reports by post what it has done. It owns the file and the lock on its folder.
+// File is a keeper's log on a real disk. A goroutine of its own writes and syncs, so that the event
+// loop never blocks on the disk. It reports each completed write through post. File owns the log
+// file and the lock file of its directory.
 type File struct {
 	dir             string
-	lock            *os.File
+	lock            *os.File // holds the lock on dir
 	file            logFile
 	system          fileSystem
-	durable         []byte // what is on disk for certain
-	contentsUnknown bool   // a write has failed since: what the file holds behind that text, or in its place, is not known
+	durable         []byte // contents known to be on disk
+	contentsUnknown bool   // a write failed: the file may hold anything in place of durable or after it
 	jobs            chan writeJob
-	post            func(func())
+	post            func(func()) // runs a function on the goroutine that drives the keeper
 	closing         chan struct{}
 	finished        chan struct{}
 }
 
-// logFile is an open file that is written and synced.
+// logFile is the open log file.
 type logFile interface {
 	Write(p []byte) (int, error)
 	Sync() error
 	Close() error
 }
 
-// fileSystem is what a File needs of the disk; a test has it fail.
+// fileSystem holds the file system operations of a File, so that tests can inject failures.
 type fileSystem struct {
-	create  func(path string) (logFile, error) // empty
+	create  func(path string) (logFile, error) // creates the file, or truncates it to 0 bytes
 	rename  func(from, to string) error
 	syncDir func(path string) error
 }
@@ -55,22 +56,23 @@
 	}
 }
 
-// writeJob is a write that waits for its turn.
+// writeJob is a queued write.
 type writeJob struct {
 	data    []byte
-	replace bool
+	replace bool // data replaces the whole log instead of being appended
 	done    func(error)
 }
 
-// Create makes the log of a new disk in a folder, which is made if it is not there. A log that is there stays, and Create returns
-// an error: what it promised must not be forgotten.
+// Create creates the log of a new disk in a directory, and the directory if it is missing. If there
+// is a log already, Create leaves it as it is and returns an error: the votes and entries that it
+// acknowledged must not be lost.
 func Create(dir string, identity uint64) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("keeper: %w", err)
 	}
 	f, err := os.OpenFile(filepath.Join(dir, logName), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if errors.Is(err, os.ErrExist) {
-		return fmt.Errorf("keeper: %s is there already; a keeper's log is made once, when its fleet is first set up", logPath(dir))
+		return fmt.Errorf("keeper: %s is there already; a keeper's log is created only once, when its fleet is first set up", logPath(dir))
 	}
 	if err != nil {
 		return fmt.Errorf("keeper: %w", err)
@@ -89,8 +91,9 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// OpenFile opens a log, cuts off a torn last record and returns what it holds. post passes a function to the goroutine that
-// drives the keeper. ErrEmpty means that there is no log, ErrDamaged that it can't be trusted.
+// OpenFile opens the log in a directory, truncates a torn last record and returns the contents.
+// post runs a function on the goroutine that drives the keeper. The error is ErrEmpty if there is
+// no log and ErrDamaged if the log is corrupt.
 func OpenFile(dir string, post func(func())) (*File, *RestoredLog, error) {
 	path := logPath(dir)
 	lock, err := os.OpenFile(filepath.Join(dir, "keeper.lock"), os.O_RDWR|os.O_CREATE, 0o600)
@@ -113,7 +116,7 @@
 
 func open(path string, lock *os.File) (*os.File, []byte, *RestoredLog, error) {
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		return nil, nil, nil, fmt.Errorf("keeper: %s: another process has it: %w", path, err)
+		return nil, nil, nil, fmt.Errorf("keeper: %s: locked by another process: %w", path, err)
 	}
 	data, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -132,12 +135,12 @@
 	}
 	if err := truncateAt(f, int64(restored.ValidBytes)); err != nil {
 		f.Close()
-		return nil, nil, nil, fmt.Errorf("keeper: %s: the torn end can't be cut off: %w", path, err)
+		return nil, nil, nil, fmt.Errorf("keeper: %s: can't truncate the torn last record: %w", path, err)
 	}
 	return f, data[:restored.ValidBytes], restored, nil
 }
 
-// truncateAt cuts a file off behind its first size bytes and syncs that.
+// truncateAt truncates a file to size bytes and syncs it.
 func truncateAt(f *os.File, size int64) error {
 	if err := f.Truncate(size); err != nil {
 		return err
@@ -145,13 +148,14 @@
 	return f.Sync()
 }
 
-// Append writes b behind the log and syncs it; done is called by post.
+// Append queues b to be appended to the log and synced. done is called through post.
 func (w *File) Append(b []byte, done func(error)) { w.jobs <- writeJob{b, false, done} }
 
-// Replace puts a log in this one's place, all of it or nothing; done is called by post.
+// Replace queues the atomic replacement of the whole log by b. done is called through post.
 func (w *File) Replace(b []byte, done func(error)) { w.jobs <- writeJob{b, true, done} }
 
-// Close waits for the writes that were begun and closes the file and the lock. A write that the disk refuses is not waited for.
+// Close waits for the queued writes, then closes the log file and the lock file. A write that fails
+// is not retried any more.
 func (w *File) Close() {
 	close(w.closing)
 	close(w.jobs)
@@ -159,12 +163,12 @@
 }
 
 const (
-	// A disk that refuses is tried again after minRetryDelay, which doubles up to maxRetryDelay.
+	// A failed write is retried after minRetryDelay. The delay doubles up to maxRetryDelay.
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 2 * time.Second
 )
 
-// run writes until Close.
+// run executes the queued writes until Close.
 func (w *File) run() {
 	defer close(w.finished)
 	for j := range w.jobs {
@@ -175,9 +179,11 @@
 	w.lock.Close()
 }
 
-// execute carries a write out, however long the disk refuses. After a failed write nobody knows what the file holds, and after a failed
-// sync the kernel may have dropped pages and call the next sync good. So nothing more is written to that file: a new one with all that
-// is pending takes its place. Until that is on disk the write is not done, and whoever waits for it is not answered.
+// execute performs a write and retries it until it succeeds or the File is closed. After a failed
+// write the contents of the file are unknown, and after a failed sync the kernel may have dropped
+// dirty pages and report success for the next sync. So nothing more is written to that file: a new
+// file with the durable contents and the pending write replaces it. Until the new file is on disk
+// the write is not reported, and no request that depends on it is answered.
 func (w *File) execute(j writeJob) error {
 	contents := j.data
 	if !j.replace {
@@ -214,7 +220,7 @@
 	return w.file.Sync()
 }
 
-// replace writes a new file and puts it in the log's place once it is on disk.
+// replace writes a new file and replaces the log with it once it is on disk.
 func (w *File) replace(data []byte) error {
 	path := filepath.Join(w.dir, tempName)
 	file, err := w.system.create(path)
@@ -230,7 +236,8 @@
 	return nil
 }
 
-// install writes a file and renames it to the log's name; each step is on disk before the next one.
+// install writes a file and renames it to the log's name. Each step is durable before the next one
+// begins.
 func (w *File) install(file logFile, path string, data []byte) error {
 	if _, err := file.Write(data); err != nil {
 		return err
--- a/internal/keeper/handshake.go
+++ b/internal/keeper/handshake.go
@@ -7,19 +7,21 @@
 	"time"
 )
 
-// handshake knows under which disk each keeper speaks. A keeper takes part, by vote or by acknowledgement, only once it has met
-// each of the others and has that on disk. So every keeper that takes part knows the disk of every other one, and whoever comes
-// back with another disk under an old number finds nobody who would greet it: it can't vote as if it had promised nothing. (First
-// contact alone is not enough: two followers may never have spoken to each other.) A new fleet needs all its keepers up once for
-// that.
+// handshake records the identity of each keeper's disk. A keeper participates, that is votes and
+// acknowledges entries, only once it has met each other keeper and has recorded that on disk. So
+// every participating keeper knows the disk of every other one, and a keeper that returns under its
+// old id with another disk gets no reply to its hellos: it can't vote as if it had never
+// acknowledged anything. Recording disks at the first contact alone would not be enough, since two
+// followers may never have exchanged a message. A new fleet therefore needs all its keepers up once
+// before any of them participates.
 type handshake struct {
-	identity uint64            // of the disk here
-	disks    map[uint64]uint64 // identities by keeper, as they were first met
-	unsaved  []uint64          // keepers in disks that are not on disk yet
-	done     bool              // it has met all others once, and that is on disk
-	saving   bool              // done is being written
-	replies  []uint64          // keepers whose hellos are to be answered once their disks are on disk
-	nextAt   time.Time         // the next hellos go out then
+	identity uint64            // of this keeper's disk
+	disks    map[uint64]uint64 // disk identity by keeper id, as first met
+	unsaved  []uint64          // ids of the keepers in disks that are not on disk yet
+	done     bool              // all other keepers have been met, and that is on disk
+	saving   bool              // the record that sets done is being written
+	replies  []uint64          // ids of the keepers whose hellos are answered once their disks are on disk
+	nextAt   time.Time         // when the next hellos are sent
 }
 
 func newHandshake(now time.Time, log *RestoredLog) handshake {
@@ -30,7 +32,8 @@
 	return h
 }
 
-// meet notes the disk of a keeper that is met for the first time; it is false for another disk than the one that was met before.
+// checkDisk records the disk of a keeper that is met for the first time. It returns false if the
+// keeper was met with another disk before.
 func (h *handshake) checkDisk(id, disk uint64) bool {
 	known := h.disks[id]
 	if known == 0 {
@@ -41,10 +44,11 @@
 	return known == disk
 }
 
-// needsSaving tells whether something is known that no record holds yet.
+// needsSaving reports whether the handshake holds anything that no record holds yet.
 func (h *handshake) needsSaving() bool { return len(h.unsaved) > 0 || h.saving }
 
-// saved takes the end of a write; it is true if this keeper takes part from now on.
+// markSaved handles the completion of a write. It returns true if the keeper participates from now
+// on.
 func (h *handshake) saved() bool {
 	if !h.saving {
 		return false
@@ -53,7 +57,7 @@
 	return true
 }
 
-// addUnsaved adds to a record what no other one holds yet.
+// addUnsaved adds to a record whatever no earlier record holds.
 func (h *handshake) addUnsaved(r *record) {
 	for _, id := range h.unsaved {
 		h.addDisk(r, id)
@@ -64,13 +68,13 @@
 	}
 }
 
-// addAll adds all that is known to a record that replaces the log of a keeper that takes part.
+// addAll adds the whole handshake to a record that replaces the log of a participating keeper.
 func (h *handshake) addAll(r *record) {
 	r.addItem(itemIdentity, binary.BigEndian.AppendUint64(nil, h.identity))
 	for _, id := range slices.Sorted(maps.Keys(h.disks)) {
 		h.addDisk(r, id)
 	}
-	r.addItem(itemParticipates, nil) // who has entries takes part
+	r.addItem(itemParticipates, nil) // only a participating keeper has entries to compact
 }
 
 func (h *handshake) addDisk(r *record, id uint64) {
@@ -78,7 +82,8 @@
 	r.addItem(itemDisk, binary.BigEndian.AppendUint64(data, h.disks[id]))
 }
 
-// sendHellos says hello to those that were not met yet.
+// sendHellos sends a hello to each keeper not met yet. If there is none, it has the completed
+// handshake recorded.
 func (k *Core) sendHellos(now time.Time) {
 	k.handshake.nextAt = now.Add(k.cfg.ElectionTimeout / 2)
 	missing := false
@@ -94,8 +99,9 @@
 	}
 }
 
-// HandleHello takes another keeper's hello. One whose disk is not the one that was met before is not answered.
-func (k *Core) HandleHello(now time.Time, from, disk uint64, answer bool) {
+// HandleHello handles the hello of another keeper, or its reply to one. A keeper with another disk
+// than the one first met gets no reply.
+func (k *Core) HandleHello(now time.Time, from, disk uint64, isReply bool) {
 	if k.stopped != nil || from == 0 || from == k.cfg.ID || disk == 0 {
 		return
 	}
@@ -103,16 +109,16 @@
 		k.Count.Refused++
 		return
 	}
-	if !answer {
+	if !isReply {
 		k.handshake.replies = append(k.handshake.replies, from)
 	}
 	if !k.handshake.done {
-		k.handshake.nextAt = now // perhaps that was the last one
+		k.handshake.nextAt = now // this may have been the last keeper to meet
 	}
 	k.processReady(now)
 }
 
-// answerHellos answers the hellos of keepers whose disks are on disk here.
+// answerHellos replies to the hellos of keepers whose disk identities are recorded on disk.
 func (k *Core) answerHellos() {
 	for _, id := range k.handshake.replies {
 		k.output.Hellos = append(k.output.Hellos, Hello{To: id, IsReply: true})
--- a/internal/keeper/log.go
+++ b/internal/keeper/log.go
@@ -11,37 +11,38 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The log on disk is one file of records. A record is what is written and synced at once:
+// The log on disk is one file of records. A record is the unit of writing and syncing:
 //
 //	magic 4 bytes, length of the body 4, checksum of the body 4 (CRC-32C), body
 //
-// and a body is a list of items: kind 1 byte, length 4, protobuf. As each record is synced before the next one is written,
-// only the last one can be torn; it was acknowledged to nobody, and is cut off. A bad record with a good one behind it is
-// damage, and nothing can tell what it held: the member must not go on.
+// and a body is a list of items: kind 1 byte, length 4, protobuf. Integers are big-endian. Each
+// record is synced before the next one is written, so only the last one can be torn. A torn record
+// was never acknowledged and is truncated. An invalid record followed by a valid one is corruption:
+// its contents can't be known, and the keeper must not continue.
 
 const (
 	recordMagic       = 0x6f737031
 	recordHeaderBytes = 12
 	itemHeaderBytes   = 5
-	maxRecordBytes    = 8 << 20 // of a body
+	maxRecordBytes    = 8 << 20 // of the body
 )
 
 // The kinds of items in a record.
 const (
-	itemIdentity     = 'I' // of the disk, 8 bytes
+	itemIdentity     = 'I' // identity of the disk, 8 bytes
 	itemHardState    = 'H'
 	itemEntry        = 'E'
 	itemSnapshot     = 'S'
-	itemParticipates = 'O' // the keeper has met all others once, and participates from then on; empty
-	itemDisk         = 'P' // a keeper's id and its disk's identity, 8 bytes each
+	itemParticipates = 'O' // the keeper has met all others and participates from here on; empty
+	itemDisk         = 'P' // id of another keeper and identity of its disk, 8 bytes each
 )
 
 // Errors of reading a log.
 var (
-	// ErrDamaged means that a log can't be trusted.
-	ErrDamaged = errors.New("keeper: the log is damaged")
-	// ErrEmpty means that there is no log.
-	ErrEmpty = errors.New("keeper: there is no log")
+	// ErrDamaged is returned for a corrupt log.
+	ErrDamaged = errors.New("keeper: log is damaged")
+	// ErrEmpty is returned if there is no log or the log is empty.
+	ErrEmpty = errors.New("keeper: no log")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -49,7 +50,7 @@
 // record builds one record.
 type record struct{ bytes []byte }
 
-// addItem adds an item of a kind.
+// addItem appends an item.
 func (r *record) addItem(kind byte, data []byte) {
 	if r.bytes == nil {
 		r.bytes = make([]byte, recordHeaderBytes, 512)
@@ -59,7 +60,7 @@
 	r.bytes = append(r.bytes, data...)
 }
 
-// addMessage adds an item that is a protobuf message.
+// addMessage appends a protobuf message as an item.
 func (r *record) addMessage(kind byte, m proto.Message) error {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// seal fills the header in and returns the record, nil if it has no items.
+// seal fills in the header and returns the encoded record, nil if it has no items.
 func (r *record) seal() []byte {
 	if r.bytes == nil {
 		return nil
@@ -81,29 +82,30 @@
 	return r.bytes
 }
 
-// RestoredLog is what a log holds.
+// RestoredLog is the decoded contents of a log.
 type RestoredLog struct {
-	// Identity is that of the disk.
+	// Identity is the identity of the disk.
 	Identity uint64
-	// ValidBytes is how many bytes are valid; what follows was torn and is to be cut off.
+	// ValidBytes is the length of the valid records. What follows is torn and is to be truncated.
 	ValidBytes int
 
 	hard         *pb.HardState
 	snapshot     *pb.Snapshot
-	entries      []*pb.Entry       // behind the snapshot
-	disks        map[uint64]uint64 // identities by keeper, see handshake
-	participates bool
+	entries      []*pb.Entry       // entries after the snapshot
+	disks        map[uint64]uint64 // disk identity by keeper id, see handshake
+	participates bool              // see Core.Participates
 }
 
-// InitialRecord returns the first record of a new disk's log. The identity, above 0, must differ from those of all other disks that the
-// same keeper ever had.
+// InitialRecord returns the first record of the log of a new disk. The identity must be above 0 and
+// differ from the identity of every other disk that the same keeper ever had.
 func InitialRecord(identity uint64) []byte {
 	var r record
 	r.addItem(itemIdentity, binary.BigEndian.AppendUint64(nil, identity))
 	return r.seal()
 }
 
-// Restore reads a log. A torn last record is left out. It returns ErrEmpty for no bytes, ErrDamaged for a log that can't be trusted.
+// Restore decodes a log. A torn last record is left out. It returns ErrEmpty for 0 bytes and
+// ErrDamaged for a corrupt log.
 func Restore(data []byte) (*RestoredLog, error) {
 	out := &RestoredLog{hard: &pb.HardState{}}
 	if len(data) == 0 {
@@ -113,21 +115,21 @@
 		body := recordBody(data[at:])
 		if body == nil {
 			if next := findRecord(data[at+1:]); next >= 0 {
-				return nil, fmt.Errorf("%w: byte %d is no record, and byte %d begins a good one", ErrDamaged, at, at+1+next)
+				return nil, fmt.Errorf("%w: no valid record at byte %d, but one follows at byte %d", ErrDamaged, at, at+1+next)
 			}
 			break
 		}
 		if err := out.addBody(body); err != nil {
-			return nil, fmt.Errorf("%w: byte %d: %w", ErrDamaged, at, err)
+			return nil, fmt.Errorf("%w: record at byte %d: %w", ErrDamaged, at, err)
 		}
 		at += recordHeaderBytes + len(body)
 		out.ValidBytes = at
 	}
 	if out.ValidBytes == 0 {
-		return nil, fmt.Errorf("%w: no record is whole", ErrDamaged)
+		return nil, fmt.Errorf("%w: no complete record", ErrDamaged)
 	}
 	if out.Identity == 0 {
-		return nil, fmt.Errorf("%w: it does not begin with the disk's identity", ErrDamaged)
+		return nil, fmt.Errorf("%w: the disk's identity is missing", ErrDamaged)
 	}
 	return out, nil
 }
@@ -158,16 +160,16 @@
 	return -1
 }
 
-// addBody takes the items of a record.
+// addBody adds the items of a record.
 func (o *RestoredLog) addBody(body []byte) error {
 	for len(body) > 0 {
 		if len(body) < itemHeaderBytes {
-			return errors.New("an item is cut off")
+			return errors.New("truncated item header")
 		}
 		kind, length := body[0], int(binary.BigEndian.Uint32(body[1:]))
 		body = body[itemHeaderBytes:]
 		if length > len(body) {
-			return errors.New("an item is longer than its record")
+			return errors.New("item exceeds its record")
 		}
 		data := body[:length]
 		body = body[length:]
@@ -178,19 +180,19 @@
 	return nil
 }
 
-// addItem takes one item.
+// addItem adds one item of a record.
 func (o *RestoredLog) addItem(kind byte, data []byte) error {
 	switch kind {
 	case itemIdentity:
 		if len(data) != 8 {
-			return fmt.Errorf("an identity of %d bytes", len(data))
+			return fmt.Errorf("disk identity of %d bytes, want 8", len(data))
 		}
 		o.Identity = binary.BigEndian.Uint64(data)
 	case itemParticipates:
 		o.participates = true
 	case itemDisk:
 		if len(data) != 16 {
-			return fmt.Errorf("a pair of %d bytes", len(data))
+			return fmt.Errorf("keeper id and disk identity of %d bytes, want 16", len(data))
 		}
 		if o.disks == nil {
 			o.disks = make(map[uint64]uint64)
@@ -208,18 +210,19 @@
 	case itemEntry:
 		return o.addEntry(data)
 	default:
-		return fmt.Errorf("an item of unknown kind %q", kind)
+		return fmt.Errorf("item of unknown kind %q", kind)
 	}
 	return nil
 }
 
-// addEntry takes an entry. A later leader may have replaced what followed its index.
+// addEntry adds a log entry. It replaces any entries from its index on, since a later leader may
+// have overwritten them.
 func (o *RestoredLog) addEntry(data []byte) error {
 	e := &pb.Entry{}
 	if err := proto.Unmarshal(data, e); err != nil {
 		return err
 	}
-	first := max(o.snapshot.GetMetadata().GetIndex(), 1) + 1 // a new log begins behind index 1, see storage
+	first := max(o.snapshot.GetMetadata().GetIndex(), 1) + 1 // a new log begins after index 1, see storage
 	if len(o.entries) > 0 {
 		first = o.entries[0].GetIndex()
 	}
@@ -231,12 +234,13 @@
 	return nil
 }
 
-// storage returns the library's storage with what the log holds; voters are those of a new fleet.
+// storage returns the storage of the Raft library with the contents of the log. voters are the
+// voters of a new fleet, which apply if the log has no snapshot.
 func (o *RestoredLog) storage(voters []uint64) (*raft.MemoryStorage, error) {
 	mem := raft.NewMemoryStorage()
 	snap := o.snapshot
 	if snap == nil {
-		// All members of a new fleet begin with the same voters, at index 1.
+		// All keepers of a new fleet start with the same voters, at index 1.
 		snap = &pb.Snapshot{Metadata: &pb.SnapshotMetadata{
 			Index: proto.Uint64(1), Term: proto.Uint64(1), ConfState: &pb.ConfState{Voters: voters},
 		}}
--- a/internal/keeper/logger.go
+++ b/internal/keeper/logger.go
@@ -2,8 +2,9 @@
 
 import "fmt"
 
-// quietLogger drops what the library logs; what matters is told by Core itself. What the library takes for impossible still ends
-// the process: its state could not be trusted any more.
+// quietLogger discards the messages of the Raft library, since Core itself reports what matters.
+// Fatal and Panic still panic: the library calls them on a violated invariant, after which its
+// state can't be trusted.
 type quietLogger struct{}
 
 func (quietLogger) Debug(...any)            {}
--- a/internal/keeper/output.go
+++ b/internal/keeper/output.go
@@ -8,27 +8,28 @@
 	"ospreyspan/internal/owner"
 )
 
-// Output is what a Core wants done. Whoever drives it takes it after each call and carries it out, the disk first. Nothing in
-// Messages or Responses depends on a write that has not been reported by Synced.
+// Output is the work that a Core hands to its caller. The caller takes it after each call and
+// carries it out, the writes first. Nothing in Messages or Responses depends on a write that has
+// not been reported by Core.Synced.
 type Output struct {
-	Append    []byte // to be written behind the log and synced
-	Replace   []byte // to be written in the log's place, all or nothing
+	Append    []byte // appended to the log and synced; nil: nothing
+	Replace   []byte // replaces the whole log atomically; nil: nothing
 	Messages  []*pb.Message
 	Responses []Response
 	Hellos    []Hello
-	Stopped   error // the member must end
+	Stopped   error // why the keeper has stopped; nil: it runs
 }
 
-// Hello tells another keeper under which disk this one speaks.
+// Hello tells another keeper the identity of this keeper's disk.
 type Hello struct {
 	To      uint64
-	IsReply bool // else one is wanted
+	IsReply bool // a reply to the hello of To; otherwise To is to reply
 }
 
-// Response is the response to a request of leases or of floors, and where it goes.
+// Response is the response to a lease request or a floors request.
 type Response struct {
 	To            netip.AddrPort
-	Leases        *owner.LeaseResponse // to a lease request
-	FloorsRequest *FloorsRequest       // with Floors: the request
-	Floors        map[string]uint64    // latest token by lease
+	Leases        *owner.LeaseResponse // response to a lease request; nil for a floors request
+	FloorsRequest *FloorsRequest       // the request that Floors answers; nil for a lease request
+	Floors        map[string]uint64    // latest token by lease name
 }
