--- a/internal/keeper/handshake.go
+++ b/internal/keeper/handshake.go
@@ -49,7 +49,7 @@
 
 // markSaved handles the completion of a write. It returns true if the keeper participates from now
 // on.
-func (h *handshake) saved() bool {
+func (h *handshake) markSaved() bool {
 	if !h.saving {
 		return false
 	}
--- a/internal/keeper/progress.go
+++ b/internal/keeper/progress.go
@@ -10,19 +10,19 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Synced tells how the write of the last Output ended. After a failed one nobody knows what the disk holds, and the member
-// ends: what it would write next might stand behind a hole.
+// Synced reports the result of the write of the last Output. After a failed write the contents of
+// the disk are unknown, and the keeper stops: its next record might follow a gap in the log.
 func (k *Core) Synced(now time.Time, err error) {
 	if k.stopped != nil {
 		return
 	}
 	if err != nil {
 		k.output = Output{}
-		k.stop(fmt.Errorf("keeper: the log could not be written: %w", err))
+		k.stop(fmt.Errorf("keeper: writing the log: %w", err))
 		return
 	}
 	k.writing = false
-	if k.handshake.saved() {
+	if k.handshake.markSaved() {
 		k.resetElection(now)
 	}
 	if ready := k.unsavedReady; ready != nil {
@@ -32,7 +32,7 @@
 	k.processReady(now)
 }
 
-// progress takes what the library has ready, up to the next write.
+// processReady handles the Readys of the Raft library, up to the next write.
 func (k *Core) processReady(now time.Time) {
 	for k.idle() && k.raft.HasReady() {
 		k.handleReady(now)
@@ -46,7 +46,7 @@
 	k.updateLeadership(now)
 }
 
-// idle tells whether nothing is being written, and the member has not ended.
+// idle reports whether the keeper runs and no write is in progress.
 func (k *Core) idle() bool { return !k.writing && k.stopped == nil }
 
 // handleReady has the record of what is ready written; what needs none is finished at once.
@@ -65,7 +65,7 @@
 	k.finishReady(now, ready)
 }
 
-// saveHandshake has what the handshake learnt written.
+// saveHandshake has the unsaved part of the handshake written.
 func (k *Core) saveHandshake() {
 	data, err := k.encodeReady(raft.Ready{})
 	if err != nil {
@@ -75,7 +75,8 @@
 	k.writing = true
 }
 
-// record returns what must be on disk before a Ready is finished, nil for nothing.
+// encodeReady returns the record that must be on disk before a Ready is finished, nil if none is
+// needed.
 func (k *Core) encodeReady(ready raft.Ready) ([]byte, error) {
 	var r record
 	k.handshake.addUnsaved(&r)
@@ -97,7 +98,8 @@
 	return r.seal(), nil
 }
 
-// finish takes a Ready whose record is durable.
+// finishReady handles a Ready whose record is durable: it sends its messages and applies its
+// committed entries.
 func (k *Core) finishReady(now time.Time, ready raft.Ready) {
 	if err := k.store(ready); err != nil {
 		k.stop(fmt.Errorf("keeper: %w", err))
@@ -109,7 +111,7 @@
 		}
 		k.output.Messages = append(k.output.Messages, m)
 	}
-	k.updateLeadership(now) // what is applied now is timed by whoever leads
+	k.updateLeadership(now) // a leader starts its renewal timers before it applies the entries
 	for _, e := range ready.CommittedEntries {
 		if err := k.apply(now, e); err != nil {
 			k.stop(fmt.Errorf("keeper: %w", err))
@@ -120,7 +122,7 @@
 	k.compact()
 }
 
-// store puts what is durable where the library reads it.
+// store updates the storage of the library from a Ready whose record is durable.
 func (k *Core) store(ready raft.Ready) error {
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		if err := k.installSnapshot(ready.Snapshot); err != nil {
@@ -128,7 +130,7 @@
 		}
 	}
 	if !raft.IsEmptyHardState(ready.HardState) {
-		_ = k.storage.SetHardState(ready.HardState) // it can't fail
+		_ = k.storage.SetHardState(ready.HardState) // MemoryStorage never returns an error here
 	}
 	return k.storage.Append(ready.Entries)
 }
@@ -142,10 +144,10 @@
 	case pb.EntryNormal:
 		return k.applyCommand(now, e)
 	}
-	return fmt.Errorf("entry %d of kind %v", e.GetIndex(), e.GetType())
+	return fmt.Errorf("entry %d has the unsupported type %v", e.GetIndex(), e.GetType())
 }
 
-// applyChange applies a change of the voters.
+// applyChange applies a change of the voters to the configuration.
 func (k *Core) applyChange(e *pb.Entry) error {
 	change := &pb.ConfChange{}
 	if err := proto.Unmarshal(e.GetData(), change); err != nil {
@@ -156,7 +158,8 @@
 	return nil
 }
 
-// applyCommand applies a command and responds to whoever requested it here. An entry without one is a new leader's first.
+// applyCommand applies a command and responds to its client if the request was made to this keeper.
+// A new leader's first entry has no command.
 func (k *Core) applyCommand(now time.Time, e *pb.Entry) error {
 	if len(e.GetData()) == 0 {
 		k.state.Applied = e.GetIndex()
--- a/internal/keeper/renewals.go
+++ b/internal/keeper/renewals.go
@@ -6,24 +6,25 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// renewalTimer is since when a grant has not been renewed, by this member's clock.
+// renewalTimer records when a grant was last renewed, by this keeper's clock.
 type renewalTimer struct {
 	token, renewals  uint64
 	renewedAt        time.Time
-	expiryProposedAt time.Time // when its end was proposed last
+	expiryProposedAt time.Time // when its expiry was last proposed; zero: never
 }
 
-// renewalTimers are those of all leases, by name. They serve a leader only.
+// renewalTimers holds the renewalTimer of each lease by name. Only a leader uses it.
 type renewalTimers map[string]renewalTimer
 
-// restart gives each grant its whole time once more: what was renewed under the leader before is not known here.
+// restart gives each grant its whole duration again, since a new leader does not know when the
+// grants were renewed under the previous one.
 func (r renewalTimers) restart(now time.Time, leases []*Lease) {
 	for _, l := range leases {
 		r[l.Name] = renewalTimer{token: l.Token, renewals: l.Renewals, renewedAt: now}
 	}
 }
 
-// note notes that a lease was granted or renewed now, if it was.
+// update restarts the timer of a lease if the lease was granted or renewed since the last update.
 func (r renewalTimers) update(now time.Time, l *Lease) {
 	if l == nil {
 		return
@@ -33,10 +34,11 @@
 	}
 }
 
-// earlyGrantDivisor is how many times too early the flaw EarlyGrant ends a grant.
+// earlyGrantDivisor divides the time to the expiry of a grant under Flaws.EarlyGrant.
 const earlyGrantDivisor = 4
 
-// proposeExpiries proposes the end of grants that nobody has renewed for the whole lease and the margin.
+// proposeExpiries proposes the expiry of grants that have not been renewed for the lease duration
+// plus the margin. An expiry that has not been applied is proposed again after ElectionTimeout.
 func (k *Core) proposeExpiries(now time.Time) {
 	wait := k.cfg.Terms.KeeperTimeout()
 	if k.cfg.Flaws.EarlyGrant {
--- a/internal/keeper/requests.go
+++ b/internal/keeper/requests.go
@@ -8,26 +8,27 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxPendingRequests is how many responses may be pending.
+// maxPendingRequests limits the requests that await their response.
 const maxPendingRequests = 4096
 
-// requestKey tells requests apart.
+// requestKey identifies a request.
 type requestKey struct {
-	floors       bool // else it is a lease request
+	floors       bool // a floors request; otherwise a lease request
 	session, seq uint64
 }
 
-// pendingRequests are the addresses to which responses are pending.
+// pendingRequests holds the client address of each request that awaits its response.
 type pendingRequests map[requestKey]netip.AddrPort
 
-// take returns where the response to a request goes, and forgets it; ok is false if none is pending here.
+// take removes a request and returns the address for its response. ok is false if the request is
+// not pending on this keeper.
 func (p pendingRequests) take(key requestKey) (to netip.AddrPort, ok bool) {
 	to, ok = p[key]
 	delete(p, key)
 	return to, ok
 }
 
-// key is that of the request in a command.
+// key returns the key of the request in a command.
 func (c *Command) key() requestKey {
 	if c.Floors != nil {
 		return requestKey{true, c.Floors.Session, c.Floors.Seq}
@@ -35,7 +36,7 @@
 	return requestKey{false, c.Request.Session, c.Request.Seq}
 }
 
-// propose puts a request into the log; its response goes to the address that sent it last.
+// propose proposes a request for the log. Its response goes to the address that sent it last.
 func (k *Core) propose(now time.Time, c *Command, from netip.AddrPort) error {
 	if !k.Leading() {
 		return ErrNotLeader
@@ -43,10 +44,10 @@
 	key := c.key()
 	if _, again := k.requests[key]; again {
 		k.requests[key] = from
-		return nil // it is in the log already
+		return nil // the request has been proposed already
 	}
 	if len(k.requests) >= maxPendingRequests {
-		return fmt.Errorf("keeper: %d answers pending", len(k.requests))
+		return fmt.Errorf("keeper: %d requests pending, limit %d", len(k.requests), maxPendingRequests)
 	}
 	data, err := cbor.Marshal(c)
 	if err != nil {
--- a/internal/keeper/snapshot.go
+++ b/internal/keeper/snapshot.go
@@ -10,17 +10,19 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// snapshotTimeout is how long a snapshot may be on its way to another keeper before it is sent again.
+// snapshotTimeout is how long the transfer of a snapshot to another keeper may take before it
+// counts as failed and the snapshot is sent again.
 const snapshotTimeout = time.Second
 
-// snapshotTransfers are the times at which snapshots under way count as lost, by receiver.
+// snapshotTransfers holds the deadline of each snapshot transfer in progress, by receiver id.
 type snapshotTransfers map[uint64]time.Time
 
 func (s snapshotTransfers) begin(now time.Time, receiver uint64) {
 	s[receiver] = now.Add(snapshotTimeout)
 }
 
-// takeOverdue returns the receivers whose snapshots count as lost, in the order of their ids, and forgets them.
+// takeOverdue removes the transfers past their deadline and returns the receivers in the order of
+// their ids.
 func (s snapshotTransfers) takeOverdue(now time.Time) []uint64 {
 	var overdue []uint64
 	for _, receiver := range slices.Sorted(maps.Keys(s)) {
@@ -32,7 +34,7 @@
 	return overdue
 }
 
-// installSnapshot goes on from a leader's snapshot.
+// installSnapshot replaces the state by a snapshot of the leader.
 func (k *Core) installSnapshot(snapshot *pb.Snapshot) error {
 	state, err := DecodeState(snapshot.GetData())
 	if err != nil {
@@ -47,7 +49,7 @@
 	return nil
 }
 
-// compact makes a snapshot where one is due, and has the log replaced by it.
+// compact creates a snapshot if one is due, and has the log on disk replaced by it.
 func (k *Core) compact() {
 	if k.stopped != nil || k.state.Applied < k.snapshotAt+k.cfg.SnapshotEvery {
 		return
@@ -66,7 +68,8 @@
 	k.output.Replace, k.writing = data, true
 }
 
-// makeSnapshot makes a snapshot of the state and drops the entries before it, but for the last ones.
+// makeSnapshot creates a snapshot of the state and discards the entries before it, except for the
+// last TrailingEntries.
 func (k *Core) makeSnapshot() (*pb.Snapshot, error) {
 	data, err := k.state.Encode()
 	if err != nil {
@@ -85,7 +88,8 @@
 	return snapshot, err
 }
 
-// replacement is the record that takes the log's place: a snapshot, and what follows it.
+// replacement returns the record that replaces the log: the handshake, a snapshot, the entries
+// after it and the hard state.
 func (k *Core) replacement(snapshot *pb.Snapshot) ([]byte, error) {
 	var r record
 	k.handshake.addAll(&r)
@@ -102,7 +106,7 @@
 	return r.seal(), nil
 }
 
-// addEntries adds the entries from an index on to a record.
+// addEntries adds the entries from index from on to a record.
 func (k *Core) addEntries(r *record, from uint64) error {
 	last, _ := k.storage.LastIndex()
 	if last < from {
--- a/internal/keeper/state.go
+++ b/internal/keeper/state.go
@@ -10,44 +10,46 @@
 	"ospreyspan/internal/owner"
 )
 
-// Bounds on the state.
+// Limits of the replicated state.
 const (
-	maxSessions = 2048 // the least recently used one is forgotten
+	maxSessions = 2048 // beyond that, the least recently used session is evicted
 	maxLeases   = 256
 )
 
-// State is what the keepers agree on. It has no clock: time comes in as Expire entries.
+// State is the replicated state machine. It has no clock: grants end by Expire entries.
 type State struct {
-	LastToken uint64           `cbor:"1,keyasint"` // of all grants
-	Leases    []*Lease         `cbor:"2,keyasint"` // by name
-	Sessions  []*sessionRecord `cbor:"3,keyasint"` // by id
-	Applied   uint64           `cbor:"4,keyasint"` // index of the last entry
+	LastToken uint64           `cbor:"1,keyasint"` // highest token of any grant; 0: there was none
+	Leases    []*Lease         `cbor:"2,keyasint"` // sorted by name
+	Sessions  []*sessionRecord `cbor:"3,keyasint"` // sorted by id
+	Applied   uint64           `cbor:"4,keyasint"` // index of the last applied entry
 }
 
 // Lease is the right to do one piece of work, which at most one process holds.
 type Lease struct {
 	Name     string `cbor:"1,keyasint"`
-	Token    uint64 `cbor:"2,keyasint"` // of the latest grant
-	Session  uint64 `cbor:"3,keyasint"` // of its holder; 0: it is free
-	Holder   string `cbor:"4,keyasint"` // by name
-	Renewals uint64 `cbor:"5,keyasint"` // of all grants
+	Token    uint64 `cbor:"2,keyasint"` // fencing token of the latest grant
+	Session  uint64 `cbor:"3,keyasint"` // session of the holder; 0: the lease is free
+	Holder   string `cbor:"4,keyasint"` // name of the holder; empty: the lease is free
+	Renewals uint64 `cbor:"5,keyasint"` // number of grants and renewals so far, of all holders
 }
 
-// heldBy tells whether a session holds the lease.
+// heldBy reports whether a session holds the lease.
 func (l *Lease) heldBy(session uint64) bool { return l.Session != 0 && l.Session == session }
 
 // release frees the lease.
 func (l *Lease) release() { l.Session, l.Holder = 0, "" }
 
-// sessionRecord is the last request of a session and its response: a repeated request is answered from it, and applied once.
+// sessionRecord holds the sequence number of the last request of a session and its response. A
+// repeated request is answered from the record and so is applied only once.
 type sessionRecord struct {
 	ID       uint64              `cbor:"1,keyasint"`
 	Seq      uint64              `cbor:"2,keyasint"`
 	Response owner.LeaseResponse `cbor:"3,keyasint"`
-	LastUsed uint64              `cbor:"4,keyasint"` // index of its last entry
+	LastUsed uint64              `cbor:"4,keyasint"` // log index of the session's last request
 }
 
-// lease finds a lease by its name, nil if there is none, and the index at which it is or would be.
+// lease returns a lease by its name, nil if there is none, and its position in Leases or the
+// position to insert it at.
 func (s *State) lease(name string) (*Lease, int) {
 	i, found := slices.BinarySearchFunc(s.Leases, name, func(l *Lease, name string) int { return cmp.Compare(l.Name, name) })
 	if !found {
@@ -56,8 +58,8 @@
 	return s.Leases[i], i
 }
 
-// Apply applies the entry at an index of the log. It returns the response to a lease request, and nil for other commands and for
-// a request that is older than the session's last.
+// Apply applies the command of the log entry at an index. It returns the response to a lease
+// request, and nil for other commands and for a request older than the last one of its session.
 func (s *State) Apply(index uint64, c *Command) *owner.LeaseResponse {
 	s.Applied = index
 	switch {
@@ -69,7 +71,7 @@
 	return nil
 }
 
-// applyExpire ends a grant unless it was renewed meanwhile.
+// applyExpire ends a grant unless it was renewed after the Expire was proposed.
 func (s *State) applyExpire(e *Expire) {
 	if l, _ := s.lease(e.Lease); l != nil && l.Token == e.Token && l.Renewals == e.Renewals {
 		l.release()
@@ -95,7 +97,7 @@
 	return &session.Response
 }
 
-// applyClaim renews, grants or releases one lease of a request.
+// applyClaim renews, grants or releases one lease as a claim of a request asks.
 func (s *State) applyClaim(r *owner.LeaseRequest, claim owner.LeaseClaim) owner.LeaseStatus {
 	l, at := s.lease(claim.Lease)
 	if l == nil {
@@ -114,8 +116,8 @@
 	case mine && claim.Token == l.Token:
 		l.Renewals++
 	case mine:
-		// The client let its grant run out, or never heard of it: a new grant, so that what it sent under the old one
-		// can't be taken for this one's.
+		// The client let its grant expire, or never got the response. It gets a new grant, so that
+		// effects sent under the old one can't be mistaken for those of the new one.
 		s.grant(l, r)
 	case l.Session == 0 && claim.Token == 0:
 		s.grant(l, r)
@@ -123,14 +125,15 @@
 	return owner.LeaseStatus{Lease: l.Name, Token: l.Token, Mine: l.heldBy(r.Session), Holder: l.Holder}
 }
 
-// grant gives a lease to whoever requests it, with a token above all before.
+// grant grants a lease to the client of a request, with a token above all earlier ones.
 func (s *State) grant(l *Lease, r *owner.LeaseRequest) {
 	s.LastToken++
 	l.Token, l.Session, l.Holder = s.LastToken, r.Session, r.Name
 	l.Renewals++
 }
 
-// session returns the record of a session, a new one if there is none, and notes that it is used by the entry at an index.
+// session returns the record of a session and sets its LastUsed to index. It creates the record if
+// there is none.
 func (s *State) session(index, id uint64) *sessionRecord {
 	at, found := s.findSession(id)
 	if !found {
@@ -148,7 +151,7 @@
 	return slices.BinarySearchFunc(s.Sessions, id, func(r *sessionRecord, id uint64) int { return cmp.Compare(r.ID, id) })
 }
 
-// evictOldestSession forgets the least recently used session.
+// evictOldestSession removes the least recently used session.
 func (s *State) evictOldestSession() {
 	oldest := 0
 	for i, r := range s.Sessions {
@@ -159,7 +162,7 @@
 	s.Sessions = slices.Delete(s.Sessions, oldest, oldest+1)
 }
 
-// Floors returns the latest token of each lease, by name.
+// Floors returns the latest token of each lease by name.
 func (s *State) Floors() map[string]uint64 {
 	floors := make(map[string]uint64, len(s.Leases))
 	for _, l := range s.Leases {
@@ -170,10 +173,10 @@
 	return floors
 }
 
-// Encode writes the state for a snapshot: equal states are equal bytes.
+// Encode encodes the state for a snapshot. Equal states have equal encodings.
 func (s *State) Encode() ([]byte, error) { return cbor.Marshal(s) }
 
-// DecodeState reads a snapshot.
+// DecodeState decodes the state of a snapshot.
 func DecodeState(data []byte) (*State, error) {
 	var s State
 	if err := cbor.Unmarshal(data, &s); err != nil {
