--- a/internal/keeper/progress.go
+++ b/internal/keeper/progress.go
@@ -49,7 +49,8 @@
 // idle reports whether the keeper runs and no write is in progress.
 func (k *Core) idle() bool { return !k.writing && k.stopped == nil }
 
-// handleReady has the record of what is ready written; what needs none is finished at once.
+// handleReady fetches a Ready from the library and has its record written. A Ready that needs no
+// record is finished at once.
 func (k *Core) handleReady(now time.Time) {
 	ready := k.raft.Ready()
 	data, err := k.encodeReady(ready)
--- a/internal/owner/client.go
+++ b/internal/owner/client.go
@@ -5,52 +5,54 @@
 	"time"
 )
 
-// Intervals of a client, as parts of the lease.
+// Intervals of a client, as divisors of the lease duration.
 const (
-	renewDivisor      = 3 // a lease is renewed after a third of it
-	firstRetryDivisor = 8 // a request without a response is sent again after an eighth of a lease
-	maxRetryDivisor   = 2 // and later after twice the time each, up to half of a lease
-	maxDoublings      = 8
+	renewDivisor      = 3 // a lease is renewed after a third of its duration
+	firstRetryDivisor = 8 // a request without a response is first repeated after an eighth of the duration
+	maxRetryDivisor   = 2 // the retry interval doubles up to half of the duration
+	maxDoublings      = 8 // of the retry interval; keeps the shift from overflowing
 )
 
-// LeaseClient keeps a process's leases: it says what to request and whether a lease is held now.
+// LeaseClient manages the leases of a process: it decides what to request and whether a lease is
+// held now.
 type LeaseClient struct {
 	terms          Terms
 	session        uint64
 	name           string
 	flaws          Flaws
-	seq            uint64        // of the last request
-	leases         []*leaseState // in the order in which they were wanted
-	pending        *LeaseRequest // sent and not answered
+	seq            uint64        // sequence number of the last request
+	leases         []*leaseState // in the order in which SetLeases added them
+	pending        *LeaseRequest // request without a response; nil: none
 	firstSentAt    time.Time     // when pending was first sent
-	nextSendAt     time.Time     // when pending is to be sent again, or the next request
-	attempts       int           // sendings since the last response
-	idleInterval   time.Duration // between two requests of a client that holds nothing; 0: as if it held something
-	lastResponseAt time.Time     // when the keepers answered last
+	nextSendAt     time.Time     // when to send pending again, or the next request
+	attempts       int           // number of requests sent since the last response
+	idleInterval   time.Duration // between the requests of a client that holds no lease; 0: the renewal interval applies
+	lastResponseAt time.Time     // when the last response of the keepers was received
 }
 
-// leaseState is what a client knows of one lease.
+// leaseState is what a client knows about one lease.
 type leaseState struct {
 	name        string
 	wanted      bool
-	token       uint64    // of the own grant; 0: none
-	heldUntil   time.Time // by the client's clock; zero: not held
-	latestToken uint64    // whoever holds it
-	holder      string    // by name
+	token       uint64    // of this client's grant; 0: none
+	heldUntil   time.Time // end of the grant by the client's clock; zero: not held
+	latestToken uint64    // latest token of any holder; 0: none yet
+	holder      string    // name of the holder; empty: nobody
 }
 
-// held tells whether the process may act under the lease.
+// held reports whether the process may act under the lease.
 func (l *leaseState) held(now time.Time) bool { return l.wanted && now.Before(l.heldUntil) }
 
-// NewLeaseClient returns a client that wants no leases. session must differ from that of all other lives of all processes.
+// NewLeaseClient returns a client that wants no leases. session must differ from the session of
+// every other run of every process.
 func NewLeaseClient(t Terms, session uint64, name string, f Flaws) *LeaseClient {
 	return &LeaseClient{terms: t, session: session, name: name, flaws: f}
 }
 
-// Session is that of this life of the process.
+// Session returns the session id of this run of the process.
 func (c *LeaseClient) Session() uint64 { return c.session }
 
-// find returns a lease, nil if it is neither wanted nor held.
+// findLease returns a lease, nil if it is neither wanted nor held.
 func (c *LeaseClient) findLease(name string) *leaseState {
 	for _, l := range c.leases {
 		if l.name == name {
@@ -60,7 +62,8 @@
 	return nil
 }
 
-// SetLeases says which leases to hold from now on, at most MostLeases of them; others are released with the next request.
+// SetLeases sets the leases to hold from now on, at most MaxLeases of them. Other leases are
+// released with the next request.
 func (c *LeaseClient) SetLeases(names []string) {
 	for _, l := range c.leases {
 		l.wanted = slices.Contains(names, l.name)
@@ -72,7 +75,8 @@
 	}
 }
 
-// Holds returns the token with which the process may act under a lease now; ok is false if it may not.
+// Holds returns the token with which the process may act under a lease now. ok is false if it may
+// not.
 func (c *LeaseClient) Holds(now time.Time, lease string) (token uint64, ok bool) {
 	l := c.findLease(lease)
 	if l == nil || !l.held(now) {
@@ -81,7 +85,7 @@
 	return l.token, true
 }
 
-// HeldUntil returns when a lease that is held now ends; ok is false if it is not held.
+// HeldUntil returns when the grant of a lease ends. ok is false if the lease is not held now.
 func (c *LeaseClient) HeldUntil(now time.Time, lease string) (until time.Time, ok bool) {
 	l := c.findLease(lease)
 	if l == nil || !l.held(now) {
@@ -90,7 +94,8 @@
 	return l.heldUntil, true
 }
 
-// Owner is the holder of a lease by name, empty for nobody, and its latest token, as the keepers last told.
+// Owner returns the name of the holder of a lease, empty for nobody, and the latest token of the
+// lease, both as of the keepers' last response.
 func (c *LeaseClient) Owner(lease string) (holder string, token uint64) {
 	if l := c.findLease(lease); l != nil {
 		return l.holder, l.latestToken
@@ -98,17 +103,19 @@
 	return "", 0
 }
 
-// HasOwner tells whether a lease has a holder as far as the keepers told within the last two leases.
+// HasOwner reports whether a lease has a holder by the keepers' last response, if that is not older
+// than two lease durations plus the idle interval.
 func (c *LeaseClient) HasOwner(now time.Time, lease string) bool {
 	l := c.findLease(lease)
 	return l != nil && l.holder != "" && now.Sub(c.lastResponseAt) < 2*c.terms.Lease+c.idleInterval
 }
 
-// Due tells when NextRequest is to be called next.
+// Due returns when NextRequest is to be called next.
 func (c *LeaseClient) Due() time.Time { return c.nextSendAt }
 
-// NextRequest returns what to send to a keeper now, nil for nothing. A request without a response is sent again as it was, at
-// growing intervals: its grant counts from when it was first sent, and so is replaced when that is too long ago to be of use.
+// NextRequest returns the request to send to a keeper now, nil for none. A request without a
+// response is repeated unchanged at increasing intervals. Its grant would count from when it was
+// first sent, so a new request replaces it after half of the holder's timeout.
 func (c *LeaseClient) NextRequest(now time.Time) *LeaseRequest {
 	if now.Before(c.nextSendAt) {
 		return nil
@@ -129,13 +136,14 @@
 	return c.pending
 }
 
-// retryInterval is how long the next sending waits for its response.
+// retryInterval returns how long to wait for a response before the request is sent again.
 func (c *LeaseClient) retryInterval() time.Duration {
 	doubled := c.terms.Lease / firstRetryDivisor << min(c.attempts, maxDoublings)
 	return min(doubled, c.terms.Lease/maxRetryDivisor)
 }
 
-// newRequest returns a request for all that is wanted or to be released, nil if there is nothing.
+// newRequest returns a request for the leases that are wanted or to be released, nil if there are
+// none.
 func (c *LeaseClient) newRequest(now time.Time) *LeaseRequest {
 	r := &LeaseRequest{Session: c.session, Seq: c.seq + 1, Name: c.name}
 	for _, l := range c.leases {
@@ -155,7 +163,8 @@
 	return r
 }
 
-// HandleResponse takes a keeper's response and tells whether it counts: one to another request than the last changes nothing.
+// HandleResponse handles a response of a keeper and reports whether it was accepted. A response to
+// any request but the pending one is ignored.
 func (c *LeaseClient) HandleResponse(now time.Time, r *LeaseResponse) bool {
 	if c.pending == nil || r.Session != c.session || r.Seq != c.pending.Seq {
 		return false
@@ -176,7 +185,7 @@
 	return true
 }
 
-// update takes what the keepers told of one lease; a grant counts from the given time.
+// applyStatus updates one lease from a response of the keepers. A grant counts from the given time.
 func (c *LeaseClient) applyStatus(from time.Time, status LeaseStatus) {
 	l := c.findLease(status.Lease)
 	if l == nil {
@@ -189,14 +198,15 @@
 	}
 }
 
-// holdsAny tells whether it has a grant.
+// holdsAny reports whether the client has a grant of any lease.
 func (c *LeaseClient) holdsAny() bool {
 	return slices.ContainsFunc(c.leases, func(l *leaseState) bool { return l.token != 0 })
 }
 
-// SetIdleInterval sets the time between two requests of a client that holds nothing. Where hundreds wait for a lease, each may
-// ask seldom: the first one to ask after it became free has it. 0: as if it held something.
+// SetIdleInterval sets the time between two requests of a client that holds no lease; 0 means the
+// renewal interval. Where hundreds of clients wait for a lease, each may request it rarely, since
+// the first request after the lease becomes free gets it.
 func (c *LeaseClient) SetIdleInterval(d time.Duration) { c.idleInterval = d }
 
-// RequestNow has the next request go out at once, as after a redirect to another keeper.
+// RequestNow makes the next request due at once, for example after a redirect to another keeper.
 func (c *LeaseClient) RequestNow(now time.Time) { c.nextSendAt = now }
--- a/internal/owner/fence.go
+++ b/internal/owner/fence.go
@@ -1,23 +1,25 @@
 package owner
 
-// Fence refuses effects of former owners by their tokens. Whoever restarts must ask the keepers for the floors, the latest token
-// of each lease, before it accepts an effect: see Closed.
+// Fence refuses effects of former owners by their tokens. A receiver that has restarted must ask
+// the keepers for the floors, the latest token of each lease, before it accepts an effect: see
+// Closed.
 type Fence struct {
-	highestTokens map[string]uint64 // token by lease
-	closed        bool
+	highestTokens map[string]uint64 // highest token seen, by lease name
+	closed        bool              // the floors are not known yet
 	flaws         Flaws
 }
 
-// NewFence returns a Fence that accepts nothing until Open is called: what a receiver that has just started has forgotten
-// may have been anything.
+// NewFence returns a Fence that accepts nothing until Open is called: a receiver that has just
+// started does not know which tokens it accepted before.
 func NewFence(f Flaws) *Fence {
 	return &Fence{highestTokens: make(map[string]uint64), closed: true, flaws: f}
 }
 
-// Closed tells whether the floors have not been learnt yet.
+// Closed reports whether the Fence still waits for the floors and so refuses every effect.
 func (f *Fence) Closed() bool { return f.closed }
 
-// Open lets effects in whose tokens are not below the floors: tokens by lease, as the keepers told them.
+// Open opens the Fence for effects whose tokens are not below the floors, the latest tokens by
+// lease name that the keepers returned.
 func (f *Fence) Open(floors map[string]uint64) {
 	f.closed = false
 	for lease, token := range floors {
@@ -25,8 +27,9 @@
 	}
 }
 
-// Accept tells whether an effect may be accepted, and remembers its token. An effect with the highest token so far is accepted:
-// what one owner sends in which order is between it and the receiver.
+// Accept reports whether an effect may be accepted, and records its token. An effect with the
+// highest token so far is accepted: the order of the effects of one owner is left to the owner and
+// the receiver.
 func (f *Fence) Accept(lease string, token uint64) bool {
 	if f.flaws.NoFence {
 		return true
@@ -38,5 +41,5 @@
 	return true
 }
 
-// Floor is the least token that is accepted for a lease.
+// Floor returns the lowest token that is accepted for a lease.
 func (f *Fence) Floor(lease string) uint64 { return f.highestTokens[lease] }
--- a/internal/owner/lease.go
+++ b/internal/owner/lease.go
@@ -5,20 +5,23 @@
 	"time"
 )
 
-// Terms are the times that lease clients and keepers must agree on.
+// Terms are the durations that lease clients and keepers must agree on.
 type Terms struct {
-	// Lease is how long a grant lasts, counted by the holder from before it sent its request. Above 0.
+	// Lease is the duration of a grant. The holder counts it from before it sent its request. Above
+	// 0.
 	Lease time.Duration
-	// Margin is subtracted by the holder and added by the keepers, for clocks that run at different rates. Where a clock's rate
-	// is off by at most r, two holders never overlap by their own clocks if (Lease-Margin)/(1-r) <= (Lease+Margin)/(1+r), that is
-	// Margin >= r*Lease. At least 0, under half of Lease.
+	// Margin is subtracted from Lease by the holder and added by the keepers, to allow for clocks
+	// that run at different rates. If the rate of each clock is off by at most r, two holders never
+	// overlap by their own clocks if (Lease-Margin)/(1-r) <= (Lease+Margin)/(1+r), that is Margin
+	// >= r*Lease. At least 0, under half of Lease.
 	Margin time.Duration
 }
 
-// DefaultTerms suit proxies on one network: an owner that died is replaced within about 3 s.
+// DefaultTerms returns Terms for processes on one network: an owner that has died is replaced
+// within about 3 s.
 func DefaultTerms() Terms { return Terms{Lease: 2 * time.Second, Margin: 100 * time.Millisecond} }
 
-// Check returns an error that names the value that is out of its range.
+// Check returns an error that names the value that is out of range.
 func (t Terms) Check() error {
 	switch {
 	case t.Lease <= 0:
@@ -29,44 +32,48 @@
 	return nil
 }
 
-// HolderTimeout is how long a holder may rely on a grant, from before it sent its request.
+// HolderTimeout returns how long a holder may rely on a grant, counted from before it sent its
+// request.
 func (t Terms) HolderTimeout() time.Duration { return t.Lease - t.Margin }
 
-// KeeperTimeout is how long the keepers grant a lease to nobody else after they granted or renewed it.
+// KeeperTimeout is how long the keepers grant a lease to nobody else after they granted or renewed
+// it.
 func (t Terms) KeeperTimeout() time.Duration { return t.Lease + t.Margin }
 
-// MaxClockDrift is the largest error of a clock's rate for which two holders never overlap by their own clocks.
+// MaxClockDrift is the largest error of a clock's rate for which two holders never overlap by their
+// own clocks.
 func (t Terms) MaxClockDrift() float64 { return float64(t.Margin) / float64(t.Lease) }
 
-// MaxLeases is how many leases a request may name.
+// MaxLeases limits the leases of one request.
 const MaxLeases = 24
 
-// LeaseRequest asks the keepers for leases, all in one step: those that are held are renewed, the others granted if they are
-// free. The same request, sent again, is applied once. The names on the wire are those of the first version.
+// LeaseRequest asks the keepers for leases, all in one step: leases that the client holds are
+// renewed, the others are granted if they are free. A repeated request is applied only once. The
+// field names in the encoding are those of the first version of the protocol.
 type LeaseRequest struct {
-	Session uint64       // of this life of the process; never 0
-	Seq     uint64       // grows with each request of the session; above 0
-	Name    string       // of the client, for people
+	Session uint64       // identifies one run of the requesting process; never 0
+	Seq     uint64       // increases with each request of the session; above 0
+	Name    string       // name of the client, for display
 	Claims  []LeaseClaim `cbor:"Duties"`
 }
 
 // LeaseClaim is one lease of a LeaseRequest.
 type LeaseClaim struct {
-	Lease string `cbor:"Duty"` // name
-	Token uint64 // 0: grant it; else renew the grant with this token
+	Lease string `cbor:"Duty"` // name of the lease
+	Token uint64 // 0: grant the lease; otherwise renew the grant with this token
 	Drop  bool   // release the grant
 }
 
-// LeaseStatus is the keepers' answer to one LeaseClaim.
+// LeaseStatus is the keepers' response to one LeaseClaim.
 type LeaseStatus struct {
-	Lease  string `cbor:"Duty"` // name
-	Token  uint64 // latest of the lease, whoever holds it; 0: there was none yet
-	Mine   bool   // the client that asked holds it
-	Holder string // by name; empty: nobody
+	Lease  string `cbor:"Duty"` // name of the lease
+	Token  uint64 // latest token of the lease, whoever holds it; 0: there was none yet
+	Mine   bool   // the requesting client holds the lease
+	Holder string // name of the holder; empty: nobody
 }
 
-// LeaseResponse is the keepers' answer to a LeaseRequest.
+// LeaseResponse is the keepers' response to a LeaseRequest.
 type LeaseResponse struct {
-	Session, Seq uint64        // of the request
+	Session, Seq uint64        // of the LeaseRequest
 	Leases       []LeaseStatus `cbor:"Told"`
 }
