--- a/internal/keeper/disk_bench_test.go
+++ b/internal/keeper/disk_bench_test.go
@@ -8,10 +8,10 @@
 	"go.etcd.io/bbolt"
 )
 
-// What a group of three entries costs until it is durable, in the log that serves and in bbolt, the alternative that was
-// weighed: go test -run '^$' -bench Durable ./internal/keeper
+// BenchmarkDurable measures the time until three entries are durable, in the log of this package
+// and in bbolt, the alternative: go test -run '^$' -bench Durable ./internal/keeper
 func BenchmarkDurable(b *testing.B) {
-	group := append(append(entry(2), entry(3)...), entry(4)...)
+	entries := append(append(entry(2), entry(3)...), entry(4)...)
 	b.Run("log", func(b *testing.B) {
 		dir := filepath.Join(b.TempDir(), "keeper")
 		if err := Create(dir, 9); err != nil {
@@ -24,7 +24,7 @@
 		}
 		defer w.Close()
 		for b.Loop() {
-			w.Append(group, func(err error) {
+			w.Append(entries, func(err error) {
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -49,7 +49,7 @@
 				for range 3 {
 					n++
 					binary.BigEndian.PutUint64(key[:], n)
-					if err := t.Put(key[:], group[:len(group)/3]); err != nil {
+					if err := t.Put(key[:], entries[:len(entries)/3]); err != nil {
 						return err
 					}
 				}
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -15,51 +15,52 @@
 	"ospreyspan/internal/owner"
 )
 
-func ask(session, seq uint64, token uint64) *Command {
+func claimCommand(session, seq uint64, token uint64) *Command {
 	return &Command{Request: &owner.LeaseRequest{Session: session, Seq: seq, Name: "x", Claims: []owner.LeaseClaim{{Lease: "d", Token: token}}}}
 }
 
-// A claim that is sent again after a lost acknowledgement is applied once, also long after its grant has ended.
+// A claim that is repeated after a lost response is applied once, even after its grant has ended.
 func TestRepeatedClaimIsAppliedOnce(t *testing.T) {
 	var s State
-	first := s.Apply(1, ask(7, 1, 0)).Leases[0]
-	again := s.Apply(2, ask(7, 1, 0)).Leases[0]
+	first := s.Apply(1, claimCommand(7, 1, 0)).Leases[0]
+	again := s.Apply(2, claimCommand(7, 1, 0)).Leases[0]
 	if !first.Mine || first != again || s.LastToken != 1 {
-		t.Fatalf("%+v, then %+v; %d tokens", first, again, s.LastToken)
+		t.Fatalf("first response %+v, second %+v; %d tokens granted, want 1", first, again, s.LastToken)
 	}
 	d := s.Leases[0]
 	s.Apply(3, &Command{Expire: &Expire{Lease: "d", Token: d.Token, Renewals: d.Renewals}})
-	s.Apply(4, ask(7, 1, 0))
+	s.Apply(4, claimCommand(7, 1, 0))
 	if d.Session != 0 || s.LastToken != 1 {
-		t.Errorf("a copy of an old claim took the lease again: %+v", d)
+		t.Errorf("a repeated old claim was granted the lease again: %+v", d)
 	}
-	if s.Apply(5, ask(7, 2, 0)); d.Session != 7 || d.Token != 2 {
-		t.Errorf("a new claim: %+v", d)
+	if s.Apply(5, claimCommand(7, 2, 0)); d.Session != 7 || d.Token != 2 {
+		t.Errorf("lease after a new claim: %+v, want session 7 and token 2", d)
 	}
 }
 
-// An Expire that was proposed before a renewal changes nothing after it.
+// An Expire that was proposed before a renewal and is applied after it has no effect.
 func TestLateExpire(t *testing.T) {
 	var s State
-	s.Apply(1, ask(7, 1, 0))
+	s.Apply(1, claimCommand(7, 1, 0))
 	d := s.Leases[0]
 	late := &Command{Expire: &Expire{Lease: "d", Token: d.Token, Renewals: d.Renewals}}
-	s.Apply(2, ask(7, 2, d.Token))
+	s.Apply(2, claimCommand(7, 2, d.Token))
 	s.Apply(3, late)
 	if d.Session != 7 {
-		t.Error("a renewed grant ended")
+		t.Error("a late Expire ended a renewed grant")
 	}
-	if r := s.Apply(4, ask(8, 1, 0)).Leases[0]; r.Mine || r.Token != 1 || r.Holder != "x" {
-		t.Errorf("another claimant is told %+v", r)
+	if r := s.Apply(4, claimCommand(8, 1, 0)).Leases[0]; r.Mine || r.Token != 1 || r.Holder != "x" {
+		t.Errorf("the claim of another session got %+v", r)
 	}
 }
 
-// Tokens of a lease only grow, whatever is applied, and a snapshot is the state, byte for byte.
-func TestTokensGrow(t *testing.T) {
+// The token of a lease never decreases, whatever commands are applied, and decoding and encoding a
+// snapshot reproduces it byte for byte.
+func TestTokensNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, last := &State{}, uint64(0)
 		for i := range rapid.IntRange(1, 60).Draw(t, "entries") {
-			c := ask(rapid.Uint64Range(1, 3).Draw(t, "session"), rapid.Uint64Range(1, 9).Draw(t, "seq"), rapid.Uint64Range(0, 5).Draw(t, "token"))
+			c := claimCommand(rapid.Uint64Range(1, 3).Draw(t, "session"), rapid.Uint64Range(1, 9).Draw(t, "seq"), rapid.Uint64Range(0, 5).Draw(t, "token"))
 			if rapid.Bool().Draw(t, "expire") {
 				c = &Command{Expire: &Expire{Lease: "d", Token: rapid.Uint64Range(0, 5).Draw(t, "of"), Renewals: rapid.Uint64Range(0, 9).Draw(t, "renewals")}}
 			}
@@ -78,7 +79,7 @@
 				t.Fatal(err)
 			}
 			if again, _ := s.Encode(); string(again) != string(text) {
-				t.Fatal("a snapshot of a snapshot differs")
+				t.Fatal("encoding a decoded snapshot gives other bytes")
 			}
 		}
 	})
@@ -91,8 +92,9 @@
 	return r.seal()
 }
 
-// A torn last record is cut off, at whichever byte; damage with a good record behind it stops the member.
-func TestTornAndDamaged(t *testing.T) {
+// A torn last record is left out, at whichever byte it is torn. An invalid record followed by a
+// valid one is an error.
+func TestTornAndDamagedLog(t *testing.T) {
 	head := append(InitialRecord(5), entry(2)...)
 	whole := append(append([]byte(nil), head...), entry(3)...)
 	for cut := len(head); cut < len(whole); cut++ {
@@ -105,7 +107,7 @@
 		bad := append([]byte(nil), whole...)
 		bad[i] ^= 0x40
 		if _, err := Restore(bad); !errors.Is(err, ErrDamaged) {
-			t.Fatalf("byte %d is wrong: %v", i, err)
+			t.Fatalf("byte %d flipped: %v", i, err)
 		}
 	}
 	if _, err := Restore(nil); !errors.Is(err, ErrEmpty) {
@@ -122,17 +124,18 @@
 	})
 }
 
-// A real file: it is made once, locked by one, and holds what was synced.
+// A log on a real disk can be created only once and opened by only one process. It holds what was
+// synced, and a torn record at its end is left out.
 func TestFile(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "keeper")
 	if _, _, err := OpenFile(dir, nil); !errors.Is(err, ErrEmpty) {
-		t.Fatalf("no folder: %v", err)
+		t.Fatalf("no directory: %v", err)
 	}
 	if err := Create(dir, 9); err != nil {
 		t.Fatal(err)
 	}
 	if err := Create(dir, 10); err == nil {
-		t.Fatal("a log that is there was made anew")
+		t.Fatal("Create overwrote a log")
 	}
 	posted := make(chan func(), 8)
 	w, r, err := OpenFile(dir, func(f func()) { posted <- f })
@@ -140,7 +143,7 @@
 		t.Fatal(r, err)
 	}
 	if _, _, err := OpenFile(dir, nil); err == nil {
-		t.Error("two processes have one log")
+		t.Error("a locked log was opened a second time")
 	}
 	fail := func(err error) {
 		if err != nil {
@@ -164,32 +167,33 @@
 	w.Close()
 }
 
-// A torn end that can't be cut off is told: what is appended behind it would be lost with it.
+// A failure to truncate a torn record must be reported: records appended after the torn one would
+// be lost with it.
 func TestTruncateErrorIsReturned(t *testing.T) {
 	path := filepath.Join(t.TempDir(), logName)
 	if err := os.WriteFile(path, entry(2), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f, err := os.Open(path) // for reading only: it can't be cut off
+	f, err := os.Open(path) // read-only, so that Truncate fails
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
 	if err := truncateAt(f, 10); err == nil {
-		t.Error("the failure to cut the file off was not told")
+		t.Error("truncateAt returned no error for a read-only file")
 	}
 }
 
-// cores joins keepers directly; what a stopped one is sent is lost.
-type cores struct {
-	now   time.Time
-	all   []*Core
-	logs  [][]byte
-	heard []Response
+// testCluster connects keepers directly, without a network. Messages to a stopped keeper are lost.
+type testCluster struct {
+	now       time.Time
+	keepers   []*Core
+	logs      [][]byte
+	responses []Response
 }
 
-func newCores(t *testing.T, n int, change func(*Config)) *cores {
-	w := &cores{now: time.Unix(1e9, 0), logs: make([][]byte, n), all: make([]*Core, n)}
+func newTestCluster(t *testing.T, n int, change func(*Config)) *testCluster {
+	w := &testCluster{now: time.Unix(1e9, 0), logs: make([][]byte, n), keepers: make([]*Core, n)}
 	for i := range n {
 		w.logs[i] = InitialRecord(uint64(100 + i))
 		w.start(t, i, change)
@@ -197,7 +201,7 @@
 	return w
 }
 
-func (w *cores) start(t *testing.T, i int, change func(*Config)) {
+func (w *testCluster) start(t *testing.T, i int, change func(*Config)) {
 	t.Helper()
 	log, err := Restore(w.logs[i])
 	if err != nil {
@@ -205,21 +209,21 @@
 	}
 	c := DefaultConfig()
 	c.ID, c.Seed = uint64(i+1), 1
-	for j := range w.all {
+	for j := range w.keepers {
 		c.Voters = append(c.Voters, uint64(j+1))
 	}
 	if change != nil {
 		change(&c)
 	}
-	if w.all[i], err = New(w.now, c, log); err != nil {
+	if w.keepers[i], err = New(w.now, c, log); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (w *cores) settle() {
+func (w *testCluster) deliverAll() {
 	for again := true; again; {
 		again = false
-		for i, k := range w.all {
+		for i, k := range w.keepers {
 			if k == nil {
 				continue
 			}
@@ -230,15 +234,15 @@
 			if o.Replace != nil {
 				w.logs[i] = o.Replace
 			}
-			w.heard = append(w.heard, o.Responses...)
+			w.responses = append(w.responses, o.Responses...)
 			for _, m := range o.Messages {
-				if to := w.all[m.GetTo()-1]; to != nil && (k.KnownDisk(m.GetTo()) == 0 || k.KnownDisk(m.GetTo()) == to.DiskIdentity()) {
+				if to := w.keepers[m.GetTo()-1]; to != nil && (k.KnownDisk(m.GetTo()) == 0 || k.KnownDisk(m.GetTo()) == to.DiskIdentity()) {
 					to.Step(w.now, k.DiskIdentity(), proto.Clone(m).(*pb.Message))
 				}
 				again = true
 			}
 			for _, h := range o.Hellos {
-				if to := w.all[h.To-1]; to != nil {
+				if to := w.keepers[h.To-1]; to != nil {
 					to.HandleHello(w.now, k.cfg.ID, k.DiskIdentity(), h.IsReply)
 				}
 				again = true
@@ -251,19 +255,19 @@
 	}
 }
 
-func (w *cores) run(d time.Duration) {
+func (w *testCluster) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(5 * time.Millisecond) {
-		for _, k := range w.all {
+		for _, k := range w.keepers {
 			if k != nil {
 				k.Tick(w.now)
 			}
 		}
-		w.settle()
+		w.deliverAll()
 	}
 }
 
-func (w *cores) leader() *Core {
-	for _, k := range w.all {
+func (w *testCluster) leader() *Core {
+	for _, k := range w.keepers {
 		if k != nil && k.Leading() {
 			return k
 		}
@@ -271,93 +275,96 @@
 	return nil
 }
 
-// The log is compacted; a keeper that comes back with old data takes the snapshot and agrees with the others.
+// A keeper that returns with old data after the others have compacted their logs installs a
+// snapshot and reaches the same state.
 func TestReturnAfterCompaction(t *testing.T) {
-	small := func(c *Config) { c.SnapshotEvery, c.TrailingEntries = 20, 2 }
-	w := newCores(t, 3, small)
+	snapshotOften := func(c *Config) { c.SnapshotEvery, c.TrailingEntries = 20, 2 }
+	w := newTestCluster(t, 3, snapshotOften)
 	w.run(2 * time.Second)
-	away := -1
-	for i, k := range w.all {
+	stopped := -1
+	for i, k := range w.keepers {
 		if !k.Leading() {
-			away = i
+			stopped = i
 		}
 	}
-	w.all[away] = nil
+	w.keepers[stopped] = nil
 	for seq := range uint64(100) {
-		if err := w.leader().RequestLeases(w.now, netip.AddrPort{}, ask(7, seq+1, 0).Request); err != nil {
+		if err := w.leader().RequestLeases(w.now, netip.AddrPort{}, claimCommand(7, seq+1, 0).Request); err != nil {
 			t.Fatal(err)
 		}
 		w.run(10 * time.Millisecond)
 	}
-	w.start(t, away, small)
+	w.start(t, stopped, snapshotOften)
 	w.run(4 * time.Second)
 	want, _ := w.leader().State().Encode()
-	if got, _ := w.all[away].State().Encode(); string(got) != string(want) || w.all[away].Count.Snapshots == 0 {
-		t.Errorf("it has applied %d of %d entries, with %d snapshots", w.all[away].State().Applied, w.leader().State().Applied, w.all[away].Count.Snapshots)
+	if got, _ := w.keepers[stopped].State().Encode(); string(got) != string(want) || w.keepers[stopped].Count.Snapshots == 0 {
+		t.Errorf("the returned keeper has applied %d of %d entries and has %d snapshots", w.keepers[stopped].State().Applied, w.leader().State().Applied, w.keepers[stopped].Count.Snapshots)
 	}
 }
 
-// A keeper whose disk is another one than was first met is not heard, and a majority of forgetful ones elects nobody.
+// Messages of a keeper with another disk than the one first met are refused, so that a majority of
+// keepers with wiped disks elects no leader.
 func TestWipedDiskHasNoVote(t *testing.T) {
-	w := newCores(t, 3, nil)
+	w := newTestCluster(t, 3, nil)
 	w.run(2 * time.Second)
 	for i := 1; i < 3; i++ {
 		w.logs[i] = InitialRecord(uint64(900 + i))
 		w.start(t, i, nil)
 	}
 	w.run(5 * time.Second)
-	if k := w.all[0]; k.Leading() || k.Count.Refused == 0 {
-		t.Errorf("keeper 1 leads by the votes of disks that it never met: %v, refused %d", k.Leading(), k.Count.Refused)
+	if k := w.keepers[0]; k.Leading() || k.Count.Refused == 0 {
+		t.Errorf("keeper 1 leads by the votes of wiped disks: %v; messages refused: %d, want above 0", k.Leading(), k.Count.Refused)
 	}
 }
 
-// Two followers have never spoken to each other. One of them loses its disk while the other one is behind: the two must not
-// elect a leader that has not what the third one and the lost disk had agreed on. (Seed 4383 of ospreylab owner, once.)
-func TestWipedDiskDoesNotElectOneThatIsBehind(t *testing.T) {
-	w := newCores(t, 3, nil)
+// Two followers have never exchanged a message. One of them loses its disk while the other one lags
+// behind. Together they must not elect a leader that lacks the entries that the third keeper and
+// the lost disk had committed. Seed 4383 of "ospreylab owner" showed this fault once.
+func TestWipedDiskDoesNotElectLaggingKeeper(t *testing.T) {
+	w := newTestCluster(t, 3, nil)
 	w.run(2 * time.Second)
 	lead := int(w.leader().cfg.ID) - 1
 	behind, wiped := (lead+1)%3, (lead+2)%3
-	old := w.all[behind]
-	w.all[behind] = nil
-	if err := w.leader().RequestLeases(w.now, netip.AddrPort{}, ask(7, 1, 0).Request); err != nil {
+	old := w.keepers[behind]
+	w.keepers[behind] = nil
+	if err := w.leader().RequestLeases(w.now, netip.AddrPort{}, claimCommand(7, 1, 0).Request); err != nil {
 		t.Fatal(err)
 	}
 	w.run(time.Second)
 	if w.leader().State().LastToken != 1 {
-		t.Fatal("two of three grant nothing")
+		t.Fatal("two of three keepers granted no lease")
 	}
-	w.all[lead], w.all[behind] = nil, old
+	w.keepers[lead], w.keepers[behind] = nil, old
 	w.logs[wiped] = InitialRecord(777)
 	w.start(t, wiped, nil)
 	w.run(10 * time.Second)
-	if w.leader() != nil || w.all[wiped].Participates() {
-		t.Errorf("keeper %d leads, by the vote of a disk that has forgotten; that one takes part: %v", behind+1, w.all[wiped].Participates())
+	if w.leader() != nil || w.keepers[wiped].Participates() {
+		t.Errorf("a wiped disk helped to elect lagging keeper %d, or it participates: %v", behind+1, w.keepers[wiped].Participates())
 	}
 }
 
-// A voter is removed and the rest go on; one change at a time.
-func TestChangeOfMembers(t *testing.T) {
-	w := newCores(t, 5, nil)
+// After a voter is removed, the remaining four keepers have a leader.
+func TestChangeVoters(t *testing.T) {
+	w := newTestCluster(t, 5, nil)
 	w.run(2 * time.Second)
-	gone := w.leader().cfg.ID%5 + 1
-	if err := w.leader().ChangeVoters(w.now, false, gone); err != nil {
+	removed := w.leader().cfg.ID%5 + 1
+	if err := w.leader().ChangeVoters(w.now, false, removed); err != nil {
 		t.Fatal(err)
 	}
 	w.run(time.Second)
-	w.all[gone-1] = nil
+	w.keepers[removed-1] = nil
 	w.run(3 * time.Second)
 	if k := w.leader(); k == nil || len(k.Voters()) != 4 {
-		t.Fatalf("leader %v", k)
+		t.Fatalf("leader %v, want one with 4 voters", k)
 	}
 }
 
-// After a failed sync nothing more is said.
-func TestFailedSyncEndsIt(t *testing.T) {
-	w := newCores(t, 3, nil)
+// After a failed sync a keeper stops and sends nothing more.
+func TestFailedSyncStopsKeeper(t *testing.T) {
+	w := newTestCluster(t, 3, nil)
 	w.run(2 * time.Second)
 	k := w.leader()
-	_ = k.RequestLeases(w.now, netip.AddrPort{}, ask(7, 1, 0).Request)
+	_ = k.RequestLeases(w.now, netip.AddrPort{}, claimCommand(7, 1, 0).Request)
 	k.Take()
 	k.Synced(w.now, errors.New("no space left"))
 	if o := k.Take(); o.Stopped == nil || len(o.Messages) > 0 || k.Leading() || k.Leader() != 0 {
@@ -365,6 +372,6 @@
 	}
 	k.Tick(w.now.Add(time.Hour))
 	if o := k.Take(); len(o.Messages) > 0 {
-		t.Error("it speaks on")
+		t.Error("a stopped keeper sent messages")
 	}
 }
--- a/internal/owner/doc.go
+++ b/internal/owner/doc.go
@@ -6,10 +6,10 @@
 // with their time, and there is no clock, no I/O and no randomness.
 //
 // A lease only avoids duplicate work; the fence guarantees that no effect of a former owner is
-// accepted. A process may stall for any time between checking the lease and sending, and a datagram
-// may arrive arbitrarily late, so Holds can be true when it is called and false when the effect
-// arrives. What is certain is that the tokens of a lease only increase from owner to owner, and that
-// a Fence that has seen a token accepts none below it.
+// accepted. A process may stall for any time between its check of the lease and its send, and a
+// datagram may arrive arbitrarily late, so Holds can be true when it is called and false when the
+// effect arrives. What is certain is that the tokens of a lease only increase from owner to owner,
+// and that a Fence that has seen a token accepts none below it.
 package owner
 
 // Flaws are deliberate defects that tests enable, to verify that the checks detect each of them.
--- a/internal/owner/lease.go
+++ b/internal/owner/lease.go
@@ -7,18 +7,18 @@
 
 // Terms are the durations that lease clients and keepers must agree on.
 type Terms struct {
-	// Lease is the duration of a grant. The holder counts it from before it sent its request. Above
-	// 0.
+	// Lease is the duration of a grant, counted by the holder from before it sent its request.
+	// Above 0.
 	Lease time.Duration
 	// Margin is subtracted from Lease by the holder and added by the keepers, to allow for clocks
 	// that run at different rates. If the rate of each clock is off by at most r, two holders never
-	// overlap by their own clocks if (Lease-Margin)/(1-r) <= (Lease+Margin)/(1+r), that is Margin
-	// >= r*Lease. At least 0, under half of Lease.
+	// overlap by their own clocks if (Lease-Margin)/(1-r) <= (Lease+Margin)/(1+r), that is
+	// Margin >= r*Lease. At least 0, under half of Lease.
 	Margin time.Duration
 }
 
-// DefaultTerms returns Terms for processes on one network: an owner that has died is replaced
-// within about 3 s.
+// DefaultTerms returns Terms for proxies on one network: an owner that has died is replaced within
+// about 3 s.
 func DefaultTerms() Terms { return Terms{Lease: 2 * time.Second, Margin: 100 * time.Millisecond} }
 
 // Check returns an error that names the value that is out of range.
@@ -36,12 +36,12 @@
 // request.
 func (t Terms) HolderTimeout() time.Duration { return t.Lease - t.Margin }
 
-// KeeperTimeout is how long the keepers grant a lease to nobody else after they granted or renewed
-// it.
+// KeeperTimeout returns how long after a grant or renewal the keepers grant the lease to no other
+// client.
 func (t Terms) KeeperTimeout() time.Duration { return t.Lease + t.Margin }
 
-// MaxClockDrift is the largest error of a clock's rate for which two holders never overlap by their
-// own clocks.
+// MaxClockDrift returns the largest relative error of a clock's rate for which two holders never
+// overlap by their own clocks.
 func (t Terms) MaxClockDrift() float64 { return float64(t.Margin) / float64(t.Lease) }
 
 // MaxLeases limits the leases of one request.
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -5,98 +5,100 @@
 	"time"
 )
 
-var t0 = time.Unix(1e9, 0)
+var start = time.Unix(1e9, 0)
 
-func told(a *LeaseRequest, token uint64, mine bool) *LeaseResponse {
-	return &LeaseResponse{Session: a.Session, Seq: a.Seq, Leases: []LeaseStatus{{Lease: "d", Token: token, Mine: mine, Holder: "x"}}}
+func responseTo(request *LeaseRequest, token uint64, mine bool) *LeaseResponse {
+	return &LeaseResponse{Session: request.Session, Seq: request.Seq, Leases: []LeaseStatus{{Lease: "d", Token: token, Mine: mine, Holder: "x"}}}
 }
 
-// The lease counts from before the asking, however late the answer comes.
-func TestLeaseCountsFromTheAsking(t *testing.T) {
+// A grant counts from before its request was sent, however late the response arrives.
+func TestLeaseCountsFromRequest(t *testing.T) {
 	terms := DefaultTerms()
 	c := NewLeaseClient(terms, 7, "x", Flaws{})
 	c.SetLeases([]string{"d"})
-	a := c.NextRequest(t0)
-	late := t0.Add(terms.Lease / 2)
-	c.HandleResponse(late, told(a, 3, true))
+	request := c.NextRequest(start)
+	late := start.Add(terms.Lease / 2)
+	c.HandleResponse(late, responseTo(request, 3, true))
 	if token, ok := c.Holds(late, "d"); !ok || token != 3 {
-		t.Fatalf("token %d, %v", token, ok)
+		t.Fatalf("token %d, held %v; want token 3, held", token, ok)
 	}
-	if _, ok := c.Holds(t0.Add(terms.HolderTimeout()), "d"); ok {
-		t.Error("it holds the lease a whole lease after it asked")
+	if _, ok := c.Holds(start.Add(terms.HolderTimeout()), "d"); ok {
+		t.Error("the client still holds the lease HolderTimeout after its request")
 	}
-	if c.HandleResponse(late, told(a, 4, true)) {
-		t.Error("an answer counts twice")
+	if c.HandleResponse(late, responseTo(request, 4, true)) {
+		t.Error("a second response to the same request was accepted")
 	}
 }
 
-// An Ask without an answer is repeated as it was; an answer to one that was replaced does not count.
-func TestAskIsRepeatedThenReplaced(t *testing.T) {
+// A request without a response is repeated unchanged. A response to a request that has been
+// replaced is ignored.
+func TestRequestIsRepeatedThenReplaced(t *testing.T) {
 	terms := DefaultTerms()
 	c := NewLeaseClient(terms, 7, "x", Flaws{})
 	c.SetLeases([]string{"d"})
-	first := c.NextRequest(t0)
-	if again := c.NextRequest(t0.Add(terms.Lease / 4)); again != first {
-		t.Fatalf("%+v in place of %+v", again, first)
+	first := c.NextRequest(start)
+	if again := c.NextRequest(start.Add(terms.Lease / 4)); again != first {
+		t.Fatalf("request %+v was sent in place of a repetition of %+v", again, first)
 	}
-	second := c.NextRequest(t0.Add(terms.Lease * 2))
+	second := c.NextRequest(start.Add(terms.Lease * 2))
 	if second.Seq != first.Seq+1 {
-		t.Fatalf("%+v after %+v", second, first)
+		t.Fatalf("request %+v follows %+v", second, first)
 	}
-	if c.HandleResponse(t0.Add(terms.Lease*2), told(first, 1, true)) {
-		t.Error("a grant that was asked for two leases ago counts")
+	if c.HandleResponse(start.Add(terms.Lease*2), responseTo(first, 1, true)) {
+		t.Error("the response to a request of two lease durations ago was accepted")
 	}
 }
 
-// What is not wanted any more is given back.
-func TestDrop(t *testing.T) {
+// A lease that is no longer wanted is released.
+func TestUnwantedLeaseIsReleased(t *testing.T) {
 	c := NewLeaseClient(DefaultTerms(), 7, "x", Flaws{})
 	c.SetLeases([]string{"d"})
-	c.HandleResponse(t0, told(c.NextRequest(t0), 3, true))
+	c.HandleResponse(start, responseTo(c.NextRequest(start), 3, true))
 	c.SetLeases(nil)
-	if _, ok := c.Holds(t0, "d"); ok {
-		t.Error("it acts under a lease that it gives back")
+	if _, ok := c.Holds(start, "d"); ok {
+		t.Error("the client holds a lease that it is about to release")
 	}
-	c.RequestNow(t0)
-	if a := c.NextRequest(t0); a == nil || !a.Claims[0].Drop || a.Claims[0].Token != 3 {
-		t.Errorf("%+v", a)
+	c.RequestNow(start)
+	if request := c.NextRequest(start); request == nil || !request.Claims[0].Drop || request.Claims[0].Token != 3 {
+		t.Errorf("request %+v, want one that drops token 3", request)
 	}
 }
 
-// A chain of three owners that wake up in the reverse order: only the latest one's effects are taken, and a receiver that
-// restarted takes none before it knows the floors.
+// Of a chain of three owners that resume in reverse order, only the effects of the latest one are
+// accepted. A receiver that has restarted accepts none before it knows the floors.
 func TestFence(t *testing.T) {
 	f := NewFence(Flaws{})
 	if f.Accept("d", 9) {
-		t.Error("a receiver that knows nothing takes an effect")
+		t.Error("a closed fence accepted an effect")
 	}
 	f.Open(map[string]uint64{"d": 2})
 	for _, tt := range []struct {
-		token uint64
-		taken bool
+		token    uint64
+		accepted bool
 	}{{3, true}, {2, false}, {1, false}, {3, true}, {4, true}, {3, false}} {
-		if got := f.Accept("d", tt.token); got != tt.taken {
-			t.Errorf("token %d: taken %v", tt.token, got)
+		if got := f.Accept("d", tt.token); got != tt.accepted {
+			t.Errorf("token %d: accepted %v", tt.token, got)
 		}
 	}
 	if !f.Accept("other", 1) {
-		t.Error("leases have fences of their own")
+		t.Error("the token of one lease affects another lease")
 	}
 }
 
-// One of hundreds that wait for a lease asks seldom; who holds it renews as ever.
-func TestIdleClaimantsAskSeldom(t *testing.T) {
+// One of hundreds of clients that wait for a lease requests it rarely. The holder renews at the
+// usual interval.
+func TestIdleClientsRequestRarely(t *testing.T) {
 	terms := DefaultTerms()
 	for _, mine := range []bool{true, false} {
 		c := NewLeaseClient(terms, 7, "x", Flaws{})
 		c.SetLeases([]string{"d"})
 		c.SetIdleInterval(10 * terms.Lease)
-		c.HandleResponse(t0, told(c.NextRequest(t0), 3, mine))
-		if soon := c.Due().Sub(t0) < terms.Lease; soon != mine {
-			t.Errorf("holds it: %v, asks again after %v", mine, c.Due().Sub(t0))
+		c.HandleResponse(start, responseTo(c.NextRequest(start), 3, mine))
+		if soon := c.Due().Sub(start) < terms.Lease; soon != mine {
+			t.Errorf("holds the lease: %v, next request after %v", mine, c.Due().Sub(start))
 		}
-		if !c.HasOwner(t0.Add(terms.Lease*11), "d") && !mine {
-			t.Error("between two questions it forgets that there is an owner")
+		if !c.HasOwner(start.Add(terms.Lease*11), "d") && !mine {
+			t.Error("HasOwner is false between two requests of an idle client")
 		}
 	}
 }
--- a/internal/owner/wire_test.go
+++ b/internal/owner/wire_test.go
@@ -7,8 +7,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Requests and responses stand in keepers' logs and in datagrams of programs of other versions: their encoding must not change.
-func TestEncodingStays(t *testing.T) {
+// Requests and responses are stored in the logs of keepers and exchanged with processes of other
+// versions, so their encoding must not change.
+func TestEncodingIsStable(t *testing.T) {
 	for _, x := range []struct {
 		value any
 		want  string
@@ -18,12 +19,12 @@
 		{LeaseResponse{Session: 7, Seq: 2, Leases: []LeaseStatus{{Lease: "d", Token: 3, Mine: true, Holder: "p"}}},
 			"a36753657373696f6e07635365710264546f6c6481a46444757479616465546f6b656e03644d696e65f566486f6c6465726170"},
 	} {
-		text, err := cbor.Marshal(x.value)
+		encoded, err := cbor.Marshal(x.value)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := hex.EncodeToString(text); got != x.want {
-			t.Errorf("%T: %s, not %s", x.value, got, x.want)
+		if got := hex.EncodeToString(encoded); got != x.want {
+			t.Errorf("%T is encoded as %s, want %s", x.value, got, x.want)
 		}
 	}
 }
