--- a/internal/keeper/command.go
+++ b/internal/keeper/command.go
@@ -39,11 +39,11 @@
 // the replicated state grow without bound.
 func CheckRequest(r *owner.LeaseRequest) error {
 	if r.Session == 0 || r.Seq == 0 || len(r.Name) > maxNameBytes || len(r.Claims) == 0 || len(r.Claims) > owner.MaxLeases {
-		return fmt.Errorf("%w: session %d, seq %d, %d leases; session and seq must be above 0, leases from 1 to %d, names at most %d bytes", ErrInvalidRequest, r.Session, r.Seq, len(r.Claims), owner.MaxLeases, maxNameBytes)
+		return fmt.Errorf("%w: session %d, seq %d, %d leases: one of them is 0 or too many, or the client's name is too long", ErrInvalidRequest, r.Session, r.Seq, len(r.Claims))
 	}
 	for _, claim := range r.Claims {
 		if claim.Lease == "" || len(claim.Lease) > maxNameBytes {
-			return fmt.Errorf("%w: lease name of %d bytes, want 1 to %d", ErrInvalidRequest, len(claim.Lease), maxNameBytes)
+			return fmt.Errorf("%w: lease name of %d bytes is empty or too long", ErrInvalidRequest, len(claim.Lease))
 		}
 	}
 	return nil
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -23,8 +23,7 @@
 	maxCommittedBytes   = 64 << 10 // entries applied at once
 )
 
-// stoppedDelay is added to the last election time to get Due of a stopped keeper: practically
-// never.
+// stoppedDelay is how long after its last election time a stopped keeper is due: practically never.
 const stoppedDelay = 1000 * time.Hour
 
 // ErrNotLeader is returned for a request to a keeper that is not the leader. Core.Leader returns
--- a/internal/keeper/progress.go
+++ b/internal/keeper/progress.go
@@ -32,7 +32,8 @@
 	k.processReady(now)
 }
 
-// processReady handles the Readys of the Raft library, up to the next write.
+// processReady handles what the Raft library has ready, then saves the handshake and answers
+// hellos, up to the next write.
 func (k *Core) processReady(now time.Time) {
 	for k.idle() && k.raft.HasReady() {
 		k.handleReady(now)
--- a/internal/keeper/requests.go
+++ b/internal/keeper/requests.go
@@ -47,7 +47,7 @@
 		return nil // the request has been proposed already
 	}
 	if len(k.requests) >= maxPendingRequests {
-		return fmt.Errorf("keeper: %d requests pending, limit %d", len(k.requests), maxPendingRequests)
+		return fmt.Errorf("keeper: too many pending requests: %d", len(k.requests))
 	}
 	data, err := cbor.Marshal(c)
 	if err != nil {
--- a/internal/keeper/state.go
+++ b/internal/keeper/state.go
@@ -29,7 +29,7 @@
 	Name     string `cbor:"1,keyasint"`
 	Token    uint64 `cbor:"2,keyasint"` // fencing token of the latest grant
 	Session  uint64 `cbor:"3,keyasint"` // session of the holder; 0: the lease is free
-	Holder   string `cbor:"4,keyasint"` // name of the holder; empty: the lease is free
+	Holder   string `cbor:"4,keyasint"` // name of the holder
 	Renewals uint64 `cbor:"5,keyasint"` // number of grants and renewals so far, of all holders
 }
 
@@ -132,8 +132,8 @@
 	l.Renewals++
 }
 
-// session returns the record of a session and sets its LastUsed to index. It creates the record if
-// there is none.
+// session returns the record of a session, created if there is none, and sets its LastUsed to
+// index.
 func (s *State) session(index, id uint64) *sessionRecord {
 	at, found := s.findSession(id)
 	if !found {
