--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -249,7 +249,7 @@
 		wanted = 0
 	}
 	for _, i := range lim.slices.Want(now, lim.inUse, wanted, l.fleet.leaseDuration, held, taken) {
-		if len(l.sliceDuties) < owner.MostLeases/2 {
+		if len(l.sliceDuties) < owner.MaxLeases/2 {
 			l.sliceDuties = append(l.sliceDuties, lim.slices.Duty(i))
 		}
 	}
--- a/internal/keeper/progress.go
+++ b/internal/keeper/progress.go
@@ -10,32 +10,33 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Synced tells how the write of the last Output ended. After a failed one nobody knows what the disk holds, and the member
-// ends: what it would write next might stand behind a hole.
+// Synced reports the result of the write of the last Output. After a failed write the contents of
+// the disk are unknown, and the keeper stops: its next record might follow a gap in the log.
 func (k *Core) Synced(now time.Time, err error) {
 	if k.stopped != nil {
 		return
 	}
 	if err != nil {
-		k.out = Output{}
-		k.stop(fmt.Errorf("keeper: the log could not be written: %w", err))
+		k.output = Output{}
+		k.stop(fmt.Errorf("keeper: writing the log: %w", err))
 		return
 	}
 	k.writing = false
-	if k.handshake.saved() {
+	if k.handshake.markSaved() {
 		k.resetElection(now)
 	}
 	if ready := k.unsavedReady; ready != nil {
 		k.unsavedReady = nil
-		k.finish(now, *ready)
+		k.finishReady(now, *ready)
 	}
-	k.progress(now)
+	k.processReady(now)
 }
 
-// progress takes what the library has ready, up to the next write.
-func (k *Core) progress(now time.Time) {
+// processReady handles what the Raft library has ready, then saves the handshake and answers
+// hellos, up to the next write.
+func (k *Core) processReady(now time.Time) {
 	for k.idle() && k.raft.HasReady() {
-		k.takeReady(now)
+		k.handleReady(now)
 	}
 	if k.idle() && k.handshake.needsSaving() {
 		k.saveHandshake()
@@ -43,40 +44,42 @@
 	if k.idle() {
 		k.answerHellos()
 	}
-	k.noteLeadership(now)
+	k.updateLeadership(now)
 }
 
-// idle tells whether nothing is being written, and the member has not ended.
+// idle reports whether the keeper runs and no write is in progress.
 func (k *Core) idle() bool { return !k.writing && k.stopped == nil }
 
-// takeReady has the record of what is ready written; what needs none is finished at once.
-func (k *Core) takeReady(now time.Time) {
+// handleReady fetches a Ready from the library and has its record written. A Ready that needs no
+// record is finished at once.
+func (k *Core) handleReady(now time.Time) {
 	ready := k.raft.Ready()
-	text, err := k.record(ready)
+	data, err := k.encodeReady(ready)
 	if err != nil {
 		k.stop(err)
 		return
 	}
-	k.out.Append = append(k.out.Append, text...)
-	if text != nil && !k.cfg.Flaws.AckBeforeSync {
+	k.output.Append = append(k.output.Append, data...)
+	if data != nil && !k.cfg.Flaws.AckBeforeSync {
 		k.writing, k.unsavedReady = true, &ready
 		return
 	}
-	k.finish(now, ready)
+	k.finishReady(now, ready)
 }
 
-// saveHandshake has what the handshake learnt written.
+// saveHandshake has the unsaved part of the handshake written.
 func (k *Core) saveHandshake() {
-	text, err := k.record(raft.Ready{})
+	data, err := k.encodeReady(raft.Ready{})
 	if err != nil {
 		return
 	}
-	k.out.Append = append(k.out.Append, text...)
+	k.output.Append = append(k.output.Append, data...)
 	k.writing = true
 }
 
-// record returns what must be on disk before a Ready is finished, nil for nothing.
-func (k *Core) record(ready raft.Ready) ([]byte, error) {
+// encodeReady returns the record that must be on disk before a Ready is finished, nil if none is
+// needed.
+func (k *Core) encodeReady(ready raft.Ready) ([]byte, error) {
 	var r record
 	k.handshake.addUnsaved(&r)
 	if !raft.IsEmptySnap(ready.Snapshot) {
@@ -97,8 +100,9 @@
 	return r.seal(), nil
 }
 
-// finish takes a Ready whose record is durable.
-func (k *Core) finish(now time.Time, ready raft.Ready) {
+// finishReady handles a Ready whose record is durable: it sends its messages and applies its
+// committed entries.
+func (k *Core) finishReady(now time.Time, ready raft.Ready) {
 	if err := k.store(ready); err != nil {
 		k.stop(fmt.Errorf("keeper: %w", err))
 		return
@@ -107,9 +111,9 @@
 		if m.GetType() == pb.MsgSnap {
 			k.transfers.begin(now, m.GetTo())
 		}
-		k.out.Messages = append(k.out.Messages, m)
+		k.output.Messages = append(k.output.Messages, m)
 	}
-	k.noteLeadership(now) // what is applied now is timed by whoever leads
+	k.updateLeadership(now) // a leader starts its renewal timers before it applies the entries
 	for _, e := range ready.CommittedEntries {
 		if err := k.apply(now, e); err != nil {
 			k.stop(fmt.Errorf("keeper: %w", err))
@@ -120,7 +124,7 @@
 	k.compact()
 }
 
-// store puts what is durable where the library reads it.
+// store updates the storage of the library from a Ready whose record is durable.
 func (k *Core) store(ready raft.Ready) error {
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		if err := k.installSnapshot(ready.Snapshot); err != nil {
@@ -128,7 +132,7 @@
 		}
 	}
 	if !raft.IsEmptyHardState(ready.HardState) {
-		_ = k.storage.SetHardState(ready.HardState) // it can't fail
+		_ = k.storage.SetHardState(ready.HardState) // MemoryStorage never returns an error here
 	}
 	return k.storage.Append(ready.Entries)
 }
@@ -142,10 +146,10 @@
 	case pb.EntryNormal:
 		return k.applyCommand(now, e)
 	}
-	return fmt.Errorf("entry %d of kind %v", e.GetIndex(), e.GetType())
+	return fmt.Errorf("entry %d has the unsupported type %v", e.GetIndex(), e.GetType())
 }
 
-// applyChange applies a change of the voters.
+// applyChange applies a change of the voters to the configuration.
 func (k *Core) applyChange(e *pb.Entry) error {
 	change := &pb.ConfChange{}
 	if err := proto.Unmarshal(e.GetData(), change); err != nil {
@@ -156,7 +160,8 @@
 	return nil
 }
 
-// applyCommand applies a command and responds to whoever requested it here. An entry without one is a new leader's first.
+// applyCommand applies a command and responds to its client if the request was made to this keeper.
+// A new leader's first entry has no command.
 func (k *Core) applyCommand(now time.Time, e *pb.Entry) error {
 	if len(e.GetData()) == 0 {
 		k.state.Applied = e.GetIndex()
@@ -169,16 +174,16 @@
 	response := k.state.Apply(e.GetIndex(), &c)
 	switch {
 	case c.Request != nil:
-		if to, owed := k.requests.take(c.key()); owed && response != nil {
-			k.out.Responses = append(k.out.Responses, Response{To: to, Leases: response})
+		if to, pending := k.requests.take(c.key()); pending && response != nil {
+			k.output.Responses = append(k.output.Responses, Response{To: to, Leases: response})
 		}
 		for _, claim := range c.Request.Claims {
 			lease, _ := k.state.lease(claim.Lease)
-			k.renewals.note(now, lease)
+			k.renewals.update(now, lease)
 		}
 	case c.Floors != nil:
-		if to, owed := k.requests.take(c.key()); owed {
-			k.out.Responses = append(k.out.Responses, Response{To: to, Request: c.Floors, Floors: k.state.Floors()})
+		if to, pending := k.requests.take(c.key()); pending {
+			k.output.Responses = append(k.output.Responses, Response{To: to, FloorsRequest: c.Floors, Floors: k.state.Floors()})
 		}
 	}
 	return nil
--- a/internal/lab/owners/run.go
+++ b/internal/lab/owners/run.go
@@ -177,7 +177,7 @@
 			r.at = append(r.at, mesh.KeeperAddress{ID: uint64(i + 1), Addr: netip.AddrPortFrom(h.Addr(), meshPort)})
 			d := h.Disk("keeper")
 			d.SetFaults(vnet.DiskFaults{Delay: time.Millisecond, Jitter: 6 * time.Millisecond, Torn: 0.7, Scrambled: 0.3})
-			d.SetText(keeper.Fresh(r.ids.Uint64() | 1))
+			d.SetText(keeper.InitialRecord(r.ids.Uint64() | 1))
 		}
 	}
 	for _, m := range r.members {
@@ -212,7 +212,7 @@
 	c := mesh.Config{
 		Loop: loop, Cluster: "lab", Name: m.host.Name(), Listen: netip.AddrPortFrom(m.host.Addr(), meshPort),
 		Session: r.ids.Uint64() | 1, Keepers: r.at, Terms: r.terms, Duties: duties, Seed: r.world.Seed(),
-		Flaws:          owner.Flaws{LeaseFromAnswer: plant == "lease-from-answer", NoFence: plant == "no-fence"},
+		Flaws:          owner.Flaws{LeaseFromResponse: plant == "lease-from-answer", NoFence: plant == "no-fence"},
 		ForgetFloors:   plant == "forgetful-receiver" || plant == "no-fence",
 		Seeds:          []netip.AddrPort{r.at[0].Addr, r.at[1].Addr},
 		OnAnnouncement: func(w mesh.Announcement) { r.judge.take(m.host.Name(), w.Lease, w.Token) },
