--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -77,7 +77,7 @@
 		Cluster: s.conf.Fleet.Cluster, Name: name, Zone: s.conf.Fleet.Zone, Listen: s.conf.Fleet.Listen.AddrPort,
 		Advertise: s.conf.Fleet.Advertise.AddrPort,
 		Session:   session, Seeds: s.conf.Seeds, Keepers: s.conf.Members, Terms: s.conf.Terms(), Duties: s.conf.Duties.Take,
-		Seed: uint64(c.Seed) ^ session, Tell: s.tell,
+		Seed: uint64(c.Seed) ^ session, OnEvent: s.tell,
 	}
 	if s.conf.Self != 0 {
 		if err := s.keep(&m, loop, logger); err != nil {
--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -67,9 +67,9 @@
 func newFleet(i *Instance, loop *poll.Loop, c Config) (*fleet, error) {
 	f := &fleet{instance: i, loop: loop, session: c.Fleet.Mesh.Session, lease: c.Fleet.Mesh.Terms.Lease, startedAt: loop.Now(), sameAddresses: c.Fleet.SameAddresses, askWithin: min(c.Settings.Config.Rules.MaxDiscoveryGap, routes.ListLease)}
 	m := c.Fleet.Mesh
-	tell := m.Tell
+	tell := m.OnEvent
 	m.Loop, m.OnAnnouncement = loop, f.onAnnouncement
-	m.Tell = func(e mesh.Event) {
+	m.OnEvent = func(e mesh.Event) {
 		if tell != nil {
 			tell(e)
 		}
@@ -83,12 +83,12 @@
 	m.Duties, f.duties = f.baseDuties, f.baseDuties
 	if share {
 		f.probes = newProbes(f, true)
-		m.Members = f.probes.onMembersChanged
+		m.OnMembersChanged = f.probes.onMembersChanged
 	}
 	if c.Fleet.MovesPerSecond > 0 {
 		f.moves = newMoves(f, c.Fleet.MovesPerSecond)
 	}
-	m.Direct = f.handleDirect
+	m.OnOwnerMessage = f.handleDirect
 	f.setUpSharing(c, &m)
 	var err error
 	if f.node, err = mesh.New(m); err != nil {
@@ -228,7 +228,7 @@
 	me := evidence.Writer{Session: m.Session, Name: cmp.Or(m.Name, c.Name), Zone: m.Zone}
 	f.carrier = carrier.New(f.loop.Now(), me, conf, evidence.Flaws{})
 	f.tickTimer.Fire = f.tick
-	m.Shared = func(from netip.AddrPort, s *mesh.Shared) { f.carrier.Take(f.loop.Now(), from, s) }
+	m.OnSharedMessage = func(from netip.AddrPort, s *mesh.Shared) { f.carrier.Take(f.loop.Now(), from, s) }
 	m.SharedView = f.sharedView
 	if v != nil {
 		f.verdicts = newVerdicts(f, *v)
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -146,7 +146,7 @@
 	m := mesh.Config{
 		Cluster: clusterName, Name: p.name, Zone: p.zoneName(), Listen: p.address(), Session: p.session, Keepers: c.keepers,
 		Terms: owner.Terms{Lease: c.config.Lease, Margin: c.config.Lease / marginPart}, Seed: c.config.Seed ^ p.session, MostMembers: c.config.MostMembers,
-		Duties: []string{duty.Discovery, duty.Probes, duty.Moves}, Tell: func(e mesh.Event) { c.verdicts.see(p, e) },
+		Duties: []string{duty.Discovery, duty.Probes, duty.Moves}, OnEvent: func(e mesh.Event) { c.verdicts.see(p, e) },
 	}
 	if p.lives == 1 {
 		m.Known = c.knownMembers()
--- a/internal/lab/owners/run.go
+++ b/internal/lab/owners/run.go
@@ -219,7 +219,7 @@
 		OnRequest:      func(a *owner.LeaseRequest) { r.judge.ask(r.world.Elapsed(), a) },
 		OnResponse:     func(a *owner.LeaseResponse) { r.judge.answer(r.world.Elapsed(), a) },
 	}
-	c.Tell = func(e mesh.Event) {
+	c.OnEvent = func(e mesh.Event) {
 		switch e.What {
 		case "own":
 			r.overlap()
--- a/internal/mesh/config.go
+++ b/internal/mesh/config.go
@@ -48,20 +48,20 @@
 	ForgetFloors bool
 	// OnAnnouncement is called with each announcement that is accepted, once, in the order of their ids.
 	OnAnnouncement func(w Announcement)
-	// Direct is called with requests to this process as an owner, and with owners' responses that passed the fence.
-	Direct func(from netip.AddrPort, d *Direct)
-	// Shared is called with other processes' messages on matters that mesh does not know.
-	Shared func(from netip.AddrPort, s *Shared)
+	// OnOwnerMessage is called with requests to this process as an owner, and with owners' responses that passed the fence.
+	OnOwnerMessage func(from netip.AddrPort, d *Direct)
+	// OnSharedMessage is called with other processes' messages on matters that mesh does not know.
+	OnSharedMessage func(from netip.AddrPort, s *Shared)
 	// SharedView returns the state of those matters, for operators.
 	SharedView func() []SharedView
-	// Members is called with the members that live, whenever that changes.
-	Members func([]peers.Member)
+	// OnMembersChanged is called with the members that live, whenever that changes.
+	OnMembersChanged func([]peers.Member)
 	// OnRequest and OnResponse, for tests, are called with each lease request that goes out for the first time and with each
 	// response that counts.
 	OnRequest  func(*owner.LeaseRequest)
 	OnResponse func(*owner.LeaseResponse)
-	// Tell is called with each change, for the log.
-	Tell func(e Event)
+	// OnEvent is called with each change, for the log.
+	OnEvent func(e Event)
 }
 
 // Announcement is what the owner of a lease last published.
--- a/internal/mesh/direct.go
+++ b/internal/mesh/direct.go
@@ -40,14 +40,14 @@
 
 // handleDirect passes a request on, and a response if its token passes the fence.
 func (n *Node) handleDirect(from netip.AddrPort, d *Direct) {
-	if n.cfg.Direct == nil || len(d.Lease) > mostLeaseName {
+	if n.cfg.OnOwnerMessage == nil || len(d.Lease) > mostLeaseName {
 		return
 	}
 	if d.Answer && !n.fence.Accept(d.Lease, d.Token) {
 		n.Count.AnnouncementsStale++
 		return
 	}
-	n.cfg.Direct(from, d)
+	n.cfg.OnOwnerMessage(from, d)
 }
 
 // Shared is a message on a matter that has no owner; its meaning is up to those who take part.
@@ -64,9 +64,9 @@
 
 // handleShared passes what another process says of a matter on to whoever takes part in it.
 func (n *Node) handleShared(from netip.AddrPort, s *Shared) {
-	if n.cfg.Shared == nil || len(s.Matter) > mostLeaseName || s.Session == 0 {
+	if n.cfg.OnSharedMessage == nil || len(s.Matter) > mostLeaseName || s.Session == 0 {
 		n.Count.Damaged++
 		return
 	}
-	n.cfg.Shared(from, s)
+	n.cfg.OnSharedMessage(from, s)
 }
--- a/internal/mesh/settle.go
+++ b/internal/mesh/settle.go
@@ -109,15 +109,15 @@
 
 // tellMembers tells whoever follows the list of members that it has changed.
 func (n *Node) tellMembers() {
-	if n.cfg.Members == nil || n.membersSeen == n.peers.Changed()+1 {
+	if n.cfg.OnMembersChanged == nil || n.membersSeen == n.peers.Changed()+1 {
 		return
 	}
 	n.membersSeen = n.peers.Changed() + 1
-	n.cfg.Members(n.peers.Members())
+	n.cfg.OnMembersChanged(n.peers.Members())
 }
 
 func (n *Node) tell(e Event) {
-	if n.cfg.Tell != nil {
-		n.cfg.Tell(e)
+	if n.cfg.OnEvent != nil {
+		n.cfg.OnEvent(e)
 	}
 }
--- a/internal/mesh/stopped_test.go
+++ b/internal/mesh/stopped_test.go
@@ -36,7 +36,7 @@
 		k.Kernel = under
 		loop = poll.NewOn(k, func() {})
 		n, err := New(Config{Loop: loop, Cluster: "c", Name: "p", Listen: netip.MustParseAddrPort("10.0.0.1:7946"), Session: 3,
-			Shared: func(netip.AddrPort, *Shared) { at = loop.Now() }})
+			OnSharedMessage: func(netip.AddrPort, *Shared) { at = loop.Now() }})
 		if err != nil {
 			return nil, err
 		}
