--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -273,7 +273,7 @@
 }
 
 // handleDirect dispatches a direct message from another process about a duty.
-func (f *fleet) handleDirect(from netip.AddrPort, d *mesh.Direct) {
+func (f *fleet) handleDirect(from netip.AddrPort, d *mesh.OwnerMessage) {
 	switch {
 	case d.Lease == duty.Moves && f.moves != nil:
 		f.moves.handleDirect(from, d)
--- a/internal/instance/moves.go
+++ b/internal/instance/moves.go
@@ -53,14 +53,14 @@
 		m.schedule(&pacedMove{id: id}, wait)
 		return true
 	}
-	at, ok := m.fleet.node.Owner(duty.Moves)
+	at, ok := m.fleet.node.OwnerAddr(duty.Moves)
 	if !ok {
 		return false
 	}
 	m.lastSeq++
 	p, seq := &pacedMove{id: id, seq: m.lastSeq, askedAt: now}, m.lastSeq
 	m.unanswered[seq] = p
-	m.fleet.node.AskOwner(at, mesh.Direct{Lease: duty.Moves, Seq: seq})
+	m.fleet.node.SendOwnerRequest(at, mesh.OwnerMessage{Lease: duty.Moves, Seq: seq})
 	m.schedule(p, duty.MoveResponseTimeout)
 	fire := p.timer.Fire
 	p.timer.Fire = func() { delete(m.unanswered, seq); fire() }
@@ -79,12 +79,12 @@
 
 // handleDirect handles a request to this process as the owner, or the owner's answer to a request
 // of this process.
-func (m *moves) handleDirect(from netip.AddrPort, d *mesh.Direct) {
+func (m *moves) handleDirect(from netip.AddrPort, d *mesh.OwnerMessage) {
 	now := m.fleet.loop.Now()
-	if !d.Answer {
+	if !d.IsResponse {
 		if _, ok := m.fleet.node.Holds(duty.Moves); ok {
 			if text, err := duty.EncodeMove(m.pacer.Schedule(now)); err == nil {
-				m.fleet.node.AnswerAs(from, mesh.Direct{Lease: duty.Moves, Seq: d.Seq, Data: text})
+				m.fleet.node.SendOwnerResponse(from, mesh.OwnerMessage{Lease: duty.Moves, Seq: d.Seq, Data: text})
 			}
 		}
 		return
--- a/internal/instance/probes.go
+++ b/internal/instance/probes.go
@@ -52,7 +52,7 @@
 // is no owner to ask.
 func (p *probes) requestProbe(targetID string) bool {
 	part := duty.ProbePart(targetID)
-	at, ok := p.fleet.node.Owner(part)
+	at, ok := p.fleet.node.OwnerAddr(part)
 	if !ok {
 		return false
 	}
@@ -61,7 +61,7 @@
 		return false
 	}
 	seq, late := p.client.Begin(p.fleet.loop.Now(), targetID)
-	p.fleet.node.AskOwner(at, mesh.Direct{Lease: part, Seq: seq, Data: text})
+	p.fleet.node.SendOwnerRequest(at, mesh.OwnerMessage{Lease: part, Seq: seq, Data: text})
 	t := &poll.Timer{}
 	t.Fire = func() {
 		if p.client.Expire(targetID, seq) {
@@ -73,9 +73,9 @@
 }
 
 // handleDirect handles a request to this process as an owner, or an owner's response.
-func (p *probes) handleDirect(from netip.AddrPort, d *mesh.Direct) {
+func (p *probes) handleDirect(from netip.AddrPort, d *mesh.OwnerMessage) {
 	now := p.fleet.loop.Now()
-	if d.Answer {
+	if d.IsResponse {
 		response, err := duty.DecodeProbeResponse(d.Data)
 		if err != nil || duty.ProbePart(response.Target) != d.Lease {
 			return
@@ -104,7 +104,7 @@
 
 func (p *probes) sendResponse(part string, to duty.Asker[netip.AddrPort], a *duty.ProbeResponse) {
 	if text, err := a.Encode(); err == nil {
-		p.fleet.node.AnswerAs(to.To, mesh.Direct{Lease: part, Seq: to.Seq, Data: text})
+		p.fleet.node.SendOwnerResponse(to.To, mesh.OwnerMessage{Lease: part, Seq: to.Seq, Data: text})
 	}
 }
 
--- a/internal/mesh/config.go
+++ b/internal/mesh/config.go
@@ -49,7 +49,7 @@
 	// OnAnnouncement is called with each announcement that is accepted, once, in the order of their ids.
 	OnAnnouncement func(w Announcement)
 	// OnOwnerMessage is called with requests to this process as an owner, and with owners' responses that passed the fence.
-	OnOwnerMessage func(from netip.AddrPort, d *Direct)
+	OnOwnerMessage func(from netip.AddrPort, d *OwnerMessage)
 	// OnSharedMessage is called with other processes' messages on matters that mesh does not know.
 	OnSharedMessage func(from netip.AddrPort, s *Shared)
 	// SharedView returns the state of those matters, for operators.
--- a/internal/mesh/direct.go
+++ b/internal/mesh/direct.go
@@ -2,19 +2,19 @@
 
 import "net/netip"
 
-// Direct is a request to the owner of a lease, or the owner's response. A response is an effect: its token must pass the fence of
+// OwnerMessage is a request to the owner of a lease, or the owner's response. A response is an effect: its token must pass the fence of
 // whoever sent the request.
-type Direct struct {
-	Lease  string `cbor:"1,keyasint"`           // name
-	Token  uint64 `cbor:"2,keyasint"`           // of a response
-	Seq    uint64 `cbor:"3,keyasint"`           // of the request
-	Answer bool   `cbor:"4,keyasint,omitempty"` // it is a response
-	Data   []byte `cbor:"5,keyasint"`
+type OwnerMessage struct {
+	Lease      string `cbor:"1,keyasint"`           // name
+	Token      uint64 `cbor:"2,keyasint"`           // of a response
+	Seq        uint64 `cbor:"3,keyasint"`           // of the request
+	IsResponse bool   `cbor:"4,keyasint,omitempty"` // it is a response
+	Data       []byte `cbor:"5,keyasint"`
 }
 
-// Owner returns the address of the owner of a lease, by its latest announcement; ok is false if there is none, or the owner is not
+// OwnerAddr returns the address of the owner of a lease, by its latest announcement; ok is false if there is none, or the owner is not
 // known to live, or it is this process.
-func (n *Node) Owner(lease string) (at netip.AddrPort, ok bool) {
+func (n *Node) OwnerAddr(lease string) (at netip.AddrPort, ok bool) {
 	latest := n.announcements.find(lease)
 	if latest == nil || !latest.known || latest.From == n.cfg.Session {
 		return netip.AddrPort{}, false
@@ -22,28 +22,28 @@
 	return n.peers.AddrOf(latest.From)
 }
 
-// AskOwner sends a request to an owner. It may be lost like any datagram.
-func (n *Node) AskOwner(at netip.AddrPort, d Direct) {
-	d.Answer = false
+// SendOwnerRequest sends a request to an owner. It may be lost like any datagram.
+func (n *Node) SendOwnerRequest(at netip.AddrPort, d OwnerMessage) {
+	d.IsResponse = false
 	n.send(at, &envelope{Direct: &d})
 }
 
-// AnswerAs sends a response as the owner of its lease; it sends nothing if this process does not own it.
-func (n *Node) AnswerAs(to netip.AddrPort, d Direct) {
+// SendOwnerResponse sends a response as the owner of its lease; it sends nothing if this process does not own it.
+func (n *Node) SendOwnerResponse(to netip.AddrPort, d OwnerMessage) {
 	token, ok := n.Holds(d.Lease)
 	if !ok || !n.fence.Accept(d.Lease, token) {
 		return
 	}
-	d.Answer, d.Token = true, token
+	d.IsResponse, d.Token = true, token
 	n.send(to, &envelope{Direct: &d})
 }
 
 // handleDirect passes a request on, and a response if its token passes the fence.
-func (n *Node) handleDirect(from netip.AddrPort, d *Direct) {
+func (n *Node) handleDirect(from netip.AddrPort, d *OwnerMessage) {
 	if n.cfg.OnOwnerMessage == nil || len(d.Lease) > mostLeaseName {
 		return
 	}
-	if d.Answer && !n.fence.Accept(d.Lease, d.Token) {
+	if d.IsResponse && !n.fence.Accept(d.Lease, d.Token) {
 		n.Count.AnnouncementsStale++
 		return
 	}
--- a/internal/mesh/wire.go
+++ b/internal/mesh/wire.go
@@ -38,7 +38,7 @@
 	PullResponse  *pullResponse         `cbor:"12,keyasint,omitempty"`
 	View          *viewFragment         `cbor:"13,keyasint,omitempty"`
 	Change        *voterChange          `cbor:"14,keyasint,omitempty"`
-	Direct        *Direct               `cbor:"15,keyasint,omitempty"`
+	Direct        *OwnerMessage         `cbor:"15,keyasint,omitempty"`
 	Shared        *Shared               `cbor:"16,keyasint,omitempty"`
 }
 
