--- a/cmd/ospreyspan/command.go
+++ b/cmd/ospreyspan/command.go
@@ -214,7 +214,7 @@
 		fmt.Fprintln(w, head)
 		n := 0
 		for _, x := range v.Shared {
-			if x.Matter == matter {
+			if x.Topic == matter {
 				n++
 				fmt.Fprintf(w, "%s\t%s\t%v\t%s\n", x.Name, x.State, time.Duration(x.AgeMS)*time.Millisecond, x.Text)
 			}
--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -228,7 +228,7 @@
 	me := evidence.Writer{Session: m.Session, Name: cmp.Or(m.Name, c.Name), Zone: m.Zone}
 	f.carrier = carrier.New(f.loop.Now(), me, conf, evidence.Flaws{})
 	f.tickTimer.Fire = f.tick
-	m.OnSharedMessage = func(from netip.AddrPort, s *mesh.Shared) { f.carrier.Take(f.loop.Now(), from, s) }
+	m.OnSharedMessage = func(from netip.AddrPort, s *mesh.SharedMessage) { f.carrier.Take(f.loop.Now(), from, s) }
 	m.SharedView = f.sharedView
 	if v != nil {
 		f.verdicts = newVerdicts(f, *v)
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -272,7 +272,7 @@
 		} else {
 			text += fmt.Sprintf(", slices held here for %d; exceeded by 0", l.capacity(now, x))
 		}
-		all = append(all, mesh.SharedView{Matter: "limit", Name: x.Name, State: state, AgeMS: age.Milliseconds(), Text: text})
+		all = append(all, mesh.SharedView{Topic: "limit", Name: x.Name, State: state, AgeMS: age.Milliseconds(), Text: text})
 	}
 	return all
 }
--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -152,7 +152,7 @@
 	var all []mesh.SharedView
 	for _, id := range v.findingOrder {
 		x := v.findings[id]
-		all = append(all, mesh.SharedView{Matter: "verdict", Name: id, State: x.Verdict.String(), AgeMS: x.Age.Milliseconds(),
+		all = append(all, mesh.SharedView{Topic: "verdict", Name: id, State: x.Verdict.String(), AgeMS: x.Age.Milliseconds(),
 			Text: fmt.Sprintf("%d witnesses, %d against", x.Witnesses, x.Against)})
 	}
 	return all
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -175,7 +175,7 @@
 	m.gate.Expect = 5
 	m.slices = limit.NewSlices(&strictL, c.Session)
 	c.Zone = m.zone
-	c.OnSharedMessage = func(from netip.AddrPort, s *mesh.Shared) { m.carrier.Take(loop.Now(), from, s) }
+	c.OnSharedMessage = func(from netip.AddrPort, s *mesh.SharedMessage) { m.carrier.Take(loop.Now(), from, s) }
 	m.timer = poll.Timer{Fire: m.act}
 	loop.After(&m.timer, tick)
 }
--- a/internal/mesh/config.go
+++ b/internal/mesh/config.go
@@ -51,7 +51,7 @@
 	// OnOwnerMessage is called with requests to this process as an owner, and with owners' responses that passed the fence.
 	OnOwnerMessage func(from netip.AddrPort, d *OwnerMessage)
 	// OnSharedMessage is called with other processes' messages on matters that mesh does not know.
-	OnSharedMessage func(from netip.AddrPort, s *Shared)
+	OnSharedMessage func(from netip.AddrPort, s *SharedMessage)
 	// SharedView returns the state of those matters, for operators.
 	SharedView func() []SharedView
 	// OnMembersChanged is called with the members that live, whenever that changes.
--- a/internal/mesh/direct.go
+++ b/internal/mesh/direct.go
@@ -50,21 +50,21 @@
 	n.cfg.OnOwnerMessage(from, d)
 }
 
-// Shared is a message on a matter that has no owner; its meaning is up to those who take part.
-type Shared struct {
-	Matter  string `cbor:"1,keyasint"`
+// SharedMessage is a message on a matter that has no owner; its meaning is up to those who take part.
+type SharedMessage struct {
+	Topic   string `cbor:"1,keyasint"`
 	Session uint64 `cbor:"2,keyasint"` // of the sender
 	Data    []byte `cbor:"3,keyasint"`
 }
 
-// Share sends data on a matter. It may be lost, late, repeated or out of order like any datagram.
-func (n *Node) Share(to netip.AddrPort, matter string, data []byte) {
-	n.send(to, &envelope{Shared: &Shared{Matter: matter, Session: n.cfg.Session, Data: data}})
+// SendShared sends data on a matter. It may be lost, late, repeated or out of order like any datagram.
+func (n *Node) SendShared(to netip.AddrPort, matter string, data []byte) {
+	n.send(to, &envelope{Shared: &SharedMessage{Topic: matter, Session: n.cfg.Session, Data: data}})
 }
 
 // handleShared passes what another process says of a matter on to whoever takes part in it.
-func (n *Node) handleShared(from netip.AddrPort, s *Shared) {
-	if n.cfg.OnSharedMessage == nil || len(s.Matter) > mostLeaseName || s.Session == 0 {
+func (n *Node) handleShared(from netip.AddrPort, s *SharedMessage) {
+	if n.cfg.OnSharedMessage == nil || len(s.Topic) > mostLeaseName || s.Session == 0 {
 		n.Count.Damaged++
 		return
 	}
--- a/internal/mesh/stopped_test.go
+++ b/internal/mesh/stopped_test.go
@@ -36,7 +36,7 @@
 		k.Kernel = under
 		loop = poll.NewOn(k, func() {})
 		n, err := New(Config{Loop: loop, Cluster: "c", Name: "p", Listen: netip.MustParseAddrPort("10.0.0.1:7946"), Session: 3,
-			OnSharedMessage: func(netip.AddrPort, *Shared) { at = loop.Now() }})
+			OnSharedMessage: func(netip.AddrPort, *SharedMessage) { at = loop.Now() }})
 		if err != nil {
 			return nil, err
 		}
@@ -54,7 +54,7 @@
 			return nil, err
 		}
 		k.stop = 5 * time.Second
-		n.Share(netip.MustParseAddrPort("10.0.0.1:7946"), "m", nil)
+		n.SendShared(netip.MustParseAddrPort("10.0.0.1:7946"), "m", nil)
 		return func() error { return l.Turn(true) }, nil
 	})
 	if err != nil {
--- a/internal/mesh/view.go
+++ b/internal/mesh/view.go
@@ -19,11 +19,11 @@
 
 // SharedView is a line on a matter that has no owner: a verdict on a target, or a limit.
 type SharedView struct {
-	Matter string `cbor:"1,keyasint"`
-	Name   string `cbor:"2,keyasint"`
-	State  string `cbor:"3,keyasint"`
-	AgeMS  int64  `cbor:"4,keyasint"` // of what it rests on; below 0: not known
-	Text   string `cbor:"5,keyasint"`
+	Topic string `cbor:"1,keyasint"`
+	Name  string `cbor:"2,keyasint"`
+	State string `cbor:"3,keyasint"`
+	AgeMS int64  `cbor:"4,keyasint"` // of what it rests on; below 0: not known
+	Text  string `cbor:"5,keyasint"`
 }
 
 // LeaseView is what a process knows of one lease.
--- a/internal/mesh/wire.go
+++ b/internal/mesh/wire.go
@@ -39,7 +39,7 @@
 	View          *viewFragment         `cbor:"13,keyasint,omitempty"`
 	Change        *voterChange          `cbor:"14,keyasint,omitempty"`
 	Direct        *OwnerMessage         `cbor:"15,keyasint,omitempty"`
-	Shared        *Shared               `cbor:"16,keyasint,omitempty"`
+	Shared        *SharedMessage        `cbor:"16,keyasint,omitempty"`
 }
 
 // raftFragment is a Raft message between keepers, or a part of a long one; with Hello it is a handshake and carries no message.
--- a/internal/shared/carrier/carrier.go
+++ b/internal/shared/carrier/carrier.go
@@ -43,8 +43,8 @@
 func (c *Carrier) Store() *evidence.Store { return c.store }
 
 // Take takes what another process says; what is of another matter, or can't be read, changes nothing.
-func (c *Carrier) Take(now time.Time, from netip.AddrPort, s *mesh.Shared) {
-	if s.Matter != Matter || c.node == nil {
+func (c *Carrier) Take(now time.Time, from netip.AddrPort, s *mesh.SharedMessage) {
+	if s.Topic != Matter || c.node == nil {
 		return
 	}
 	m, err := evidence.Decode(s.Data)
@@ -66,7 +66,7 @@
 
 func (c *Carrier) send(to netip.AddrPort, m *evidence.Message) {
 	if text, err := m.Encode(); err == nil {
-		c.node.Share(to, Matter, text)
+		c.node.SendShared(to, Matter, text)
 	}
 }
 
