--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -214,7 +214,7 @@
 		return
 	}
 	fmt.Fprint(out, "fleet:")
-	for _, f := range i.Node().Figures() {
+	for _, f := range i.Node().CounterValues() {
 		fmt.Fprintf(out, " %s=%d", f.Name, f.Value)
 	}
 	fmt.Fprintln(out)
--- a/internal/lab/changes/wholelist.go
+++ b/internal/lab/changes/wholelist.go
@@ -155,7 +155,7 @@
 	var sum uint64
 	for _, node := range f.nodes {
 		if node != but {
-			sum += node.Count.BytesReceived
+			sum += node.Counters.BytesReceived
 		}
 	}
 	return sum
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -61,7 +61,7 @@
 	if p.node == nil {
 		return p.former
 	}
-	return p.former.add(&p.node.Count, 1)
+	return p.former.add(&p.node.Counters, 1)
 }
 
 func (p *process) keeper() bool { return p.index < p.cluster.config.Keepers }
--- a/internal/lab/owners/hard_test.go
+++ b/internal/lab/owners/hard_test.go
@@ -66,12 +66,12 @@
 	}
 	before := 0
 	for _, m := range r.members {
-		before += int(m.node.Count.AnnouncementsStale)
+		before += int(m.node.Counters.AnnouncementsStale)
 	}
 	r.must(t, begin+late+5*time.Second-r.world.Elapsed())
 	refused := -before
 	for _, m := range r.members {
-		refused += int(m.node.Count.AnnouncementsStale)
+		refused += int(m.node.Counters.AnnouncementsStale)
 	}
 	if refused < 3 || chain[0] == chain[1] || chain[1] == chain[2] {
 		t.Errorf("%d words of the chain were refused", refused)
--- a/internal/lab/owners/run.go
+++ b/internal/lab/owners/run.go
@@ -338,7 +338,7 @@
 	if m.node == nil {
 		return
 	}
-	m.run.judge.StaleRefused += int(m.node.Count.AnnouncementsStale)
+	m.run.judge.StaleRefused += int(m.node.Counters.AnnouncementsStale)
 	m.run.judge.Refuted += int(m.node.Peers().Tally.Refuted)
 	m.run.judge.Twins += int(m.node.Peers().Tally.Twins)
 	if k := m.node.Keeper(); k != nil {
@@ -399,7 +399,7 @@
 		}
 		for _, m := range r.members {
 			if w, _, ok := m.node.Latest(d); !ok || w.Token != token {
-				r.world.Fail(fmt.Errorf("duty %s: %s has the word of token %d, the owner %s has token %d; fence closed: %v; %v", d, m.host.Name(), w.Token, owner, token, m.node.Fence().Closed(), m.node.Figures()))
+				r.world.Fail(fmt.Errorf("duty %s: %s has the word of token %d, the owner %s has token %d; fence closed: %v; %v", d, m.host.Name(), w.Token, owner, token, m.node.Fence().Closed(), m.node.CounterValues()))
 				return
 			}
 		}
--- a/internal/lab/owners/scale.go
+++ b/internal/lab/owners/scale.go
@@ -69,8 +69,8 @@
 func (r *run) sent() (datagrams, bytes uint64) {
 	for _, m := range r.members {
 		if m.node != nil {
-			datagrams += m.node.Count.Sent
-			bytes += m.node.Count.BytesSent
+			datagrams += m.node.Counters.Sent
+			bytes += m.node.Counters.BytesSent
 		}
 	}
 	return datagrams, bytes
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -177,10 +177,10 @@
 
 func (s *Shared) add(n *mesh.Node) {
 	if n != nil {
-		s.Datagrams += n.Count.Sent
-		s.Bytes += n.Count.BytesSent
-		s.Words += n.Count.AnnouncementsAccepted
-		s.Refused += n.Count.AnnouncementsStale
+		s.Datagrams += n.Counters.Sent
+		s.Bytes += n.Counters.BytesSent
+		s.Words += n.Counters.AnnouncementsAccepted
+		s.Refused += n.Counters.AnnouncementsStale
 	}
 }
 
--- a/internal/mesh/announcements.go
+++ b/internal/mesh/announcements.go
@@ -141,7 +141,7 @@
 // former owner is refused by it.
 func (n *Node) handleAnnouncement(p *announcementFragment) {
 	if !n.announcements.accepts(p.ID.Lease) {
-		n.Count.Damaged++
+		n.Counters.Damaged++
 		return
 	}
 	state := n.announcements.ensure(p.ID.Lease)
@@ -161,16 +161,16 @@
 // wanted tells whether an announcement with that id would be new here, and counts one that would not.
 func (n *Node) wanted(state *announcementState, id AnnouncementID) bool {
 	if id.Token < n.fence.Floor(id.Lease) && !n.cfg.Flaws.NoFence {
-		n.Count.AnnouncementsStale++
+		n.Counters.AnnouncementsStale++
 		return false
 	}
 	unfenced := n.cfg.Flaws.NoFence && id.Token < state.Token
 	if state.known && !id.newerThan(state.AnnouncementID) && !unfenced {
-		n.Count.AnnouncementsOld++
+		n.Counters.AnnouncementsOld++
 		return false
 	}
 	if id != state.incoming && state.reassembly.parts != nil && state.incoming.newerThan(id) {
-		n.Count.AnnouncementsOld++
+		n.Counters.AnnouncementsOld++
 		return false
 	}
 	return true
@@ -179,11 +179,11 @@
 // passesFence tells whether a whole announcement may be accepted, and counts one that may not.
 func (n *Node) passesFence(id AnnouncementID) bool {
 	if n.fence.Closed() {
-		n.Count.AnnouncementsEarly++
+		n.Counters.AnnouncementsEarly++
 		return false
 	}
 	if !n.fence.Accept(id.Lease, id.Token) {
-		n.Count.AnnouncementsStale++
+		n.Counters.AnnouncementsStale++
 		return false
 	}
 	return true
@@ -191,7 +191,7 @@
 
 // accept has an announcement replace the one before, reports it and passes it on.
 func (n *Node) accept(state *announcementState, a Announcement) {
-	n.Count.AnnouncementsAccepted++
+	n.Counters.AnnouncementsAccepted++
 	if state.Token != a.Token || state.Own {
 		state.confirmedFor = time.Time{} // what a former owner confirmed says nothing of this one
 	}
--- a/internal/mesh/direct.go
+++ b/internal/mesh/direct.go
@@ -44,7 +44,7 @@
 		return
 	}
 	if d.IsResponse && !n.fence.Accept(d.Lease, d.Token) {
-		n.Count.AnnouncementsStale++
+		n.Counters.AnnouncementsStale++
 		return
 	}
 	n.cfg.OnOwnerMessage(from, d)
@@ -65,7 +65,7 @@
 // handleShared passes what another process says of a matter on to whoever takes part in it.
 func (n *Node) handleShared(from netip.AddrPort, s *SharedMessage) {
 	if n.cfg.OnSharedMessage == nil || len(s.Topic) > mostLeaseName || s.Session == 0 {
-		n.Count.Damaged++
+		n.Counters.Damaged++
 		return
 	}
 	n.cfg.OnSharedMessage(from, s)
--- a/internal/mesh/keeperclient.go
+++ b/internal/mesh/keeperclient.go
@@ -117,7 +117,7 @@
 
 // sendLeaseRequest sends a request to the current keeper, and has the next one go elsewhere if no response comes.
 func (n *Node) sendLeaseRequest(request *owner.LeaseRequest) {
-	n.Count.LeaseRequests++
+	n.Counters.LeaseRequests++
 	c := &n.client
 	if c.awaiting && !c.redirected {
 		n.tryAnotherKeeper() // no response to the last one, be it this one or one that was replaced by it
@@ -142,7 +142,7 @@
 	c := &n.client
 	c.floorsAt = now.Add(n.cfg.Terms.Lease / floorsPerLease)
 	c.floorsSeq++
-	n.Count.FloorsRequests++
+	n.Counters.FloorsRequests++
 	request := &keeper.FloorsRequest{Session: n.cfg.Session, Seq: c.floorsSeq}
 	k := c.keeper()
 	if !n.isLocal(k) {
--- a/internal/mesh/keeperlink.go
+++ b/internal/mesh/keeperlink.go
@@ -66,7 +66,7 @@
 	}
 	message := &pb.Message{}
 	if proto.Unmarshal(text, message) != nil || message.GetFrom() != r.From {
-		n.Count.Damaged++
+		n.Counters.Damaged++
 		return
 	}
 	n.core.Step(now, r.Disk, message)
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -96,8 +96,8 @@
 			t.Errorf("n%d knows %d members", i, len(n.Members()))
 		}
 	}
-	if b.nodes[0].Count.Foreign == 0 || b.owner(0) == nil || b.owner(4) == nil {
-		t.Errorf("foreign datagrams %d, owners %v and %v", b.nodes[0].Count.Foreign, b.owner(0), b.owner(4))
+	if b.nodes[0].Counters.Foreign == 0 || b.owner(0) == nil || b.owner(4) == nil {
+		t.Errorf("foreign datagrams %d, owners %v and %v", b.nodes[0].Counters.Foreign, b.owner(0), b.owner(4))
 	}
 }
 
--- a/internal/mesh/node.go
+++ b/internal/mesh/node.go
@@ -35,7 +35,7 @@
 	announcements announcementStore
 	pulls         puller
 	closed        bool
-	Count         Counters
+	Counters      Counters
 }
 
 // New opens the socket and joins the fleet. It returns an error if the socket can't be opened or the keeper's configuration or log is
@@ -78,7 +78,7 @@
 	if err != nil {
 		return fmt.Errorf("mesh: %w", err)
 	}
-	n.transport = transport{loop: n.loop, socket: socket, cluster: n.cfg.Cluster, count: &n.Count}
+	n.transport = transport{loop: n.loop, socket: socket, cluster: n.cfg.Cluster, count: &n.Counters}
 	n.addr = socket.Addr()
 	if n.cfg.Advertise.IsValid() {
 		n.addr = n.cfg.Advertise
@@ -212,7 +212,7 @@
 	case e.Change != nil && e.Change.Answer == "":
 		n.handleChange(now, from, e.Change)
 	default:
-		n.Count.Damaged++
+		n.Counters.Damaged++
 	}
 }
 
--- a/internal/mesh/pull.go
+++ b/internal/mesh/pull.go
@@ -61,7 +61,7 @@
 func (n *Node) sendPull(now time.Time) {
 	n.pulls.schedule(now, n.rng)
 	if n.pulls.expire() {
-		n.Count.PullsLost++
+		n.Counters.PullsLost++
 	}
 	server, ok := n.pullServer()
 	if !ok {
@@ -71,7 +71,7 @@
 	for _, lease := range n.announcements.leases[:min(len(n.announcements.leases), mostPulled)] {
 		request.Known = append(request.Known, n.announcements.find(lease).AnnouncementID)
 	}
-	n.Count.Pulls++
+	n.Counters.Pulls++
 	n.send(server, &envelope{Pull: request})
 }
 
--- a/internal/mesh/query.go
+++ b/internal/mesh/query.go
@@ -124,7 +124,7 @@
 func (c *viewCollector) add(f *viewFragment) {
 	c.view.Members = append(c.view.Members, f.Members...)
 	c.view.Leases = append(c.view.Leases, f.Leases...)
-	c.view.Counts = append(c.view.Counts, f.Counts...)
+	c.view.Counters = append(c.view.Counters, f.Counts...)
 	c.view.Shared = append(c.view.Shared, f.Shared...)
 	if f.Keeper != nil {
 		c.view.Keeper = f.Keeper
--- a/internal/mesh/view.go
+++ b/internal/mesh/view.go
@@ -10,11 +10,11 @@
 
 // View is what one process knows of the fleet, for operators.
 type View struct {
-	Members []peers.Member
-	Leases  []LeaseView
-	Keeper  *KeeperView // nil: the process is no keeper
-	Counts  []Figure
-	Shared  []SharedView
+	Members  []peers.Member
+	Leases   []LeaseView
+	Keeper   *KeeperView // nil: the process is no keeper
+	Counters []CounterValue
+	Shared   []SharedView
 }
 
 // SharedView is a line on a matter that has no owner: a verdict on a target, or a limit.
@@ -47,8 +47,8 @@
 	Refused uint64   `cbor:"6,keyasint"` // messages of keepers whose disk is another one
 }
 
-// Figure is a counter.
-type Figure struct {
+// CounterValue is a counter.
+type CounterValue struct {
 	Name  string `cbor:"1,keyasint"`
 	Value uint64 `cbor:"2,keyasint"`
 }
@@ -60,7 +60,7 @@
 
 // View returns this process's own view.
 func (n *Node) View() View {
-	v := View{Members: n.peers.Members(), Keeper: n.keeperView(), Counts: n.Figures()}
+	v := View{Members: n.peers.Members(), Keeper: n.keeperView(), Counters: n.CounterValues()}
 	for _, lease := range n.cfg.Duties {
 		v.addLease(n, lease)
 	}
@@ -108,10 +108,10 @@
 	}
 }
 
-// Figures are the counters, in a fixed order.
-func (n *Node) Figures() []Figure {
-	c, p := &n.Count, &n.peers.Tally
-	return []Figure{
+// CounterValues are the counters, in a fixed order.
+func (n *Node) CounterValues() []CounterValue {
+	c, p := &n.Counters, &n.peers.Tally
+	return []CounterValue{
 		{"datagrams-sent", c.Sent}, {"datagrams-received", c.Received}, {"bytes-sent", c.BytesSent}, {"bytes-received", c.BytesReceived},
 		{"dropped-foreign", c.Foreign}, {"dropped-damaged", c.Damaged}, {"dropped-long", c.Long}, {"unsent", c.Unsent},
 		{"asks", c.LeaseRequests}, {"looks", c.FloorsRequests}, {"words-taken", c.AnnouncementsAccepted}, {"words-stale-refused", c.AnnouncementsStale},
@@ -140,7 +140,7 @@
 	for leases := range chunks(v.Leases, viewPer) {
 		parts = append(parts, viewFragment{Leases: leases})
 	}
-	parts[firstOfLeases].Keeper, parts[firstOfLeases].Counts = v.Keeper, v.Counts
+	parts[firstOfLeases].Keeper, parts[firstOfLeases].Counts = v.Keeper, v.Counters
 	for shared := range slices.Chunk(v.Shared, sharedPer) {
 		parts = append(parts, viewFragment{Shared: shared})
 	}
--- a/internal/mesh/wire.go
+++ b/internal/mesh/wire.go
@@ -128,7 +128,7 @@
 	Members []peers.Member `cbor:"5,keyasint,omitempty"`
 	Leases  []LeaseView    `cbor:"6,keyasint,omitempty"`
 	Keeper  *KeeperView    `cbor:"7,keyasint,omitempty"`
-	Counts  []Figure       `cbor:"8,keyasint,omitempty"`
+	Counts  []CounterValue `cbor:"8,keyasint,omitempty"`
 	Shared  []SharedView   `cbor:"9,keyasint,omitempty"`
 }
 
