--- a/cmd/ospreyspan/command.go
+++ b/cmd/ospreyspan/command.go
@@ -166,7 +166,7 @@
 		if err != nil {
 			return err
 		}
-		v, err := mesh.Ask(cluster, at, askWait)
+		v, err := mesh.FetchView(cluster, at, askWait)
 		if err != nil {
 			return err
 		}
--- a/internal/mesh/query.go
+++ b/internal/mesh/query.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// Ask requests the view of a running process; it waits for as long as wait.
-func Ask(cluster string, of netip.AddrPort, wait time.Duration) (*View, error) {
+// FetchView requests the view of a running process; it waits for as long as wait.
+func FetchView(cluster string, of netip.AddrPort, wait time.Duration) (*View, error) {
 	c := viewCollector{seq: uint64(time.Now().UnixNano()), received: make(map[int]bool)}
 	request := &envelope{View: &viewFragment{Ask: true, Seq: c.seq}}
 	if err := ask(cluster, of, request, wait, c.take); err != nil {
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -269,7 +269,7 @@
 func (r *Rig) pass(from, to *link, data []byte) {
 	r.Count.Datagrams++
 	r.Count.Bytes += len(data)
-	mark, isWord := mesh.Peek(data, cluster)
+	mark, isWord := mesh.PeekAnnouncementID(data, cluster)
 	if isWord && mark.Lease == duty {
 		r.keep(from, to, mark, data)
 	}
@@ -298,7 +298,7 @@
 	if r.over {
 		return
 	}
-	if m, ok := mesh.Peek(data, cluster); ok && m.Lease == duty && m.Token < r.granted {
+	if m, ok := mesh.PeekAnnouncementID(data, cluster); ok && m.Lease == duty && m.Token < r.granted {
 		r.Count.StaleSent++
 	}
 	_ = from.sock.Send(data, to.p.listen) // nobody may be there
