--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -152,7 +152,7 @@
 	for _, at := range s.conf.Members {
 		k.Voters = append(k.Voters, at.ID)
 	}
-	m.Keeper, m.Log, m.Disk = &k, restored, file
+	m.Keeper, m.RestoredLog, m.Disk = &k, restored, file
 	return nil
 }
 
@@ -177,7 +177,7 @@
 	if e.Member != nil {
 		l = l.Str("member", e.Member.Name).Stringer("at", e.Member.Addr).Str("session", fmt.Sprintf("%x", e.Member.Session))
 	}
-	l.Msg("fleet: " + e.What)
+	l.Msg("fleet: " + e.Kind)
 }
 
 // judged logs a verdict that changed, with what it rests on.
--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -137,12 +137,12 @@
 		return true, time.Time{}, 0
 	}
 	w, vouched, ok := f.node.Latest(duty.Discovery)
-	if (!ok || w.Own || vouched.IsZero()) && f.node.HasOwner(duty.Discovery) {
+	if (!ok || w.Local || vouched.IsZero()) && f.node.HasOwner(duty.Discovery) {
 		// There is an owner that has not announced a list yet. Hundreds of processes that start
 		// together would keep discovery so busy that the owner's own request is lost among theirs.
 		// The known list is as old as this process.
 		vouched = f.startedAt
-	} else if !ok || w.Own {
+	} else if !ok || w.Local {
 		// It is not known yet whether there is an owner. In a large fleet a proxy spreads its first
 		// request over a longer time than this in any case.
 		return false, f.startedAt.Add(f.initialQueryDelay), duty.FallbackSpread(f.askWithin)
@@ -152,20 +152,20 @@
 
 // onOwnership handles a duty that was won or lost.
 func (f *fleet) onOwnership(e mesh.Event) {
-	if e.What == "lost" && f.limits != nil {
+	if e.Kind == "lost" && f.limits != nil {
 		f.limits.moveExcess()
 	}
-	if e.What == "own" && f.needsOwnerKnown(e.Lease) {
+	if e.Kind == "own" && f.needsOwnerKnown(e.Lease) {
 		f.announceOwnership(e.Lease)
 	}
-	if e.What == "fence-open" { // a duty won before this event could not be announced
+	if e.Kind == "fence-open" { // a duty won before this event could not be announced
 		for _, d := range f.duties {
 			if _, ok := f.node.Holds(d); ok && f.needsOwnerKnown(d) {
 				f.announceOwnership(d)
 			}
 		}
 	}
-	if e.What == "own" && e.Lease == duty.Discovery {
+	if e.Kind == "own" && e.Lease == duty.Discovery {
 		f.lastAnnounced = nil
 		f.instance.engine.Watch().ReevaluatePolicy()
 	}
--- a/internal/lab/changes/wholelist.go
+++ b/internal/lab/changes/wholelist.go
@@ -131,7 +131,7 @@
 		}
 		k := keeper.DefaultConfig()
 		k.ID, k.Voters, k.Seed = uint64(i+1), []uint64{1, 2, 3}, seed
-		config.Keeper, config.Log, config.Disk = &k, log, disk
+		config.Keeper, config.RestoredLog, config.Disk = &k, log, disk
 	}
 	return host.Start(func(kernel poll.Kernel) (func() error, error) {
 		config.Loop = poll.NewOn(kernel, func() {})
--- a/internal/lab/hollow/verdicts.go
+++ b/internal/lab/hollow/verdicts.go
@@ -20,7 +20,7 @@
 
 // see takes an event of a process's log.
 func (v *verdicts) see(by *process, e mesh.Event) {
-	switch e.What {
+	switch e.Kind {
 	case "own":
 		v.own(by, e)
 	case "lost":
--- a/internal/lab/hollow/verdicts_test.go
+++ b/internal/lab/hollow/verdicts_test.go
@@ -24,17 +24,17 @@
 		t.Fatalf("a sound fleet: %d wrong owners, %d false deaths, %d false suspicions", v.wrongOwners, v.falseDeaths, v.falseSuspicions)
 	}
 	a, b := k.processes[3], k.processes[4]
-	v.see(a, mesh.Event{What: "own", Lease: anyDuty, Token: 1000})
-	v.see(b, mesh.Event{What: "own", Lease: anyDuty, Token: 1000})
+	v.see(a, mesh.Event{Kind: "own", Lease: anyDuty, Token: 1000})
+	v.see(b, mesh.Event{Kind: "own", Lease: anyDuty, Token: 1000})
 	if v.wrongOwners != 1 {
 		t.Errorf("one token for two: %d wrong owners, not 1", v.wrongOwners)
 	}
-	v.see(a, mesh.Event{What: "word", Lease: anyDuty, Token: 1000})
-	v.see(a, mesh.Event{What: "word", Lease: anyDuty, Token: 999})
+	v.see(a, mesh.Event{Kind: "word", Lease: anyDuty, Token: 1000})
+	v.see(a, mesh.Event{Kind: "word", Lease: anyDuty, Token: 999})
 	if v.wrongOwners != 2 {
 		t.Errorf("a former owner's word: %d wrong owners, not 2", v.wrongOwners)
 	}
-	dead := mesh.Event{What: "member-dead", Member: &peers.Member{Session: b.session, State: peers.Dead}}
+	dead := mesh.Event{Kind: "member-dead", Member: &peers.Member{Session: b.session, State: peers.Dead}}
 	v.see(a, dead)
 	heal := k.isolate(zoneRegion[b.zone])
 	v.see(a, dead) // nobody could know better
--- a/internal/lab/owners/run.go
+++ b/internal/lab/owners/run.go
@@ -220,7 +220,7 @@
 		OnResponse:     func(a *owner.LeaseResponse) { r.judge.answer(r.world.Elapsed(), a) },
 	}
 	c.OnEvent = func(e mesh.Event) {
-		switch e.What {
+		switch e.Kind {
 		case "own":
 			r.overlap()
 		case "keeper-stopped":
@@ -271,7 +271,7 @@
 		k.Voters = append(k.Voters, at.ID)
 	}
 	k.Flaws = keeper.Flaws{EarlyGrant: r.o.Plant == "early-grant", AckBeforeSync: r.o.Plant == "ack-before-sync"}
-	c.Keeper, c.Log, c.Disk = &k, log, d
+	c.Keeper, c.RestoredLog, c.Disk = &k, log, d
 	return nil
 }
 
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -134,7 +134,7 @@
 	for _, a := range m.Keepers {
 		k.Voters = append(k.Voters, a.ID)
 	}
-	m.Keeper, m.Log, m.Disk = &k, log, d
+	m.Keeper, m.RestoredLog, m.Disk = &k, log, d
 	return nil
 }
 
--- a/internal/mesh/announcements.go
+++ b/internal/mesh/announcements.go
@@ -67,7 +67,7 @@
 func (s *announcementStore) firstOwner() uint64 {
 	for _, lease := range s.leases {
 		if state := s.byLease[lease]; state.known {
-			return state.From
+			return state.OwnerSession
 		}
 	}
 	return 0
@@ -91,7 +91,7 @@
 	if state.Token == token {
 		id.Version = state.Version + 1
 	}
-	state.Announcement = Announcement{AnnouncementID: id, Data: slices.Clone(data), From: n.cfg.Session, Own: true}
+	state.Announcement = Announcement{AnnouncementID: id, Data: slices.Clone(data), OwnerSession: n.cfg.Session, Local: true}
 	state.known, state.confirmedFor = true, n.loop.Now()
 	n.spread(state)
 	n.settle()
@@ -102,7 +102,7 @@
 // again.
 func (n *Node) ConfirmCurrent(lease string) {
 	state := n.announcements.find(lease)
-	if state == nil || !state.Own {
+	if state == nil || !state.Local {
 		return
 	}
 	if token, ok := n.Holds(lease); ok && token == state.Token {
@@ -132,7 +132,7 @@
 	parts := fragments(state.Data)
 	for i, part := range parts {
 		n.send(to, &envelope{Announcement: &announcementFragment{
-			ID: state.AnnouncementID, Index: i, Count: len(parts), Data: part, From: state.From,
+			ID: state.AnnouncementID, Index: i, Count: len(parts), Data: part, From: state.OwnerSession,
 		}})
 	}
 }
@@ -155,7 +155,7 @@
 	if data == nil || !n.passesFence(p.ID) {
 		return
 	}
-	n.accept(state, Announcement{AnnouncementID: p.ID, Data: data, From: p.From})
+	n.accept(state, Announcement{AnnouncementID: p.ID, Data: data, OwnerSession: p.From})
 }
 
 // wanted tells whether an announcement with that id would be new here, and counts one that would not.
@@ -192,11 +192,11 @@
 // accept has an announcement replace the one before, reports it and passes it on.
 func (n *Node) accept(state *announcementState, a Announcement) {
 	n.Counters.AnnouncementsAccepted++
-	if state.Token != a.Token || state.Own {
+	if state.Token != a.Token || state.Local {
 		state.confirmedFor = time.Time{} // what a former owner confirmed says nothing of this one
 	}
 	state.Announcement, state.known = a, true
-	n.tell(Event{What: "word", Lease: a.Lease, Token: a.Token, Version: a.Version})
+	n.tell(Event{Kind: "word", Lease: a.Lease, Token: a.Token, Version: a.Version})
 	if n.cfg.OnAnnouncement != nil {
 		n.cfg.OnAnnouncement(a)
 	}
--- a/internal/mesh/config.go
+++ b/internal/mesh/config.go
@@ -30,20 +30,20 @@
 	Zone    string
 	Listen  netip.AddrPort // UDP
 	// Advertise is the address by which the others reach this process, where that is another one; the keepers' list names it.
-	Advertise netip.AddrPort
-	Session   uint64           // of this life of the process, random; above 0
-	Seeds     []netip.AddrPort // members to begin with
-	Known     []peers.Member   // members that live, from before this life; see peers.Config
-	Keepers   []KeeperAddress  // all of them; empty: there are no leases
-	Keeper    *keeper.Config   // of the keeper here; nil: there is none
-	Log       *keeper.Restored // with Keeper
-	Disk      Disk             // with Keeper
-	Terms     owner.Terms
-	Duties    []string // leases that this process takes if it may
-	Seed      uint64   // of random choices
-	Flaws     owner.Flaws
-	// MostMembers is how many other members are known at once; see peers.Config.
-	MostMembers int
+	Advertise   netip.AddrPort
+	Session     uint64           // of this life of the process, random; above 0
+	Seeds       []netip.AddrPort // members to begin with
+	Known       []peers.Member   // members that live, from before this life; see peers.Config
+	Keepers     []KeeperAddress  // all of them; empty: there are no leases
+	Keeper      *keeper.Config   // of the keeper here; nil: there is none
+	RestoredLog *keeper.Restored // with Keeper
+	Disk        Disk             // with Keeper
+	Terms       owner.Terms
+	Duties      []string // leases that this process takes if it may
+	Seed        uint64   // of random choices
+	Flaws       owner.Flaws
+	// MaxMembers is how many other members are known at once; see peers.Config.
+	MaxMembers int
 	// ForgetFloors plants a mistake: the fence accepts effects before the floors are known.
 	ForgetFloors bool
 	// OnAnnouncement is called with each announcement that is accepted, once, in the order of their ids.
@@ -67,14 +67,14 @@
 // Announcement is what the owner of a lease last published.
 type Announcement struct {
 	AnnouncementID
-	Data []byte
-	From uint64 // session of the owner
-	Own  bool   // published here
+	Data         []byte
+	OwnerSession uint64 // session of the owner
+	Local        bool   // published here
 }
 
 // Event is a change worth a line of the log.
 type Event struct {
-	What    string // kind of the change, of fixed spelling
+	Kind    string // kind of the change, of fixed spelling
 	Lease   string
 	Token   uint64
 	Version uint64 // of an announcement
--- a/internal/mesh/direct.go
+++ b/internal/mesh/direct.go
@@ -16,10 +16,10 @@
 // known to live, or it is this process.
 func (n *Node) OwnerAddr(lease string) (at netip.AddrPort, ok bool) {
 	latest := n.announcements.find(lease)
-	if latest == nil || !latest.known || latest.From == n.cfg.Session {
+	if latest == nil || !latest.known || latest.OwnerSession == n.cfg.Session {
 		return netip.AddrPort{}, false
 	}
-	return n.peers.AddrOf(latest.From)
+	return n.peers.AddrOf(latest.OwnerSession)
 }
 
 // SendOwnerRequest sends a request to an owner. It may be lost like any datagram.
--- a/internal/mesh/keeperclient.go
+++ b/internal/mesh/keeperclient.go
@@ -204,6 +204,6 @@
 	}
 	if n.client.floors.add(f) {
 		n.fence.Open(n.client.floors.tokens)
-		n.tell(Event{What: "fence-open"})
+		n.tell(Event{Kind: "fence-open"})
 	}
 }
--- a/internal/mesh/keeperlink.go
+++ b/internal/mesh/keeperlink.go
@@ -123,7 +123,7 @@
 		n.sendResponse(a)
 	}
 	if o.Stopped != nil {
-		n.tell(Event{What: "keeper-stopped", Err: o.Stopped})
+		n.tell(Event{Kind: "keeper-stopped", Err: o.Stopped})
 	}
 }
 
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -54,7 +54,7 @@
 			}
 			k := keeper.DefaultConfig()
 			k.ID, k.Voters, k.Seed = uint64(i%4+1), []uint64{1, 2, 3}, 1
-			c.Keeper, c.Log, c.Disk = &k, log, d
+			c.Keeper, c.RestoredLog, c.Disk = &k, log, d
 		}
 		b.heard = append(b.heard, nil)
 		err := h.Start(func(kernel poll.Kernel) (func() error, error) {
--- a/internal/mesh/node.go
+++ b/internal/mesh/node.go
@@ -61,7 +61,7 @@
 	}
 	if c.Keeper != nil {
 		var err error
-		if n.core, err = keeper.New(now, *c.Keeper, c.Log); err != nil {
+		if n.core, err = keeper.New(now, *c.Keeper, c.RestoredLog); err != nil {
 			n.transport.socket.Close()
 			return nil, err
 		}
@@ -91,7 +91,7 @@
 	p := peers.DefaultConfig()
 	p.Name, p.Zone, p.Addr = n.cfg.Name, n.cfg.Zone, n.addr
 	p.Session, p.Seeds, p.Seed = n.cfg.Session, n.cfg.Seeds, n.cfg.Seed
-	p.Known, p.MostMembers = n.cfg.Known, n.cfg.MostMembers
+	p.Known, p.MostMembers = n.cfg.Known, n.cfg.MaxMembers
 	return p
 }
 
--- a/internal/mesh/pull.go
+++ b/internal/mesh/pull.go
@@ -114,11 +114,11 @@
 // dropLostOwnership notes that an announcement that was published here is no longer its owner's, if the lease has been lost since.
 // While it is held the owner itself confirms its announcement, by ConfirmCurrent.
 func (n *Node) dropLostOwnership(state *announcementState) {
-	if !state.Own {
+	if !state.Local {
 		return
 	}
 	if token, ok := n.Holds(state.Lease); !ok || token != state.Token {
-		state.Own = false
+		state.Local = false
 	}
 }
 
@@ -137,7 +137,7 @@
 // confirm notes the age that another process reported of an announcement, if it is the one that is known here.
 func (n *Node) confirm(age announcementAge) {
 	state := n.announcements.find(age.ID.Lease)
-	if state == nil || !state.known || state.AnnouncementID != age.ID || age.MS < 0 || state.Own {
+	if state == nil || !state.known || state.AnnouncementID != age.ID || age.MS < 0 || state.Local {
 		return
 	}
 	at := n.pulls.sentAt.Add(-time.Duration(age.MS) * time.Millisecond)
--- a/internal/mesh/settle.go
+++ b/internal/mesh/settle.go
@@ -86,11 +86,11 @@
 		}
 		if before != 0 {
 			delete(n.held, lease)
-			n.tell(Event{What: "lost", Lease: lease, Token: before})
+			n.tell(Event{Kind: "lost", Lease: lease, Token: before})
 		}
 		if holds {
 			n.held[lease] = token
-			n.tell(Event{What: "own", Lease: lease, Token: token})
+			n.tell(Event{Kind: "own", Lease: lease, Token: token})
 		}
 	}
 }
@@ -101,9 +101,9 @@
 	if e.New {
 		what = "member-new"
 	}
-	n.tell(Event{What: what, Member: &e.Member})
+	n.tell(Event{Kind: what, Member: &e.Member})
 	if e.Twin {
-		n.tell(Event{What: "member-twin", Member: &e.Member})
+		n.tell(Event{Kind: "member-twin", Member: &e.Member})
 	}
 }
 
