--- a/internal/mesh/announcements.go
+++ b/internal/mesh/announcements.go
@@ -8,41 +8,42 @@
 	"time"
 )
 
-// Bounds on what other processes may make this one keep.
+// Limits on the memory that messages of other processes can make this process hold.
 const (
-	mostLeaseName = 64  // bytes
-	mostLeases    = 256 // leases whose announcements are kept
+	maxLeaseNameBytes = 64  // also for topics of SharedMessage
+	maxLeases         = 256 // leases whose announcements are stored
 )
 
-// fanout is to how many random members an announcement that is new here is passed on at once; the pulls do the rest.
-const fanout = 3
+// pushFanout is the number of random members to which a newly accepted announcement is pushed
+// immediately. Members that this does not reach get the announcement by pulling.
+const pushFanout = 3
 
-// ErrNotOwner is why an announcement is not published: the process does not hold the lease.
-var ErrNotOwner = errors.New("mesh: not the owner")
+// ErrNotOwner is returned by Node.Announce if the process does not hold the lease.
+var ErrNotOwner = errors.New("mesh: lease is not held by this process")
 
-// announcementState is the latest announcement of a lease, and the newer one that is being received.
+// announcementState holds the latest announcement of a lease and the reassembly of a newer one.
 type announcementState struct {
 	Announcement
-	known        bool // there is a latest one
-	incoming     AnnouncementID
-	reassembly   reassembly // of incoming
-	confirmedFor time.Time  // it was the owner's latest at this time or later, by the clock here; zero: unknown
+	known       bool           // the embedded Announcement is set
+	incomingID  AnnouncementID // announcement being reassembled
+	reassembly  reassembly     // fragments of incomingID
+	confirmedAt time.Time      // the owner's latest then or later, local clock; zero: unknown
 }
 
 // announcementStore holds the announcements of all leases.
 type announcementStore struct {
-	byLease map[string]*announcementState
-	leases  []string // sorted
+	byLease    map[string]*announcementState
+	leaseNames []string // keys of byLease, sorted
 }
 
 func newAnnouncementStore() announcementStore {
 	return announcementStore{byLease: make(map[string]*announcementState)}
 }
 
-// find returns the state of a lease, nil if nothing is known of it.
+// find returns the state of a lease, or nil if there is none.
 func (s *announcementStore) find(lease string) *announcementState { return s.byLease[lease] }
 
-// ensure returns the state of a lease and makes it if there is none.
+// ensure returns the state of a lease and creates it if necessary.
 func (s *announcementStore) ensure(lease string) *announcementState {
 	if state := s.byLease[lease]; state != nil {
 		return state
@@ -50,22 +51,24 @@
 	state := &announcementState{}
 	state.Lease = lease
 	s.byLease[lease] = state
-	at, _ := slices.BinarySearch(s.leases, lease)
-	s.leases = slices.Insert(s.leases, at, lease)
+	at, _ := slices.BinarySearch(s.leaseNames, lease)
+	s.leaseNames = slices.Insert(s.leaseNames, at, lease)
 	return state
 }
 
-// accepts tells whether a lease of that name may be kept.
+// accepts reports whether the state of a lease of that name may be stored: the name must be valid,
+// and the store must have room if the lease is new.
 func (s *announcementStore) accepts(lease string) bool {
-	if lease == "" || len(lease) > mostLeaseName {
+	if lease == "" || len(lease) > maxLeaseNameBytes {
 		return false
 	}
-	return len(s.byLease) < mostLeases || s.byLease[lease] != nil
+	return len(s.byLease) < maxLeases || s.byLease[lease] != nil
 }
 
-// firstOwner is the session of the owner of the first lease that has an announcement, 0 if none has.
-func (s *announcementStore) firstOwner() uint64 {
-	for _, lease := range s.leases {
+// firstOwnerSession returns the session of the owner of the first lease, in order of names, that
+// has an announcement, or 0 if no lease has one.
+func (s *announcementStore) firstOwnerSession() uint64 {
+	for _, lease := range s.leaseNames {
 		if state := s.byLease[lease]; state.known {
 			return state.OwnerSession
 		}
@@ -73,18 +76,20 @@
 	return 0
 }
 
-// Announce publishes data to all members as the owner of a lease; it replaces what was published before. Members that miss it pull
-// it. It returns ErrNotOwner if the lease is not held here.
+// Announce publishes data to all members as the owner of a lease and replaces what was published
+// before. Members that miss the push get the announcement by pulling. Announce returns ErrNotOwner
+// if this process does not hold the lease.
 func (n *Node) Announce(lease string, data []byte) (AnnouncementID, error) {
 	token, ok := n.Holds(lease)
 	if !ok {
 		return AnnouncementID{}, ErrNotOwner
 	}
-	if len(data) > fragmentBytes*mostFragments {
-		return AnnouncementID{}, fmt.Errorf("mesh: an announcement of %d bytes", len(data))
+	if len(data) > fragmentBytes*maxFragments {
+		return AnnouncementID{}, fmt.Errorf("mesh: announcement of %d bytes exceeds the maximum of %d bytes", len(data), fragmentBytes*maxFragments)
 	}
 	if !n.fence.Accept(lease, token) {
-		return AnnouncementID{}, ErrNotOwner // a later owner has published already, or the floors are not known yet
+		// A later owner has already published, or the floors are not known yet.
+		return AnnouncementID{}, ErrNotOwner
 	}
 	state := n.announcements.ensure(lease)
 	id := AnnouncementID{Lease: lease, Token: token, Version: 1}
@@ -92,42 +97,44 @@
 		id.Version = state.Version + 1
 	}
 	state.Announcement = Announcement{AnnouncementID: id, Data: slices.Clone(data), OwnerSession: n.cfg.Session, Local: true}
-	state.known, state.confirmedFor = true, n.loop.Now()
-	n.spread(state)
-	n.settle()
+	state.known, state.confirmedAt = true, n.loop.Now()
+	n.pushToRandomMembers(state)
+	n.flush()
 	return id, nil
 }
 
-// ConfirmCurrent notes that the announcement that was published here is up to date as of now: what it describes was looked at
-// again.
+// ConfirmCurrent records that the announcement published by this process is up to date as of now,
+// because the state that it describes has been checked again. It does nothing if this process does
+// not hold the lease with the token of the announcement.
 func (n *Node) ConfirmCurrent(lease string) {
 	state := n.announcements.find(lease)
 	if state == nil || !state.Local {
 		return
 	}
 	if token, ok := n.Holds(lease); ok && token == state.Token {
-		state.confirmedFor = n.loop.Now()
+		state.confirmedAt = n.loop.Now()
 	}
 }
 
-// Latest returns the latest announcement of a lease, and the time for which its owner confirmed it at the latest, counted from before
-// the owner was asked, zero if that is unknown; ok is false if there is none.
+// Latest returns the latest announcement of a lease and the time as of which its owner last
+// confirmed it. That time is computed from before this process requested the announcement's age,
+// and is zero if unknown. ok is false if there is no announcement.
 func (n *Node) Latest(lease string) (latest Announcement, confirmed time.Time, ok bool) {
 	state := n.announcements.find(lease)
 	if state == nil || !state.known {
 		return Announcement{}, time.Time{}, false
 	}
-	return state.Announcement, state.confirmedFor, true
+	return state.Announcement, state.confirmedAt, true
 }
 
-// spread passes an announcement on to random members.
-func (n *Node) spread(state *announcementState) {
-	for _, m := range n.peers.RandomMembers(fanout) {
+// pushToRandomMembers sends an announcement to pushFanout random members.
+func (n *Node) pushToRandomMembers(state *announcementState) {
+	for _, m := range n.peers.RandomMembers(pushFanout) {
 		n.sendAnnouncement(m.Addr, state)
 	}
 }
 
-// sendAnnouncement sends an announcement in as many datagrams as it takes.
+// sendAnnouncement sends an announcement in as many datagrams as it needs.
 func (n *Node) sendAnnouncement(to netip.AddrPort, state *announcementState) {
 	parts := fragments(state.Data)
 	for i, part := range parts {
@@ -137,28 +144,30 @@
 	}
 }
 
-// handleAnnouncement takes a fragment of an announcement. One that is not newer is dropped before it reaches the fence, one of a
-// former owner is refused by it.
-func (n *Node) handleAnnouncement(p *announcementFragment) {
-	if !n.announcements.accepts(p.ID.Lease) {
+// handleAnnouncement processes a fragment of an announcement. An announcement that is not newer
+// than the known one is dropped before it reaches the fence; the fence refuses announcements of
+// former owners.
+func (n *Node) handleAnnouncement(f *announcementFragment) {
+	if !n.announcements.accepts(f.ID.Lease) {
 		n.Counters.Damaged++
 		return
 	}
-	state := n.announcements.ensure(p.ID.Lease)
-	if !n.wanted(state, p.ID) {
+	state := n.announcements.ensure(f.ID.Lease)
+	if !n.wanted(state, f.ID) {
 		return
 	}
-	if p.ID != state.incoming {
-		state.incoming, state.reassembly = p.ID, reassembly{}
+	if f.ID != state.incomingID {
+		state.incomingID, state.reassembly = f.ID, reassembly{}
 	}
-	data := state.reassembly.add(p.Index, p.Count, p.Data)
-	if data == nil || !n.passesFence(p.ID) {
+	data := state.reassembly.add(f.Index, f.Count, f.Data)
+	if data == nil || !n.passesFence(f.ID) {
 		return
 	}
-	n.accept(state, Announcement{AnnouncementID: p.ID, Data: data, OwnerSession: p.From})
+	n.accept(state, Announcement{AnnouncementID: f.ID, Data: data, OwnerSession: f.From})
 }
 
-// wanted tells whether an announcement with that id would be new here, and counts one that would not.
+// wanted reports whether an announcement with that id would be new to this process. It counts an
+// announcement that would not.
 func (n *Node) wanted(state *announcementState, id AnnouncementID) bool {
 	if id.Token < n.fence.Floor(id.Lease) && !n.cfg.Flaws.NoFence {
 		n.Counters.AnnouncementsStale++
@@ -169,14 +178,15 @@
 		n.Counters.AnnouncementsOld++
 		return false
 	}
-	if id != state.incoming && state.reassembly.parts != nil && state.incoming.newerThan(id) {
+	if id != state.incomingID && state.reassembly.parts != nil && state.incomingID.newerThan(id) {
 		n.Counters.AnnouncementsOld++
 		return false
 	}
 	return true
 }
 
-// passesFence tells whether a whole announcement may be accepted, and counts one that may not.
+// passesFence reports whether a completely received announcement may be accepted. It counts an
+// announcement that may not.
 func (n *Node) passesFence(id AnnouncementID) bool {
 	if n.fence.Closed() {
 		n.Counters.AnnouncementsEarly++
@@ -189,16 +199,18 @@
 	return true
 }
 
-// accept has an announcement replace the one before, reports it and passes it on.
+// accept replaces the latest announcement of a lease, reports the new one and pushes it to random
+// members.
 func (n *Node) accept(state *announcementState, a Announcement) {
 	n.Counters.AnnouncementsAccepted++
 	if state.Token != a.Token || state.Local {
-		state.confirmedFor = time.Time{} // what a former owner confirmed says nothing of this one
+		// A former owner's confirmation does not apply to this announcement.
+		state.confirmedAt = time.Time{}
 	}
 	state.Announcement, state.known = a, true
-	n.tell(Event{Kind: "word", Lease: a.Lease, Token: a.Token, Version: a.Version})
+	n.emit(Event{Kind: "word", Lease: a.Lease, Token: a.Token, Version: a.Version})
 	if n.cfg.OnAnnouncement != nil {
 		n.cfg.OnAnnouncement(a)
 	}
-	n.spread(state)
+	n.pushToRandomMembers(state)
 }
--- a/internal/mesh/doc.go
+++ b/internal/mesh/doc.go
@@ -1,8 +1,12 @@
-// Package mesh carries the messages between the processes of a fleet over one UDP socket on the loop: membership, Raft messages
-// between the keepers, lease requests, and the announcements that lease owners publish. What is to be decided is decided in the
-// pure packages peers, keeper and owner; a Node sends and receives for them, and tells the program of changes.
+// Package mesh exchanges messages between the processes of a fleet over one UDP socket per process:
+// membership gossip, Raft messages between the keepers, lease requests, and the announcements that
+// lease owners publish. The protocol decisions are made in packages peers, keeper and owner, which
+// do no I/O; a Node sends and receives on their behalf and reports changes to the program through
+// callbacks.
 //
-// An announcement is the latest state that the owner of a lease publishes, such as the list of servers. It is pushed to a few
-// members, who pass it on, and every member pulls now and then what is newer at another one. The owner's fencing token is part of
-// its identity, so that announcements of former owners are refused. With each pull goes the age for which the owner confirmed it.
+// An announcement is the latest state that the owner of a lease has published, such as the list of
+// servers. It is pushed to a few random members, each of which pushes it further, and every member
+// periodically pulls newer announcements from another member. The owner's fencing token is part of
+// an announcement's id, so announcements of former owners are refused. Each pull response also
+// carries the time that has passed since the owner last confirmed the announcement.
 package mesh
--- a/internal/mesh/fragment.go
+++ b/internal/mesh/fragment.go
@@ -1,12 +1,13 @@
 package mesh
 
-// maxPiece is how many bytes of a longer message one datagram carries, mostPieces how many fragments a message may have.
+// fragmentBytes is the payload of one fragment of a message, and maxFragments the maximum number of
+// fragments of a message.
 const (
 	fragmentBytes = 900
-	mostFragments = 256
+	maxFragments  = 256
 )
 
-// fragments cuts data into parts that fit a datagram each; empty data is one empty part.
+// fragments splits data into parts that fit one datagram each. Empty data yields one empty part.
 func fragments(data []byte) [][]byte {
 	count := max((len(data)+fragmentBytes-1)/fragmentBytes, 1)
 	parts := make([][]byte, count)
@@ -16,17 +17,18 @@
 	return parts
 }
 
-// reassembly puts the fragments of one message together, in whichever order they come. It grows by what has arrived, never by
-// what a fragment claims.
+// reassembly combines the fragments of one message, which may arrive in any order. Its memory use
+// grows with the data received, not with the count that a fragment claims.
 type reassembly struct {
 	parts map[int][]byte
 	count int
-	size  int // bytes of the parts that are there
+	size  int // total bytes of parts
 }
 
-// add takes fragment index of count, and returns the whole message once all of it is there, nil before.
+// add stores fragment index of count. It returns the complete message once all fragments have
+// arrived, and nil before.
 func (r *reassembly) add(index, count int, data []byte) []byte {
-	if count < 1 || count > mostFragments || index < 0 || index >= count || len(data) > MaxDatagram {
+	if count < 1 || count > maxFragments || index < 0 || index >= count || len(data) > MaxDatagram {
 		return nil
 	}
 	if r.parts == nil || r.count != count {
@@ -42,7 +44,7 @@
 	return r.join()
 }
 
-// join returns the parts in their order and forgets them.
+// join returns the concatenated parts and clears the reassembly.
 func (r *reassembly) join() []byte {
 	whole := make([]byte, 0, r.size)
 	for i := range r.count {
--- a/internal/mesh/keeperlink.go
+++ b/internal/mesh/keeperlink.go
@@ -14,198 +14,205 @@
 	"ospreyspan/internal/owner"
 )
 
-// The values of raftFragment.Hello.
+// Values of raftFragment.Hello.
 const (
-	helloRequest = 1
-	helloAnswer  = 2
+	helloRequest  = 1
+	helloResponse = 2
 )
 
-// leasesPerFragment is how many leases one fragment of a floors response names.
+// leasesPerFragment is the number of leases in one fragment of a floors response.
 const leasesPerFragment = 10
 
-// keeperLink keeps the state of the conversation between this process's keeper and the others.
+// keeperLink holds the state of the communication between this process's keeper and the other
+// keepers.
 type keeperLink struct {
-	messageID uint64                         // of the last message that was sent
-	incoming  map[uint64]*partialRaftMessage // by keeper
+	lastMessageID    uint64                         // id of the last Raft message sent
+	incomingByKeeper map[uint64]*partialRaftMessage // reassembly by keeper id
 }
 
-// partialRaftMessage is the fragments of a message that have arrived.
+// partialRaftMessage holds the received fragments of a Raft message.
 type partialRaftMessage struct {
 	id uint64
 	reassembly
 }
 
-// add takes a fragment and returns the whole message once it is there, nil before.
+// add stores a fragment and returns the complete message once all its fragments have arrived, and
+// nil before.
 func (l *keeperLink) add(r *raftFragment) []byte {
-	pieces := l.incoming[r.From]
-	if pieces == nil || pieces.id != r.ID {
-		if r.Count == 1 { // most are whole; a late one must not throw away what is being put together
+	partial := l.incomingByKeeper[r.From]
+	if partial == nil || partial.id != r.ID {
+		// Most messages have a single fragment. A late one must not discard the message being
+		// reassembled.
+		if r.Count == 1 {
 			return (&reassembly{}).add(r.Index, r.Count, r.Data)
 		}
-		pieces = &partialRaftMessage{id: r.ID}
-		l.incoming[r.From] = pieces
+		partial = &partialRaftMessage{id: r.ID}
+		l.incomingByKeeper[r.From] = partial
 	}
-	return pieces.add(r.Index, r.Count, r.Data)
+	return partial.add(r.Index, r.Count, r.Data)
 }
 
-// handleRaft takes a Raft message or a handshake of another keeper, or a fragment of a message.
+// handleRaft processes a Raft message of another keeper, a fragment of one, or a handshake.
 func (n *Node) handleRaft(now time.Time, r *raftFragment) {
-	if n.core == nil || n.client.indexOf(r.From) < 0 {
+	if n.keeperCore == nil || n.keeperClient.indexOf(r.From) < 0 {
 		return
 	}
-	if r.To != 0 && r.To != n.core.Identity() {
-		return // for the disk that this keeper had before: what that one promised is not known here
+	// A message for the disk that this keeper had before is dropped: the votes and acknowledgements
+	// given with that disk are not known here.
+	if r.To != 0 && r.To != n.keeperCore.Identity() {
+		return
 	}
 	if r.Hello > 0 {
-		n.core.Hello(now, r.From, r.Disk, r.Hello == helloAnswer)
+		n.keeperCore.Hello(now, r.From, r.Disk, r.Hello == helloResponse)
 		return
 	}
-	text := n.link.add(r)
-	if text == nil {
+	payload := n.keeperLink.add(r)
+	if payload == nil {
 		return
 	}
 	message := &pb.Message{}
-	if proto.Unmarshal(text, message) != nil || message.GetFrom() != r.From {
+	if proto.Unmarshal(payload, message) != nil || message.GetFrom() != r.From {
 		n.Counters.Damaged++
 		return
 	}
-	n.core.Step(now, r.Disk, message)
+	n.keeperCore.Step(now, r.Disk, message)
 }
 
-// handleLeaseRequest passes a lease request of another process on to the keeper here.
-func (n *Node) handleLeaseRequest(now time.Time, from netip.AddrPort, a *owner.LeaseRequest) {
-	if n.core == nil {
+// handleLeaseRequest passes a lease request of another process to the local keeper.
+func (n *Node) handleLeaseRequest(now time.Time, from netip.AddrPort, request *owner.LeaseRequest) {
+	if n.keeperCore == nil {
 		return
 	}
-	if err := n.core.RequestLeases(now, from, a); errors.Is(err, keeper.ErrNotLeader) {
+	if err := n.keeperCore.RequestLeases(now, from, request); errors.Is(err, keeper.ErrNotLeader) {
 		n.sendRedirect(from)
 	}
 }
 
-// handleFloorsRequest passes a floors request of another process on to the keeper here.
-func (n *Node) handleFloorsRequest(now time.Time, from netip.AddrPort, l *keeper.FloorsRequest) {
-	if n.core != nil && n.core.RequestFloors(now, from, l) != nil {
+// handleFloorsRequest passes a floors request of another process to the local keeper.
+func (n *Node) handleFloorsRequest(now time.Time, from netip.AddrPort, request *keeper.FloorsRequest) {
+	if n.keeperCore != nil && n.keeperCore.RequestFloors(now, from, request) != nil {
 		n.sendRedirect(from)
 	}
 }
 
-// sendRedirect tells a process which keeper leads.
+// sendRedirect tells a process which keeper is the leader.
 func (n *Node) sendRedirect(to netip.AddrPort) {
-	n.send(to, &envelope{Reply: &keeperReply{NotLeader: true, Leader: n.core.Leader(), Keeper: n.cfg.Keeper.ID}})
+	n.send(to, &envelope{KeeperReply: &keeperReply{NotLeader: true, Leader: n.keeperCore.Leader(), Keeper: n.cfg.Keeper.ID}})
 }
 
-// handleChange changes the keepers' voters for an operator.
-func (n *Node) handleChange(now time.Time, from netip.AddrPort, c *voterChange) {
-	answer := "taken"
-	if n.core == nil {
-		answer = "this is no keeper"
-	} else if err := n.core.ChangeVoters(now, c.Add, c.ID); err != nil {
-		answer = fmt.Sprintf("%v; keeper %d leads", err, n.core.Leader())
+// handleVoterChange adds or removes a voter of the keepers' Raft group on an operator's request.
+func (n *Node) handleVoterChange(now time.Time, from netip.AddrPort, change *voterChange) {
+	result := "taken"
+	if n.keeperCore == nil {
+		result = "this process is not a keeper"
+	} else if err := n.keeperCore.ChangeVoters(now, change.Add, change.ID); err != nil {
+		result = fmt.Sprintf("%v; the leader is keeper %d", err, n.keeperCore.Leader())
 	}
-	n.send(from, &envelope{Change: &voterChange{Add: c.Add, ID: c.ID, Answer: answer}})
+	n.send(from, &envelope{VoterChange: &voterChange{Add: change.Add, ID: change.ID, Result: result}})
 }
 
-// carryOut does what the keeper here wants, the disk first.
-func (n *Node) carryOut(o keeper.Output) {
-	if o.Append != nil {
-		n.cfg.Disk.Append(o.Append, n.synced)
+// applyKeeperOutput performs the output of the local keeper, starting with the disk writes.
+func (n *Node) applyKeeperOutput(output keeper.Output) {
+	if output.Append != nil {
+		n.cfg.Disk.Append(output.Append, n.handleLogWritten)
 	}
-	if o.Replace != nil {
-		n.cfg.Disk.Replace(o.Replace, n.synced)
+	if output.Replace != nil {
+		n.cfg.Disk.Replace(output.Replace, n.handleLogWritten)
 	}
-	for _, m := range o.Messages {
+	for _, m := range output.Messages {
 		n.sendRaft(m)
 	}
-	for _, h := range o.Hellos {
+	for _, h := range output.Hellos {
 		n.sendHello(h)
 	}
-	for _, a := range o.Responses {
-		n.sendResponse(a)
+	for _, response := range output.Responses {
+		n.sendResponse(response)
 	}
-	if o.Stopped != nil {
-		n.tell(Event{Kind: "keeper-stopped", Err: o.Stopped})
+	if output.Stopped != nil {
+		n.emit(Event{Kind: "keeper-stopped", Err: output.Stopped})
 	}
 }
 
-// synced tells the keeper that a write has ended.
-func (n *Node) synced(err error) {
+// handleLogWritten notifies the local keeper that a disk write has ended, and performs its output.
+func (n *Node) handleLogWritten(err error) {
 	if n.closed {
 		return
 	}
-	n.core.Synced(n.loop.Now(), err)
-	n.settle()
+	n.keeperCore.Synced(n.loop.Now(), err)
+	n.flush()
 }
 
-// sendRaft sends a message to another keeper, in as many datagrams as it takes.
+// sendRaft sends a Raft message to another keeper, in as many datagrams as it needs.
 func (n *Node) sendRaft(m *pb.Message) {
-	to := n.client.indexOf(m.GetTo())
-	text, err := proto.Marshal(m)
+	to := n.keeperClient.indexOf(m.GetTo())
+	payload, err := proto.Marshal(m)
 	if to < 0 || err != nil {
 		return
 	}
-	n.link.messageID++
-	parts := fragments(text)
+	n.keeperLink.lastMessageID++
+	parts := fragments(payload)
 	for i, part := range parts {
 		n.send(n.cfg.Keepers[to].Addr, &envelope{Raft: &raftFragment{
-			Disk: n.core.Identity(), ID: n.link.messageID, Index: i, Count: len(parts), Data: part, From: n.cfg.Keeper.ID,
-			To: n.core.KnownDisk(m.GetTo()),
+			Disk: n.keeperCore.Identity(), ID: n.keeperLink.lastMessageID, Index: i, Count: len(parts), Data: part, From: n.cfg.Keeper.ID,
+			To: n.keeperCore.KnownDisk(m.GetTo()),
 		}})
 	}
 }
 
-// sendHello tells another keeper the identity of the disk here.
+// sendHello sends the identity of the local keeper's disk to another keeper.
 func (n *Node) sendHello(h keeper.Hello) {
-	to := n.client.indexOf(h.To)
+	to := n.keeperClient.indexOf(h.To)
 	if to < 0 {
 		return
 	}
 	kind := uint8(helloRequest)
 	if h.Answer {
-		kind = helloAnswer
+		kind = helloResponse
 	}
 	n.send(n.cfg.Keepers[to].Addr, &envelope{Raft: &raftFragment{
-		Disk: n.core.Identity(), Hello: kind, From: n.cfg.Keeper.ID, To: n.core.KnownDisk(h.To),
+		Disk: n.keeperCore.Identity(), Hello: kind, From: n.cfg.Keeper.ID, To: n.keeperCore.KnownDisk(h.To),
 	}})
 }
 
-// sendResponse passes the keeper's response on to the process that sent the request, which may be this one.
-func (n *Node) sendResponse(a keeper.Response) {
-	if a.Leases == nil {
-		n.sendFloors(a)
+// sendResponse passes the local keeper's response to the process that sent the request, which may
+// be this one.
+func (n *Node) sendResponse(response keeper.Response) {
+	if response.Leases == nil {
+		n.sendFloors(response)
 		return
 	}
-	if a.To == n.Addr() {
-		n.handleLeaseResponse(n.loop.Now(), a.Leases)
+	if response.To == n.Addr() {
+		n.handleLeaseResponse(n.loop.Now(), response.Leases)
 		return
 	}
-	n.send(a.To, &envelope{Reply: &keeperReply{Response: a.Leases, Keeper: n.cfg.Keeper.ID}})
+	n.send(response.To, &envelope{KeeperReply: &keeperReply{Response: response.Leases, Keeper: n.cfg.Keeper.ID}})
 }
 
-// sendFloors responds to a floors request, in as many datagrams as it takes.
-func (n *Node) sendFloors(a keeper.Response) {
-	for _, piece := range floorsFragments(a) {
-		if a.To == n.Addr() {
-			n.handleFloors(piece)
+// sendFloors responds to a floors request, in as many datagrams as the response needs.
+func (n *Node) sendFloors(response keeper.Response) {
+	for _, fragment := range floorsFragments(response) {
+		if response.To == n.Addr() {
+			n.handleFloors(fragment)
 		} else {
-			n.send(a.To, &envelope{Floors: piece})
+			n.send(response.To, &envelope{Floors: fragment})
 		}
 	}
 }
 
-// floorsFragments cuts a floors response into parts that fit a datagram each.
-func floorsFragments(a keeper.Response) []*floorsFragment {
-	leases := make([]string, 0, len(a.Floors))
-	for lease := range a.Floors {
+// floorsFragments splits a floors response into parts that fit one datagram each.
+func floorsFragments(response keeper.Response) []*floorsFragment {
+	leases := make([]string, 0, len(response.Floors))
+	for lease := range response.Floors {
 		leases = append(leases, lease)
 	}
 	slices.Sort(leases)
-	pieces := make([]*floorsFragment, max((len(leases)+leasesPerFragment-1)/leasesPerFragment, 1))
-	for i := range pieces {
+	parts := make([]*floorsFragment, max((len(leases)+leasesPerFragment-1)/leasesPerFragment, 1))
+	for i := range parts {
 		tokens := make(map[string]uint64)
 		for _, lease := range leases[i*leasesPerFragment : min((i+1)*leasesPerFragment, len(leases))] {
-			tokens[lease] = a.Floors[lease]
+			tokens[lease] = response.Floors[lease]
 		}
-		pieces[i] = &floorsFragment{Session: a.Request.Session, Seq: a.Request.Seq, Index: i, Count: len(pieces), Tokens: tokens}
+		parts[i] = &floorsFragment{Session: response.Request.Session, Seq: response.Request.Seq, Index: i, Count: len(parts), Tokens: tokens}
 	}
-	return pieces
+	return parts
 }
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -17,69 +17,70 @@
 	"ospreyspan/internal/vnet"
 )
 
-// bed is nodes on a virtual network; the first three are keepers, of each cluster.
-type bed struct {
-	t     *testing.T
-	world *vnet.World
-	nodes []*Node
-	hosts []*vnet.Host
-	heard [][]Announcement
+// testCluster is a virtual network with four nodes per cluster. The first three nodes of each
+// cluster are keepers.
+type testCluster struct {
+	t        *testing.T
+	world    *vnet.World
+	nodes    []*Node
+	hosts    []*vnet.Host
+	received [][]Announcement
 }
 
-func newBed(t *testing.T, clusters ...string) *bed {
-	b := &bed{t: t, world: vnet.New(1, func(_, _ *vnet.Host) vnet.Link { return vnet.Link{Delay: time.Millisecond} })}
+func newTestCluster(t *testing.T, clusters ...string) *testCluster {
+	tc := &testCluster{t: t, world: vnet.New(1, func(_, _ *vnet.Host) vnet.Link { return vnet.Link{Delay: time.Millisecond} })}
 	at := func(i int) netip.AddrPort {
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 7946)
 	}
 	var seeds []netip.AddrPort
 	for i := range 4 * len(clusters) {
-		seeds = append(seeds, at(i)) // of all clusters: they are crossed
+		seeds = append(seeds, at(i)) // of all clusters, so that their datagrams cross
 	}
 	for i := range 4 * len(clusters) {
 		first := i / 4 * 4
 		c := Config{
 			Cluster: clusters[i/4], Name: fmt.Sprint("n", i), Listen: at(i), Session: uint64(100 + i), Seeds: seeds, Seed: 1,
-			Terms: owner.DefaultTerms(), Duties: []string{"d"}, OnAnnouncement: func(w Announcement) { b.heard[i] = append(b.heard[i], w) },
+			Terms: owner.DefaultTerms(), Duties: []string{"d"}, OnAnnouncement: func(a Announcement) { tc.received[i] = append(tc.received[i], a) },
 		}
 		for k := range 3 {
 			c.Keepers = append(c.Keepers, KeeperAddress{uint64(k + 1), at(first + k)})
 		}
-		h := b.world.AddHost(c.Name, at(i).Addr(), vnet.Limits{})
+		h := tc.world.AddHost(c.Name, at(i).Addr(), vnet.Limits{})
 		if i%4 < 3 {
 			d := h.Disk("log")
 			d.SetText(keeper.Fresh(uint64(1000 + i)))
-			log, err := keeper.Restore(d.Text())
+			restored, err := keeper.Restore(d.Text())
 			if err != nil {
 				t.Fatal(err)
 			}
 			k := keeper.DefaultConfig()
 			k.ID, k.Voters, k.Seed = uint64(i%4+1), []uint64{1, 2, 3}, 1
-			c.Keeper, c.RestoredLog, c.Disk = &k, log, d
+			c.Keeper, c.RestoredLog, c.Disk = &k, restored, d
 		}
-		b.heard = append(b.heard, nil)
+		tc.received = append(tc.received, nil)
 		err := h.Start(func(kernel poll.Kernel) (func() error, error) {
 			c.Loop = poll.NewOn(kernel, func() {})
 			n, err := New(c)
-			b.nodes = append(b.nodes, n)
+			tc.nodes = append(tc.nodes, n)
 			return func() error { return c.Loop.Turn(true) }, err
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.hosts = append(b.hosts, h)
+		tc.hosts = append(tc.hosts, h)
 	}
-	return b
+	return tc
 }
 
-func (b *bed) run(d time.Duration) {
-	b.t.Helper()
-	if err := b.world.Run(d); err != nil {
-		b.t.Fatal(err)
+func (tc *testCluster) run(d time.Duration) {
+	tc.t.Helper()
+	if err := tc.world.Run(d); err != nil {
+		tc.t.Fatal(err)
 	}
 }
 
-func (b *bed) owner(from int) *Node {
-	for _, n := range b.nodes[from : from+4] {
+func (tc *testCluster) owner(from int) *Node {
+	for _, n := range tc.nodes[from : from+4] {
 		if _, ok := n.Holds("d"); ok {
 			return n
 		}
@@ -87,74 +88,77 @@
 	return nil
 }
 
-// Peers of two clusters that are crossed drop and count each other's datagrams; each has members and an owner of its own.
+// Nodes of two clusters that send each other datagrams drop and count them. Each cluster has its
+// own members and its own lease owner.
 func TestCrossedClusters(t *testing.T) {
-	b := newBed(t, "one", "two")
-	b.run(6 * time.Second)
-	for i, n := range b.nodes {
+	tc := newTestCluster(t, "one", "two")
+	tc.run(6 * time.Second)
+	for i, n := range tc.nodes {
 		if len(n.Members()) != 4 {
-			t.Errorf("n%d knows %d members", i, len(n.Members()))
+			t.Errorf("n%d knows %d members, expected 4", i, len(n.Members()))
 		}
 	}
-	if b.nodes[0].Counters.Foreign == 0 || b.owner(0) == nil || b.owner(4) == nil {
-		t.Errorf("foreign datagrams %d, owners %v and %v", b.nodes[0].Counters.Foreign, b.owner(0), b.owner(4))
+	if tc.nodes[0].Counters.Foreign == 0 || tc.owner(0) == nil || tc.owner(4) == nil {
+		t.Errorf("%d foreign datagrams dropped, owners %v and %v; expected at least one datagram and an owner per cluster", tc.nodes[0].Counters.Foreign, tc.owner(0), tc.owner(4))
 	}
 }
 
-// A long announcement arrives whole, in its owner's order, and its age is counted from before it was asked for.
+// A long announcement arrives complete and after its predecessor of the same owner, and its age is
+// counted from before the age was requested.
 func TestAnnouncements(t *testing.T) {
-	b := newBed(t, "one")
-	b.run(6 * time.Second)
-	o := b.owner(0)
+	tc := newTestCluster(t, "one")
+	tc.run(6 * time.Second)
+	o := tc.owner(0)
 	long := bytes.Repeat([]byte("word"), 2000)
 	for _, text := range [][]byte{[]byte("first"), long} {
 		if _, err := o.Announce("d", text); err != nil {
 			t.Fatal(err)
 		}
-		b.run(2 * time.Second)
+		tc.run(2 * time.Second)
 	}
-	for i, n := range b.nodes {
+	for i, n := range tc.nodes {
 		if n == o {
 			continue
 		}
-		w, vouched, ok := n.Latest("d")
-		if !ok || !bytes.Equal(w.Data, long) || len(b.heard[i]) != 2 || b.heard[i][0].Version >= w.Version {
-			t.Errorf("n%d: an announcement of %d bytes, %d heard", i, len(w.Data), len(b.heard[i]))
+		latest, confirmed, ok := n.Latest("d")
+		if !ok || !bytes.Equal(latest.Data, long) || len(tc.received[i]) != 2 || tc.received[i][0].Version >= latest.Version {
+			t.Errorf("n%d: latest announcement has %d bytes after %d announcements; expected the long one after 2 in order", i, len(latest.Data), len(tc.received[i]))
 		}
-		if age := b.hosts[i].ClockNow().Sub(vouched); age < 2*time.Second {
-			t.Errorf("n%d has an announcement %v old, which was published 2 s ago", i, age)
+		if age := tc.hosts[i].ClockNow().Sub(confirmed); age < 2*time.Second {
+			t.Errorf("n%d reports age %v of an announcement that was published 2 s ago", i, age)
 		}
 		if _, err := n.Announce("d", nil); !errors.Is(err, ErrNotOwner) {
-			t.Errorf("n%d publishes under a lease that it does not hold: %v", i, err)
+			t.Errorf("n%d: Announce without the lease: got error %v, expected ErrNotOwner", i, err)
 		}
 	}
 }
 
-// A planned stop gives its leases to others at once.
+// A planned stop releases the leases, so that another process acquires them immediately.
 func TestLeaveReleasesLeases(t *testing.T) {
-	b := newBed(t, "one")
-	b.run(6 * time.Second)
-	o := b.owner(0)
-	for i, n := range b.nodes {
+	tc := newTestCluster(t, "one")
+	tc.run(6 * time.Second)
+	o := tc.owner(0)
+	for i, n := range tc.nodes {
 		if n == o {
-			b.world.After(0, func() {})
+			tc.world.After(0, func() {})
 			n.Leave()
-			b.run(50 * time.Millisecond)
-			b.hosts[i].Kill()
+			tc.run(50 * time.Millisecond)
+			tc.hosts[i].Kill()
 		}
 	}
-	b.run(owner.DefaultTerms().Lease)
-	if now := b.owner(0); now == nil || now == o {
-		t.Error("nobody took the lease within its time")
+	tc.run(owner.DefaultTerms().Lease)
+	if now := tc.owner(0); now == nil || now == o {
+		t.Error("no other process acquired the lease within one lease duration")
 	}
-	for _, n := range b.nodes {
+	for _, n := range tc.nodes {
 		if n != o && len(n.Members()) != 3 {
-			t.Errorf("%d members after one left", len(n.Members()))
+			t.Errorf("%d members after one of 4 left, expected 3", len(n.Members()))
 		}
 	}
 }
 
-// What is put together grows by what has arrived, never by what a fragment claims.
+// Fragments in any order, with duplicates, yield the original message. The memory of a reassembly
+// grows with the data received, not with the count that a fragment claims.
 func TestFragments(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SliceOfN(rapid.Byte(), 0, 5*fragmentBytes).Draw(t, "text")
@@ -164,27 +168,28 @@
 		for _, at := range order {
 			if whole := a.add(at, len(parts), parts[at]); whole != nil {
 				if !bytes.Equal(whole, text) {
-					t.Fatal("it comes out changed")
+					t.Fatal("the reassembled message differs from the original")
 				}
 				return
 			}
 		}
-		t.Fatal("it is never whole")
+		t.Fatal("the message is not complete after all fragments were added")
 	})
 	var a reassembly
-	for _, p := range [][2]int{{0, 0}, {-1, 3}, {3, 3}, {0, mostFragments + 1}, {0, 1 << 40}} {
+	for _, p := range [][2]int{{0, 0}, {-1, 3}, {3, 3}, {0, maxFragments + 1}, {0, 1 << 40}} {
 		if a.add(p[0], p[1], []byte("x")) != nil || len(a.parts) > 0 {
-			t.Errorf("fragment %d of %d is taken", p[0], p[1])
+			t.Errorf("invalid fragment %d of %d was accepted", p[0], p[1])
 		}
 	}
 }
 
-// Floors that nobody asked for are dropped: a process without keepers asks no keeper, and its questions are numbered from 1 on.
-func TestFloorsThatWereNotAskedFor(t *testing.T) {
+// Floors that were not requested are dropped. A process without keepers sends no floors request,
+// and sequence numbers of floors requests start at 1.
+func TestUnsolicitedFloorsAreDropped(t *testing.T) {
 	n := &Node{cfg: Config{Session: 3}, fence: owner.NewFence(owner.Flaws{})}
 	n.handleFloors(&floorsFragment{Session: 3, Count: 1, Tokens: map[string]uint64{"d": 7}})
 	if !n.fence.Closed() {
-		t.Error("floors that were not asked for open the fence")
+		t.Error("floors that were not requested opened the fence")
 	}
 }
 
@@ -196,7 +201,7 @@
 	return list
 }
 
-// A full datagram of each kind stays under the limit.
+// A datagram of maximum content of each kind does not exceed MaxDatagram.
 func TestDatagramsFit(t *testing.T) {
 	long := "a name that is as long as one may be, and not one byte longer.."
 	var members []peers.Member
@@ -205,7 +210,7 @@
 	}
 	for _, e := range []*envelope{
 		{Peers: &peers.Packet{Kind: peers.Sync, Seq: 1 << 60, Session: 1 << 63, Members: members}},
-		{Announcement: &announcementFragment{ID: AnnouncementID{Lease: long, Token: 1 << 60, Version: 1 << 60}, Count: mostFragments, Data: make([]byte, fragmentBytes)}},
+		{Announcement: &announcementFragment{ID: AnnouncementID{Lease: long, Token: 1 << 60, Version: 1 << 60}, Count: maxFragments, Data: make([]byte, fragmentBytes)}},
 		{Raft: &raftFragment{Disk: 1 << 63, ID: 1 << 60, Data: make([]byte, fragmentBytes)}},
 	} {
 		e.Cluster = long[:32]
@@ -214,7 +219,7 @@
 		}
 	}
 	if _, err := encode(&envelope{Announcement: &announcementFragment{Data: make([]byte, 1300)}}); !errors.Is(err, errLong) {
-		t.Errorf("a datagram that is too long: %v", err)
+		t.Errorf("encoding a message that is too long: got error %v, expected errLong", err)
 	}
 }
 
@@ -225,7 +230,7 @@
 	f.Add([]byte("\x00\x00\x00\x00\xbf"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if e, err := decode(b, "c"); err == nil && e.Cluster != "c" {
-			t.Error("of another cluster")
+			t.Error("decode accepted a datagram of another cluster")
 		}
 	})
 }
--- a/internal/mesh/node.go
+++ b/internal/mesh/node.go
@@ -13,72 +13,73 @@
 	"ospreyspan/internal/poll"
 )
 
-// datagramsPerTurn is how many datagrams one turn of the loop takes off the socket at the most.
-const datagramsPerTurn = 256
+// maxDatagramsPerWakeup limits the number of datagrams read per call of Ready.
+const maxDatagramsPerWakeup = 256
 
-// Node is one process's end of the messages between the processes of a fleet. It belongs to its loop's goroutine.
+// Node is a process's endpoint of the fleet's messages. It must be used only on the goroutine of
+// its loop.
 type Node struct {
-	cfg           Config
-	loop          *poll.Loop
-	addr          netip.AddrPort // by which the others reach it
-	transport     transport
-	timer         poll.Timer
-	rng           *rand.Rand
-	peers         *peers.Peers
-	membersSeen   uint64       // members' changes that were told, plus 1
-	core          *keeper.Core // nil: this process is no keeper
-	link          keeperLink
-	leases        *owner.LeaseClient // nil: there are no keepers
-	held          map[string]uint64  // tokens of the leases that were held at the last look
-	client        keeperClient
-	fence         *owner.Fence
-	announcements announcementStore
-	pulls         puller
-	closed        bool
-	Counters      Counters
+	cfg                    Config
+	loop                   *poll.Loop
+	addr                   netip.AddrPort // address at which other processes reach this one
+	transport              transport
+	timer                  poll.Timer
+	rng                    *rand.Rand
+	peers                  *peers.Peers
+	reportedMembersVersion uint64       // last reported peers.Changed() plus 1; 0: none
+	keeperCore             *keeper.Core // nil: this process is no keeper
+	keeperLink             keeperLink
+	leaseClient            *owner.LeaseClient // nil: there are no keepers
+	heldTokens             map[string]uint64  // fencing token by lease, as last reported
+	keeperClient           keeperClient
+	fence                  *owner.Fence
+	announcements          announcementStore
+	puller                 puller
+	closed                 bool
+	Counters               Counters
 }
 
-// New opens the socket and joins the fleet. It returns an error if the socket can't be opened or the keeper's configuration or log is
-// bad; the socket is closed then.
+// New opens the socket and joins the fleet. It returns an error, and closes the socket, if the
+// socket can't be opened or if the keeper's configuration or log is invalid.
 func New(c Config) (*Node, error) {
 	now := c.Loop.Now()
 	n := &Node{
-		cfg: c, loop: c.Loop, rng: rand.New(rand.NewPCG(c.Seed, c.Session)), held: make(map[string]uint64),
-		link: keeperLink{incoming: make(map[uint64]*partialRaftMessage)}, announcements: newAnnouncementStore(), fence: owner.NewFence(c.Flaws),
+		cfg: c, loop: c.Loop, rng: rand.New(rand.NewPCG(c.Seed, c.Session)), heldTokens: make(map[string]uint64),
+		keeperLink: keeperLink{incomingByKeeper: make(map[uint64]*partialRaftMessage)}, announcements: newAnnouncementStore(), fence: owner.NewFence(c.Flaws),
 	}
 	if err := n.open(); err != nil {
 		return nil, err
 	}
 	n.peers = peers.New(now, n.peersConfig())
-	n.cfg.Known = nil // the view of the members holds them from here on
-	n.client = newKeeperClient(c.Keepers, n.rng)
+	n.cfg.Known = nil // peers holds them from here on
+	n.keeperClient = newKeeperClient(c.Keepers, n.rng)
 	if len(c.Keepers) > 0 {
-		n.leases = owner.NewLeaseClient(c.Terms, c.Session, c.Name, c.Flaws)
-		n.leases.SetLeases(c.Duties)
+		n.leaseClient = owner.NewLeaseClient(c.Terms, c.Session, c.Name, c.Flaws)
+		n.leaseClient.SetLeases(c.Duties)
 	}
 	if c.ForgetFloors {
 		n.fence.Open(nil)
 	}
 	if c.Keeper != nil {
 		var err error
-		if n.core, err = keeper.New(now, *c.Keeper, c.RestoredLog); err != nil {
+		if n.keeperCore, err = keeper.New(now, *c.Keeper, c.RestoredLog); err != nil {
 			n.transport.socket.Close()
 			return nil, err
 		}
 	}
-	n.pulls = newPuller(now, c.Session, n.rng)
+	n.puller = newPuller(now, c.Session, n.rng)
 	n.timer.Fire = n.tick
-	n.settle()
+	n.flush()
 	return n, nil
 }
 
-// open opens the socket.
+// open opens the UDP socket and determines the node's address.
 func (n *Node) open() error {
 	socket, err := n.loop.OpenPackets(n.cfg.Listen, n)
 	if err != nil {
-		return fmt.Errorf("mesh: %w", err)
+		return fmt.Errorf("mesh: open socket: %w", err)
 	}
-	n.transport = transport{loop: n.loop, socket: socket, cluster: n.cfg.Cluster, count: &n.Counters}
+	n.transport = transport{loop: n.loop, socket: socket, cluster: n.cfg.Cluster, counters: &n.Counters}
 	n.addr = socket.Addr()
 	if n.cfg.Advertise.IsValid() {
 		n.addr = n.cfg.Advertise
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// peersConfig is what the view of the members needs.
+// peersConfig returns the configuration of the membership protocol.
 func (n *Node) peersConfig() peers.Config {
 	p := peers.DefaultConfig()
 	p.Name, p.Zone, p.Addr = n.cfg.Name, n.cfg.Zone, n.addr
@@ -95,10 +96,10 @@
 	return p
 }
 
-// Addr is the address by which the others reach it.
+// Addr returns the address at which other processes reach this one.
 func (n *Node) Addr() netip.AddrPort { return n.addr }
 
-// Close closes the socket; further calls do nothing. A planned stop calls Leave first.
+// Close closes the socket. Further calls do nothing. For a planned stop, call Leave first.
 func (n *Node) Close() {
 	if !n.closed {
 		n.closed = true
@@ -107,66 +108,70 @@
 	}
 }
 
-// Leave releases all leases but some, and tells other members that this process stops. It may be called again, with fewer.
-func (n *Node) Leave(but ...string) {
+// Leave releases all leases except the given ones, and tells other members that this process is
+// leaving the fleet. It may be called again with fewer exceptions.
+func (n *Node) Leave(except ...string) {
 	now := n.loop.Now()
-	n.SetDuties(but)
+	n.SetDuties(except)
 	n.peers.Leave(now)
 	n.tick()
 }
 
-// SetSeeds replaces the addresses at which members are looked for, while the program serves.
+// SetSeeds replaces the seed addresses while the node is running.
 func (n *Node) SetSeeds(seeds []netip.AddrPort) { n.peers.SetSeeds(seeds) }
 
-// SetDuties says which leases to take if they are free, while the program serves; others are released.
+// SetDuties replaces the set of leases to acquire when they are free, while the node is running.
+// Leases that are no longer in the set are released.
 func (n *Node) SetDuties(leases []string) {
-	for lease := range n.held { // whichever order: each is only forgotten
+	for lease := range n.heldTokens { // map order is irrelevant: entries are only deleted
 		if !slices.Contains(leases, lease) {
-			delete(n.held, lease)
+			delete(n.heldTokens, lease)
 		}
 	}
 	n.cfg.Duties = slices.Clone(leases)
-	if n.leases != nil {
-		n.leases.SetLeases(leases)
-		n.leases.RequestNow(n.loop.Now())
+	if n.leaseClient != nil {
+		n.leaseClient.SetLeases(leases)
+		n.leaseClient.RequestNow(n.loop.Now())
 	}
-	n.settle()
+	n.flush()
 }
 
-// Members returns the members that live; see peers.Peers.Members.
+// Members returns the live members; see peers.Peers.Members.
 func (n *Node) Members() []peers.Member { return n.peers.Members() }
 
-// RandomMembers returns up to count random members that live, other than this one.
+// RandomMembers returns up to count random live members other than this one.
 func (n *Node) RandomMembers(count int) []peers.Member { return n.peers.RandomMembers(count) }
 
-// Peers is the view of the members, to be read only.
+// Peers returns the membership state. Callers must not modify it.
 func (n *Node) Peers() *peers.Peers { return n.peers }
 
-// Keeper is the keeper here, nil if there is none; to be read only.
-func (n *Node) Keeper() *keeper.Core { return n.core }
+// Keeper returns the local keeper, or nil if there is none. Callers must not modify it.
+func (n *Node) Keeper() *keeper.Core { return n.keeperCore }
 
-// Fence is the receiver's fence, to be read only.
+// Fence returns the fence of this process as a receiver of effects. Callers must not modify it.
 func (n *Node) Fence() *owner.Fence { return n.fence }
 
-// Holds returns the fencing token with which this process may act under a lease now; ok is false if it may not.
+// Holds returns the fencing token with which this process may act as the owner of a lease now. ok
+// is false if it does not hold the lease.
 func (n *Node) Holds(lease string) (token uint64, ok bool) { return n.HoldsAt(n.loop.Now(), lease) }
 
-// HoldsAt is Holds at a time of the process's own clock, for tests.
+// HoldsAt is like Holds, at a given time of the process's own clock. It is meant for tests.
 func (n *Node) HoldsAt(now time.Time, lease string) (token uint64, ok bool) {
-	if n.leases == nil {
+	if n.leaseClient == nil {
 		return 0, false
 	}
-	return n.leases.Holds(now, lease)
+	return n.leaseClient.Holds(now, lease)
 }
 
-// HasOwner tells whether a lease has an owner, here or elsewhere, as far as is known now.
+// HasOwner reports whether a lease has an owner, in this or another process, as far as is known
+// now.
 func (n *Node) HasOwner(lease string) bool {
-	return n.leases != nil && n.leases.HasOwner(n.loop.Now(), lease)
+	return n.leaseClient != nil && n.leaseClient.HasOwner(n.loop.Now(), lease)
 }
 
-// Ready is called by the loop: it takes the datagrams that wait.
+// Ready is called by the loop when the socket is readable, and handles the waiting datagrams.
 func (n *Node) Ready(poll.Ready) {
-	for range datagramsPerTurn {
+	for range maxDatagramsPerWakeup {
 		message, from, more := n.transport.receive()
 		if !more {
 			break
@@ -178,10 +183,10 @@
 			return
 		}
 	}
-	n.settle()
+	n.flush()
 }
 
-// handle passes a message on to the part that it is for.
+// handle dispatches a message to the handler of its kind.
 func (n *Node) handle(from netip.AddrPort, e *envelope) {
 	now := n.loop.Now()
 	switch {
@@ -189,10 +194,10 @@
 		n.peers.Handle(now, from, e.Peers)
 	case e.Raft != nil:
 		n.handleRaft(now, e.Raft)
-	case e.Request != nil:
-		n.handleLeaseRequest(now, from, e.Request)
-	case e.Reply != nil:
-		n.handleKeeperReply(now, e.Reply)
+	case e.LeaseRequest != nil:
+		n.handleLeaseRequest(now, from, e.LeaseRequest)
+	case e.KeeperReply != nil:
+		n.handleKeeperReply(now, e.KeeperReply)
 	case e.FloorsRequest != nil:
 		n.handleFloorsRequest(now, from, e.FloorsRequest)
 	case e.Floors != nil:
@@ -203,14 +208,14 @@
 		n.handlePull(now, from, e.Pull)
 	case e.PullResponse != nil:
 		n.handlePullResponse(from, e.PullResponse)
-	case e.View != nil && e.View.Ask:
+	case e.View != nil && e.View.IsRequest:
 		n.sendView(from, e.View.Seq)
-	case e.Direct != nil:
-		n.handleDirect(from, e.Direct)
-	case e.Shared != nil:
-		n.handleShared(from, e.Shared)
-	case e.Change != nil && e.Change.Answer == "":
-		n.handleChange(now, from, e.Change)
+	case e.OwnerMessage != nil:
+		n.handleOwnerMessage(from, e.OwnerMessage)
+	case e.SharedMessage != nil:
+		n.handleSharedMessage(from, e.SharedMessage)
+	case e.VoterChange != nil && e.VoterChange.Result == "":
+		n.handleVoterChange(now, from, e.VoterChange)
 	default:
 		n.Counters.Damaged++
 	}
--- a/internal/mesh/peek.go
+++ b/internal/mesh/peek.go
@@ -1,7 +1,8 @@
 package mesh
 
-// PeekAnnouncementID returns the id of the announcement that a datagram carries a part of, for test rigs that look at what passes between
-// processes; ok is false if it carries none.
+// PeekAnnouncementID returns the id of the announcement of which a datagram carries a fragment. It
+// is meant for test rigs that inspect the traffic between processes. ok is false if the datagram
+// carries none.
 func PeekAnnouncementID(datagram []byte, cluster string) (id AnnouncementID, ok bool) {
 	e, err := decode(datagram, cluster)
 	if err != nil || e.Announcement == nil {
--- a/internal/mesh/pull.go
+++ b/internal/mesh/pull.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	pullEvery  = 500 * time.Millisecond // the mean time between two pulls
-	pullFanout = 16                     // how many members pull from one
-	mostPulled = 16                     // announcements that one pull asks for
+	meanPullInterval        = 500 * time.Millisecond // mean time between two pulls
+	pullFanout              = 16                     // limit of members that regularly pull from one
+	maxAnnouncementsPerPull = 16                     // per pull request, and ages per response
 )
 
-// puller keeps the state of this process's pulls: the pending pull, and when the next one is due. Every member
-// asks another one now and then what is newer there (anti-entropy).
+// puller holds the state of this process's pulls: the pending pull and the time of the next one.
+// Every member periodically pulls newer announcements from another member (anti-entropy).
 type puller struct {
-	sequence  uint64         // of the last pull
-	server    netip.AddrPort // of the last pull
+	sequence  uint64         // sequence number of the last pull
+	server    netip.AddrPort // member that the last pull was sent to
 	sentAt    time.Time      // when the pending pull was sent; zero: none is pending
 	nextAt    time.Time
-	avoidTree bool // the last pull was lost: the next one goes to a random member
+	avoidTree bool // the last pull got no response: send the next one to a random member
 }
 
-// newPuller returns a puller. Its pulls are numbered from the session on: a late response to one of a former life at this address
-// must not pass for the response to one of this life.
+// newPuller returns a puller. Its sequence numbers start at the session, so that a late response to
+// a pull of a former process at this address is not mistaken for a response to a pull of this one.
 func newPuller(now time.Time, session uint64, rng *rand.Rand) puller {
-	return puller{sequence: session, nextAt: now.Add(time.Duration(rng.Int64N(int64(pullEvery))))}
+	return puller{sequence: session, nextAt: now.Add(time.Duration(rng.Int64N(int64(meanPullInterval))))}
 }
 
 // schedule sets the time of the next pull, with jitter.
 func (p *puller) schedule(now time.Time, rng *rand.Rand) {
-	p.nextAt = now.Add(pullEvery*3/4 + time.Duration(rng.Int64N(int64(pullEvery/2))))
+	p.nextAt = now.Add(meanPullInterval*3/4 + time.Duration(rng.Int64N(int64(meanPullInterval/2))))
 }
 
-// expire gives up the pending pull, and tells whether there was one.
+// expire abandons the pending pull and reports whether there was one.
 func (p *puller) expire() bool {
 	if p.sentAt.IsZero() {
 		return false
@@ -43,7 +43,7 @@
 	return true
 }
 
-// begin notes that a pull goes out, and returns its number.
+// begin records that a pull is sent, and returns its sequence number.
 func (p *puller) begin(now time.Time, server netip.AddrPort) uint64 {
 	p.avoidTree = false
 	p.sequence++
@@ -51,34 +51,35 @@
 	return p.sequence
 }
 
-// answers tells whether a response is to the pending pull.
-func (p *puller) answers(from netip.AddrPort, sequence uint64) bool {
+// matchesPending reports whether a response belongs to the pending pull.
+func (p *puller) matchesPending(from netip.AddrPort, sequence uint64) bool {
 	return !p.sentAt.IsZero() && sequence == p.sequence && from == p.server
 }
 
-// sendPull asks another member what is newer. In calm times that is the parent in a tree with the owner at its root, so that
-// ages stay small and nobody is asked by more than pullFanout; after a lost response it is a random one.
+// sendPull requests newer announcements from another member. This is normally the member's parent
+// in a tree rooted at the owner, which keeps ages small and limits the number of members that pull
+// from one member to pullFanout. After a lost response it is a random member.
 func (n *Node) sendPull(now time.Time) {
-	n.pulls.schedule(now, n.rng)
-	if n.pulls.expire() {
+	n.puller.schedule(now, n.rng)
+	if n.puller.expire() {
 		n.Counters.PullsLost++
 	}
 	server, ok := n.pullServer()
 	if !ok {
 		return
 	}
-	request := &pullRequest{Seq: n.pulls.begin(now, server)}
-	for _, lease := range n.announcements.leases[:min(len(n.announcements.leases), mostPulled)] {
+	request := &pullRequest{Seq: n.puller.begin(now, server)}
+	for _, lease := range n.announcements.leaseNames[:min(len(n.announcements.leaseNames), maxAnnouncementsPerPull)] {
 		request.Known = append(request.Known, n.announcements.find(lease).AnnouncementID)
 	}
 	n.Counters.Pulls++
 	n.send(server, &envelope{Pull: request})
 }
 
-// pullServer is the member to be asked next; ok is false if there is none.
+// pullServer returns the member that the next pull is sent to. ok is false if there is none.
 func (n *Node) pullServer() (server netip.AddrPort, ok bool) {
-	parent, found := n.peers.Parent(n.announcements.firstOwner(), pullFanout)
-	if found && !n.pulls.avoidTree {
+	parent, found := n.peers.Parent(n.announcements.firstOwnerSession(), pullFanout)
+	if found && !n.puller.avoidTree {
 		return parent, true
 	}
 	random := n.peers.RandomMembers(1)
@@ -88,14 +89,15 @@
 	return random[0].Addr, true
 }
 
-// handlePull answers a pull: it sends the announcements that are newer here, and the ages of those that the sender has.
+// handlePull responds to a pull request. It sends the announcements that are newer here, and the
+// ages of those that the sender already has.
 func (n *Node) handlePull(now time.Time, from netip.AddrPort, request *pullRequest) {
 	response := &pullResponse{Seq: request.Seq}
 	known := make(map[string]AnnouncementID, len(request.Known))
 	for _, id := range request.Known {
 		known[id.Lease] = id
 	}
-	for _, lease := range n.announcements.leases {
+	for _, lease := range n.announcements.leaseNames {
 		state := n.announcements.find(lease)
 		if !state.known {
 			continue
@@ -104,15 +106,16 @@
 		if state.newerThan(known[lease]) {
 			n.sendAnnouncement(from, state)
 		}
-		if !known[lease].newerThan(state.AnnouncementID) && !state.confirmedFor.IsZero() && len(response.Ages) < mostPulled {
-			response.Ages = append(response.Ages, announcementAge{state.AnnouncementID, now.Sub(state.confirmedFor).Milliseconds()})
+		if !known[lease].newerThan(state.AnnouncementID) && !state.confirmedAt.IsZero() && len(response.Ages) < maxAnnouncementsPerPull {
+			response.Ages = append(response.Ages, announcementAge{state.AnnouncementID, now.Sub(state.confirmedAt).Milliseconds()})
 		}
 	}
 	n.send(from, &envelope{PullResponse: response})
 }
 
-// dropLostOwnership notes that an announcement that was published here is no longer its owner's, if the lease has been lost since.
-// While it is held the owner itself confirms its announcement, by ConfirmCurrent.
+// dropLostOwnership clears the mark of an announcement as published by this process if the lease
+// has since been lost. While this process holds the lease, ConfirmCurrent determines the
+// announcement's age.
 func (n *Node) dropLostOwnership(state *announcementState) {
 	if !state.Local {
 		return
@@ -122,26 +125,27 @@
 	}
 }
 
-// handlePullResponse takes the ages of announcements: each is counted from before this process asked, so that no delay on the way
-// makes one look fresher than it is.
+// handlePullResponse processes the ages in a pull response. Each age is counted from before the
+// request was sent, so that no network delay makes an announcement look fresher than it is.
 func (n *Node) handlePullResponse(from netip.AddrPort, response *pullResponse) {
-	if !n.pulls.answers(from, response.Seq) {
+	if !n.puller.matchesPending(from, response.Seq) {
 		return
 	}
 	for _, age := range response.Ages {
 		n.confirm(age)
 	}
-	n.pulls.sentAt = time.Time{}
+	n.puller.sentAt = time.Time{}
 }
 
-// confirm notes the age that another process reported of an announcement, if it is the one that is known here.
+// confirm applies an age reported by another process, if it refers to the announcement that is
+// known here.
 func (n *Node) confirm(age announcementAge) {
 	state := n.announcements.find(age.ID.Lease)
-	if state == nil || !state.known || state.AnnouncementID != age.ID || age.MS < 0 || state.Local {
+	if state == nil || !state.known || state.AnnouncementID != age.ID || age.AgeMS < 0 || state.Local {
 		return
 	}
-	at := n.pulls.sentAt.Add(-time.Duration(age.MS) * time.Millisecond)
-	if at.After(state.confirmedFor) {
-		state.confirmedFor = at
+	at := n.puller.sentAt.Add(-time.Duration(age.AgeMS) * time.Millisecond)
+	if at.After(state.confirmedAt) {
+		state.confirmedAt = at
 	}
 }
--- a/internal/mesh/query.go
+++ b/internal/mesh/query.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	queryAttempts     = 5    // sendings of a query
-	mostViewFragments = 4096 // of a view
+	queryAttempts    = 5    // datagrams sent per query
+	maxViewFragments = 4096 // maximum number of fragments of a view
 )
 
-// errNoAnswer is why an operator's query fails.
-var errNoAnswer = errors.New("no answer; is it the right address and cluster, and is [fleet] in the operator's file there?")
+// errNoResponse is returned by a query of an operator that gets no response.
+var errNoResponse = errors.New("no response; check the address, the cluster name, and that the operator's file there has a section [fleet]")
 
-// query is a request of an operator's, on a loop and a socket of its own.
+// query is a request sent by an operator's command. It has its own loop and socket.
 type query struct {
-	loop    *poll.Loop
-	socket  *poll.Packets
-	cluster string
-	take    func(*envelope) (done bool) // is called with each message; true once it has the whole response
-	done    bool
+	loop      *poll.Loop
+	socket    *poll.Packets
+	cluster   string
+	onMessage func(*envelope) (done bool) // done: the response is complete
+	done      bool
 }
 
-func newQuery(cluster string, take func(*envelope) bool) (*query, error) {
+func newQuery(cluster string, onMessage func(*envelope) bool) (*query, error) {
 	loop, err := poll.New(func() {})
 	if err != nil {
 		return nil, err
 	}
-	q := &query{loop: loop, cluster: cluster, take: take}
+	q := &query{loop: loop, cluster: cluster, onMessage: onMessage}
 	anyAddress := netip.AddrPortFrom(netip.IPv4Unspecified(), 0)
 	if q.socket, err = loop.OpenPackets(anyAddress, q); err != nil {
 		loop.Close()
@@ -45,15 +45,15 @@
 	q.loop.Close()
 }
 
-// Ready is called by the loop: it takes the datagrams that wait.
+// Ready is called by the loop when the socket is readable, and handles the waiting datagrams.
 func (q *query) Ready(poll.Ready) {
-	var buffer [receiveBuffer]byte
+	var buffer [receiveBufferBytes]byte
 	for {
 		size, _, err := q.socket.Receive(buffer[:])
 		if err != nil {
 			return
 		}
-		if e, err := decode(buffer[:size], q.cluster); err == nil && q.take(e) {
+		if e, err := decode(buffer[:size], q.cluster); err == nil && q.onMessage(e) {
 			q.done = true
 		}
 	}
@@ -64,11 +64,11 @@
 	if err := q.socket.Send(datagram, to); err != nil && !errors.Is(err, poll.ErrAgain) {
 		return err
 	}
-	over := false
-	timer := poll.Timer{Fire: func() { over = true }}
+	timedOut := false
+	timer := poll.Timer{Fire: func() { timedOut = true }}
 	q.loop.After(&timer, wait)
 	defer q.loop.Disarm(&timer)
-	for !over && !q.done {
+	for !timedOut && !q.done {
 		if err := q.loop.Turn(true); err != nil {
 			return err
 		}
@@ -76,10 +76,10 @@
 	return nil
 }
 
-// ask sends a request up to five times, until take says that it has the whole response. It returns errNoAnswer if wait is over
-// before.
-func ask(cluster string, to netip.AddrPort, e *envelope, wait time.Duration, take func(*envelope) bool) error {
-	q, err := newQuery(cluster, take)
+// runQuery sends a request up to five times, until onMessage reports that the response is complete.
+// It returns an error that wraps errNoResponse if the response is not complete within wait.
+func runQuery(cluster string, to netip.AddrPort, e *envelope, wait time.Duration, onMessage func(*envelope) bool) error {
+	q, err := newQuery(cluster, onMessage)
 	if err != nil {
 		return err
 	}
@@ -97,20 +97,20 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%s: %w", to, errNoAnswer)
+	return fmt.Errorf("%s: %w", to, errNoResponse)
 }
 
-// viewCollector puts the fragments of one view together.
+// viewCollector combines the fragments of one view.
 type viewCollector struct {
 	seq      uint64 // of the request
 	view     View
-	received map[int]bool // by index
+	received map[int]bool // by fragment index
 }
 
-// take takes a message and tells whether the view is whole.
-func (c *viewCollector) take(e *envelope) bool {
+// handle processes a message and reports whether the view is complete.
+func (c *viewCollector) handle(e *envelope) bool {
 	f := e.View
-	if f == nil || f.Ask || f.Seq != c.seq || f.Count < 1 || f.Count > mostViewFragments {
+	if f == nil || f.IsRequest || f.Seq != c.seq || f.Count < 1 || f.Count > maxViewFragments {
 		return false
 	}
 	if !c.received[f.Index] {
@@ -120,42 +120,43 @@
 	return len(c.received) == f.Count
 }
 
-// add adds a fragment that was not received before.
+// add appends a fragment that has not been received before.
 func (c *viewCollector) add(f *viewFragment) {
 	c.view.Members = append(c.view.Members, f.Members...)
 	c.view.Leases = append(c.view.Leases, f.Leases...)
-	c.view.Counters = append(c.view.Counters, f.Counts...)
+	c.view.Counters = append(c.view.Counters, f.Counters...)
 	c.view.Shared = append(c.view.Shared, f.Shared...)
 	if f.Keeper != nil {
 		c.view.Keeper = f.Keeper
 	}
 }
 
-// FetchView requests the view of a running process; it waits for as long as wait.
-func FetchView(cluster string, of netip.AddrPort, wait time.Duration) (*View, error) {
+// FetchView requests the view of the process at an address. It waits for the response for at most
+// wait.
+func FetchView(cluster string, at netip.AddrPort, wait time.Duration) (*View, error) {
 	c := viewCollector{seq: uint64(time.Now().UnixNano()), received: make(map[int]bool)}
-	request := &envelope{View: &viewFragment{Ask: true, Seq: c.seq}}
-	if err := ask(cluster, of, request, wait, c.take); err != nil {
+	request := &envelope{View: &viewFragment{IsRequest: true, Seq: c.seq}}
+	if err := runQuery(cluster, at, request, wait, c.handle); err != nil {
 		return nil, err
 	}
 	for i := range c.view.Members {
 		m := &c.view.Members[i]
-		_ = m.Addr.UnmarshalBinary(m.At) // one that can't be read is shown without an address
+		_ = m.Addr.UnmarshalBinary(m.At) // an address that can't be decoded is left empty
 	}
 	return &c.view, nil
 }
 
-// ChangeVoters asks the keeper at an address, which must lead, to add or remove a voter, and returns its answer. It waits for as
-// long as wait.
+// ChangeVoters asks the keeper at an address, which must be the leader, to add or remove a voter.
+// It returns the keeper's reply and waits for it for at most wait.
 func ChangeVoters(cluster string, at netip.AddrPort, add bool, id uint64, wait time.Duration) (string, error) {
-	answer := ""
-	request := &envelope{Change: &voterChange{Add: add, ID: id}}
-	err := ask(cluster, at, request, wait, func(e *envelope) bool {
-		if e.Change == nil || e.Change.Answer == "" || e.Change.ID != id {
+	result := ""
+	request := &envelope{VoterChange: &voterChange{Add: add, ID: id}}
+	err := runQuery(cluster, at, request, wait, func(e *envelope) bool {
+		if e.VoterChange == nil || e.VoterChange.Result == "" || e.VoterChange.ID != id {
 			return false
 		}
-		answer = e.Change.Answer
+		result = e.VoterChange.Result
 		return true
 	})
-	return answer, err
+	return result, err
 }
--- a/internal/mesh/stopped_test.go
+++ b/internal/mesh/stopped_test.go
@@ -9,27 +9,29 @@
 	"ospreyspan/internal/vnet"
 )
 
-// stopping is a kernel under which the process may be stopped between its turn's look at the clock and its read of a datagram.
-type stopping struct {
+// pausingKernel is a kernel that can simulate a pause of the process between the loop's clock
+// reading and the read of a datagram.
+type pausingKernel struct {
 	poll.Kernel
-	stop  time.Duration // at the next read
-	ahead time.Duration
+	nextPause  time.Duration // length of the pause at the next read
+	clockAhead time.Duration
 }
 
-func (k *stopping) Now() time.Time { return k.Kernel.Now().Add(k.ahead) }
+func (k *pausingKernel) Now() time.Time { return k.Kernel.Now().Add(k.clockAhead) }
 
-func (k *stopping) Receive(fd int, p []byte) (int, netip.AddrPort, error) {
-	k.ahead += k.stop
-	k.stop = 0
+func (k *pausingKernel) Receive(fd int, p []byte) (int, netip.AddrPort, error) {
+	k.clockAhead += k.nextPause
+	k.nextPause = 0
 	return k.Kernel.Receive(fd, p)
 }
 
-// A process that is stopped for 5 s between its turn's look at the clock and its read of a question answers with ages as of after
-// the stop: with the turn's time, what it vouches for would look 5 s younger than it is.
-func TestStoppedBeforeItReads(t *testing.T) {
+// A process is paused for 5 s between the loop's clock reading and the read of a message. The
+// message must be handled with the time after the pause: with the earlier time, an age that the
+// process reports in response would be 5 s too small.
+func TestClockIsReadAfterPauseBeforeReceive(t *testing.T) {
 	w := vnet.New(1, func(_, _ *vnet.Host) vnet.Link { return vnet.Link{Delay: time.Millisecond} })
 	h := w.AddHost("p", netip.MustParseAddr("10.0.0.1"), vnet.Limits{})
-	k := &stopping{}
+	k := &pausingKernel{}
 	var loop *poll.Loop
 	var at time.Time
 	err := h.Start(func(under poll.Kernel) (func() error, error) {
@@ -53,7 +55,7 @@
 		if err != nil {
 			return nil, err
 		}
-		k.stop = 5 * time.Second
+		k.nextPause = 5 * time.Second
 		n.SendShared(netip.MustParseAddrPort("10.0.0.1:7946"), "m", nil)
 		return func() error { return l.Turn(true) }, nil
 	})
@@ -64,16 +66,17 @@
 		t.Fatal(err)
 	}
 	if at.IsZero() || at.Sub(w.Now()) < 4*time.Second {
-		t.Errorf("the question was taken at %v, before the stop of 5 s ended, %v", at, w.Now().Add(5*time.Second))
+		t.Errorf("the message was handled at %v, before the pause of 5 s ended at %v", at, w.Now().Add(5*time.Second))
 	}
 }
 
-// A late answer to a pull of a former life at the same address vouches for nothing in the present one.
-func TestPullOfAFormerLife(t *testing.T) {
+// A late response to a pull of a former process at the same address must not confirm an
+// announcement in the present process.
+func TestPullResponseOfFormerSession(t *testing.T) {
 	w := vnet.New(1, func(_, _ *vnet.Host) vnet.Link { return vnet.Link{Delay: time.Millisecond} })
 	other := netip.MustParseAddrPort("10.0.0.2:7946")
-	mark := AnnouncementID{Lease: "d", Token: 1, Version: 1}
-	life := func(session uint64) *Node {
+	id := AnnouncementID{Lease: "d", Token: 1, Version: 1}
+	startNode := func(session uint64) *Node {
 		h := w.AddHost("p", netip.AddrFrom4([4]byte{10, 0, 0, byte(session)}), vnet.Limits{})
 		var n *Node
 		err := h.Start(func(k poll.Kernel) (func() error, error) {
@@ -85,19 +88,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.pulls.begin(w.Now(), other)
-		x := n.announcements.ensure("d")
-		x.AnnouncementID, x.known = mark, true
+		n.puller.begin(w.Now(), other)
+		state := n.announcements.ensure("d")
+		state.AnnouncementID, state.known = id, true
 		return n
 	}
-	former, present := life(11), life(12)
-	late := &pullResponse{Seq: former.pulls.sequence, Ages: []announcementAge{{mark, 0}}}
+	former, present := startNode(11), startNode(12)
+	late := &pullResponse{Seq: former.puller.sequence, Ages: []announcementAge{{id, 0}}}
 	present.handlePullResponse(other, late)
-	if _, vouched, _ := present.Latest("d"); !vouched.IsZero() {
-		t.Error("an answer to a former life's pull confirmed an announcement")
+	if _, confirmed, _ := present.Latest("d"); !confirmed.IsZero() {
+		t.Error("a response to a pull of a former process confirmed an announcement")
 	}
 	former.handlePullResponse(other, late)
-	if _, vouched, _ := former.Latest("d"); vouched.IsZero() {
-		t.Error("the answer to its own pull did not")
+	if _, confirmed, _ := former.Latest("d"); confirmed.IsZero() {
+		t.Error("the response to the process's own pull did not confirm the announcement")
 	}
 }
--- a/internal/mesh/transport.go
+++ b/internal/mesh/transport.go
@@ -7,60 +7,65 @@
 	"ospreyspan/internal/poll"
 )
 
-// receiveBuffer is the size of the buffer for one datagram, in bytes: above MaxDatagram, so that a longer one is noticed.
-const receiveBuffer = 2048
+// receiveBufferBytes is the size of the receive buffer for one datagram. It is larger than
+// MaxDatagram so that oversized datagrams are detected.
+const receiveBufferBytes = 2048
 
-// transport sends and receives the messages of one cluster, a datagram each, and counts them.
+// transport sends and receives the messages of one cluster, one datagram each, and counts them.
 type transport struct {
-	loop    *poll.Loop
-	socket  *poll.Packets
-	cluster string
-	count   *Counters
-	buffer  [receiveBuffer]byte
+	loop     *poll.Loop
+	socket   *poll.Packets
+	cluster  string
+	counters *Counters
+	buffer   [receiveBufferBytes]byte
 }
 
-// send sends a message. One that can't be sent is counted and dropped, as if it had been lost on the way.
+// send sends a message. A message that can't be sent is counted and dropped, as if it had been lost
+// in the network.
 func (t *transport) send(to netip.AddrPort, message *envelope) {
 	message.Cluster = t.cluster
 	datagram, err := encode(message)
 	if err != nil {
-		t.count.Unsent++
+		t.counters.Unsent++
 		return
 	}
 	if t.socket.Send(datagram, to) != nil {
-		t.count.Unsent++
+		t.counters.Unsent++
 		return
 	}
-	t.count.Sent++
-	t.count.BytesSent += uint64(len(datagram))
+	t.counters.Sent++
+	t.counters.BytesSent += uint64(len(datagram))
 }
 
-// receive takes the next datagram off the socket; more is false if none waits. message is nil for one that was dropped.
+// receive reads the next datagram from the socket. more is false if none is waiting. message is nil
+// if the datagram was dropped.
 func (t *transport) receive() (message *envelope, from netip.AddrPort, more bool) {
 	size, from, err := t.socket.Receive(t.buffer[:])
 	if err != nil {
 		return nil, from, false
 	}
-	// A stop of the process between the turn's look at the clock and this read must not make an age that is told shorter, or a
-	// renewal look as if it had come before it was asked for.
+	// Read the clock again. If the process was paused between the loop's clock reading and this
+	// read, the outdated time would make reported ages too small, or make a lease renewal seem to
+	// arrive before it was requested.
 	t.loop.Refresh()
-	t.count.Received++
-	t.count.BytesReceived += uint64(size)
+	t.counters.Received++
+	t.counters.BytesReceived += uint64(size)
 	return t.parse(size), from, true
 }
 
-// parse decodes the datagram of that size in the buffer. It counts one that can't be used, and returns nil for it.
+// parse decodes the first size bytes of the buffer. It counts a datagram that can't be used, and
+// returns nil for it.
 func (t *transport) parse(size int) *envelope {
 	if size > MaxDatagram {
-		t.count.Long++
+		t.counters.Long++
 		return nil
 	}
 	message, err := decode(t.buffer[:size], t.cluster)
 	switch {
 	case errors.Is(err, errForeign):
-		t.count.Foreign++
+		t.counters.Foreign++
 	case err != nil:
-		t.count.Damaged++
+		t.counters.Damaged++
 	default:
 		return message
 	}
--- a/internal/mesh/view.go
+++ b/internal/mesh/view.go
@@ -8,7 +8,7 @@
 	"ospreyspan/internal/peers"
 )
 
-// View is what one process knows of the fleet, for operators.
+// View is the state of the fleet as one process knows it, for display to operators.
 type View struct {
 	Members  []peers.Member
 	Leases   []LeaseView
@@ -17,54 +17,55 @@
 	Shared   []SharedView
 }
 
-// SharedView is a line on a matter that has no owner: a verdict on a target, or a limit.
+// SharedView is the displayed state of one item of a topic that has no owner, such as a verdict on
+// a target or a limit.
 type SharedView struct {
 	Topic string `cbor:"1,keyasint"`
 	Name  string `cbor:"2,keyasint"`
 	State string `cbor:"3,keyasint"`
-	AgeMS int64  `cbor:"4,keyasint"` // of what it rests on; below 0: not known
+	AgeMS int64  `cbor:"4,keyasint"` // age of the underlying data; below 0: unknown
 	Text  string `cbor:"5,keyasint"`
 }
 
-// LeaseView is what a process knows of one lease.
+// LeaseView is the state of one lease as a process knows it.
 type LeaseView struct {
 	Lease   string `cbor:"1,keyasint"`
-	Token   uint64 `cbor:"2,keyasint"` // latest that is known
-	Holder  string `cbor:"3,keyasint"` // by name, as the keepers last told
-	Mine    bool   `cbor:"4,keyasint"` // the process holds it
+	Token   uint64 `cbor:"2,keyasint"` // latest known fencing token
+	Holder  string `cbor:"3,keyasint"` // name of the owner according to the keepers; empty: none
+	Mine    bool   `cbor:"4,keyasint"` // held by the process
 	Version uint64 `cbor:"5,keyasint"` // of the latest announcement
-	AgeMS   int64  `cbor:"6,keyasint"` // of that announcement; below 0: not known
-	Floor   uint64 `cbor:"7,keyasint"` // tokens below are refused
+	AgeMS   int64  `cbor:"6,keyasint"` // since the owner confirmed it; below 0: unknown
+	Floor   uint64 `cbor:"7,keyasint"` // lower tokens are refused
 }
 
-// KeeperView is a keeper's own state.
+// KeeperView is the state of a keeper.
 type KeeperView struct {
 	ID      uint64   `cbor:"1,keyasint"`
 	Leader  uint64   `cbor:"2,keyasint"`
 	Term    uint64   `cbor:"3,keyasint"`
 	Applied uint64   `cbor:"4,keyasint"`
 	Voters  []uint64 `cbor:"5,keyasint"`
-	Refused uint64   `cbor:"6,keyasint"` // messages of keepers whose disk is another one
+	Refused uint64   `cbor:"6,keyasint"` // messages of keepers whose disk has changed
 }
 
-// CounterValue is a counter.
+// CounterValue is the name and value of a counter.
 type CounterValue struct {
 	Name  string `cbor:"1,keyasint"`
 	Value uint64 `cbor:"2,keyasint"`
 }
 
 const (
-	viewPer   = 14 // members and leases that one fragment carries
-	sharedPer = 5  // likewise of other matters
+	viewEntriesPerFragment = 14 // members or leases
+	sharedViewsPerFragment = 5  // entries of topics without an owner
 )
 
-// View returns this process's own view.
+// View returns the view of this process.
 func (n *Node) View() View {
 	v := View{Members: n.peers.Members(), Keeper: n.keeperView(), Counters: n.CounterValues()}
 	for _, lease := range n.cfg.Duties {
 		v.addLease(n, lease)
 	}
-	for _, lease := range n.announcements.leases {
+	for _, lease := range n.announcements.leaseNames {
 		v.addLease(n, lease)
 	}
 	if n.cfg.SharedView != nil {
@@ -73,7 +74,7 @@
 	return v
 }
 
-// addLease adds a lease unless it is there.
+// addLease adds the state of a lease unless the view already has it.
 func (v *View) addLease(n *Node, lease string) {
 	if !slices.ContainsFunc(v.Leases, func(l LeaseView) bool { return l.Lease == lease }) {
 		v.Leases = append(v.Leases, n.leaseView(lease))
@@ -83,32 +84,32 @@
 func (n *Node) leaseView(lease string) LeaseView {
 	now := n.loop.Now()
 	v := LeaseView{Lease: lease, AgeMS: -1, Floor: n.fence.Floor(lease)}
-	if n.leases != nil {
-		v.Holder, v.Token = n.leases.Owner(lease)
-		_, v.Mine = n.leases.Holds(now, lease)
+	if n.leaseClient != nil {
+		v.Holder, v.Token = n.leaseClient.Owner(lease)
+		_, v.Mine = n.leaseClient.Holds(now, lease)
 	}
 	latest := n.announcements.find(lease)
 	if latest == nil || !latest.known {
 		return v
 	}
 	v.Version, v.Token = latest.Version, max(v.Token, latest.Token)
-	if !latest.confirmedFor.IsZero() {
-		v.AgeMS = now.Sub(latest.confirmedFor).Milliseconds()
+	if !latest.confirmedAt.IsZero() {
+		v.AgeMS = now.Sub(latest.confirmedAt).Milliseconds()
 	}
 	return v
 }
 
 func (n *Node) keeperView() *KeeperView {
-	if n.core == nil {
+	if n.keeperCore == nil {
 		return nil
 	}
 	return &KeeperView{
-		ID: n.cfg.Keeper.ID, Leader: n.core.Leader(), Term: n.core.Term(), Applied: n.core.State().Applied,
-		Voters: n.core.Voters(), Refused: n.core.Count.Refused,
+		ID: n.cfg.Keeper.ID, Leader: n.keeperCore.Leader(), Term: n.keeperCore.Term(), Applied: n.keeperCore.State().Applied,
+		Voters: n.keeperCore.Voters(), Refused: n.keeperCore.Count.Refused,
 	}
 }
 
-// CounterValues are the counters, in a fixed order.
+// CounterValues returns the values of the counters, in a fixed order.
 func (n *Node) CounterValues() []CounterValue {
 	c, p := &n.Counters, &n.peers.Tally
 	return []CounterValue{
@@ -120,7 +121,7 @@
 	}
 }
 
-// sendView answers an operator's request for the view, in as many datagrams as it takes.
+// sendView responds to an operator's request for the view, in as many datagrams as it needs.
 func (n *Node) sendView(to netip.AddrPort, seq uint64) {
 	parts := n.View().fragments()
 	for i := range parts {
@@ -129,25 +130,26 @@
 	}
 }
 
-// fragments cuts a view into parts that fit a datagram each: first the members, then the leases, of both at least one part, then
-// other matters. What the keeper knows and the counters go with the first part of the leases.
+// fragments splits a view into parts that fit one datagram each: the members first, then the
+// leases, with at least one part for each of the two, then the topics that have no owner. The
+// keeper's state and the counters are in the first part with leases.
 func (v View) fragments() []viewFragment {
 	var parts []viewFragment
-	for members := range chunks(v.Members, viewPer) {
+	for members := range chunks(v.Members, viewEntriesPerFragment) {
 		parts = append(parts, viewFragment{Members: members})
 	}
 	firstOfLeases := len(parts)
-	for leases := range chunks(v.Leases, viewPer) {
+	for leases := range chunks(v.Leases, viewEntriesPerFragment) {
 		parts = append(parts, viewFragment{Leases: leases})
 	}
-	parts[firstOfLeases].Keeper, parts[firstOfLeases].Counts = v.Keeper, v.Counters
-	for shared := range slices.Chunk(v.Shared, sharedPer) {
+	parts[firstOfLeases].Keeper, parts[firstOfLeases].Counters = v.Keeper, v.Counters
+	for shared := range slices.Chunk(v.Shared, sharedViewsPerFragment) {
 		parts = append(parts, viewFragment{Shared: shared})
 	}
 	return parts
 }
 
-// chunks is slices.Chunk with one empty part for an empty list.
+// chunks is like slices.Chunk, but yields one empty chunk for an empty list.
 func chunks[T any](list []T, size int) iter.Seq[[]T] {
 	if len(list) == 0 {
 		return func(yield func([]T) bool) { yield(nil) }
--- a/internal/mesh/wire.go
+++ b/internal/mesh/wire.go
@@ -13,56 +13,59 @@
 	"ospreyspan/internal/peers"
 )
 
-// MaxDatagram is the longest datagram, in bytes: it passes any usual link whole.
+// MaxDatagram is the maximum length of a datagram in bytes. Datagrams of this length pass usual
+// links without IP fragmentation.
 const MaxDatagram = 1200
 
-// wireVersion is the version of the format; datagrams of other versions are dropped.
+// wireVersion is the version of the message format. Datagrams of other versions are dropped.
 const wireVersion = 1
 
-// checksumBytes is the length of the checksum that a datagram begins with.
+// checksumBytes is the length of the checksum at the start of a datagram.
 const checksumBytes = 4
 
-// envelope is a datagram behind its checksum: CRC-32C of all that follows, 4 bytes. Exactly one of the parts from Peers on
-// is set. Field 3 is kept for keys: these networks are trusted for now.
+// envelope is the content of a datagram after its checksum, a 4-byte CRC-32C of everything that
+// follows. Exactly one of the fields from Peers on is set. Key 3 is reserved for authentication
+// keys: datagrams are not authenticated at present, since the networks are trusted.
 type envelope struct {
 	Version       uint8                 `cbor:"1,keyasint"`
 	Cluster       string                `cbor:"2,keyasint"`
 	Peers         *peers.Packet         `cbor:"4,keyasint,omitempty"`
 	Raft          *raftFragment         `cbor:"5,keyasint,omitempty"`
-	Request       *owner.LeaseRequest   `cbor:"6,keyasint,omitempty"`
-	Reply         *keeperReply          `cbor:"7,keyasint,omitempty"`
+	LeaseRequest  *owner.LeaseRequest   `cbor:"6,keyasint,omitempty"`
+	KeeperReply   *keeperReply          `cbor:"7,keyasint,omitempty"`
 	FloorsRequest *keeper.FloorsRequest `cbor:"8,keyasint,omitempty"`
 	Floors        *floorsFragment       `cbor:"9,keyasint,omitempty"`
 	Announcement  *announcementFragment `cbor:"10,keyasint,omitempty"`
 	Pull          *pullRequest          `cbor:"11,keyasint,omitempty"`
 	PullResponse  *pullResponse         `cbor:"12,keyasint,omitempty"`
 	View          *viewFragment         `cbor:"13,keyasint,omitempty"`
-	Change        *voterChange          `cbor:"14,keyasint,omitempty"`
-	Direct        *OwnerMessage         `cbor:"15,keyasint,omitempty"`
-	Shared        *SharedMessage        `cbor:"16,keyasint,omitempty"`
+	VoterChange   *voterChange          `cbor:"14,keyasint,omitempty"`
+	OwnerMessage  *OwnerMessage         `cbor:"15,keyasint,omitempty"`
+	SharedMessage *SharedMessage        `cbor:"16,keyasint,omitempty"`
 }
 
-// raftFragment is a Raft message between keepers, or a part of a long one; with Hello it is a handshake and carries no message.
+// raftFragment is a Raft message between keepers, or a fragment of a long one. If Hello is set, it
+// is a handshake and carries no message.
 type raftFragment struct {
-	Disk  uint64 `cbor:"1,keyasint"` // identity of the sender's
-	ID    uint64 `cbor:"2,keyasint"` // of the message, by sender
-	Index int    `cbor:"3,keyasint"` // of the fragment, from 0
-	Count int    `cbor:"4,keyasint"` // of the message's fragments
+	Disk  uint64 `cbor:"1,keyasint"` // identity of the sender's disk
+	ID    uint64 `cbor:"2,keyasint"` // of the message, unique per sender
+	Index int    `cbor:"3,keyasint"` // index of the fragment, from 0
+	Count int    `cbor:"4,keyasint"` // number of fragments of the message
 	Data  []byte `cbor:"5,keyasint"`
-	From  uint64 `cbor:"6,keyasint"`           // id of the sender
-	Hello uint8  `cbor:"8,keyasint,omitempty"` // helloRequest or helloAnswer; 0: a message
-	To    uint64 `cbor:"7,keyasint"`           // identity of the disk that it is meant for, 0 if the sender has not met it yet
+	From  uint64 `cbor:"6,keyasint"`           // id of the sending keeper
+	Hello uint8  `cbor:"8,keyasint,omitempty"` // helloRequest or helloResponse; 0: no handshake
+	To    uint64 `cbor:"7,keyasint"`           // identity of the receiver's disk; 0: not known yet
 }
 
-// keeperReply answers a lease request, or tells that another keeper must be asked.
+// keeperReply is the response to a lease request, or a redirect to another keeper.
 type keeperReply struct {
 	Response  *owner.LeaseResponse `cbor:"1,keyasint,omitempty"`
-	Leader    uint64               `cbor:"2,keyasint,omitempty"` // with NotLeader: who leads, 0 if that is not known
+	Leader    uint64               `cbor:"2,keyasint,omitempty"` // with NotLeader: the leader; 0: unknown
 	NotLeader bool                 `cbor:"3,keyasint,omitempty"`
-	Keeper    uint64               `cbor:"4,keyasint,omitempty"` // id of the sender
+	Keeper    uint64               `cbor:"4,keyasint,omitempty"` // id of the sending keeper
 }
 
-// floorsFragment is a part of the answer to a floors request.
+// floorsFragment is a fragment of the response to a floors request.
 type floorsFragment struct {
 	Session uint64            `cbor:"1,keyasint"` // of the request
 	Seq     uint64            `cbor:"2,keyasint"` // of the request
@@ -71,20 +74,21 @@
 	Tokens  map[string]uint64 `cbor:"5,keyasint"` // latest token by lease
 }
 
-// AnnouncementID identifies an announcement. Of the same lease, one of a later owner, with a higher token, is newer than all of a
-// former owner's, and of one owner's announcements the one with the higher version.
+// AnnouncementID identifies an announcement. Of two announcements of a lease, the one with the
+// higher fencing token, that is of the later owner, is newer. Of two announcements with the same
+// token, the one with the higher version is newer.
 type AnnouncementID struct {
-	Lease   string `cbor:"1,keyasint"` // name
+	Lease   string `cbor:"1,keyasint"` // name of the lease
 	Token   uint64 `cbor:"2,keyasint"` // fencing token of the owner's grant
-	Version uint64 `cbor:"3,keyasint"` // of the owner's announcements, from 1
+	Version uint64 `cbor:"3,keyasint"` // number of the announcement under this token, from 1
 }
 
-// newerThan compares two announcements of the same lease.
+// newerThan reports whether an announcement is newer than another one of the same lease.
 func (id AnnouncementID) newerThan(other AnnouncementID) bool {
 	return id.Token > other.Token || id.Token == other.Token && id.Version > other.Version
 }
 
-// announcementFragment is a part of an announcement.
+// announcementFragment is a fragment of an announcement.
 type announcementFragment struct {
 	ID    AnnouncementID `cbor:"1,keyasint"`
 	Index int            `cbor:"2,keyasint"`
@@ -93,55 +97,60 @@
 	From  uint64         `cbor:"5,keyasint"` // session of the owner
 }
 
-// pullRequest asks for announcements that are newer than the known ones, and how old those are.
+// pullRequest asks for announcements that are newer than the known ones, and for the ages of the
+// known ones.
 type pullRequest struct {
 	Seq   uint64           `cbor:"1,keyasint"`
 	Known []AnnouncementID `cbor:"2,keyasint"`
 }
 
-// pullResponse answers a pull request with the age of each announcement at the sender. Newer announcements are sent apart.
+// pullResponse is the response to a pull request, with the ages of the announcements at the
+// responding member. Newer announcements are sent in separate datagrams. Want is not used.
 type pullResponse struct {
 	Seq  uint64            `cbor:"1,keyasint"`
 	Ages []announcementAge `cbor:"2,keyasint"`
 	Want []string          `cbor:"3,keyasint,omitempty"`
 }
 
-// announcementAge is how long ago the owner confirmed an announcement at the latest.
+// announcementAge is the time in milliseconds since the owner last confirmed an announcement.
 type announcementAge struct {
-	ID AnnouncementID `cbor:"1,keyasint"`
-	MS int64          `cbor:"2,keyasint"`
+	ID    AnnouncementID `cbor:"1,keyasint"`
+	AgeMS int64          `cbor:"2,keyasint"`
 }
 
-// voterChange asks the leading keeper to add or remove a voter; with Answer it is the answer.
+// voterChange asks the leading keeper to add or remove a voter. If Result is set, it is the
+// response.
 type voterChange struct {
 	Add    bool   `cbor:"1,keyasint"`
 	ID     uint64 `cbor:"2,keyasint"`
-	Answer string `cbor:"3,keyasint,omitempty"`
+	Result string `cbor:"3,keyasint,omitempty"`
 }
 
-// viewFragment asks for a process's view, or is a part of it.
+// viewFragment is a request for the view of a process, or a fragment of the response.
 type viewFragment struct {
-	Ask     bool           `cbor:"1,keyasint,omitempty"`
-	Seq     uint64         `cbor:"2,keyasint"`
-	Index   int            `cbor:"3,keyasint"`
-	Count   int            `cbor:"4,keyasint"`
-	Members []peers.Member `cbor:"5,keyasint,omitempty"`
-	Leases  []LeaseView    `cbor:"6,keyasint,omitempty"`
-	Keeper  *KeeperView    `cbor:"7,keyasint,omitempty"`
-	Counts  []CounterValue `cbor:"8,keyasint,omitempty"`
-	Shared  []SharedView   `cbor:"9,keyasint,omitempty"`
+	IsRequest bool           `cbor:"1,keyasint,omitempty"`
+	Seq       uint64         `cbor:"2,keyasint"`
+	Index     int            `cbor:"3,keyasint"`
+	Count     int            `cbor:"4,keyasint"`
+	Members   []peers.Member `cbor:"5,keyasint,omitempty"`
+	Leases    []LeaseView    `cbor:"6,keyasint,omitempty"`
+	Keeper    *KeeperView    `cbor:"7,keyasint,omitempty"`
+	Counters  []CounterValue `cbor:"8,keyasint,omitempty"`
+	Shared    []SharedView   `cbor:"9,keyasint,omitempty"`
 }
 
 var (
-	errForeign   = errors.New("of another cluster or version")
-	errDamaged   = errors.New("damaged")
-	errLong      = errors.New("longer than a datagram")
-	castagnoli   = crc32.MakeTable(crc32.Castagnoli)
-	decodeLimits = mustDecoder()
+	errForeign = errors.New("datagram of another cluster or version")
+	errDamaged = errors.New("damaged datagram")
+	errLong    = errors.New("message exceeds the maximum datagram length")
+	castagnoli = crc32.MakeTable(crc32.Castagnoli)
+	decMode    = mustDecMode()
 )
 
-// mustDecoder bounds what a datagram may claim: nothing in it sizes an allocation beyond what it brings.
-func mustDecoder() cbor.DecMode {
+// mustDecMode returns the CBOR decoding mode for datagrams. It limits the counts that a datagram
+// may claim, so that none of them causes an allocation larger than the datagram's own content
+// justifies.
+func mustDecMode() cbor.DecMode {
 	m, err := cbor.DecOptions{
 		MaxArrayElements: 1024, MaxMapPairs: 1024, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden,
 		TagsMd: cbor.TagsForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF,
@@ -152,28 +161,30 @@
 	return m
 }
 
-// encode writes a datagram. It returns errLong for one that is longer than MaxDatagram.
+// encode encodes a message as a datagram. It returns an error that wraps errLong if the datagram
+// would exceed MaxDatagram.
 func encode(e *envelope) ([]byte, error) {
 	e.Version = wireVersion
-	text, err := cbor.Marshal(e)
+	payload, err := cbor.Marshal(e)
 	if err != nil {
-		return nil, fmt.Errorf("mesh: %w", err)
+		return nil, fmt.Errorf("mesh: encode message: %w", err)
 	}
-	length := checksumBytes + len(text)
+	length := checksumBytes + len(payload)
 	if length > MaxDatagram {
-		return nil, fmt.Errorf("mesh: %w: %d bytes", errLong, length)
+		return nil, fmt.Errorf("mesh: %w: %d bytes, maximum %d", errLong, length, MaxDatagram)
 	}
-	datagram := binary.BigEndian.AppendUint32(make([]byte, 0, length), crc32.Checksum(text, castagnoli))
-	return append(datagram, text...), nil
+	datagram := binary.BigEndian.AppendUint32(make([]byte, 0, length), crc32.Checksum(payload, castagnoli))
+	return append(datagram, payload...), nil
 }
 
-// decode reads a datagram. It returns errDamaged for one that can't be read, errForeign for one that is not for this cluster.
+// decode decodes a datagram. It returns an error that wraps errDamaged if the datagram is invalid,
+// and errForeign if it is of another cluster or version.
 func decode(b []byte, cluster string) (*envelope, error) {
 	if len(b) <= checksumBytes || crc32.Checksum(b[checksumBytes:], castagnoli) != binary.BigEndian.Uint32(b) {
 		return nil, errDamaged
 	}
 	var e envelope
-	if err := decodeLimits.Unmarshal(b[checksumBytes:], &e); err != nil {
+	if err := decMode.Unmarshal(b[checksumBytes:], &e); err != nil {
 		return nil, fmt.Errorf("%w: %w", errDamaged, err)
 	}
 	if e.Version != wireVersion || e.Cluster != cluster {
