--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -77,7 +77,7 @@
 		Cluster: s.conf.Fleet.Cluster, Name: name, Zone: s.conf.Fleet.Zone, Listen: s.conf.Fleet.Listen.AddrPort,
 		Advertise: s.conf.Fleet.Advertise.AddrPort,
 		Session:   session, Seeds: s.conf.Seeds, Keepers: s.conf.Members, Terms: s.conf.Terms(), Duties: s.conf.Duties.Take,
-		Seed: uint64(c.Seed) ^ session, Tell: s.tell,
+		Seed: uint64(c.Seed) ^ session, OnEvent: s.tell,
 	}
 	if s.conf.Self != 0 {
 		if err := s.keep(&m, loop, logger); err != nil {
@@ -152,7 +152,7 @@
 	for _, at := range s.conf.Members {
 		k.Voters = append(k.Voters, at.ID)
 	}
-	m.Keeper, m.Log, m.Disk = &k, restored, file
+	m.Keeper, m.RestoredLog, m.Disk = &k, restored, file
 	return nil
 }
 
@@ -177,7 +177,7 @@
 	if e.Member != nil {
 		l = l.Str("member", e.Member.Name).Stringer("at", e.Member.Addr).Str("session", fmt.Sprintf("%x", e.Member.Session))
 	}
-	l.Msg("fleet: " + e.What)
+	l.Msg("fleet: " + e.Kind)
 }
 
 // judged logs a verdict that changed, with what it rests on.
@@ -214,7 +214,7 @@
 		return
 	}
 	fmt.Fprint(out, "fleet:")
-	for _, f := range i.Node().Figures() {
+	for _, f := range i.Node().CounterValues() {
 		fmt.Fprintf(out, " %s=%d", f.Name, f.Value)
 	}
 	fmt.Fprintln(out)
--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -67,9 +67,9 @@
 func newFleet(i *Instance, loop *poll.Loop, c Config) (*fleet, error) {
 	f := &fleet{instance: i, loop: loop, session: c.Fleet.Mesh.Session, leaseDuration: c.Fleet.Mesh.Terms.Lease, startedAt: loop.Now(), sameAddresses: c.Fleet.SameAddresses, askWithin: min(c.Settings.Config.Rules.MaxDiscoveryGap, routes.ListLease)}
 	m := c.Fleet.Mesh
-	tell := m.Tell
+	tell := m.OnEvent
 	m.Loop, m.OnAnnouncement = loop, f.onAnnouncement
-	m.Tell = func(e mesh.Event) {
+	m.OnEvent = func(e mesh.Event) {
 		if tell != nil {
 			tell(e)
 		}
@@ -83,12 +83,12 @@
 	m.Duties, f.duties = f.baseDuties, f.baseDuties
 	if share {
 		f.probes = newProbes(f, true)
-		m.Members = f.probes.onMembersChanged
+		m.OnMembersChanged = f.probes.onMembersChanged
 	}
 	if c.Fleet.MovesPerSecond > 0 {
 		f.moves = newMoves(f, c.Fleet.MovesPerSecond)
 	}
-	m.Direct = f.handleDirect
+	m.OnOwnerMessage = f.handleDirect
 	f.setUpSharing(c, &m)
 	var err error
 	if f.node, err = mesh.New(m); err != nil {
@@ -137,12 +137,12 @@
 		return true, time.Time{}, 0
 	}
 	announcement, vouched, ok := f.node.Latest(duty.Discovery)
-	if (!ok || announcement.Own || vouched.IsZero()) && f.node.HasOwner(duty.Discovery) {
+	if (!ok || announcement.Local || vouched.IsZero()) && f.node.HasOwner(duty.Discovery) {
 		// There is an owner that has not announced a list yet. Hundreds of processes that start
 		// together would keep discovery so busy that the owner's own request is lost among theirs.
 		// The known list is as old as this process.
 		vouched = f.startedAt
-	} else if !ok || announcement.Own {
+	} else if !ok || announcement.Local {
 		// It is not known yet whether there is an owner. In a large fleet a proxy spreads its first
 		// request over a longer time than this in any case.
 		return false, f.startedAt.Add(f.initialQueryDelay), duty.FallbackSpread(f.askWithin)
@@ -152,20 +152,20 @@
 
 // onOwnership handles a duty that was won or lost.
 func (f *fleet) onOwnership(e mesh.Event) {
-	if e.What == "lost" && f.limits != nil {
+	if e.Kind == "lost" && f.limits != nil {
 		f.limits.moveExcess()
 	}
-	if e.What == "own" && f.needsOwnerKnown(e.Lease) {
+	if e.Kind == "own" && f.needsOwnerKnown(e.Lease) {
 		f.announceOwnership(e.Lease)
 	}
-	if e.What == "fence-open" { // a duty won before this event could not be announced
+	if e.Kind == "fence-open" { // a duty won before this event could not be announced
 		for _, d := range f.duties {
 			if _, ok := f.node.Holds(d); ok && f.needsOwnerKnown(d) {
 				f.announceOwnership(d)
 			}
 		}
 	}
-	if e.What == "own" && e.Lease == duty.Discovery {
+	if e.Kind == "own" && e.Lease == duty.Discovery {
 		f.lastAnnounced = nil
 		f.instance.engine.Watch().ReevaluatePolicy()
 	}
@@ -229,7 +229,7 @@
 	me := evidence.Writer{Session: m.Session, Name: cmp.Or(m.Name, c.Name), Zone: m.Zone}
 	f.carrier = carrier.New(f.loop.Now(), me, evidenceConfig, evidence.Flaws{})
 	f.tickTimer.Fire = f.tick
-	m.Shared = func(from netip.AddrPort, s *mesh.Shared) { f.carrier.Take(f.loop.Now(), from, s) }
+	m.OnSharedMessage = func(from netip.AddrPort, s *mesh.SharedMessage) { f.carrier.Take(f.loop.Now(), from, s) }
 	m.SharedView = f.sharedView
 	if v != nil {
 		f.verdicts = newVerdicts(f, *v)
@@ -274,7 +274,7 @@
 }
 
 // handleDirect dispatches a direct message from another process about a duty.
-func (f *fleet) handleDirect(from netip.AddrPort, d *mesh.Direct) {
+func (f *fleet) handleDirect(from netip.AddrPort, d *mesh.OwnerMessage) {
 	switch {
 	case d.Lease == duty.Moves && f.moves != nil:
 		f.moves.handleDirect(from, d)
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -283,7 +283,7 @@
 		} else {
 			text += fmt.Sprintf(", slices held here for %d; exceeded by 0", l.capacity(now, lim))
 		}
-		all = append(all, mesh.SharedView{Matter: "limit", Name: lim.Name, State: state, AgeMS: age.Milliseconds(), Text: text})
+		all = append(all, mesh.SharedView{Topic: "limit", Name: lim.Name, State: state, AgeMS: age.Milliseconds(), Text: text})
 	}
 	return all
 }
--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -152,7 +152,7 @@
 	var all []mesh.SharedView
 	for _, id := range v.findingOrder {
 		finding := v.findings[id]
-		all = append(all, mesh.SharedView{Matter: "verdict", Name: id, State: finding.Verdict.String(), AgeMS: finding.Age.Milliseconds(),
+		all = append(all, mesh.SharedView{Topic: "verdict", Name: id, State: finding.Verdict.String(), AgeMS: finding.Age.Milliseconds(),
 			Text: fmt.Sprintf("%d witnesses, %d against", finding.Witnesses, finding.Against)})
 	}
 	return all
--- a/internal/lab/changes/wholelist.go
+++ b/internal/lab/changes/wholelist.go
@@ -131,7 +131,7 @@
 		}
 		k := keeper.DefaultConfig()
 		k.ID, k.Voters, k.Seed = uint64(i+1), []uint64{1, 2, 3}, seed
-		config.Keeper, config.Log, config.Disk = &k, log, disk
+		config.Keeper, config.RestoredLog, config.Disk = &k, log, disk
 	}
 	return host.Start(func(kernel poll.Kernel) (func() error, error) {
 		config.Loop = poll.NewOn(kernel, func() {})
@@ -155,7 +155,7 @@
 	var sum uint64
 	for _, node := range f.nodes {
 		if node != but {
-			sum += node.Count.BytesReceived
+			sum += node.Counters.BytesReceived
 		}
 	}
 	return sum
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -134,7 +134,7 @@
 	for _, a := range m.Keepers {
 		k.Voters = append(k.Voters, a.ID)
 	}
-	m.Keeper, m.Log, m.Disk = &k, log, d
+	m.Keeper, m.RestoredLog, m.Disk = &k, log, d
 	return nil
 }
 
@@ -177,10 +177,10 @@
 
 func (s *Shared) add(n *mesh.Node) {
 	if n != nil {
-		s.Datagrams += n.Count.Sent
-		s.Bytes += n.Count.BytesSent
-		s.Words += n.Count.AnnouncementsAccepted
-		s.Refused += n.Count.AnnouncementsStale
+		s.Datagrams += n.Counters.Sent
+		s.Bytes += n.Counters.BytesSent
+		s.Words += n.Counters.AnnouncementsAccepted
+		s.Refused += n.Counters.AnnouncementsStale
 	}
 }
 
