--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -182,7 +182,7 @@
 		if k.state == callWatching {
 			k.state = callSilent
 			d.loop.Disarm(&k.timer)
-			d.ledger.silenced(k.sock.Peer().Addr())
+			d.ledger.silenced(k.sock.RemoteAddr().Addr())
 		}
 	}
 }
@@ -333,7 +333,7 @@
 		k.flush()
 		return
 	}
-	now, proxy := k.d.loop.Now(), k.sock.Peer().Addr()
+	now, proxy := k.d.loop.Now(), k.sock.RemoteAddr().Addr()
 	for _, e := range entries {
 		k.d.ledger.tell(now, proxy, e)
 	}
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -284,7 +284,7 @@
 	}
 	s.asked, s.open, s.class = true, o, 0
 	if r.c.SiteOf != nil {
-		if from := r.c.SiteOf(s.sock.Peer().Addr()); from != "" && from != r.c.Site {
+		if from := r.c.SiteOf(s.sock.RemoteAddr().Addr()); from != "" && from != r.c.Site {
 			r.ledger.Count.Crossing++
 		}
 	}
--- a/internal/poll/epoll.go
+++ b/internal/poll/epoll.go
@@ -303,7 +303,7 @@
 	return time.Duration(info.Last_data_recv) * time.Millisecond
 }
 
-func (k *epoll) Name(fd int) netip.AddrPort {
+func (k *epoll) LocalAddr(fd int) netip.AddrPort {
 	sa, err := unix.Getsockname(fd)
 	if err != nil {
 		return netip.AddrPort{}
@@ -311,7 +311,7 @@
 	return addrPort(sa)
 }
 
-func (k *epoll) Peer(fd int) netip.AddrPort {
+func (k *epoll) RemoteAddr(fd int) netip.AddrPort {
 	sa, err := unix.Getpeername(fd)
 	if err != nil {
 		return netip.AddrPort{}
--- a/internal/poll/kernel.go
+++ b/internal/poll/kernel.go
@@ -61,9 +61,9 @@
 	Fault(fd int) error
 	// Idle tells how long ago the last bytes arrived at this machine.
 	Idle(fd int) time.Duration
-	// Name is the local address, Peer that of a connection's far end.
-	Name(fd int) netip.AddrPort
-	Peer(fd int) netip.AddrPort
+	// LocalAddr is the local address, Peer that of a connection's far end.
+	LocalAddr(fd int) netip.AddrPort
+	RemoteAddr(fd int) netip.AddrPort
 }
 
 // Interest is what a socket waits for. Hang-ups and errors are told in any case.
--- a/internal/poll/listener.go
+++ b/internal/poll/listener.go
@@ -147,7 +147,7 @@
 }
 
 // Addr is the address at which it listens.
-func (n *Listener) Addr() netip.AddrPort { return n.sock.Name() }
+func (n *Listener) Addr() netip.AddrPort { return n.sock.LocalAddr() }
 
 // Closed tells whether Close was called.
 func (n *Listener) Closed() bool { return n.sock.fd < 0 }
--- a/internal/poll/packet.go
+++ b/internal/poll/packet.go
@@ -37,7 +37,7 @@
 }
 
 // Addr is the address at which it is.
-func (u *Packets) Addr() netip.AddrPort { return u.sock.Name() }
+func (u *Packets) Addr() netip.AddrPort { return u.sock.LocalAddr() }
 
 // Close gives the descriptor back. Further calls do nothing.
 func (u *Packets) Close() { u.sock.Close() }
--- a/internal/poll/socket.go
+++ b/internal/poll/socket.go
@@ -101,11 +101,11 @@
 // Idle tells how long ago the last bytes arrived, by the kernel's word: they may have waited for the loop.
 func (s *Socket) Idle() time.Duration { return s.loop.kernel.Idle(s.fd) }
 
-// Name is the connection's local address.
-func (s *Socket) Name() netip.AddrPort { return s.loop.kernel.Name(s.fd) }
+// LocalAddr is the connection's local address.
+func (s *Socket) LocalAddr() netip.AddrPort { return s.loop.kernel.LocalAddr(s.fd) }
 
-// Peer is the address of the connection's far end.
-func (s *Socket) Peer() netip.AddrPort { return s.loop.kernel.Peer(s.fd) }
+// RemoteAddr is the address of the connection's far end.
+func (s *Socket) RemoteAddr() netip.AddrPort { return s.loop.kernel.RemoteAddr(s.fd) }
 
 // Close ends the connection and gives its descriptor back. Further calls do nothing.
 func (s *Socket) Close() {
--- a/internal/vnet/kernel.go
+++ b/internal/vnet/kernel.go
@@ -307,7 +307,7 @@
 	return 0
 }
 
-func (k *kernel) Name(fd int) netip.AddrPort {
+func (k *kernel) LocalAddr(fd int) netip.AddrPort {
 	switch f := k.file(fd).(type) {
 	case *end:
 		return f.local
@@ -319,7 +319,7 @@
 	return netip.AddrPort{}
 }
 
-func (k *kernel) Peer(fd int) netip.AddrPort {
+func (k *kernel) RemoteAddr(fd int) netip.AddrPort {
 	if e := k.end(fd); e != nil {
 		return e.remote
 	}
--- a/internal/vnet/vnet_test.go
+++ b/internal/vnet/vnet_test.go
@@ -145,8 +145,8 @@
 	s.sock.CloseWrite()
 	a.run(10 * ms)
 	far := b.taken[0]
-	if string(far.got) != "hello" || far.err != io.EOF || far.sock.Peer().Addr() != a.host.Addr() {
-		t.Fatalf("got %q, %v from %v", far.got, far.err, far.sock.Peer())
+	if string(far.got) != "hello" || far.err != io.EOF || far.sock.RemoteAddr().Addr() != a.host.Addr() {
+		t.Fatalf("got %q, %v from %v", far.got, far.err, far.sock.RemoteAddr())
 	}
 	far.sock.Close()
 	a.run(10 * ms)
