--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -345,7 +345,7 @@
 func (c *client) Ready(r poll.Ready) {
 	w := c.w
 	if c.state == clientDialing {
-		if c.sock.Established() != nil {
+		if c.sock.DialError() != nil {
 			w.ledger.Count.Unmade++
 			c.retry(0)
 			return
--- a/internal/fleet/front.go
+++ b/internal/fleet/front.go
@@ -143,7 +143,7 @@
 // Ready is called by the loop.
 func (s *seat) Ready(r poll.Ready) {
 	if len(s.got) == 0 && r.Write {
-		if s.sock.Established() != nil {
+		if s.sock.DialError() != nil {
 			s.hangUp()
 			s.fails()
 			return
--- a/internal/fleet/rude.go
+++ b/internal/fleet/rude.go
@@ -84,7 +84,7 @@
 
 func (c *rudeClient) Ready(e poll.Ready) {
 	if !c.up {
-		if c.sock.Established() != nil {
+		if c.sock.DialError() != nil {
 			c.end()
 			return
 		}
--- a/internal/instance/hard_test.go
+++ b/internal/instance/hard_test.go
@@ -34,7 +34,7 @@
 
 func (e *testConn) Ready(r poll.Ready) {
 	if !e.established {
-		if e.err = e.socket.Established(); e.err != nil {
+		if e.err = e.socket.DialError(); e.err != nil {
 			e.close()
 			return
 		}
--- a/internal/poll/epoll.go
+++ b/internal/poll/epoll.go
@@ -287,7 +287,7 @@
 	_ = unix.SetsockoptLinger(fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 }
 
-func (k *epoll) Fault(fd int) error {
+func (k *epoll) SocketError(fd int) error {
 	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
 		err = unix.Errno(code)
--- a/internal/poll/kernel.go
+++ b/internal/poll/kernel.go
@@ -57,8 +57,8 @@
 	CloseWrite(fd int)
 	// ResetOnClose has CloseFD end the connection with a reset.
 	ResetOnClose(fd int)
-	// Fault takes a connection's pending error; nil: none.
-	Fault(fd int) error
+	// SocketError takes a connection's pending error; nil: none.
+	SocketError(fd int) error
 	// Idle tells how long ago the last bytes arrived at this machine.
 	Idle(fd int) time.Duration
 	// LocalAddr is the local address, Peer that of a connection's far end.
--- a/internal/poll/poll_test.go
+++ b/internal/poll/poll_test.go
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	turn()
-	if string(client.data) != "hello" || client.s.Established() != nil {
+	if string(client.data) != "hello" || client.s.DialError() != nil {
 		t.Fatalf("got %q", client.data)
 	}
 	server.s.Reset()
--- a/internal/poll/socket.go
+++ b/internal/poll/socket.go
@@ -28,8 +28,8 @@
 	return l.add(fd, h, WantWrite), nil
 }
 
-// Established tells how a Dial ended.
-func (s *Socket) Established() error { return s.loop.kernel.Fault(s.fd) }
+// DialError tells how a Dial ended.
+func (s *Socket) DialError() error { return s.loop.kernel.SocketError(s.fd) }
 
 // Urgent has the socket told before all others in each turn, from the next one on: what it brings changes what may be
 // done with them. Its handler must bear being told that it may read when nothing is there.
--- a/internal/proxy/hop.go
+++ b/internal/proxy/hop.go
@@ -100,7 +100,7 @@
 func (h *hop) Ready(r poll.Ready) {
 	switch {
 	case h.state == hopDialing:
-		if err := h.link.sock.Established(); err != nil {
+		if err := h.link.sock.DialError(); err != nil {
 			h.endWith(balance.NoConnect, noReport)
 			return
 		}
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -198,7 +198,7 @@
 // Ready handles socket events; the loop calls it.
 func (p *targetState) Ready(r poll.Ready) {
 	if p.state == probeDialing {
-		if p.link.sock.Established() != nil {
+		if p.link.sock.DialError() != nil {
 			p.failProbe(balance.NoConnect)
 			return
 		}
--- a/internal/proxy/races_test.go
+++ b/internal/proxy/races_test.go
@@ -278,7 +278,7 @@
 	for _, s := range slices.Clone(b.frontend.sessions) {
 		b.frontend.refuseAndClose(s)
 	}
-	if err := closing.sock.Established(); err != nil { // its pending error
+	if err := closing.sock.DialError(); err != nil { // its pending error
 		t.Errorf("connection with its last line: %v", err)
 	}
 	b.waitFor("the end", func() bool { return opening.eof || opening.reset })
--- a/internal/routes/watch.go
+++ b/internal/routes/watch.go
@@ -293,7 +293,7 @@
 // Ready implements poll.Handler.
 func (w *Watch) Ready(r poll.Ready) {
 	if w.state == watchDialing {
-		if err := w.socket.Established(); err != nil {
+		if err := w.socket.DialError(); err != nil {
 			w.lease.Unreachable(w.loop.Now())
 			w.fail(err)
 			return
--- a/internal/vnet/kernel.go
+++ b/internal/vnet/kernel.go
@@ -290,7 +290,7 @@
 	}
 }
 
-func (k *kernel) Fault(fd int) error {
+func (k *kernel) SocketError(fd int) error {
 	e := k.end(fd)
 	if e == nil {
 		return unix.ECONNRESET
--- a/internal/vnet/vnet_test.go
+++ b/internal/vnet/vnet_test.go
@@ -29,7 +29,7 @@
 
 func (s *side) Ready(r poll.Ready) {
 	if !s.up {
-		if s.err = s.sock.Established(); s.err != nil {
+		if s.err = s.sock.DialError(); s.err != nil {
 			s.sock.Close()
 			return
 		}
