--- a/internal/lab/wires.go
+++ b/internal/lab/wires.go
@@ -33,8 +33,8 @@
 
 type lead struct {
 	w         *wires
-	to        netip.AddrPort // of the process
-	sock      *poll.Packets  // its public one
+	to        netip.AddrPort  // of the process
+	sock      *poll.UDPSocket // its public one
 	deaf, mut bool
 }
 
@@ -52,7 +52,7 @@
 	}
 	x := &lead{w: w, to: at}
 	var err error
-	if x.sock, err = w.loop.OpenPackets(public(at), x); err != nil {
+	if x.sock, err = w.loop.OpenUDP(public(at), x); err != nil {
 		return fmt.Errorf("wire of %s: %w", at, err)
 	}
 	w.all[at] = x
--- a/internal/mesh/node.go
+++ b/internal/mesh/node.go
@@ -74,7 +74,7 @@
 
 // open opens the socket.
 func (n *Node) open() error {
-	socket, err := n.loop.OpenPackets(n.cfg.Listen, n)
+	socket, err := n.loop.OpenUDP(n.cfg.Listen, n)
 	if err != nil {
 		return fmt.Errorf("mesh: %w", err)
 	}
--- a/internal/mesh/query.go
+++ b/internal/mesh/query.go
@@ -20,7 +20,7 @@
 // query is a request of an operator's, on a loop and a socket of its own.
 type query struct {
 	loop    *poll.Loop
-	socket  *poll.Packets
+	socket  *poll.UDPSocket
 	cluster string
 	take    func(*envelope) (done bool) // is called with each message; true once it has the whole response
 	done    bool
@@ -33,7 +33,7 @@
 	}
 	q := &query{loop: loop, cluster: cluster, take: take}
 	anyAddress := netip.AddrPortFrom(netip.IPv4Unspecified(), 0)
-	if q.socket, err = loop.OpenPackets(anyAddress, q); err != nil {
+	if q.socket, err = loop.OpenUDP(anyAddress, q); err != nil {
 		loop.Close()
 		return nil, err
 	}
--- a/internal/mesh/transport.go
+++ b/internal/mesh/transport.go
@@ -13,7 +13,7 @@
 // transport sends and receives the messages of one cluster, a datagram each, and counts them.
 type transport struct {
 	loop    *poll.Loop
-	socket  *poll.Packets
+	socket  *poll.UDPSocket
 	cluster string
 	count   *Counters
 	buffer  [receiveBuffer]byte
--- a/internal/poll/poll_test.go
+++ b/internal/poll/poll_test.go
@@ -249,8 +249,8 @@
 	at := netip.MustParseAddrPort("127.0.0.1:0")
 	var got []string
 	var from netip.AddrPort
-	var in *Packets
-	in, err := l.OpenPackets(at, handler(func(Ready) {
+	var in *UDPSocket
+	in, err := l.OpenUDP(at, handler(func(Ready) {
 		var buf [64]byte
 		for {
 			n, who, err := in.Receive(buf[:])
@@ -266,7 +266,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := l.OpenPackets(at, handler(func(Ready) {}))
+	out, err := l.OpenUDP(at, handler(func(Ready) {}))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -75,7 +75,7 @@
 // link is a process's public socket: what the others send to it comes in here, and what it sends goes out of it.
 type link struct {
 	p    *proc
-	sock *poll.Packets
+	sock *poll.UDPSocket
 	in   bool // what comes in is lost
 	out  bool // what it sends is lost
 	held []heldWord
@@ -123,7 +123,7 @@
 		r.procs = append(r.procs, p)
 		r.byListen[p.listen] = p
 		l := &link{p: p}
-		if l.sock, err = loop.OpenPackets(p.public, l); err != nil {
+		if l.sock, err = loop.OpenUDP(p.public, l); err != nil {
 			r.Close()
 			return nil, fmt.Errorf("rig: %w", err)
 		}
--- a/internal/vnet/vnet_test.go
+++ b/internal/vnet/vnet_test.go
@@ -343,8 +343,8 @@
 	w = New(1, func(_, _ *Host) Link { return Link{Delay: ms, Loss: 0.5} })
 	a, b = newMachine(t, w, "a", 1, Limits{}), newMachine(t, w, "b", 2, Limits{})
 	got := 0
-	var in *poll.Packets
-	in, err := b.loop.OpenPackets(b.at(53), ready(func(poll.Ready) {
+	var in *poll.UDPSocket
+	in, err := b.loop.OpenUDP(b.at(53), ready(func(poll.Ready) {
 		var buf [16]byte
 		for {
 			if _, from, err := in.Receive(buf[:]); err != nil || from.Addr() != a.host.Addr() {
@@ -356,7 +356,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := a.loop.OpenPackets(a.at(0), ready(func(poll.Ready) {}))
+	out, err := a.loop.OpenUDP(a.at(0), ready(func(poll.Ready) {}))
 	if err != nil {
 		t.Fatal(err)
 	}
