--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -183,7 +183,7 @@
 
 // moveExcess moves clients whose slices are lost, at once and before anything else.
 func (l *limits) moveExcess() {
-	now := l.fleet.loop.Refresh()
+	now := l.fleet.loop.RefreshNow()
 	for i, x := range l.states {
 		if x.slices == nil {
 			continue
--- a/internal/mesh/transport.go
+++ b/internal/mesh/transport.go
@@ -43,7 +43,7 @@
 	}
 	// A stop of the process between the turn's look at the clock and this read must not make an age that is told shorter, or a
 	// renewal look as if it had come before it was asked for.
-	t.loop.Refresh()
+	t.loop.RefreshNow()
 	t.count.Received++
 	t.count.BytesReceived += uint64(size)
 	return t.parse(size), from, true
--- a/internal/poll/callfaults/callfaults.go
+++ b/internal/poll/callfaults/callfaults.go
@@ -138,8 +138,8 @@
 		return under.EpollWait(epfd, events, milliseconds)
 	}
 	begun := time.Now()
-	calls.Wall = func() time.Time {
-		now := under.Wall()
+	calls.WallTime = func() time.Time {
+		now := under.WallTime()
 		for _, step := range p.Steps {
 			if time.Since(begun) >= step.After {
 				now = now.Add(step.By)
--- a/internal/poll/epoll.go
+++ b/internal/poll/epoll.go
@@ -39,7 +39,7 @@
 // Now is read by the monotonic clock, which package time keeps beside the wall clock: spans between two such times are of that one.
 func (k *epoll) Now() time.Time { return time.Now() }
 
-func (k *epoll) Wall() time.Time { return k.calls.Wall() }
+func (k *epoll) WallTime() time.Time { return k.calls.WallTime() }
 
 func (k *epoll) Close() {
 	unix.Close(k.wakefd)
--- a/internal/poll/kernel.go
+++ b/internal/poll/kernel.go
@@ -14,9 +14,9 @@
 type Kernel interface {
 	// Now is the machine's clock for spans of time: it is never stepped.
 	Now() time.Time
-	// Wall is the machine's wall clock. It may be stepped at any time, forward or back, by an hour and more, and is no measure of any
+	// WallTime is the machine's wall clock. It may be stepped at any time, forward or back, by an hour and more, and is no measure of any
 	// span; only what other machines tell in Unix time is read by it.
-	Wall() time.Time
+	WallTime() time.Time
 	// Wait gathers what is ready into events and returns how many there are. It waits for the first one for at
 	// most that long; below 0, without end. It may return early with none.
 	Wait(events []Event, most time.Duration) (int, error)
--- a/internal/poll/loop.go
+++ b/internal/poll/loop.go
@@ -69,12 +69,12 @@
 // Now is the time at which the turn began.
 func (l *Loop) Now() time.Time { return l.now }
 
-// Wall is the machine's wall clock now; see Kernel.
-func (l *Loop) Wall() time.Time { return l.kernel.Wall() }
+// WallTime is the machine's wall clock now; see Kernel.
+func (l *Loop) WallTime() time.Time { return l.kernel.WallTime() }
 
-// Refresh reads the clock anew and returns it: the process may have been stopped since the turn began, and what it reads now may have
+// RefreshNow reads the clock anew and returns it: the process may have been stopped since the turn began, and what it reads now may have
 // been sent meanwhile. Whoever answers for the age of something reads the clock after the question.
-func (l *Loop) Refresh() time.Time {
+func (l *Loop) RefreshNow() time.Time {
 	if now := l.kernel.Now(); now.After(l.now) {
 		l.now = now
 	}
--- a/internal/poll/syscalls.go
+++ b/internal/poll/syscalls.go
@@ -20,8 +20,8 @@
 	Send         func(fd int, p []byte) (int, error)
 	OpenFile     func(path string, flags int, mode uint32) (int, error)
 	Close        func(fd int) error
-	// Wall is the machine's wall clock, which may be stepped.
-	Wall func() time.Time
+	// WallTime is the machine's wall clock, which may be stepped.
+	WallTime func() time.Time
 }
 
 // LinuxCalls returns the calls themselves.
@@ -40,6 +40,6 @@
 		},
 		OpenFile: unix.Open,
 		Close:    unix.Close,
-		Wall:     func() time.Time { return time.Now().Round(0) },
+		WallTime: func() time.Time { return time.Now().Round(0) },
 	}
 }
--- a/internal/proxy/effect.go
+++ b/internal/proxy/effect.go
@@ -64,7 +64,7 @@
 // since the hop began, the client may have left, the window of the class may have ended or the
 // target may have stopped. If it returns false, the hop must end with balance.NotSent.
 func (x *Exchange) BeginSend() bool {
-	now := x.engine.loop.Refresh()
+	now := x.engine.loop.RefreshNow()
 	if x.answered {
 		return false
 	}
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -120,7 +120,7 @@
 	})
 	e.startedAt = e.loop.Now()
 	module.Start(e.startedAt)
-	e.bootTimes = routes.NewStartTimes(e.loop.Refresh(), e.loop.Wall()) // reads both clocks at the same moment
+	e.bootTimes = routes.NewStartTimes(e.loop.RefreshNow(), e.loop.WallTime()) // reads both clocks at the same moment
 	e.bootTimes.SetStarts(c.Known, e.startedAt, time.Time{})
 	e.table.Merge(c.Known)
 	e.push(event{kind: evList, list: balance.ListStale, entries: backends(c.Known.Hosts)})
--- a/internal/proxy/hop.go
+++ b/internal/proxy/hop.go
@@ -133,7 +133,7 @@
 // arrived meanwhile.
 func (h *hop) send() {
 	f := h.session.frontend
-	left := h.answerDeadline.Sub(f.loop.Refresh())
+	left := h.answerDeadline.Sub(f.loop.RefreshNow())
 	if left < time.Millisecond || !h.session.exchange.BeginSend() {
 		h.endWith(balance.NotSent, noReport)
 		return
--- a/internal/vnet/kernel.go
+++ b/internal/vnet/kernel.go
@@ -32,7 +32,7 @@
 
 func (k *kernel) over() bool { return k.life != k.host.life }
 
-func (k *kernel) Wall() time.Time { return k.Now().Add(k.host.wallStep) }
+func (k *kernel) WallTime() time.Time { return k.Now().Add(k.host.wallStep) }
 
 func (k *kernel) Now() time.Time {
 	k.read = max(k.read, k.clock())
