--- a/internal/poll/epoll.go
+++ b/internal/poll/epoll.go
@@ -195,7 +195,7 @@
 	return fd, nil
 }
 
-func (k *epoll) Spare() (int, error) {
+func (k *epoll) OpenReserve() (int, error) {
 	return k.calls.OpenFile("/dev/null", unix.O_RDONLY|unix.O_CLOEXEC, 0)
 }
 
@@ -217,7 +217,7 @@
 	return k.calls.EpollControl(k.epfd, unix.EPOLL_CTL_ADD, fd, &ev)
 }
 
-func (k *epoll) Rewatch(fd int, want Interest, slot, gen int32) error {
+func (k *epoll) UpdateWatch(fd int, want Interest, slot, gen int32) error {
 	ev := unix.EpollEvent{Events: mask(want), Fd: slot, Pad: gen}
 	return k.calls.EpollControl(k.epfd, unix.EPOLL_CTL_MOD, fd, &ev)
 }
--- a/internal/poll/kernel.go
+++ b/internal/poll/kernel.go
@@ -35,15 +35,15 @@
 	Accept(fd int) (conn int, err error)
 	// OpenUDP opens a UDP socket at an address; port 0 picks one.
 	OpenUDP(at netip.AddrPort) (fd int, err error)
-	// Spare opens a descriptor that stands for nothing, to be closed when descriptors run out.
-	Spare() (fd int, err error)
+	// OpenReserve opens a descriptor that stands for nothing, to be closed when descriptors run out.
+	OpenReserve() (fd int, err error)
 	// CloseFD gives a descriptor back. A connection with unread bytes is reset by it, else it ends in order.
 	CloseFD(fd int)
 
 	// Watch puts a descriptor under Wait, with the slot and generation that its events are to carry; Rewatch
 	// changes what is waited for. Either may fail for want of memory, and is to be tried again then.
 	Watch(fd int, want Interest, slot, gen int32) error
-	Rewatch(fd int, want Interest, slot, gen int32) error
+	UpdateWatch(fd int, want Interest, slot, gen int32) error
 
 	// Read and Send move bytes of a connection: ErrAgain, unwrapped, if there are none, or no room. Read returns 0 bytes
 	// without an error once the other end has ended its sending.
--- a/internal/poll/listener.go
+++ b/internal/poll/listener.go
@@ -40,7 +40,7 @@
 	if n.reserve >= 0 || n.sock.fd < 0 {
 		return
 	}
-	fd, err := n.sock.loop.kernel.Spare()
+	fd, err := n.sock.loop.kernel.OpenReserve()
 	if err != nil {
 		fd = -1 // tried again with the next connection
 	}
--- a/internal/poll/loop.go
+++ b/internal/poll/loop.go
@@ -187,7 +187,7 @@
 	gen := l.slots[s.slot].gen
 	var err error
 	if s.watched {
-		err = l.kernel.Rewatch(s.fd, s.want, s.slot, gen)
+		err = l.kernel.UpdateWatch(s.fd, s.want, s.slot, gen)
 	} else {
 		err = l.kernel.Watch(s.fd, s.want, s.slot, gen)
 	}
--- a/internal/poll/poll_test.go
+++ b/internal/poll/poll_test.go
@@ -312,8 +312,8 @@
 		pair(i)
 	}
 	last := pair(10)
-	last.Urgent()
-	last.Urgent()
+	last.SetUrgent()
+	last.SetUrgent()
 	if err := l.Turn(false); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/poll/socket.go
+++ b/internal/poll/socket.go
@@ -31,9 +31,9 @@
 // DialError tells how a Dial ended.
 func (s *Socket) DialError() error { return s.loop.kernel.SocketError(s.fd) }
 
-// Urgent has the socket told before all others in each turn, from the next one on: what it brings changes what may be
+// SetUrgent has the socket told before all others in each turn, from the next one on: what it brings changes what may be
 // done with them. Its handler must bear being told that it may read when nothing is there.
-func (s *Socket) Urgent() {
+func (s *Socket) SetUrgent() {
 	if !s.urgent && s.fd >= 0 {
 		s.urgent = true
 		s.loop.urgent = append(s.loop.urgent, s)
--- a/internal/routes/watch.go
+++ b/internal/routes/watch.go
@@ -248,7 +248,7 @@
 		// After a stall of the process an answer may be readable together with hops whose
 		// connections were established meanwhile. It must be read first: a hop to a draining target
 		// has to be cancelled instead of sent.
-		sock.Urgent()
+		sock.SetUrgent()
 		w.socket, w.state = sock, watchDialing
 		if w.pushed {
 			w.loop.After(&w.timer, pushedDialTimeout)
--- a/internal/vnet/kernel.go
+++ b/internal/vnet/kernel.go
@@ -188,7 +188,7 @@
 	return fd, nil
 }
 
-func (k *kernel) Spare() (int, error) {
+func (k *kernel) OpenReserve() (int, error) {
 	if k.over() {
 		return -1, unix.ENETDOWN
 	}
@@ -232,7 +232,7 @@
 	return nil
 }
 
-func (k *kernel) Rewatch(fd int, want poll.Interest, _, _ int32) error {
+func (k *kernel) UpdateWatch(fd int, want poll.Interest, _, _ int32) error {
 	f := k.file(fd)
 	if f == nil {
 		return unix.EBADF
