--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -365,7 +365,7 @@
 		c.ended()
 		return
 	}
-	whole, rest, err := line.Whole(w.scratch[:held+n])
+	whole, rest, err := line.SplitComplete(w.scratch[:held+n])
 	if err != nil {
 		w.ledger.broken("line-too-long", "client %s got a line over the limit", c.key)
 		c.ended()
@@ -375,7 +375,7 @@
 	for len(whole) > 0 && c.sock != nil {
 		var first []byte
 		first, whole = line.Next(whole)
-		c.hear(line.Text(first))
+		c.hear(line.TrimLineEnd(first))
 	}
 }
 
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -234,7 +234,7 @@
 		s.end()
 		return
 	}
-	whole, rest, err := line.Whole(scratch[:held+n])
+	whole, rest, err := line.SplitComplete(scratch[:held+n])
 	if err != nil {
 		s.end()
 		return
@@ -243,7 +243,7 @@
 	for len(whole) > 0 && !s.gone {
 		var first []byte
 		first, whole = line.Next(whole)
-		s.line(line.Text(first))
+		s.line(line.TrimLineEnd(first))
 	}
 }
 
--- a/internal/lab/attempts.go
+++ b/internal/lab/attempts.go
@@ -10,7 +10,7 @@
 
 // attempt sees a proxy ask a relay.
 func (j *judge) attempt(c *vnet.Conn, w *tapped) {
-	o, err := line.ParseOpen(line.Text(w.first))
+	o, err := line.ParseOpen(line.TrimLineEnd(w.first))
 	asks := bytes.HasPrefix(w.first, openWord)
 	w.first = nil
 	if !asks {
--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -140,7 +140,7 @@
 		*have = append(*have, data[:i+1]...)
 		return true
 	}
-	if len(*have) < line.Max {
+	if len(*have) < line.MaxLength {
 		*have = append(*have, data...)
 	}
 	return false
@@ -205,7 +205,7 @@
 		return
 	}
 	w.heard = true
-	word, _ := line.ParseWord(line.Text(w.word))
+	word, _ := line.ParseWord(line.TrimLineEnd(w.word))
 	w.refused = word == line.Busy
 	if word != line.Up && w.req.out == w {
 		w.req.out = nil
--- a/internal/lab/requests.go
+++ b/internal/lab/requests.go
@@ -32,7 +32,7 @@
 
 // asked sees the first line of a client.
 func (j *judge) asked(c *vnet.Conn, w *tapped) {
-	o, err := line.ParseOpen(line.Text(w.first))
+	o, err := line.ParseOpen(line.TrimLineEnd(w.first))
 	w.first = nil
 	if err != nil {
 		return // a check of the front's, or a bad client
@@ -77,7 +77,7 @@
 		first = data // in pieces: its beginning tells enough
 	}
 	r.answered = true
-	word, advice := line.ParseWord(line.Text(first))
+	word, advice := line.ParseWord(line.TrimLineEnd(first))
 	if word == line.Busy && j.cold != nil {
 		j.cold.refused = now
 	}
--- a/internal/line/line.go
+++ b/internal/line/line.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Max is the longest line that the protocol allows, its end included.
-const Max = 4096
+// MaxLength is the longest line that the protocol allows, its end included.
+const MaxLength = 4096
 
 // ErrTooLong means that a line is longer than Max.
 var ErrTooLong = errors.New("line: over 4096 bytes")
@@ -19,11 +19,11 @@
 // ErrSyntax means that a line is not of the protocol.
 var ErrSyntax = errors.New("line: not of the protocol")
 
-// Whole splits data after its last complete line. It fails if any line, also the one begun, is too long.
-func Whole(data []byte) (whole, rest []byte, err error) {
+// SplitComplete splits data after its last complete line. It fails if any line, also the one begun, is too long.
+func SplitComplete(data []byte) (whole, rest []byte, err error) {
 	for rest = data; ; {
 		i := bytes.IndexByte(rest, '\n')
-		if i+1 > Max || i < 0 && len(rest) >= Max {
+		if i+1 > MaxLength || i < 0 && len(rest) >= MaxLength {
 			return nil, nil, ErrTooLong
 		}
 		if i < 0 {
@@ -39,8 +39,8 @@
 	return data[:i], data[i:]
 }
 
-// Text takes the end off a line.
-func Text(line []byte) []byte {
+// TrimLineEnd takes the end off a line.
+func TrimLineEnd(line []byte) []byte {
 	return bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
 }
 
@@ -143,7 +143,7 @@
 
 // The words that mean something to a proxy.
 const (
-	Other Word = iota
+	Unknown Word = iota
 	Up
 	Bye
 	Move
@@ -172,23 +172,23 @@
 	case "PONG":
 		return Pong, rest
 	}
-	return Other, rest
+	return Unknown, rest
 }
 
-// Figures calls put for each name=figure of a load report; what is no figure is passed over.
-func Figures(report []byte, put func(name string, v float64)) {
+// ParseReport calls put for each name=figure of a load report; what is no figure is passed over.
+func ParseReport(report []byte, put func(name string, v float64)) {
 	for len(report) > 0 {
 		var pair []byte
 		pair, report, _ = bytes.Cut(report, []byte(","))
 		name, value, _ := bytes.Cut(pair, []byte("="))
-		if v, ok := Figure(value); ok {
+		if v, ok := ParseNumber(value); ok {
 			put(string(name), v)
 		}
 	}
 }
 
-// Figure reads a finite number.
-func Figure(value []byte) (float64, bool) {
+// ParseNumber reads a finite number.
+func ParseNumber(value []byte) (float64, bool) {
 	v, err := strconv.ParseFloat(string(bytes.TrimSpace(value)), 64)
 	return v, err == nil && !math.IsInf(v, 0) && !math.IsNaN(v)
 }
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -46,7 +46,7 @@
 // A figure that is absent or odd must not pass for zero.
 func TestFigures(t *testing.T) {
 	got := map[string]float64{}
-	Figures([]byte("cpu=0.5,x0=,rps=-,odd,y=NaN,z=+Inf,w=3"), func(n string, v float64) { got[n] = v })
+	ParseReport([]byte("cpu=0.5,x0=,rps=-,odd,y=NaN,z=+Inf,w=3"), func(n string, v float64) { got[n] = v })
 	if len(got) != 2 || got["cpu"] != 0.5 || got["w"] != 3 {
 		t.Errorf("read %v", got)
 	}
@@ -66,21 +66,21 @@
 func FuzzWhole(f *testing.F) {
 	f.Add([]byte("OPEN a b c=x,d=1\r\nPING\r\nhalf"), uint8(3))
 	f.Add([]byte("\n\r\n\n"), uint8(1))
-	f.Add(bytes.Repeat([]byte("x"), Max+1), uint8(200))
-	f.Add([]byte(strings.Repeat("y", Max-2)+"\r\nz\r\n"), uint8(255))
+	f.Add(bytes.Repeat([]byte("x"), MaxLength+1), uint8(200))
+	f.Add([]byte(strings.Repeat("y", MaxLength-2)+"\r\nz\r\n"), uint8(255))
 	f.Fuzz(func(t *testing.T, stream []byte, cut uint8) {
 		step := int(cut) + 1
 		var rest, out []byte
 		failed := false
 		for at := 0; at < len(stream) && !failed; at += step {
 			data := append(append([]byte(nil), rest...), stream[at:min(at+step, len(stream))]...)
-			whole, more, err := Whole(data)
+			whole, more, err := SplitComplete(data)
 			if failed = err != nil; failed {
 				break
 			}
 			for len(whole) > 0 {
 				var first []byte
-				if first, whole = Next(whole); bytes.Count(first, []byte("\n")) != 1 || len(first) > Max {
+				if first, whole = Next(whole); bytes.Count(first, []byte("\n")) != 1 || len(first) > MaxLength {
 					t.Fatalf("a line of %d bytes: %q", len(first), first)
 				}
 				out = append(out, first...)
@@ -89,7 +89,7 @@
 		}
 		tooLong := false
 		for _, l := range bytes.SplitAfter(stream, []byte("\n")) {
-			tooLong = tooLong || len(l) > Max || len(l) == Max && !bytes.HasSuffix(l, []byte("\n"))
+			tooLong = tooLong || len(l) > MaxLength || len(l) == MaxLength && !bytes.HasSuffix(l, []byte("\n"))
 		}
 		if failed != tooLong {
 			t.Fatalf("too long: %v, told %v", tooLong, failed)
@@ -108,7 +108,7 @@
 		if err != nil {
 			return
 		}
-		again, err := ParseOpen(Text(o.Append(nil, 250*time.Millisecond)))
+		again, err := ParseOpen(TrimLineEnd(o.Append(nil, 250*time.Millisecond)))
 		if err != nil || again.Wait != 250*time.Millisecond {
 			t.Fatalf("%q goes on as %+v, %v", text, again, err)
 		}
--- a/internal/proxy/hop.go
+++ b/internal/proxy/hop.go
@@ -195,10 +195,10 @@
 		return
 	}
 	first, more := line.Next(lines)
-	text := line.Text(first)
+	text := line.TrimLineEnd(first)
 	word, rest := line.ParseWord(text)
 	if word == line.Up && len(rest) == 0 { // UP is valid only with a receipt
-		word = line.Other
+		word = line.Unknown
 	}
 	switch word {
 	case line.Up:
@@ -247,7 +247,7 @@
 
 func (h *hop) parseReport(text []byte) balance.Report {
 	rep := noReport
-	line.Figures(text, func(name string, v float64) { h.session.frontend.settings.Put(&rep, name, v) })
+	line.ParseReport(text, func(name string, v float64) { h.session.frontend.settings.Put(&rep, name, v) })
 	return rep
 }
 
--- a/internal/proxy/lines.go
+++ b/internal/proxy/lines.go
@@ -66,7 +66,7 @@
 	maxOpeningLines = 8
 	// openingReadSize is how many bytes of a client without an established connection are read in a
 	// turn of the loop: more than the longest line.
-	openingReadSize = 2 * line.Max
+	openingReadSize = 2 * line.MaxLength
 	// maxDiscard is how many bytes are read and discarded of a client that was sent its last line.
 	maxDiscard = 64 << 10
 	// lingerTimeout is how long the client may take to close a connection after its last line.
--- a/internal/proxy/link.go
+++ b/internal/proxy/link.go
@@ -42,7 +42,7 @@
 		l.updateInterest()
 		return nil, err
 	}
-	whole, rest, err := line.Whole(scratch[:held+n])
+	whole, rest, err := line.SplitComplete(scratch[:held+n])
 	if err != nil {
 		return nil, err
 	}
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -224,9 +224,9 @@
 
 func (p *targetState) handleAnswer(lines []byte) {
 	first, more := line.Next(lines)
-	word, rest := line.ParseWord(line.Text(first))
+	word, rest := line.ParseWord(line.TrimLineEnd(first))
 	if p.state != probeSent || len(more) > 0 || word != line.Pong && word != line.Err {
-		p.logViolation("unknown answer to a probe:", line.Text(first))
+		p.logViolation("unknown answer to a probe:", line.TrimLineEnd(first))
 		if p.state == probeSent {
 			p.failProbe(balance.Error)
 		} else {
@@ -239,7 +239,7 @@
 	if word == line.Err {
 		o = balance.Error
 	}
-	line.Figures(rest, func(name string, v float64) { p.frontend.settings.Put(&rep, name, v) })
+	line.ParseReport(rest, func(name string, v float64) { p.frontend.settings.Put(&rep, name, v) })
 	p.state, p.reused = probeIdle, true
 	p.addIdle()
 	p.frontend.loop.Disarm(&p.timer)
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -111,7 +111,7 @@
 		for len(lines) > 0 && s.state == opening {
 			var first []byte
 			first, lines = line.Next(lines)
-			s.handleOpeningLine(line.Text(first), len(lines)+len(s.link.partial) > 0)
+			s.handleOpeningLine(line.TrimLineEnd(first), len(lines)+len(s.link.partial) > 0)
 		}
 	case waiting: // the protocol does not allow a client to send more before its answer
 		if len(lines)+len(s.link.partial) > 0 {
--- a/internal/proxy/standing.go
+++ b/internal/proxy/standing.go
@@ -53,9 +53,9 @@
 	for rest := lines; len(rest) > 0; {
 		var first []byte
 		first, rest = line.Next(rest)
-		switch word, value := line.ParseWord(line.Text(first)); word {
+		switch word, value := line.ParseWord(line.TrimLineEnd(first)); word {
 		case line.Load:
-			if level, ok := line.Figure(value); ok && s.frontend.settings.TellsLoad {
+			if level, ok := line.ParseNumber(value); ok && s.frontend.settings.TellsLoad {
 				s.exchange.Load(level)
 			}
 		case line.Bye:
