--- a/internal/line/line.go
+++ b/internal/line/line.go
@@ -46,16 +46,16 @@
 
 // Open is the first line of a client's connection.
 type Open struct {
-	ID, Key string
-	Class   string
-	Tenant  string // whose client it is; empty: it names none
-	Group   string
-	At      string        // an egress target that holds the connection already; empty: none
-	Wait    time.Duration // how long the client waits, from when it sent the line
-	Again   bool          // its last connection was moved or broke
-	MidFlow bool
-	before  string // the line up to the figure of d, and from there on
-	after   string
+	ID, Key       string
+	Class         string
+	Tenant        string // whose client it is; empty: it names none
+	Group         string
+	CurrentTarget string        // an egress target that holds the connection already; empty: none
+	Wait          time.Duration // how long the client waits, from when it sent the line
+	Reconnect     bool          // its last connection was moved or broke
+	MidFlow       bool
+	before        string // the line up to the figure of d, and from there on
+	after         string
 }
 
 // longestWait is longer than any client waits: a figure above it is a fault, and one far above would overflow.
@@ -111,9 +111,9 @@
 		case "g":
 			o.Group = string(value)
 		case "at":
-			o.At = string(value)
+			o.CurrentTarget = string(value)
 		case "again":
-			o.Again = string(value) == "1"
+			o.Reconnect = string(value) == "1"
 		case "d":
 			wait, ok := parseWait(value)
 			if !ok || o.before != "" {
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -13,7 +13,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o.ID != "9b1f" || o.Key != "7f3a" || o.Class != "chat" || o.Tenant != "acme" || o.Group != "5c0f" || o.Wait != 2*time.Second || !o.Again {
+	if o.ID != "9b1f" || o.Key != "7f3a" || o.Class != "chat" || o.Tenant != "acme" || o.Group != "5c0f" || o.Wait != 2*time.Second || !o.Reconnect {
 		t.Errorf("read as %+v", o)
 	}
 	// Only the figure of d may change on the way, wherever it stands.
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -153,7 +153,7 @@
 		return
 	}
 	f.markActive(s)
-	if open.At == "" && !f.hasRoomForAttempt() {
+	if open.CurrentTarget == "" && !f.hasRoomForAttempt() {
 		f.countDescriptorRefusal()
 		s.closeAfter(busy(f.engine.RetryAfter(noDescriptorRetryAfter)))
 		return
@@ -161,11 +161,11 @@
 	// The client's time-out began when it sent the line, which may have waited in the kernel for
 	// this turn of the loop.
 	offer := ClientRequest{
-		ID: open.ID, Class: open.Class, Tenant: open.Tenant, Key: open.Key, Group: open.Group, Again: open.Again,
+		ID: open.ID, Class: open.Class, Tenant: open.Tenant, Key: open.Key, Group: open.Group, Again: open.Reconnect,
 		Wait: max(open.Wait-s.link.sock.Idle(), 0),
 	}
-	if open.At != "" {
-		s.exchange, err = f.engine.Adopt(s, offer, open.At)
+	if open.CurrentTarget != "" {
+		s.exchange, err = f.engine.Adopt(s, offer, open.CurrentTarget)
 	} else {
 		s.exchange, err = f.engine.Accept(s, offer)
 	}
