--- a/internal/proxy/hop.go
+++ b/internal/proxy/hop.go
@@ -247,7 +247,7 @@
 
 func (h *hop) parseReport(text []byte) balance.Report {
 	rep := noReport
-	line.ParseReport(text, func(name string, v float64) { h.session.frontend.settings.Put(&rep, name, v) })
+	line.ParseReport(text, func(name string, v float64) { h.session.frontend.settings.SetReportValue(&rep, name, v) })
 	return rep
 }
 
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -239,7 +239,7 @@
 	if word == line.Err {
 		o = balance.Error
 	}
-	line.ParseReport(rest, func(name string, v float64) { p.frontend.settings.Put(&rep, name, v) })
+	line.ParseReport(rest, func(name string, v float64) { p.frontend.settings.SetReportValue(&rep, name, v) })
 	p.state, p.reused = probeIdle, true
 	p.addIdle()
 	p.frontend.loop.Disarm(&p.timer)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -53,10 +53,10 @@
 
 // Settings is what the programs need of the object.
 type Settings struct {
-	Config  balance.Config
-	Classes map[string]int // indices in Config.Classes by name
-	Tenants map[string]int // likewise in Config.Tenants
-	Fields  []string       // names of a load report's values, in the order of the simulator's wire
+	Config       balance.Config
+	Classes      map[string]int // indices in Config.Classes by name
+	Tenants      map[string]int // likewise in Config.Tenants
+	ReportFields []string       // names of a load report's values, in the order of the simulator's wire
 	// What only a proxy on sockets needs.
 	Waits       []time.Duration // by class: how long its clients wait at the most
 	DialTimeout time.Duration   // a connection that is not up by then counts as failed
@@ -68,14 +68,14 @@
 	x0IsLoad    bool            // the report's x0 is load over capacity
 }
 
-// Clear makes every value of a report absent.
-func Clear(rep *balance.Report) {
+// ClearReport makes every value of a report absent.
+func ClearReport(rep *balance.Report) {
 	nan := math.NaN()
 	*rep = balance.Report{Load: nan, CPU: nan, Active: nan, Waiting: nan, Latency: nan, Rate: nan, Errors: nan}
 }
 
-// Put sets one value of a report by its name; a name that is unknown is passed over.
-func (s *Settings) Put(rep *balance.Report, name string, v float64) {
+// SetReportValue sets one value of a report by its name; a name that is unknown is passed over.
+func (s *Settings) SetReportValue(rep *balance.Report, name string, v float64) {
 	switch name {
 	case "x0":
 		if s.x0IsLoad {
@@ -134,7 +134,7 @@
 		cfg.MaxRetryAfter = span(s.Permissions.MaxRetryAfterUs)
 	}
 	r := &Settings{
-		Classes: make(map[string]int), Tenants: make(map[string]int), Fields: s.Report.Fields,
+		Classes: make(map[string]int), Tenants: make(map[string]int), ReportFields: s.Report.Fields,
 		DialTimeout: span(s.Permissions.DialTimeoutUs), ConnIdle: span(s.Permissions.ConnIdleUs), DrainGrace: span(s.Invariants.DrainGraceUs),
 		TellsDelay: s.Domain.TellsDelay, TellsLoad: s.Domain.TellsLoad,
 		x0IsLoad: strings.HasPrefix(s.Domain.ReportX0, "load"),
--- a/internal/wire/values.go
+++ b/internal/wire/values.go
@@ -119,15 +119,15 @@
 // report reads a load report; what it lacks is NaN.
 func (r *Reader) report(i int, set *settings.Settings) balance.Report {
 	var rep balance.Report
-	settings.Clear(&rep)
+	settings.ClearReport(&rep)
 	rest := r.parts[i]
 	if absent(rest) {
 		return rep
 	}
-	for _, name := range set.Fields {
+	for _, name := range set.ReportFields {
 		value, more, _ := bytes.Cut(rest, []byte(","))
 		rest = more
-		set.Put(&rep, name, r.number(value))
+		set.SetReportValue(&rep, name, r.number(value))
 	}
 	return rep
 }
