--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -164,8 +164,8 @@
 
 // Accept creates the exchange for a client's request.
 func (e *Engine) Accept(c Client, o ClientRequest) (*Exchange, error) {
-	if class, ok := e.settings.Classes[o.Class]; ok && e.settings.Waits[class] > 0 {
-		o.Wait = min(o.Wait, e.settings.Waits[class]) // the class limits the wait that a client may ask for
+	if class, ok := e.settings.Classes[o.Class]; ok && e.settings.MaxWaits[class] > 0 {
+		o.Wait = min(o.Wait, e.settings.MaxWaits[class]) // the class limits the wait that a client may ask for
 	}
 	x, err := e.addExchange(c, o)
 	if err != nil {
--- a/internal/proxy/standing.go
+++ b/internal/proxy/standing.go
@@ -55,7 +55,7 @@
 		first, rest = line.Next(rest)
 		switch word, value := line.ParseWord(line.TrimLineEnd(first)); word {
 		case line.Load:
-			if level, ok := line.ParseNumber(value); ok && s.frontend.settings.TellsLoad {
+			if level, ok := line.ParseNumber(value); ok && s.frontend.settings.ReportsLoad {
 				s.exchange.Load(level)
 			}
 		case line.Bye:
@@ -111,10 +111,10 @@
 // again.
 func (h *hop) reportDelay(took time.Duration) {
 	f, p := h.session.frontend, h.target
-	if !f.settings.TellsDelay || f.settings.MessageAim <= 0 {
+	if !f.settings.ReportsDelay || f.settings.MessageTarget <= 0 {
 		return
 	}
-	now, slow := f.loop.Now(), took > f.settings.MessageAim/delayNoteDivisor
+	now, slow := f.loop.Now(), took > f.settings.MessageTarget/delayNoteDivisor
 	if slow && now.Sub(p.lastDelayNote) < delayNoteInterval || !slow && !p.slow {
 		return
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -58,14 +58,14 @@
 	Tenants      map[string]int // likewise in Config.Tenants
 	ReportFields []string       // names of a load report's values, in the order of the simulator's wire
 	// What only a proxy on sockets needs.
-	Waits       []time.Duration // by class: how long its clients wait at the most
-	DialTimeout time.Duration   // a connection that is not up by then counts as failed
-	DrainGrace  time.Duration   // new work may go to a server that stops for so long after this was told
-	ConnIdle    time.Duration   // idle connections are closed after this; 0: never
-	MessageAim  time.Duration   // shortest of the classes' aims for a message; 0: not told
-	TellsDelay  bool            // the module is told of messages that take long
-	TellsLoad   bool            // and of a connection's load
-	x0IsLoad    bool            // the report's x0 is load over capacity
+	MaxWaits      []time.Duration // by class: how long its clients wait at the most
+	DialTimeout   time.Duration   // a connection that is not up by then counts as failed
+	DrainGrace    time.Duration   // new work may go to a server that stops for so long after this was told
+	ConnIdle      time.Duration   // idle connections are closed after this; 0: never
+	MessageTarget time.Duration   // shortest of the classes' aims for a message; 0: not told
+	ReportsDelay  bool            // the module is told of messages that take long
+	ReportsLoad   bool            // and of a connection's load
+	x0IsLoad      bool            // the report's x0 is load over capacity
 }
 
 // ClearReport makes every value of a report absent.
@@ -136,7 +136,7 @@
 	r := &Settings{
 		Classes: make(map[string]int), Tenants: make(map[string]int), ReportFields: s.Report.Fields,
 		DialTimeout: span(s.Permissions.DialTimeoutUs), ConnIdle: span(s.Permissions.ConnIdleUs), DrainGrace: span(s.Invariants.DrainGraceUs),
-		TellsDelay: s.Domain.TellsDelay, TellsLoad: s.Domain.TellsLoad,
+		ReportsDelay: s.Domain.TellsDelay, ReportsLoad: s.Domain.TellsLoad,
 		x0IsLoad: strings.HasPrefix(s.Domain.ReportX0, "load"),
 	}
 	for i, c := range s.Classes {
@@ -152,10 +152,10 @@
 			SetupTarget: span(c.TargetUs), Worth: c.Worth,
 			Idempotency: repeat, DedupScope: scope, DedupWindow: span(c.WindowUs),
 		}
-		r.Waits = append(r.Waits, span(c.HardLimitUs))
+		r.MaxWaits = append(r.MaxWaits, span(c.HardLimitUs))
 		if i < len(s.Domain.MessageAimUs) {
-			if aim := span(s.Domain.MessageAimUs[i]); aim > 0 && (r.MessageAim == 0 || aim < r.MessageAim) {
-				r.MessageAim = aim
+			if aim := span(s.Domain.MessageAimUs[i]); aim > 0 && (r.MessageTarget == 0 || aim < r.MessageTarget) {
+				r.MessageTarget = aim
 			}
 			class.MessageTarget = span(s.Domain.MessageAimUs[i])
 		}
@@ -188,7 +188,7 @@
 		return errors.New("Permissions.DialTimeoutUs: not above 0")
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Classes)) {
-		if s.Waits[s.Classes[name]] <= 0 {
+		if s.MaxWaits[s.Classes[name]] <= 0 {
 			//lint:ignore ST1005 it begins with the field's name
 			return fmt.Errorf("Classes: HardLimitUs of %q: not above 0", name)
 		}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -32,7 +32,7 @@
 	}
 	const last = n - 1
 	if s.Config.Relays != n || len(s.Config.Classes) != n || len(s.Config.Tenants) != n || s.Classes["c1023"] != last ||
-		s.Waits[last] != n*time.Millisecond || s.Config.Tenants[s.Tenants["t1023"]].ConnectionQuota != n {
+		s.MaxWaits[last] != n*time.Millisecond || s.Config.Tenants[s.Tenants["t1023"]].ConnectionQuota != n {
 		t.Errorf("%d processes, %d classes, %d tenants", s.Config.Relays, len(s.Config.Classes), len(s.Config.Tenants))
 	}
 }
