--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -46,7 +46,7 @@
 func deliver(balancers map[int]*balance.Balancer, w *wire.Writer, e *wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			w.Fault(e.Relay, fmt.Sprint("panic: ", p))
+			w.InternalError(e.Relay, fmt.Sprint("panic: ", p))
 		}
 	}()
 	switch e.Kind {
@@ -58,7 +58,7 @@
 	case wire.Configure:
 		b, err := balance.New(e.Config, e.Seed, w.Host(e.Relay))
 		if err != nil {
-			w.Fault(e.Relay, err.Error())
+			w.InternalError(e.Relay, err.Error())
 			return
 		}
 		balancers[e.Relay] = b
@@ -79,8 +79,8 @@
 	case wire.Streaming:
 		b.Established(e.Now, e.Request.ID)
 	case wire.Heartbeat:
-		if e.Known {
-			b.ConnectionMeasured(e.Now, e.Request.ID, e.Note, e.Level)
+		if e.MetricKnown {
+			b.ConnectionMeasured(e.Now, e.Request.ID, e.Metric, e.MetricValue)
 		}
 	case wire.Finished:
 		b.Finished(e.Now, e.Request.ID, e.Attempt, e.Settled, e.Outcome, e.Report)
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -37,23 +37,23 @@
 
 // Event is one message to the adapter. Which fields are set depends on its kind.
 type Event struct {
-	Kind     Kind
-	Relay    int
-	Now      time.Time
-	Seed     uint64
-	Config   balance.Config
-	List     balance.ListKind
-	Backends []balance.Backend // shared by all events that point at one catalogue: read only
-	Request  balance.Request
-	Attempt  int
-	Settled  bool
-	Backend  string
-	Outcome  balance.Outcome
-	Report   balance.Report
-	Note     balance.Metric
-	Known    bool // the kind of note is known
-	Level    float64
-	Token    uint64
+	Kind        Kind
+	Relay       int
+	Now         time.Time
+	Seed        uint64
+	Config      balance.Config
+	List        balance.ListKind
+	Backends    []balance.Backend // shared by all events that point at one catalogue: read only
+	Request     balance.Request
+	Attempt     int
+	Settled     bool
+	Backend     string
+	Outcome     balance.Outcome
+	Report      balance.Report
+	Metric      balance.Metric
+	MetricKnown bool // the kind of note is known
+	MetricValue float64
+	Token       uint64
 }
 
 // messages gives each message its kind and its least number of values.
@@ -243,11 +243,11 @@
 		e.Attempt = int(r.integer(2))
 		e.Backend = r.backend(3)
 		sort := r.integer(4)
-		e.Known = sort == 1 || sort == 2
+		e.MetricKnown = sort == 1 || sort == 2
 		if sort == 2 {
-			e.Note = balance.MetricDelay
+			e.Metric = balance.MetricDelay
 		}
-		e.Level = r.number(r.parts[5])
+		e.MetricValue = r.number(r.parts[5])
 	case Finished:
 		e.Request.ID = r.whole(1)
 		e.Settled = r.optional(2) != 0
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -96,10 +96,10 @@
 			return e.Kind == Streaming && e.Request.ID == 9 && e.Backend == "b1"
 		}},
 		{"HEARTBEAT 3 9 0 b1 1 12.5", func(e Event) bool {
-			return e.Kind == Heartbeat && e.Known && e.Note == balance.MetricLoad && e.Level == 12.5
+			return e.Kind == Heartbeat && e.MetricKnown && e.Metric == balance.MetricLoad && e.MetricValue == 12.5
 		}},
-		{"HEARTBEAT 3 9 0 b1 2 80", func(e Event) bool { return e.Known && e.Note == balance.MetricDelay }},
-		{"HEARTBEAT 3 9 0 b1 7 80", func(e Event) bool { return !e.Known }},
+		{"HEARTBEAT 3 9 0 b1 2 80", func(e Event) bool { return e.MetricKnown && e.Metric == balance.MetricDelay }},
+		{"HEARTBEAT 3 9 0 b1 7 80", func(e Event) bool { return !e.MetricKnown }},
 		{"FINISHED 3 9 1 b1 pass 0 18500 -", func(e Event) bool {
 			return e.Kind == Finished && e.Settled && e.Outcome == balance.OK && e.Attempt == 0 &&
 				math.IsNaN(e.Report.Load)
@@ -216,7 +216,7 @@
 	h.Probe("b1")
 	h.Watch()
 	h.After(500*time.Millisecond, 77)
-	w.Fault(4, "panic: x\ny")
+	w.InternalError(4, "panic: x\ny")
 	if out.Len() != 0 {
 		t.Error("part of a reply was written early")
 	}
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -50,8 +50,8 @@
 // oneLine keeps a text from breaking the wire.
 var oneLine = strings.NewReplacer("\n", " ", "\r", " ")
 
-// Fault tells the simulator that the decision code failed.
-func (w *Writer) Fault(relay int, what string) {
+// InternalError tells the simulator that the decision code failed.
+func (w *Writer) InternalError(relay int, what string) {
 	w.begin("INTERNAL_ERROR", relay)
 	w.text(oneLine.Replace(what))
 	w.end()
