--- a/cmd/ospreyspan/systemcalls_test.go
+++ b/cmd/ospreyspan/systemcalls_test.go
@@ -27,14 +27,14 @@
 func TestSystemCallsFail(t *testing.T) {
 	const now, often, ever = 0.25, 0.5, 1.0
 	fault := func(call callfaults.Call, errno unix.Errno, part float64) callfaults.Fault {
-		return callfaults.Fault{Call: call, Errno: errno, Part: part}
+		return callfaults.Fault{Call: call, Errno: errno, Probability: part}
 	}
 	on := func(side callfaults.Side, f callfaults.Fault) callfaults.Fault {
 		f.Side = side
 		return f
 	}
 	moment := func(f callfaults.Fault) callfaults.Fault {
-		f.For = 150 * time.Millisecond
+		f.Duration = 150 * time.Millisecond
 		return f
 	}
 	for _, tt := range []struct {
@@ -55,19 +55,19 @@
 		{"accept EMFILE, then aborted", []callfaults.Fault{fault(callfaults.Accept, unix.EMFILE, now), fault(callfaults.Accept, unix.ECONNABORTED, often)}, 20},
 		{"spare ENFILE", []callfaults.Fault{fault(callfaults.Accept, unix.ENFILE, now), fault(callfaults.OpenFile, unix.ENFILE, often)}, 40},
 		{"socket ENFILE", []callfaults.Fault{fault(callfaults.Socket, unix.ENFILE, now)}, 40},
-		{"socket EMFILE for a moment", []callfaults.Fault{moment(callfaults.Fault{Call: callfaults.Socket, Errno: unix.EMFILE, Part: ever, Skip: 4})}, 40},
+		{"socket EMFILE for a moment", []callfaults.Fault{moment(callfaults.Fault{Call: callfaults.Socket, Errno: unix.EMFILE, Probability: ever, Skip: 4})}, 40},
 		{"socket ENOBUFS", []callfaults.Fault{fault(callfaults.Socket, unix.ENOBUFS, often)}, 40},
 		{"connect EADDRNOTAVAIL", []callfaults.Fault{fault(callfaults.Connect, unix.EADDRNOTAVAIL, often)}, 40},
 		{"connect EAGAIN", []callfaults.Fault{fault(callfaults.Connect, unix.EAGAIN, often)}, 40},
 		{"connect ENETUNREACH", []callfaults.Fault{fault(callfaults.Connect, unix.ENETUNREACH, often)}, 40},
 		{"connect EHOSTUNREACH", []callfaults.Fault{fault(callfaults.Connect, unix.EHOSTUNREACH, often)}, 40},
 		{"connect EACCES", []callfaults.Fault{fault(callfaults.Connect, unix.EACCES, often)}, 40},
-		{"connect EPERM for a moment", []callfaults.Fault{moment(callfaults.Fault{Call: callfaults.Connect, Errno: unix.EPERM, Part: ever, Skip: 4})}, 40},
+		{"connect EPERM for a moment", []callfaults.Fault{moment(callfaults.Fault{Call: callfaults.Connect, Errno: unix.EPERM, Probability: ever, Skip: 4})}, 40},
 		{"connect EINTR", []callfaults.Fault{fault(callfaults.Connect, unix.EINTR, 0)}, 40},
-		{"epoll_ctl ADD ENOMEM", []callfaults.Fault{{Call: callfaults.WatchAdd, Errno: unix.ENOMEM, Part: now, Skip: 1}}, 40},
-		{"epoll_ctl ADD ENOSPC for a moment", []callfaults.Fault{moment(callfaults.Fault{Call: callfaults.WatchAdd, Errno: unix.ENOSPC, Part: ever, Skip: 6})}, 40},
+		{"epoll_ctl ADD ENOMEM", []callfaults.Fault{{Call: callfaults.WatchAdd, Errno: unix.ENOMEM, Probability: now, Skip: 1}}, 40},
+		{"epoll_ctl ADD ENOSPC for a moment", []callfaults.Fault{moment(callfaults.Fault{Call: callfaults.WatchAdd, Errno: unix.ENOSPC, Probability: ever, Skip: 6})}, 40},
 		{"epoll_ctl MOD ENOMEM", []callfaults.Fault{fault(callfaults.WatchMod, unix.ENOMEM, now)}, 40},
-		{"epoll_ctl both", []callfaults.Fault{{Call: callfaults.WatchAdd, Errno: unix.ENOMEM, Part: now, Skip: 1}, fault(callfaults.WatchMod, unix.ENOMEM, often)}, 40},
+		{"epoll_ctl both", []callfaults.Fault{{Call: callfaults.WatchAdd, Errno: unix.ENOMEM, Probability: now, Skip: 1}, fault(callfaults.WatchMod, unix.ENOMEM, often)}, 40},
 		{"epoll_wait EINTR", []callfaults.Fault{fault(callfaults.Wait, unix.EINTR, often)}, 40},
 		{"read EINTR", []callfaults.Fault{fault(callfaults.Read, unix.EINTR, often)}, 40},
 		{"read ENOMEM", []callfaults.Fault{fault(callfaults.Read, unix.ENOMEM, now)}, 40},
@@ -76,8 +76,8 @@
 		{"send ENOBUFS", []callfaults.Fault{fault(callfaults.Send, unix.ENOBUFS, now)}, 40},
 		{"send ENOMEM", []callfaults.Fault{fault(callfaults.Send, unix.ENOMEM, now)}, 40},
 		{"short reads and writes", []callfaults.Fault{fault(callfaults.ShortRead, 1, often), fault(callfaults.ShortSend, 1, often)}, 40},
-		{"server's connections ETIMEDOUT", []callfaults.Fault{on(callfaults.Connected, callfaults.Fault{Call: callfaults.Read, Errno: unix.ETIMEDOUT, Part: 0.1, Skip: 2})}, 30},
-		{"server's connections EHOSTUNREACH", []callfaults.Fault{on(callfaults.Connected, callfaults.Fault{Call: callfaults.Send, Errno: unix.EHOSTUNREACH, Part: 0.1, Skip: 2})}, 30},
+		{"server's connections ETIMEDOUT", []callfaults.Fault{on(callfaults.Connected, callfaults.Fault{Call: callfaults.Read, Errno: unix.ETIMEDOUT, Probability: 0.1, Skip: 2})}, 30},
+		{"server's connections EHOSTUNREACH", []callfaults.Fault{on(callfaults.Connected, callfaults.Fault{Call: callfaults.Send, Errno: unix.EHOSTUNREACH, Probability: 0.1, Skip: 2})}, 30},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/poll/callfaults/callfaults.go
+++ b/internal/poll/callfaults/callfaults.go
@@ -43,12 +43,12 @@
 
 // Fault is one kind of failure.
 type Fault struct {
-	Call  Call          `json:"call"`
-	Errno unix.Errno    `json:"errno"`
-	Part  float64       `json:"part"` // of the calls that fail, 0 to 1
-	Side  Side          `json:"side"` // for reads and sends
-	Skip  int           `json:"skip"` // calls that are let through first
-	For   time.Duration `json:"for"`  // since the first failure; 0: without end
+	Call        Call          `json:"call"`
+	Errno       unix.Errno    `json:"errno"`
+	Probability float64       `json:"part"` // of the calls that fail, 0 to 1
+	Side        Side          `json:"side"` // for reads and sends
+	Skip        int           `json:"skip"` // calls that are let through first
+	Duration    time.Duration `json:"for"`  // since the first failure; 0: without end
 }
 
 // Plan is what goes wrong in a process.
@@ -169,13 +169,13 @@
 		if f.Call != call || f.Side != AnySide && f.Side != side {
 			continue
 		}
-		if f.seen++; f.seen <= f.Skip || s.rng.Float64() >= f.Part {
+		if f.seen++; f.seen <= f.Skip || s.rng.Float64() >= f.Probability {
 			continue
 		}
 		if f.first.IsZero() {
 			f.first = time.Now()
 		}
-		if f.For == 0 || time.Since(f.first) < f.For {
+		if f.Duration == 0 || time.Since(f.first) < f.Duration {
 			return f.Errno
 		}
 	}
