--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -108,10 +108,10 @@
 	add("of them without a cause", round(float64(wrong)/float64(r.Proxies)))
 	add("probes a request", per(k.Probes, k.Exchanges))
 	for _, s := range []time.Duration{1, 3, 10} {
-		add(fmt.Sprintf("hops by a list under %d s old", s), round(k.ListsUnder(s*time.Second)))
+		add(fmt.Sprintf("hops by a list under %d s old", s), round(k.ListAgeFraction(s*time.Second)))
 	}
-	add("age of a hop's list, median, at most s", k.ListAge(0.5).Seconds())
-	add("age of a hop's list, 99 %, at most s", k.ListAge(0.99).Seconds())
+	add("age of a hop's list, median, at most s", k.ListAgeQuantile(0.5).Seconds())
+	add("age of a hop's list, 99 %, at most s", k.ListAgeQuantile(0.99).Seconds())
 	sent := 0.0
 	if r.Shared != nil {
 		sent = float64(r.Shared.Bytes) / 1024 / (r.WarmUp + r.Length) / float64(r.Proxies)
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -342,7 +342,7 @@
 			known = at
 		}
 	}
-	e.counters.Aged(e.loop.Now().Sub(known))
+	e.counters.CountListAge(e.loop.Now().Sub(known))
 	if !to.StartedAt.IsZero() && e.loop.Now().Sub(to.StartedAt) < e.settings.Config.Rules.WarmUpTime {
 		e.counters.HopsCold++
 	}
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// Aged counts a hop that was placed by a list of some age.
-func (c *Counters) Aged(age time.Duration) {
+// CountListAge counts a hop that was placed by a list of some age.
+func (c *Counters) CountListAge(age time.Duration) {
 	for _, b := range c.ages() {
 		if age < b.under {
 			*b.count++
@@ -77,8 +77,8 @@
 	}
 }
 
-// ListsUnder is the part of the hops that were placed by a list younger than that, one of the classes' bounds; 0 where there were none.
-func (c *Counters) ListsUnder(age time.Duration) float64 {
+// ListAgeFraction is the part of the hops that were placed by a list younger than that, one of the classes' bounds; 0 where there were none.
+func (c *Counters) ListAgeFraction(age time.Duration) float64 {
 	under, all := 0, 0
 	for _, b := range c.ages() {
 		if all += *b.count; b.under <= age {
@@ -88,8 +88,8 @@
 	return float64(under) / float64(max(all, 1))
 }
 
-// ListAge is the age under which a part of the hops' lists were, 0 to 1: the upper bound of its class, at most 40 s.
-func (c *Counters) ListAge(part float64) time.Duration {
+// ListAgeQuantile is the age under which a part of the hops' lists were, 0 to 1: the upper bound of its class, at most 40 s.
+func (c *Counters) ListAgeQuantile(part float64) time.Duration {
 	all, seen := 0, 0
 	for _, b := range c.ages() {
 		all += *b.count
