--- a/internal/line/line.go
+++ b/internal/line/line.go
@@ -54,12 +54,12 @@
 	Wait          time.Duration // how long the client waits, from when it sent the line
 	Reconnect     bool          // its last connection was moved or broke
 	MidFlow       bool
-	before        string // the line up to the figure of d, and from there on
-	after         string
+	beforeWait    string // the line up to the figure of d, and from there on
+	afterWait     string
 }
 
-// longestWait is longer than any client waits: a figure above it is a fault, and one far above would overflow.
-const longestWait = 24 * time.Hour
+// maxWait is longer than any client waits: a figure above it is a fault, and one far above would overflow.
+const maxWait = 24 * time.Hour
 
 // parseWait reads the figure of d: plain digits, perhaps with a fraction. Signs, exponents and words such as
 // NaN are no time that a client can wait.
@@ -70,7 +70,7 @@
 		}
 	}
 	ms, err := strconv.ParseFloat(string(value), 64)
-	if err != nil || ms > float64(longestWait/time.Millisecond) {
+	if err != nil || ms > float64(maxWait/time.Millisecond) {
 		return 0, false
 	}
 	return time.Duration(ms * float64(time.Millisecond)), true
@@ -116,15 +116,15 @@
 			o.Reconnect = string(value) == "1"
 		case "d":
 			wait, ok := parseWait(value)
-			if !ok || o.before != "" {
+			if !ok || o.beforeWait != "" {
 				return o, ErrSyntax
 			}
 			o.Wait = wait
-			o.before, o.after = s[:at+len("d=")], s[at+len(pair):]
+			o.beforeWait, o.afterWait = s[:at+len("d=")], s[at+len(pair):]
 		}
 		at += len(pair) + 1
 	}
-	if o.Class == "" || o.before == "" {
+	if o.Class == "" || o.beforeWait == "" {
 		return o, ErrSyntax
 	}
 	return o, nil
@@ -132,9 +132,9 @@
 
 // Append appends the line as a proxy passes it on: unchanged but for the time that the proxy will wait.
 func (o *Open) Append(dst []byte, wait time.Duration) []byte {
-	dst = append(dst, o.before...)
+	dst = append(dst, o.beforeWait...)
 	dst = strconv.AppendInt(dst, max(wait.Milliseconds(), 1), 10)
-	dst = append(dst, o.after...)
+	dst = append(dst, o.afterWait...)
 	return append(dst, "\r\n"...)
 }
 
--- a/internal/poll/callfaults/callfaults.go
+++ b/internal/poll/callfaults/callfaults.go
@@ -64,60 +64,60 @@
 	By    time.Duration `json:"by"`
 }
 
-// state is a plan in use. Like the loop that makes the calls it belongs to one goroutine.
-type state struct {
+// injector is a plan in use. Like the loop that makes the calls it belongs to one goroutine.
+type injector struct {
 	rng    *rand.Rand
-	faults []*armed
-	side   map[int]Side // of the descriptors that are connections
+	faults []*faultState
+	sides  map[int]Side // of the descriptors that are connections
 	broken map[int]bool // connections that failed: nothing comes of them any more
 }
 
-// armed is a fault with what it has done so far.
-type armed struct {
+// faultState is a fault with what it has done so far.
+type faultState struct {
 	Fault
-	seen  int
-	first time.Time
+	calls        int
+	firstFailure time.Time
 }
 
 // Wrap returns system calls that fail by a plan.
 func Wrap(under poll.SystemCalls, p Plan) poll.SystemCalls {
-	s := &state{rng: rand.New(rand.NewPCG(p.Seed, p.Seed)), side: make(map[int]Side), broken: make(map[int]bool)}
+	s := &injector{rng: rand.New(rand.NewPCG(p.Seed, p.Seed)), sides: make(map[int]Side), broken: make(map[int]bool)}
 	for _, f := range p.Faults {
-		s.faults = append(s.faults, &armed{Fault: f})
+		s.faults = append(s.faults, &faultState{Fault: f})
 	}
 	calls := under
 	calls.Socket = func(domain, kind, protocol int) (int, error) {
-		if errno := s.fails(Socket, AnySide); errno != 0 {
+		if errno := s.drawError(Socket, AnySide); errno != 0 {
 			return -1, errno
 		}
 		return under.Socket(domain, kind, protocol)
 	}
 	calls.Bind = func(fd int, at unix.Sockaddr) error {
-		if errno := s.fails(Bind, AnySide); errno != 0 {
+		if errno := s.drawError(Bind, AnySide); errno != 0 {
 			return errno
 		}
 		return under.Bind(fd, at)
 	}
 	calls.Listen = func(fd, backlog int) error {
-		if errno := s.fails(Listen, AnySide); errno != 0 {
+		if errno := s.drawError(Listen, AnySide); errno != 0 {
 			return errno
 		}
 		return under.Listen(fd, backlog)
 	}
 	calls.Connect = func(fd int, to unix.Sockaddr) error {
-		if errno := s.fails(Connect, AnySide); errno != 0 {
+		if errno := s.drawError(Connect, AnySide); errno != 0 {
 			return errno
 		}
-		s.side[fd] = Connected
+		s.sides[fd] = Connected
 		return under.Connect(fd, to)
 	}
 	calls.Accept = func(fd, flags int) (int, unix.Sockaddr, error) {
-		if errno := s.fails(Accept, AnySide); errno != 0 {
+		if errno := s.drawError(Accept, AnySide); errno != 0 {
 			return -1, nil, errno
 		}
 		conn, from, err := under.Accept(fd, flags)
 		if err == nil {
-			s.side[conn] = Accepted
+			s.sides[conn] = Accepted
 		}
 		return conn, from, err
 	}
@@ -126,13 +126,13 @@
 		if op == unix.EPOLL_CTL_MOD {
 			call = WatchMod
 		}
-		if errno := s.fails(call, AnySide); errno != 0 {
+		if errno := s.drawError(call, AnySide); errno != 0 {
 			return errno
 		}
 		return under.EpollControl(epfd, op, fd, event)
 	}
 	calls.EpollWait = func(epfd int, events []unix.EpollEvent, milliseconds int) (int, error) {
-		if errno := s.fails(Wait, AnySide); errno != 0 {
+		if errno := s.drawError(Wait, AnySide); errno != 0 {
 			return -1, errno
 		}
 		return under.EpollWait(epfd, events, milliseconds)
@@ -150,40 +150,40 @@
 	calls.Read = func(fd int, p []byte) (int, error) { return s.read(under, fd, p) }
 	calls.Send = func(fd int, p []byte) (int, error) { return s.send(under, fd, p) }
 	calls.OpenFile = func(path string, flags int, mode uint32) (int, error) {
-		if errno := s.fails(OpenFile, AnySide); errno != 0 {
+		if errno := s.drawError(OpenFile, AnySide); errno != 0 {
 			return -1, errno
 		}
 		return under.OpenFile(path, flags, mode)
 	}
 	calls.Close = func(fd int) error {
-		delete(s.side, fd)
+		delete(s.sides, fd)
 		delete(s.broken, fd)
 		return under.Close(fd)
 	}
 	return calls
 }
 
-// fails draws whether a call fails, and how; 0: it does not.
-func (s *state) fails(call Call, side Side) unix.Errno {
+// drawError draws whether a call drawError, and how; 0: it does not.
+func (s *injector) drawError(call Call, side Side) unix.Errno {
 	for _, f := range s.faults {
 		if f.Call != call || f.Side != AnySide && f.Side != side {
 			continue
 		}
-		if f.seen++; f.seen <= f.Skip || s.rng.Float64() >= f.Probability {
+		if f.calls++; f.calls <= f.Skip || s.rng.Float64() >= f.Probability {
 			continue
 		}
-		if f.first.IsZero() {
-			f.first = time.Now()
+		if f.firstFailure.IsZero() {
+			f.firstFailure = time.Now()
 		}
-		if f.Duration == 0 || time.Since(f.first) < f.Duration {
+		if f.Duration == 0 || time.Since(f.firstFailure) < f.Duration {
 			return f.Errno
 		}
 	}
 	return 0
 }
 
-// ends tells whether a connection is over after an error of a read or a send.
-func ends(errno unix.Errno) bool {
+// breaksConnection tells whether a connection is over after an error of a read or a send.
+func breaksConnection(errno unix.Errno) bool {
 	switch errno {
 	case unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM:
 		return false
@@ -191,29 +191,29 @@
 	return true
 }
 
-func (s *state) read(under poll.SystemCalls, fd int, p []byte) (int, error) {
+func (s *injector) read(under poll.SystemCalls, fd int, p []byte) (int, error) {
 	if s.broken[fd] {
 		return 0, nil
 	}
-	if errno := s.fails(Read, s.side[fd]); errno != 0 {
-		s.broken[fd] = ends(errno)
+	if errno := s.drawError(Read, s.sides[fd]); errno != 0 {
+		s.broken[fd] = breaksConnection(errno)
 		return -1, errno
 	}
-	if len(p) > 1 && s.fails(ShortRead, s.side[fd]) != 0 {
+	if len(p) > 1 && s.drawError(ShortRead, s.sides[fd]) != 0 {
 		p = p[:1+s.rng.IntN(min(len(p)-1, 8))]
 	}
 	return under.Read(fd, p)
 }
 
-func (s *state) send(under poll.SystemCalls, fd int, p []byte) (int, error) {
+func (s *injector) send(under poll.SystemCalls, fd int, p []byte) (int, error) {
 	if s.broken[fd] {
 		return -1, unix.EPIPE
 	}
-	if errno := s.fails(Send, s.side[fd]); errno != 0 {
-		s.broken[fd] = ends(errno)
+	if errno := s.drawError(Send, s.sides[fd]); errno != 0 {
+		s.broken[fd] = breaksConnection(errno)
 		return -1, errno
 	}
-	if len(p) > 1 && s.fails(ShortSend, s.side[fd]) != 0 {
+	if len(p) > 1 && s.drawError(ShortSend, s.sides[fd]) != 0 {
 		p = p[:1+s.rng.IntN(min(len(p)-1, 8))]
 	}
 	return under.Send(fd, p)
--- a/internal/poll/epoll.go
+++ b/internal/poll/epoll.go
@@ -13,7 +13,7 @@
 type epoll struct {
 	calls        SystemCalls
 	epfd, wakefd int
-	gathered     [batch]unix.EpollEvent
+	ready        [maxEvents]unix.EpollEvent
 }
 
 // NewEpoll returns the Kernel that serves, on system calls. It opens the two descriptors that a loop needs for itself.
@@ -51,9 +51,9 @@
 	_, _ = unix.Write(k.wakefd, one[:]) // a full counter wakes the loop as well
 }
 
-// millis turns a wait into epoll's whole milliseconds, -1 for without end. It is rounded up: a wait that ended
+// timeoutMillis turns a wait into epoll's whole milliseconds, -1 for without end. It is rounded up: a wait that ended
 // early would be followed by another turn with nothing to do.
-func millis(most time.Duration) int {
+func timeoutMillis(most time.Duration) int {
 	if most < 0 {
 		return -1
 	}
@@ -61,7 +61,7 @@
 }
 
 func (k *epoll) Wait(events []Event, most time.Duration) (int, error) {
-	n, err := k.calls.EpollWait(k.epfd, k.gathered[:min(len(events), len(k.gathered))], millis(most))
+	n, err := k.calls.EpollWait(k.epfd, k.ready[:min(len(events), len(k.ready))], timeoutMillis(most))
 	if err != nil {
 		if errors.Is(err, unix.EINTR) { // a signal is no reason to stop
 			return 0, nil
@@ -69,7 +69,7 @@
 		return 0, fmt.Errorf("epoll: %w", err)
 	}
 	for i := range n {
-		e := &k.gathered[i]
+		e := &k.ready[i]
 		if e.Fd == WakeSlot {
 			var count [8]byte
 			_, _ = unix.Read(k.wakefd, count[:])
@@ -107,11 +107,11 @@
 	return netip.AddrPort{}
 }
 
-const quiet = unix.SOCK_NONBLOCK | unix.SOCK_CLOEXEC
+const socketFlags = unix.SOCK_NONBLOCK | unix.SOCK_CLOEXEC
 
-// ownFault marks the errors of connect for which the other side is not to blame: this machine is out of ports or of memory, or its
+// classifyConnectError marks the errors of connect for which the other side is not to blame: this machine is out of ports or of memory, or its
 // routes and filters let nothing out to that address now.
-func ownFault(err error) error {
+func classifyConnectError(err error) error {
 	switch err {
 	case unix.EADDRNOTAVAIL, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM:
 		return fmt.Errorf("%w: %w", ErrNoSocket, err)
@@ -122,7 +122,7 @@
 }
 
 func (k *epoll) Connect(to netip.AddrPort) (int, error) {
-	fd, err := k.calls.Socket(family(to.Addr()), unix.SOCK_STREAM|quiet, 0)
+	fd, err := k.calls.Socket(family(to.Addr()), unix.SOCK_STREAM|socketFlags, 0)
 	if err != nil {
 		return -1, fmt.Errorf("%w: %w", ErrNoSocket, err)
 	}
@@ -130,13 +130,13 @@
 	err = k.calls.Connect(fd, sockaddr(to))
 	if err != nil && !errors.Is(err, unix.EINPROGRESS) && !errors.Is(err, unix.EINTR) { // EINTR: it goes on all the same
 		k.CloseFD(fd)
-		return -1, ownFault(err)
+		return -1, classifyConnectError(err)
 	}
 	return fd, nil
 }
 
 func (k *epoll) Listen(at netip.AddrPort, receive int) (int, error) {
-	fd, err := k.calls.Socket(family(at.Addr()), unix.SOCK_STREAM|quiet, 0)
+	fd, err := k.calls.Socket(family(at.Addr()), unix.SOCK_STREAM|socketFlags, 0)
 	if err != nil {
 		return -1, fmt.Errorf("socket: %w", err)
 	}
@@ -158,18 +158,18 @@
 }
 
 func (k *epoll) Accept(fd int) (int, error) {
-	conn, _, err := k.calls.Accept(fd, quiet)
+	conn, _, err := k.calls.Accept(fd, socketFlags)
 	switch {
 	case err == nil:
 		_ = unix.SetsockoptInt(conn, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 		return conn, nil
 	}
-	return -1, acceptFault(err)
+	return -1, classifyAcceptError(err)
 }
 
-// acceptFault tells an error of accept by what is to be done about it. Linux passes on what is wrong with the connection that was
+// classifyAcceptError tells an error of accept by what is to be done about it. Linux passes on what is wrong with the connection that was
 // next, whatever that is, and the others are to be accepted all the same.
-func acceptFault(err error) error {
+func classifyAcceptError(err error) error {
 	switch err {
 	case unix.EAGAIN:
 		return ErrAgain
@@ -184,7 +184,7 @@
 }
 
 func (k *epoll) OpenUDP(at netip.AddrPort) (int, error) {
-	fd, err := k.calls.Socket(family(at.Addr()), unix.SOCK_DGRAM|quiet, 0)
+	fd, err := k.calls.Socket(family(at.Addr()), unix.SOCK_DGRAM|socketFlags, 0)
 	if err != nil {
 		return -1, fmt.Errorf("%w: %w", ErrNoSocket, err)
 	}
@@ -201,7 +201,7 @@
 
 func (k *epoll) CloseFD(fd int) { _ = k.calls.Close(fd) } // the descriptor is gone, whatever it returns
 
-func mask(want Interest) uint32 {
+func eventMask(want Interest) uint32 {
 	var events uint32
 	if want&WantRead != 0 {
 		events |= unix.EPOLLIN
@@ -213,12 +213,12 @@
 }
 
 func (k *epoll) Watch(fd int, want Interest, slot, gen int32) error {
-	ev := unix.EpollEvent{Events: mask(want), Fd: slot, Pad: gen}
+	ev := unix.EpollEvent{Events: eventMask(want), Fd: slot, Pad: gen}
 	return k.calls.EpollControl(k.epfd, unix.EPOLL_CTL_ADD, fd, &ev)
 }
 
 func (k *epoll) UpdateWatch(fd int, want Interest, slot, gen int32) error {
-	ev := unix.EpollEvent{Events: mask(want), Fd: slot, Pad: gen}
+	ev := unix.EpollEvent{Events: eventMask(want), Fd: slot, Pad: gen}
 	return k.calls.EpollControl(k.epfd, unix.EPOLL_CTL_MOD, fd, &ev)
 }
 
--- a/internal/poll/listener.go
+++ b/internal/poll/listener.go
@@ -10,11 +10,11 @@
 // Listener accepts connections. It keeps one descriptor in reserve: without it a process that is out of
 // descriptors could neither answer new connections nor get rid of them, and would turn without end.
 type Listener struct {
-	sock       *Socket
-	reserve    int // -1: none
-	accept     func(s *Socket, last bool) Handler
-	retry      Timer
-	shortSince time.Time // the machine has been short of files or memory since then; zero: it is not
+	sock          *Socket
+	reserve       int // -1: none
+	accept        func(s *Socket, last bool) Handler
+	retry         Timer
+	shortageSince time.Time // the machine has been short of files or memory since then; zero: it is not
 }
 
 // receiveBuffer bounds what the kernel keeps of a connection that is not read: some clients send megabytes, and
@@ -56,35 +56,35 @@
 }
 
 const (
-	// acceptBatch bounds the connections taken in one turn, so that a surge does not starve the others.
-	acceptBatch = 64
-	// acceptMost bounds the batches of AcceptAll, in case connections come as fast as they are accepted: more than the kernel's queue.
-	acceptMost = 256
-	// shortageRest is how long nothing is accepted when there is no descriptor at all, or the machine is short of something: the
+	// acceptBatchSize bounds the connections taken in one turn, so that a surge does not starve the others.
+	acceptBatchSize = 64
+	// maxAcceptBatches bounds the batches of AcceptAll, in case connections come as fast as they are accepted: more than the kernel's queue.
+	maxAcceptBatches = 256
+	// shortagePause is how long nothing is accepted when there is no descriptor at all, or the machine is short of something: the
 	// listener stays ready, and a loop that looks again at once would do nothing else.
-	shortageRest = 5 * time.Millisecond
-	// shortageMost is how long a shortage of the machine is waited out. From then on the reserve's place is used, and who is accepted
+	shortagePause = 5 * time.Millisecond
+	// maxShortage is how long a shortage of the machine is waited out. From then on the reserve's place is used, and who is accepted
 	// on it is turned away: a client that waits unread for longer may have no time left for its answer.
-	shortageMost = 200 * time.Millisecond
+	maxShortage = 200 * time.Millisecond
 )
 
 // Ready accepts what is waiting.
-func (n *Listener) Ready(Ready) { n.batch() }
+func (n *Listener) Ready(Ready) { n.acceptBatch() }
 
 // AcceptAll accepts all that waits, before Close: what waits then is reset. It returns false if something may still wait, for want of
 // descriptors or memory, and is to be called again soon.
 func (n *Listener) AcceptAll() bool {
-	for range acceptMost {
-		if err := n.batch(); err != nil {
+	for range maxAcceptBatches {
+		if err := n.acceptBatch(); err != nil {
 			return errors.Is(err, ErrAgain)
 		}
 	}
 	return false
 }
 
-// batch accepts up to acceptBatch connections. It returns why it stopped: ErrAgain if none waits, nil if more may.
-func (n *Listener) batch() error {
-	for range acceptBatch {
+// acceptBatch accepts up to acceptBatch connections. It returns why it stopped: ErrAgain if none waits, nil if more may.
+func (n *Listener) acceptBatch() error {
+	for range acceptBatchSize {
 		if n.sock.fd < 0 {
 			return ErrAgain
 		}
@@ -92,10 +92,10 @@
 		switch {
 		case err == nil || errors.Is(err, ErrAborted):
 		case errors.Is(err, ErrAgain):
-			n.shortSince = time.Time{}
+			n.shortageSince = time.Time{}
 			return err
 		default:
-			n.rest()
+			n.pause()
 			return err
 		}
 	}
@@ -107,43 +107,43 @@
 	loop := n.sock.loop
 	fd, err := loop.kernel.Accept(n.sock.fd)
 	if err == nil {
-		n.shortSince = time.Time{}
+		n.shortageSince = time.Time{}
 		n.takeReserve()
-		n.take(fd, false)
+		n.handOver(fd, false)
 		return nil
 	}
-	if !errors.Is(err, ErrDescriptors) && !n.shortForLong(err) {
+	if !errors.Is(err, ErrDescriptors) && !n.shortageLasted(err) {
 		return err
 	}
 	n.releaseReserve()
 	if fd, err = loop.kernel.Accept(n.sock.fd); err == nil {
-		n.take(fd, true)
+		n.handOver(fd, true)
 	}
 	n.takeReserve()
 	return err
 }
 
-// shortForLong tells whether an error of accept is a shortage of the machine that has lasted.
-func (n *Listener) shortForLong(err error) bool {
+// shortageLasted tells whether an error of accept is a shortage of the machine that has lasted.
+func (n *Listener) shortageLasted(err error) bool {
 	if !errors.Is(err, ErrShortage) {
 		return false
 	}
 	now := n.sock.loop.Now()
-	if n.shortSince.IsZero() {
-		n.shortSince = now
+	if n.shortageSince.IsZero() {
+		n.shortageSince = now
 	}
-	return now.Sub(n.shortSince) >= shortageMost
+	return now.Sub(n.shortageSince) >= maxShortage
 }
 
-func (n *Listener) take(fd int, last bool) {
+func (n *Listener) handOver(fd int, last bool) {
 	s := n.sock.loop.add(fd, nil, WantRead)
 	s.handler = n.accept(s, last)
 }
 
-// rest accepts nothing for a while.
-func (n *Listener) rest() {
+// pause accepts nothing for a while.
+func (n *Listener) pause() {
 	n.sock.Want(false, false)
-	n.sock.loop.After(&n.retry, shortageRest)
+	n.sock.loop.After(&n.retry, shortagePause)
 }
 
 // Addr is the address at which it listens.
--- a/internal/poll/loop.go
+++ b/internal/poll/loop.go
@@ -24,22 +24,22 @@
 	sock *Socket
 }
 
-// batch is how many events a turn takes at the most.
-const batch = 256
+// maxEvents is how many events a turn takes at the most.
+const maxEvents = 256
 
 // Loop waits for sockets and timers.
 type Loop struct {
-	kernel Kernel
-	begun  time.Time
-	now    time.Time
-	slots  []slot
-	free   []int32
-	timers timers
-	events [batch]Event
-	wake   func()
-	open   int
-	urgent []*Socket // told first in a turn
-	behind []*Socket // whose interest the kernel does not have yet, see watch
+	kernel       Kernel
+	start        time.Time
+	now          time.Time
+	slots        []slot
+	free         []int32
+	timers       timerHeap
+	events       [maxEvents]Event
+	wake         func()
+	openCount    int
+	urgent       []*Socket // told first in a turn
+	staleWatches []*Socket // whose interest the kernel does not have yet, see watch
 
 	mu     sync.Mutex
 	posted []func() // by other goroutines, to be called on the loop
@@ -60,7 +60,7 @@
 // NewOn returns a Loop on a kernel, which it owns from then on.
 func NewOn(k Kernel, wake func()) *Loop {
 	now := k.Now()
-	return &Loop{kernel: k, wake: wake, begun: now, now: now}
+	return &Loop{kernel: k, wake: wake, start: now, now: now}
 }
 
 // Close gives back what the loop's kernel holds; its sockets belong to their users.
@@ -82,7 +82,7 @@
 }
 
 // Open tells how many sockets are open.
-func (l *Loop) Open() int { return l.open }
+func (l *Loop) Open() int { return l.openCount }
 
 // Timers tells how many timers are armed.
 func (l *Loop) Timers() int { return len(l.timers) }
@@ -98,8 +98,8 @@
 	l.kernel.Wake()
 }
 
-// callPosted calls what was posted.
-func (l *Loop) callPosted() {
+// runPosted calls what was posted.
+func (l *Loop) runPosted() {
 	l.mu.Lock()
 	posted := l.posted
 	l.posted = nil
@@ -113,10 +113,10 @@
 func (l *Loop) Turn(wait bool) error {
 	most := time.Duration(0)
 	if wait {
-		most = l.timers.next(l.kernel.Now().Sub(l.begun))
+		most = l.timers.next(l.kernel.Now().Sub(l.start))
 	}
-	if l.watchBehind(); len(l.behind) > 0 && (most < 0 || most > watchRetry) {
-		most = watchRetry
+	if l.retryWatches(); len(l.staleWatches) > 0 && (most < 0 || most > watchRetryInterval) {
+		most = watchRetryInterval
 	}
 	n, err := l.kernel.Wait(l.events[:], most)
 	if err != nil {
@@ -124,34 +124,34 @@
 	}
 	l.now = l.kernel.Now()
 	if len(l.urgent) > 0 {
-		l.tellUrgent(l.events[:n])
+		l.dispatchUrgent(l.events[:n])
 	}
 	for i := range n {
 		e := &l.events[i]
 		if e.Slot == WakeSlot {
-			l.callPosted()
+			l.runPosted()
 			l.wake()
 			continue
 		}
 		if s := l.slots[e.Slot]; s.sock != nil && s.gen == e.Gen && !s.sock.urgent {
-			s.sock.tell(e.Ready)
+			s.sock.dispatch(e.Ready)
 		}
 	}
-	l.timers.fire(l.now.Sub(l.begun))
+	l.timers.fire(l.now.Sub(l.start))
 	return nil
 }
 
-// tellUrgent tells the urgent sockets before all others. In a turn with more events than fit there may be one that was
+// dispatchUrgent tells the urgent sockets before all others. In a turn with more events than fit there may be one that was
 // not gathered: a socket that waits to read is then asked without it.
-func (l *Loop) tellUrgent(events []Event) {
+func (l *Loop) dispatchUrgent(events []Event) {
 	for i := range events {
 		if e := &events[i]; e.Slot != WakeSlot {
 			if s := l.slots[e.Slot]; s.sock != nil && s.gen == e.Gen && s.sock.urgent {
-				s.sock.tell(e.Ready)
+				s.sock.dispatch(e.Ready)
 			}
 		}
 	}
-	if len(events) < batch {
+	if len(events) < maxEvents {
 		return
 	}
 	for _, s := range l.urgent {
@@ -173,17 +173,17 @@
 	}
 	s := &Socket{loop: l, fd: fd, slot: i, handler: h, want: want}
 	l.slots[i].sock = s
-	l.open++
-	l.watch(s)
+	l.openCount++
+	l.updateWatch(s)
 	return s
 }
 
-// watchRetry is how often the kernel is asked again to watch a socket for which it had no memory.
-const watchRetry = 5 * time.Millisecond
+// watchRetryInterval is how often the kernel is asked again to watch a socket for which it had no memory.
+const watchRetryInterval = 5 * time.Millisecond
 
-// watch has the kernel watch a socket for what it wants. The kernel may be out of memory for that: the socket is then among those
+// updateWatch has the kernel updateWatch a socket for what it wants. The kernel may be out of memory for that: the socket is then among those
 // that are behind, for which it is asked again each turn, since a client whose socket nobody watches would wait without end.
-func (l *Loop) watch(s *Socket) {
+func (l *Loop) updateWatch(s *Socket) {
 	gen := l.slots[s.slot].gen
 	var err error
 	if s.watched {
@@ -192,22 +192,22 @@
 		err = l.kernel.Watch(s.fd, s.want, s.slot, gen)
 	}
 	s.watched = s.watched || err == nil
-	if err != nil && !s.behind {
-		s.behind = true
-		l.behind = append(l.behind, s)
+	if err != nil && !s.watchStale {
+		s.watchStale = true
+		l.staleWatches = append(l.staleWatches, s)
 	}
 }
 
-// watchBehind asks the kernel again for the sockets that are behind.
-func (l *Loop) watchBehind() {
-	if len(l.behind) == 0 {
+// retryWatches asks the kernel again for the sockets that are behind.
+func (l *Loop) retryWatches() {
+	if len(l.staleWatches) == 0 {
 		return
 	}
-	again := l.behind
-	l.behind = nil
+	again := l.staleWatches
+	l.staleWatches = nil
 	for _, s := range again {
-		s.behind = false
-		l.watch(s)
+		s.watchStale = false
+		l.updateWatch(s)
 	}
 }
 
@@ -216,13 +216,13 @@
 	if s.urgent {
 		l.urgent = slices.DeleteFunc(l.urgent, func(o *Socket) bool { return o == s })
 	}
-	if s.behind {
-		l.behind = slices.DeleteFunc(l.behind, func(o *Socket) bool { return o == s })
+	if s.watchStale {
+		l.staleWatches = slices.DeleteFunc(l.staleWatches, func(o *Socket) bool { return o == s })
 	}
 	l.slots[s.slot].sock = nil
 	l.slots[s.slot].gen++
 	l.free = append(l.free, s.slot)
-	l.open--
+	l.openCount--
 	l.kernel.CloseFD(s.fd)
 	s.fd = -1
 }
--- a/internal/poll/poll_test.go
+++ b/internal/poll/poll_test.go
@@ -46,7 +46,7 @@
 		}
 	}
 	slices.Sort(want)
-	l.timers.fire(l.now.Add(time.Second).Sub(l.begun))
+	l.timers.fire(l.now.Add(time.Second).Sub(l.start))
 	if !slices.Equal(fired, want) || len(l.timers) != 0 {
 		t.Errorf("fired %v, want %v", fired, want)
 	}
@@ -54,12 +54,12 @@
 
 func TestWaitIsRoundedUp(t *testing.T) {
 	l := newLoop(t)
-	if got := millis(l.timers.next(0)); got != -1 {
+	if got := timeoutMillis(l.timers.next(0)); got != -1 {
 		t.Errorf("without a timer: %d", got)
 	}
 	var timer Timer
 	for d, want := range map[time.Duration]int{-1: 0, 0: 0, 1: 1, time.Millisecond: 1, 1100 * time.Microsecond: 2} {
-		if l.Arm(&timer, l.now.Add(d)); millis(l.timers.next(0)) != want {
+		if l.Arm(&timer, l.now.Add(d)); timeoutMillis(l.timers.next(0)) != want {
 			t.Errorf("%v: %v, want %d ms", d, l.timers.next(0), want)
 		}
 	}
@@ -237,7 +237,7 @@
 	for err, own := range map[error]bool{
 		unix.EADDRNOTAVAIL: true, unix.ENOBUFS: true, unix.ECONNREFUSED: false, unix.ENETUNREACH: false,
 	} {
-		if got := ownFault(err); errors.Is(got, ErrNoSocket) != own || !errors.Is(got, err) {
+		if got := classifyConnectError(err); errors.Is(got, ErrNoSocket) != own || !errors.Is(got, err) {
 			t.Errorf("%v is told as %v", err, got)
 		}
 	}
@@ -320,7 +320,7 @@
 	if len(order) != 11 || order[0] != 10 {
 		t.Errorf("told in the order %v", order)
 	}
-	for i := 11; i < batch+60; i++ {
+	for i := 11; i < maxEvents+60; i++ {
 		pair(i)
 	}
 	for range 3 { // whichever events are gathered
@@ -328,7 +328,7 @@
 		if err := l.Turn(false); err != nil {
 			t.Fatal(err)
 		}
-		if len(order) < batch || order[0] != 10 {
+		if len(order) < maxEvents || order[0] != 10 {
 			t.Errorf("%d told, the first one %d", len(order), order[0])
 		}
 	}
@@ -360,13 +360,13 @@
 		t.Fatal(err)
 	}
 	client.s.Want(false, false)
-	for begin := time.Now(); time.Since(begin) < 2*shortageRest; {
+	for begin := time.Now(); time.Since(begin) < 2*shortagePause; {
 		if err := l.Turn(true); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if k.tries < 2 || k.tries > 10 {
-		t.Errorf("%d tries to accept in %v", k.tries, 2*shortageRest)
+		t.Errorf("%d tries to accept in %v", k.tries, 2*shortagePause)
 	}
 	k.short = false
 	for begin := time.Now(); taken == 0 && time.Since(begin) < 5*time.Second; {
--- a/internal/poll/socket.go
+++ b/internal/poll/socket.go
@@ -9,14 +9,14 @@
 
 // Socket is one TCP connection. Whoever opened or accepted it owns it and closes it once.
 type Socket struct {
-	loop    *Loop
-	fd      int
-	slot    int32
-	want    Interest
-	handler Handler
-	urgent  bool
-	watched bool // the kernel watches it
-	behind  bool // for something else than it wants, see Loop.watch
+	loop       *Loop
+	fd         int
+	slot       int32
+	want       Interest
+	handler    Handler
+	urgent     bool
+	watched    bool // the kernel watches it
+	watchStale bool // for something else than it wants, see Loop.watch
 }
 
 // Dial starts a connection. It is up, or has failed, once it is ready for writing: Established tells which.
@@ -56,12 +56,12 @@
 		return
 	}
 	s.want = want
-	s.loop.watch(s)
+	s.loop.updateWatch(s)
 }
 
-// tell hands an event to the handler. The kernel may still watch the socket for what it does not want any more.
-func (s *Socket) tell(r Ready) {
-	if s.behind && !r.Hangup {
+// dispatch hands an event to the handler. The kernel may still watch the socket for what it does not want any more.
+func (s *Socket) dispatch(r Ready) {
+	if s.watchStale && !r.Hangup {
 		r.Read = r.Read && s.want&WantRead != 0
 		r.Write = r.Write && s.want&WantWrite != 0
 	}
--- a/internal/poll/timer.go
+++ b/internal/poll/timer.go
@@ -17,13 +17,13 @@
 
 // Arm sets the timer, anew if it is armed.
 func (l *Loop) Arm(t *Timer, at time.Time) {
-	due := at.Sub(l.begun)
+	due := at.Sub(l.start)
 	if t.pos > 0 {
-		l.timers[t.pos-1].at = due
+		l.timers[t.pos-1].due = due
 		heap.Fix(&l.timers, t.pos-1)
 		return
 	}
-	heap.Push(&l.timers, alarm{due, t})
+	heap.Push(&l.timers, armedTimer{due, t})
 }
 
 // After sets the timer to go off after d.
@@ -36,50 +36,50 @@
 	}
 }
 
-// alarm is a timer that is armed. Its time, since the loop began, stands beside the pointer: a heap of ten thousands of
+// armedTimer is a timer that is armed. Its time, since the loop began, stands beside the pointer: a heap of ten thousands of
 // timers would otherwise miss the cache at each comparison.
-type alarm struct {
-	at time.Duration
-	t  *Timer
+type armedTimer struct {
+	due   time.Duration
+	timer *Timer
 }
 
-// timers is a heap, the next one first.
-type timers []alarm
+// timerHeap is a heap, the next one first.
+type timerHeap []armedTimer
 
-func (h timers) Len() int           { return len(h) }
-func (h timers) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h timers) Swap(i, j int) {
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].due < h[j].due }
+func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].t.pos, h[j].t.pos = i+1, j+1
+	h[i].timer.pos, h[j].timer.pos = i+1, j+1
 }
 
 // Push and Pop are for container/heap.
-func (h *timers) Push(x any) {
-	a := x.(alarm)
+func (h *timerHeap) Push(x any) {
+	a := x.(armedTimer)
 	*h = append(*h, a)
-	a.t.pos = len(*h)
+	a.timer.pos = len(*h)
 }
 
-func (h *timers) Pop() any {
+func (h *timerHeap) Pop() any {
 	old := *h
 	a := old[len(old)-1]
-	old[len(old)-1] = alarm{}
+	old[len(old)-1] = armedTimer{}
 	*h = old[:len(old)-1]
-	a.t.pos = 0
+	a.timer.pos = 0
 	return a
 }
 
 // next tells how long the kernel may wait, below 0 for without end.
-func (h timers) next(now time.Duration) time.Duration {
+func (h timerHeap) next(now time.Duration) time.Duration {
 	if len(h) == 0 {
 		return -1
 	}
-	return min(max(h[0].at-now, 0), time.Hour)
+	return min(max(h[0].due-now, 0), time.Hour)
 }
 
 // fire calls all timers that are due, also those that others arm for now meanwhile.
-func (h *timers) fire(now time.Duration) {
-	for len(*h) > 0 && (*h)[0].at <= now {
-		heap.Pop(h).(alarm).t.Fire()
+func (h *timerHeap) fire(now time.Duration) {
+	for len(*h) > 0 && (*h)[0].due <= now {
+		heap.Pop(h).(armedTimer).timer.Fire()
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -96,11 +96,11 @@
 	}
 }
 
-var repeats = map[string]balance.Idempotency{
+var idempotencies = map[string]balance.Idempotency{
 	"free": balance.Idempotent, "guarded": balance.IdempotentByKey, "single_shot": balance.NotIdempotent,
 }
 
-var scopes = map[string]balance.DedupScope{
+var dedupScopes = map[string]balance.DedupScope{
 	"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell,
 }
 
@@ -115,12 +115,12 @@
 		Relays: s.Balancers,
 		Zone:   s.Zone,
 		Rules: balance.Rules{
-			AnswerSlack:     span(s.Invariants.AnswerSlackUs),
-			MaxDiscoveryGap: span(s.Invariants.AskWithinUs),
+			AnswerSlack:     microseconds(s.Invariants.AnswerSlackUs),
+			MaxDiscoveryGap: microseconds(s.Invariants.AskWithinUs),
 			InitialCapacity: s.Invariants.ColdFrom,
-			WarmUpTime:      span(s.Invariants.WarmWithinUs),
+			WarmUpTime:      microseconds(s.Invariants.WarmWithinUs),
 			OverloadFactor:  s.Invariants.TipMultiple,
-			OverloadWindow:  span(s.Invariants.FallUs),
+			OverloadWindow:  microseconds(s.Invariants.FallUs),
 		},
 		Prices:          balance.Prices{CrossZone: s.Prices.CrossZone},
 		MaxAttempts:     s.Permissions.AttemptsCap,
@@ -128,36 +128,36 @@
 		MayCancel:       s.Permissions.Cancel,
 		Subscribe:       s.Discovery == "subscribe",
 		GroupAffinity:   s.Domain.Groups,
-		DetachedTimeout: span(s.Domain.ParkUs),
+		DetachedTimeout: microseconds(s.Domain.ParkUs),
 	}
 	if s.Permissions.RetryAfter {
-		cfg.MaxRetryAfter = span(s.Permissions.MaxRetryAfterUs)
+		cfg.MaxRetryAfter = microseconds(s.Permissions.MaxRetryAfterUs)
 	}
 	r := &Settings{
 		Classes: make(map[string]int), Tenants: make(map[string]int), ReportFields: s.Report.Fields,
-		DialTimeout: span(s.Permissions.DialTimeoutUs), ConnIdle: span(s.Permissions.ConnIdleUs), DrainGrace: span(s.Invariants.DrainGraceUs),
+		DialTimeout: microseconds(s.Permissions.DialTimeoutUs), ConnIdle: microseconds(s.Permissions.ConnIdleUs), DrainGrace: microseconds(s.Invariants.DrainGraceUs),
 		ReportsDelay: s.Domain.TellsDelay, ReportsLoad: s.Domain.TellsLoad,
 		x0IsLoad: strings.HasPrefix(s.Domain.ReportX0, "load"),
 	}
 	for i, c := range s.Classes {
-		repeat, ok := repeats[c.Repeat]
+		repeat, ok := idempotencies[c.Repeat]
 		if !ok {
 			repeat = balance.NotIdempotent
 		}
-		scope, ok := scopes[c.DedupScope]
+		scope, ok := dedupScopes[c.DedupScope]
 		if !ok {
 			scope = balance.ScopeCell
 		}
 		class := balance.Class{
-			SetupTarget: span(c.TargetUs), Worth: c.Worth,
-			Idempotency: repeat, DedupScope: scope, DedupWindow: span(c.WindowUs),
+			SetupTarget: microseconds(c.TargetUs), Worth: c.Worth,
+			Idempotency: repeat, DedupScope: scope, DedupWindow: microseconds(c.WindowUs),
 		}
-		r.MaxWaits = append(r.MaxWaits, span(c.HardLimitUs))
+		r.MaxWaits = append(r.MaxWaits, microseconds(c.HardLimitUs))
 		if i < len(s.Domain.MessageAimUs) {
-			if aim := span(s.Domain.MessageAimUs[i]); aim > 0 && (r.MessageTarget == 0 || aim < r.MessageTarget) {
+			if aim := microseconds(s.Domain.MessageAimUs[i]); aim > 0 && (r.MessageTarget == 0 || aim < r.MessageTarget) {
 				r.MessageTarget = aim
 			}
-			class.MessageTarget = span(s.Domain.MessageAimUs[i])
+			class.MessageTarget = microseconds(s.Domain.MessageAimUs[i])
 		}
 		cfg.Classes = append(cfg.Classes, class)
 		r.Classes[c.Name] = i
@@ -174,8 +174,8 @@
 	return r, nil
 }
 
-// span converts the object's microseconds.
-func span(us float64) time.Duration { return time.Duration(us) * time.Microsecond }
+// microseconds converts the object's microseconds.
+func microseconds(us float64) time.Duration { return time.Duration(us) * time.Microsecond }
 
 // Check tells what a proxy on sockets lacks in the settings, by the field's name. The simulator may leave out
 // any field; a proxy that started without these could serve nobody.
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -56,7 +56,7 @@
 
 // CountListAge counts a hop that was placed by a list of some age.
 func (c *Counters) CountListAge(age time.Duration) {
-	for _, b := range c.ages() {
+	for _, b := range c.ageBuckets() {
 		if age < b.under {
 			*b.count++
 			return
@@ -64,13 +64,13 @@
 	}
 }
 
-type ageClass struct {
+type ageBucket struct {
 	under time.Duration
 	count *int
 }
 
-func (c *Counters) ages() []ageClass {
-	return []ageClass{
+func (c *Counters) ageBuckets() []ageBucket {
+	return []ageBucket{
 		{time.Second / 4, &c.ListAgeQuarter}, {time.Second / 2, &c.ListAgeHalf}, {time.Second, &c.ListAge1}, {2 * time.Second, &c.ListAge2},
 		{3 * time.Second, &c.ListAge3}, {5 * time.Second, &c.ListAge5}, {10 * time.Second, &c.ListAge10}, {20 * time.Second, &c.ListAge20},
 		{math.MaxInt64, &c.ListAgeMore},
@@ -80,7 +80,7 @@
 // ListAgeFraction is the part of the hops that were placed by a list younger than that, one of the classes' bounds; 0 where there were none.
 func (c *Counters) ListAgeFraction(age time.Duration) float64 {
 	under, all := 0, 0
-	for _, b := range c.ages() {
+	for _, b := range c.ageBuckets() {
 		if all += *b.count; b.under <= age {
 			under += *b.count
 		}
@@ -91,10 +91,10 @@
 // ListAgeQuantile is the age under which a part of the hops' lists were, 0 to 1: the upper bound of its class, at most 40 s.
 func (c *Counters) ListAgeQuantile(part float64) time.Duration {
 	all, seen := 0, 0
-	for _, b := range c.ages() {
+	for _, b := range c.ageBuckets() {
 		all += *b.count
 	}
-	for _, b := range c.ages() {
+	for _, b := range c.ageBuckets() {
 		if seen += *b.count; float64(seen) >= part*float64(all) {
 			return min(b.under, 40*time.Second)
 		}
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -82,29 +82,29 @@
 	"SERVING": balance.Ready, "DRAINING": balance.Draining, "DELETED": balance.Gone,
 }
 
-const catalogues = 16 // numbers that catalogues may have
+const maxCatalogues = 16 // numbers that catalogues may have
 
 // Reader reads events line by line.
 type Reader struct {
-	in      *bufio.Reader
-	line    int
-	long    []byte
-	inBatch bool
-	now     time.Time
-	sheets  [catalogues][]balance.Backend
-	filled  [catalogues]bool
-	relays  map[int]*settings.Settings
-	names   map[string]string // backend ids seen, so that each is kept once
-	parts   [][]byte
-	err     error // first bad value of the line in hand
+	in           *bufio.Reader
+	lineNumber   int
+	longLine     []byte
+	inBatch      bool
+	now          time.Time
+	catalogues   [maxCatalogues][]balance.Backend
+	catalogueSet [maxCatalogues]bool
+	instances    map[int]*settings.Settings
+	backendIDs   map[string]string // backend ids seen, so that each is kept once
+	values       [][]byte
+	err          error // first bad value of the line in hand
 }
 
 // NewReader returns a Reader of in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
-		in:     bufio.NewReaderSize(in, 1<<16),
-		relays: make(map[int]*settings.Settings),
-		names:  make(map[string]string),
+		in:         bufio.NewReaderSize(in, 1<<16),
+		instances:  make(map[int]*settings.Settings),
+		backendIDs: make(map[string]string),
 	}
 }
 
@@ -117,17 +117,17 @@
 			return io.EOF
 		}
 		if err == io.EOF {
-			return fmt.Errorf("line %d: input ends inside a batch", r.line)
+			return fmt.Errorf("line %d: input ends inside a batch", r.lineNumber)
 		}
 		if err != nil {
-			return fmt.Errorf("line %d: %w", r.line, err)
+			return fmt.Errorf("line %d: %w", r.lineNumber, err)
 		}
 		if len(line) == 0 && !r.inBatch {
 			continue
 		}
 		catalogue, err := r.parse(line, e)
 		if err != nil {
-			return fmt.Errorf("line %d: %w", r.line, err)
+			return fmt.Errorf("line %d: %w", r.lineNumber, err)
 		}
 		if !catalogue {
 			return nil
@@ -139,15 +139,15 @@
 func (r *Reader) readLine() ([]byte, error) {
 	line, err := r.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		r.long = append(r.long[:0], line...)
+		r.longLine = append(r.longLine[:0], line...)
 		for errors.Is(err, bufio.ErrBufferFull) {
 			line, err = r.in.ReadSlice('\n')
-			r.long = append(r.long, line...)
+			r.longLine = append(r.longLine, line...)
 		}
-		line = r.long
+		line = r.longLine
 	}
 	if len(line) > 0 {
-		r.line++
+		r.lineNumber++
 		return bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r")), nil
 	}
 	return nil, err
@@ -160,7 +160,7 @@
 		if !r.inBatch {
 			return false, errors.New("CATALOG outside a batch")
 		}
-		return true, r.catalogue(rest)
+		return true, r.readCatalogue(rest)
 	}
 	m, ok := messages[string(name)]
 	if !ok {
@@ -171,8 +171,8 @@
 		limit = m.values // the settings run to the end of the line
 	}
 	r.split(rest, limit)
-	if len(r.parts) < m.values {
-		return false, fmt.Errorf("%s has %d values, not %d", name, len(r.parts), m.values)
+	if len(r.values) < m.values {
+		return false, fmt.Errorf("%s has %d values, not %d", name, len(r.values), m.values)
 	}
 	if (m.kind == Frame) == r.inBatch {
 		return false, fmt.Errorf("%s out of place", name)
@@ -181,14 +181,14 @@
 	*e = Event{Kind: m.kind}
 	switch m.kind {
 	case Frame:
-		r.now = time.UnixMicro(r.integer(0))
+		r.now = time.UnixMicro(r.signed(0))
 		r.inBatch = true
 	case YourTurn:
 		r.inBatch = false
 	default:
-		e.Relay = int(r.integer(0))
+		e.Relay = int(r.signed(0))
 		if r.err == nil {
-			r.fill(e)
+			r.parseValues(e)
 		}
 	}
 	e.Now = r.now
@@ -198,115 +198,115 @@
 	return false, nil
 }
 
-// fill reads the values of an event that belongs to an instance.
-func (r *Reader) fill(e *Event) {
+// parseValues reads the values of an event that belongs to an instance.
+func (r *Reader) parseValues(e *Event) {
 	if e.Kind == Configure {
-		e.Seed = r.whole(1)
-		set, err := settings.Decode(r.parts[2])
+		e.Seed = r.unsigned(1)
+		set, err := settings.Decode(r.values[2])
 		if err != nil {
 			r.fail(err)
 			return
 		}
 		e.Config = set.Config
-		r.relays[e.Relay] = set
+		r.instances[e.Relay] = set
 		return
 	}
-	rel, ok := r.relays[e.Relay]
+	rel, ok := r.instances[e.Relay]
 	if !ok {
 		r.fail(fmt.Errorf("unknown instance %d", e.Relay))
 		return
 	}
 	switch e.Kind {
 	case Members:
-		e.List = word(r, listKinds, 1)
+		e.List = lookUp(r, listKinds, 1)
 		if e.List == balance.ListBroken || r.err != nil {
 			return
 		}
-		n := r.whole(3)
-		if n >= catalogues || !r.filled[n] {
-			r.fail(fmt.Errorf("no catalogue %s", r.parts[3]))
+		n := r.unsigned(3)
+		if n >= maxCatalogues || !r.catalogueSet[n] {
+			r.fail(fmt.Errorf("no catalogue %s", r.values[3]))
 			return
 		}
-		e.Backends = r.sheets[n]
+		e.Backends = r.catalogues[n]
 	case Ingress, Handover:
-		r.request(e, rel)
+		r.parseRequest(e, rel)
 	case Timer:
-		e.Token = r.whole(1)
+		e.Token = r.unsigned(1)
 	case Streaming:
-		e.Request.ID = r.whole(1)
-		e.Attempt = int(r.integer(2))
-		e.Backend = r.backend(3)
+		e.Request.ID = r.unsigned(1)
+		e.Attempt = int(r.signed(2))
+		e.Backend = r.backendID(3)
 	case Retire:
-		delete(r.relays, e.Relay)
+		delete(r.instances, e.Relay)
 	case Heartbeat:
-		e.Request.ID = r.whole(1)
-		e.Attempt = int(r.integer(2))
-		e.Backend = r.backend(3)
-		sort := r.integer(4)
+		e.Request.ID = r.unsigned(1)
+		e.Attempt = int(r.signed(2))
+		e.Backend = r.backendID(3)
+		sort := r.signed(4)
 		e.MetricKnown = sort == 1 || sort == 2
 		if sort == 2 {
 			e.Metric = balance.MetricDelay
 		}
-		e.MetricValue = r.number(r.parts[5])
+		e.MetricValue = r.float(r.values[5])
 	case Finished:
-		e.Request.ID = r.whole(1)
-		e.Settled = r.optional(2) != 0
-		e.Backend = r.backend(3)
-		e.Outcome = word(r, outcomes, 4)
-		e.Attempt = int(r.integer(5))
+		e.Request.ID = r.unsigned(1)
+		e.Settled = r.optionalSigned(2) != 0
+		e.Backend = r.backendID(3)
+		e.Outcome = lookUp(r, outcomes, 4)
+		e.Attempt = int(r.signed(5))
 		e.Report = r.report(7, rel)
 	case ClientGone:
-		e.Request.ID = r.whole(1)
+		e.Request.ID = r.unsigned(1)
 	case Checked:
-		e.Backend = r.backend(1)
-		e.Outcome = word(r, outcomes, 2)
+		e.Backend = r.backendID(1)
+		e.Outcome = lookUp(r, outcomes, 2)
 		e.Report = r.report(4, rel)
 	}
 }
 
 // Bits of a request's flags.
 const (
-	bitMidFlow = 8
-	bitAgain   = 16
+	flagMidFlow   = 8
+	flagReconnect = 16
 )
 
-func (r *Reader) request(e *Event, rel *settings.Settings) {
+func (r *Reader) parseRequest(e *Event, rel *settings.Settings) {
 	q := &e.Request
-	q.ID = r.whole(1)
+	q.ID = r.unsigned(1)
 	q.Class, q.Tenant = -1, -1
-	if i, ok := rel.Classes[string(r.parts[2])]; ok {
+	if i, ok := rel.Classes[string(r.values[2])]; ok {
 		q.Class = i
 	}
-	if i, ok := rel.Tenants[string(r.parts[3])]; ok {
+	if i, ok := rel.Tenants[string(r.values[3])]; ok {
 		q.Tenant = i
 	}
-	if !absent(r.parts[4]) {
-		q.Key = string(r.parts[4])
+	if !absent(r.values[4]) {
+		q.Key = string(r.values[4])
 	}
-	q.Timeout = time.Duration(r.optional(5)) * time.Microsecond
-	if !absent(r.parts[7]) {
-		q.Group = string(r.parts[7])
+	q.Timeout = time.Duration(r.optionalSigned(5)) * time.Microsecond
+	if !absent(r.values[7]) {
+		q.Group = string(r.values[7])
 	}
-	bits := r.optional(8)
-	q.MidFlow, q.Reconnect = bits&bitMidFlow != 0, bits&bitAgain != 0
+	bits := r.optionalSigned(8)
+	q.MidFlow, q.Reconnect = bits&flagMidFlow != 0, bits&flagReconnect != 0
 	if e.Kind == Handover {
-		e.Backend = r.backend(9)
+		e.Backend = r.backendID(9)
 	}
 }
 
-// catalogue reads the head of a catalogue and its rows.
-func (r *Reader) catalogue(rest []byte) error {
+// readCatalogue reads the head of a readCatalogue and its rows.
+func (r *Reader) readCatalogue(rest []byte) error {
 	r.err = nil
 	r.split(rest, -1)
-	if len(r.parts) < 2 {
-		return fmt.Errorf("CATALOG has %d values, not 2", len(r.parts))
+	if len(r.values) < 2 {
+		return fmt.Errorf("CATALOG has %d values, not 2", len(r.values))
 	}
-	sheet, rows := r.whole(0), r.whole(1)
+	sheet, rows := r.unsigned(0), r.unsigned(1)
 	if r.err != nil {
 		return fmt.Errorf("CATALOG: %w", r.err)
 	}
-	if sheet >= catalogues {
-		return fmt.Errorf("CATALOG: number %d is over %d", sheet, catalogues-1)
+	if sheet >= maxCatalogues {
+		return fmt.Errorf("CATALOG: number %d is over %d", sheet, maxCatalogues-1)
 	}
 	var list []balance.Backend
 	for range rows {
@@ -319,27 +319,27 @@
 		}
 		name, values, _ := bytes.Cut(line, []byte(" "))
 		r.split(values, -1)
-		if string(name) != "ROW" || len(r.parts) < 7 {
+		if string(name) != "ROW" || len(r.values) < 7 {
 			return errors.New("CATALOG: not a ROW of 7 values")
 		}
 		b := balance.Backend{
-			ID:    r.backend(0),
-			Zone:  string(r.parts[1]),
-			Cell:  int(r.optional(3)),
-			State: word(r, states, 4),
+			ID:    r.backendID(0),
+			Zone:  string(r.values[1]),
+			Cell:  int(r.optionalSigned(3)),
+			State: lookUp(r, states, 4),
 			Size:  1,
 		}
-		if boot := r.optional(6); boot != 0 {
+		if boot := r.optionalSigned(6); boot != 0 {
 			b.StartTime = time.UnixMicro(boot)
 		}
-		if !absent(r.parts[5]) {
-			b.Size = r.number(r.parts[5])
+		if !absent(r.values[5]) {
+			b.Size = r.float(r.values[5])
 		}
 		if r.err != nil {
 			return fmt.Errorf("ROW: %w", r.err)
 		}
 		list = append(list, b)
 	}
-	r.sheets[sheet], r.filled[sheet] = list, true
+	r.catalogues[sheet], r.catalogueSet[sheet] = list, true
 	return nil
 }
--- a/internal/wire/values.go
+++ b/internal/wire/values.go
@@ -13,18 +13,18 @@
 
 // split cuts rest at its spaces into r.parts, into at most limit parts if that is not below 0.
 func (r *Reader) split(rest []byte, limit int) {
-	r.parts = r.parts[:0]
+	r.values = r.values[:0]
 	for len(rest) > 0 {
-		if limit >= 0 && len(r.parts) == limit-1 {
-			r.parts = append(r.parts, rest)
+		if limit >= 0 && len(r.values) == limit-1 {
+			r.values = append(r.values, rest)
 			return
 		}
 		i := bytes.IndexByte(rest, ' ')
 		if i < 0 {
-			r.parts = append(r.parts, rest)
+			r.values = append(r.values, rest)
 			return
 		}
-		r.parts = append(r.parts, rest[:i])
+		r.values = append(r.values, rest[:i])
 		rest = rest[i+1:]
 	}
 }
@@ -37,10 +37,10 @@
 	}
 }
 
-// whole reads a number that is not negative.
-func (r *Reader) whole(i int) uint64 {
+// unsigned reads a number that is not negative.
+func (r *Reader) unsigned(i int) uint64 {
 	n := uint64(0)
-	part := r.parts[i]
+	part := r.values[i]
 	for _, c := range part {
 		d := uint64(c - '0')
 		if d > 9 || n > (math.MaxUint64-d)/10 {
@@ -55,14 +55,14 @@
 	return n
 }
 
-// integer reads a number with a sign.
-func (r *Reader) integer(i int) int64 {
-	part := r.parts[i]
+// signed reads a number with a sign.
+func (r *Reader) signed(i int) int64 {
+	part := r.values[i]
 	negative := len(part) > 1 && part[0] == '-'
 	if negative {
-		r.parts[i] = part[1:]
+		r.values[i] = part[1:]
 	}
-	n := r.whole(i)
+	n := r.unsigned(i)
 	if n > math.MaxInt64 {
 		r.fail(fmt.Errorf("%q is too large", part))
 		return 0
@@ -73,16 +73,16 @@
 	return int64(n)
 }
 
-// optional reads a number that may be absent, which counts as 0.
-func (r *Reader) optional(i int) int64 {
-	if absent(r.parts[i]) {
+// optionalSigned reads a number that may be absent, which counts as 0.
+func (r *Reader) optionalSigned(i int) int64 {
+	if absent(r.values[i]) {
 		return 0
 	}
-	return r.integer(i)
+	return r.signed(i)
 }
 
-// number reads a number with a fraction; one that is absent is NaN.
-func (r *Reader) number(part []byte) float64 {
+// float reads a float with a fraction; one that is absent is NaN.
+func (r *Reader) float(part []byte) float64 {
 	if absent(part) || len(part) == 0 {
 		return math.NaN()
 	}
@@ -93,9 +93,9 @@
 	return f
 }
 
-func (r *Reader) backend(i int) string {
-	part := r.parts[i]
-	if name, ok := r.names[string(part)]; ok {
+func (r *Reader) backendID(i int) string {
+	part := r.values[i]
+	if name, ok := r.backendIDs[string(part)]; ok {
 		return name
 	}
 	if absent(part) || len(part) == 0 {
@@ -103,15 +103,15 @@
 		return ""
 	}
 	name := string(part)
-	r.names[name] = name
+	r.backendIDs[name] = name
 	return name
 }
 
-// word looks a value up among the words that the wire knows there.
-func word[T any](r *Reader, words map[string]T, i int) T {
-	v, ok := words[string(r.parts[i])]
+// lookUp looks a value up among the words that the wire knows there.
+func lookUp[T any](r *Reader, words map[string]T, i int) T {
+	v, ok := words[string(r.values[i])]
 	if !ok {
-		r.fail(fmt.Errorf("unknown word %q", r.parts[i]))
+		r.fail(fmt.Errorf("unknown word %q", r.values[i]))
 	}
 	return v
 }
@@ -120,14 +120,14 @@
 func (r *Reader) report(i int, set *settings.Settings) balance.Report {
 	var rep balance.Report
 	settings.ClearReport(&rep)
-	rest := r.parts[i]
+	rest := r.values[i]
 	if absent(rest) {
 		return rep
 	}
 	for _, name := range set.ReportFields {
 		value, more, _ := bytes.Cut(rest, []byte(","))
 		rest = more
-		set.SetReportValue(&rep, name, r.number(value))
+		set.SetReportValue(&rep, name, r.float(value))
 	}
 	return rep
 }
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -37,8 +37,8 @@
 	w.buf = strconv.AppendInt(w.buf, n, 10)
 }
 
-// span writes a span in the wire's microseconds.
-func (w *Writer) span(d time.Duration) { w.number(d.Microseconds()) }
+// microseconds writes a microseconds in the wire's microseconds.
+func (w *Writer) microseconds(d time.Duration) { w.number(d.Microseconds()) }
 
 func (w *Writer) text(s string) {
 	w.buf = append(w.buf, ' ')
@@ -47,13 +47,13 @@
 
 func (w *Writer) end() { w.buf = append(w.buf, '\n') }
 
-// oneLine keeps a text from breaking the wire.
-var oneLine = strings.NewReplacer("\n", " ", "\r", " ")
+// newlineReplacer keeps a text from breaking the wire.
+var newlineReplacer = strings.NewReplacer("\n", " ", "\r", " ")
 
 // InternalError tells the simulator that the decision code failed.
 func (w *Writer) InternalError(relay int, what string) {
 	w.begin("INTERNAL_ERROR", relay)
-	w.text(oneLine.Replace(what))
+	w.text(newlineReplacer.Replace(what))
 	w.end()
 }
 
@@ -69,22 +69,22 @@
 	h.w.begin("SEND", h.relay)
 	h.w.number(int64(id))
 	h.w.text(backend)
-	h.w.span(timeout)
+	h.w.microseconds(timeout)
 	h.w.end()
 }
 
 func (h host) Refuse(id balance.RequestID, advice time.Duration) {
 	h.w.begin("SAY_NO", h.relay)
 	h.w.number(int64(id))
-	h.w.span(advice)
+	h.w.microseconds(advice)
 	h.w.end()
 }
 
-func (h host) Fail(id balance.RequestID) { h.request("SURRENDER", id) }
+func (h host) Fail(id balance.RequestID) { h.writeAction("SURRENDER", id) }
 
-func (h host) Move(id balance.RequestID) { h.request("MIGRATE", id) }
+func (h host) Move(id balance.RequestID) { h.writeAction("MIGRATE", id) }
 
-func (h host) request(name string, id balance.RequestID) {
+func (h host) writeAction(name string, id balance.RequestID) {
 	h.w.begin(name, h.relay)
 	h.w.number(int64(id))
 	h.w.end()
@@ -111,7 +111,7 @@
 
 func (h host) After(d time.Duration, token uint64) {
 	h.w.begin("NOTIFY_ME", h.relay)
-	h.w.span(d)
+	h.w.microseconds(d)
 	h.w.number(int64(token))
 	h.w.end()
 }
