--- a/internal/line/line.go
+++ b/internal/line/line.go
@@ -1,5 +1,5 @@
-// Package line is the platform's line protocol: it cuts a byte stream into lines and reads and writes their
-// words. It does no I/O and keeps no state but the caller's.
+// Package line implements the line protocol of the platform: it splits a byte stream into lines,
+// and parses and formats them. It does no I/O and keeps no state between calls.
 package line
 
 import (
@@ -10,17 +10,18 @@
 	"time"
 )
 
-// MaxLength is the longest line that the protocol allows, its end included.
+// MaxLength is the longest line that the protocol allows, in bytes, including the line end.
 const MaxLength = 4096
 
-// ErrTooLong means that a line is longer than Max.
-var ErrTooLong = errors.New("line: over 4096 bytes")
+// ErrTooLong means that a line is longer than MaxLength.
+var ErrTooLong = errors.New("line: longer than 4096 bytes")
 
-// ErrSyntax means that a line is not of the protocol.
-var ErrSyntax = errors.New("line: not of the protocol")
+// ErrSyntax means that a line does not conform to the protocol.
+var ErrSyntax = errors.New("line: invalid syntax")
 
-// SplitComplete splits data after its last complete line. It fails if any line, also the one begun, is too long.
-func SplitComplete(data []byte) (whole, rest []byte, err error) {
+// SplitComplete splits data after its last complete line. It returns ErrTooLong if any line,
+// including the incomplete last one, is too long.
+func SplitComplete(data []byte) (complete, rest []byte, err error) {
 	for rest = data; ; {
 		i := bytes.IndexByte(rest, '\n')
 		if i+1 > MaxLength || i < 0 && len(rest) >= MaxLength {
@@ -33,36 +34,38 @@
 	}
 }
 
-// Next cuts the first line off data that holds whole lines only. The line comes with its end.
+// Next splits the first line off data, which must consist of complete lines. The returned line
+// includes its line end.
 func Next(data []byte) (first, rest []byte) {
 	i := bytes.IndexByte(data, '\n') + 1
 	return data[:i], data[i:]
 }
 
-// TrimLineEnd takes the end off a line.
+// TrimLineEnd returns a line without its LF or CR LF.
 func TrimLineEnd(line []byte) []byte {
 	return bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
 }
 
-// Open is the first line of a client's connection.
+// Open is the request in the first line of a client connection.
 type Open struct {
 	ID, Key       string
 	Class         string
-	Tenant        string // whose client it is; empty: it names none
+	Tenant        string // tenant of the client; empty: none named
 	Group         string
-	CurrentTarget string        // an egress target that holds the connection already; empty: none
+	CurrentTarget string        // egress target that already holds the connection; empty: none
 	Wait          time.Duration // how long the client waits, from when it sent the line
-	Reconnect     bool          // its last connection was moved or broke
+	Reconnect     bool          // the previous connection of the client was moved or broke
 	MidFlow       bool
-	beforeWait    string // the line up to the figure of d, and from there on
-	afterWait     string
+	beforeWait    string // the line up to the value of d
+	afterWait     string // the line from the end of the value of d
 }
 
-// maxWait is longer than any client waits: a figure above it is a fault, and one far above would overflow.
+// maxWait is longer than any client waits. A larger value is rejected as an error; a very large one
+// would overflow time.Duration.
 const maxWait = 24 * time.Hour
 
-// parseWait reads the figure of d: plain digits, perhaps with a fraction. Signs, exponents and words such as
-// NaN are no time that a client can wait.
+// parseWait parses the value of d, in milliseconds: decimal digits, optionally with a fraction.
+// Signs, exponents and words such as NaN are rejected.
 func parseWait(value []byte) (time.Duration, bool) {
 	for _, c := range value {
 		if (c < '0' || c > '9') && c != '.' {
@@ -76,8 +79,9 @@
 	return time.Duration(ms * float64(time.Millisecond)), true
 }
 
-// ParseOpen reads the first line of a client, without its end. It is strict: what an egress target could not
-// read would be answered there with an error, for which the target is not to blame.
+// ParseOpen parses the first line of a client, without its line end. It is strict: an egress target
+// would answer an invalid line with an error, and the proxy would count that error against the
+// target, which is not at fault.
 func ParseOpen(text []byte) (Open, error) {
 	var o Open
 	for _, c := range text {
@@ -130,7 +134,8 @@
 	return o, nil
 }
 
-// Append appends the line as a proxy passes it on: unchanged but for the time that the proxy will wait.
+// Append appends the line in the form in which a proxy forwards it: unchanged except for the value
+// of d, which becomes the time that the proxy waits.
 func (o *Open) Append(dst []byte, wait time.Duration) []byte {
 	dst = append(dst, o.beforeWait...)
 	dst = strconv.AppendInt(dst, max(wait.Milliseconds(), 1), 10)
@@ -141,7 +146,7 @@
 // Word is the first word of a line from an egress target.
 type Word uint8
 
-// The words that mean something to a proxy.
+// The words that a proxy handles. Unknown stands for all others.
 const (
 	Unknown Word = iota
 	Up
@@ -153,7 +158,7 @@
 	Pong
 )
 
-// ParseWord splits a line, without its end, into its word and what follows.
+// ParseWord splits a line, without its line end, into its first word and the rest.
 func ParseWord(text []byte) (Word, []byte) {
 	head, rest, _ := bytes.Cut(text, []byte(" "))
 	switch string(head) {
@@ -175,7 +180,8 @@
 	return Unknown, rest
 }
 
-// ParseReport calls put for each name=figure of a load report; what is no figure is passed over.
+// ParseReport calls put for each name=value pair of a load report whose value is a finite number.
+// It ignores other pairs.
 func ParseReport(report []byte, put func(name string, v float64)) {
 	for len(report) > 0 {
 		var pair []byte
@@ -187,13 +193,14 @@
 	}
 }
 
-// ParseNumber reads a finite number.
+// ParseNumber parses a finite number. It returns false for anything else.
 func ParseNumber(value []byte) (float64, bool) {
 	v, err := strconv.ParseFloat(string(bytes.TrimSpace(value)), 64)
 	return v, err == nil && !math.IsInf(v, 0) && !math.IsNaN(v)
 }
 
-// AppendBusy appends a refusal, with the time after which the client may come again if it is above 0.
+// AppendBusy appends the BUSY answer that refuses a client. It includes after, the delay before the
+// client may retry, if that is at least 1 ms.
 func AppendBusy(dst []byte, after time.Duration) []byte {
 	dst = append(dst, "BUSY"...)
 	if ms := after.Milliseconds(); ms > 0 {
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -14,9 +14,9 @@
 		t.Fatal(err)
 	}
 	if o.ID != "9b1f" || o.Key != "7f3a" || o.Class != "chat" || o.Tenant != "acme" || o.Group != "5c0f" || o.Wait != 2*time.Second || !o.Reconnect {
-		t.Errorf("read as %+v", o)
+		t.Errorf("parsed as %+v", o)
 	}
-	// Only the figure of d may change on the way, wherever it stands.
+	// A proxy changes only the value of d, at any position in the line.
 	for _, tt := range [][2]string{
 		{"OPEN a b c=x,d=2000,g=1", "OPEN a b c=x,d=300,g=1\r\n"},
 		{"OPEN a b d=7,c=x,odd=d=9", "OPEN a b d=300,c=x,odd=d=9\r\n"},
@@ -27,7 +27,7 @@
 			t.Fatalf("%q: %v", tt[0], err)
 		}
 		if got := string(o.Append(nil, 300*time.Millisecond+900*time.Microsecond)); got != tt[1] {
-			t.Errorf("%q goes on as %q", tt[0], got)
+			t.Errorf("%q forwarded as %q, want %q", tt[0], got, tt[1])
 		}
 	}
 	for _, bad := range []string{
@@ -38,31 +38,33 @@
 		"OPEN a\x00 b c=x,d=5", "OPEN a b c=x,d=5,g=\xff", "OPEN a\tb c c=x,d=5",
 	} {
 		if _, err := ParseOpen([]byte(bad)); !errors.Is(err, ErrSyntax) {
-			t.Errorf("%q: error %v", bad, err)
+			t.Errorf("%q: got error %v, want ErrSyntax", bad, err)
 		}
 	}
 }
 
-// A figure that is absent or odd must not pass for zero.
-func TestFigures(t *testing.T) {
+// TestParseReport checks that a value which is missing or not a finite number is left out and not
+// reported as zero.
+func TestParseReport(t *testing.T) {
 	got := map[string]float64{}
 	ParseReport([]byte("cpu=0.5,x0=,rps=-,odd,y=NaN,z=+Inf,w=3"), func(n string, v float64) { got[n] = v })
 	if len(got) != 2 || got["cpu"] != 0.5 || got["w"] != 3 {
-		t.Errorf("read %v", got)
+		t.Errorf("got %v, want cpu=0.5 and w=3 only", got)
 	}
 }
 
-func TestBusy(t *testing.T) {
+func TestAppendBusy(t *testing.T) {
 	for after, want := range map[time.Duration]string{
 		0: "BUSY\r\n", time.Microsecond: "BUSY\r\n", 1500 * time.Millisecond: "BUSY 1500\r\n",
 	} {
 		if got := string(AppendBusy(nil, after)); got != want {
-			t.Errorf("%v: %q", after, got)
+			t.Errorf("%v: got %q, want %q", after, got, want)
 		}
 	}
 }
 
-// However a stream is cut into reads, the same lines come out, and a line over the limit is found.
+// FuzzWhole checks SplitComplete and Next: the lines of a stream must not depend on how the stream
+// is split into reads, and a line over the limit must be detected.
 func FuzzWhole(f *testing.F) {
 	f.Add([]byte("OPEN a b c=x,d=1\r\nPING\r\nhalf"), uint8(3))
 	f.Add([]byte("\n\r\n\n"), uint8(1))
@@ -74,14 +76,14 @@
 		failed := false
 		for at := 0; at < len(stream) && !failed; at += step {
 			data := append(append([]byte(nil), rest...), stream[at:min(at+step, len(stream))]...)
-			whole, more, err := SplitComplete(data)
+			complete, more, err := SplitComplete(data)
 			if failed = err != nil; failed {
 				break
 			}
-			for len(whole) > 0 {
+			for len(complete) > 0 {
 				var first []byte
-				if first, whole = Next(whole); bytes.Count(first, []byte("\n")) != 1 || len(first) > MaxLength {
-					t.Fatalf("a line of %d bytes: %q", len(first), first)
+				if first, complete = Next(complete); bytes.Count(first, []byte("\n")) != 1 || len(first) > MaxLength {
+					t.Fatalf("line of %d bytes is too long or not exactly one line: %q", len(first), first)
 				}
 				out = append(out, first...)
 			}
@@ -92,14 +94,16 @@
 			tooLong = tooLong || len(l) > MaxLength || len(l) == MaxLength && !bytes.HasSuffix(l, []byte("\n"))
 		}
 		if failed != tooLong {
-			t.Fatalf("too long: %v, told %v", tooLong, failed)
+			t.Fatalf("stream has a line that is too long: %v, but SplitComplete failed: %v", tooLong, failed)
 		}
 		if !failed && string(append(out, rest...)) != string(stream) {
-			t.Fatalf("bytes were lost or changed")
+			t.Fatalf("bytes of the stream were lost or changed")
 		}
 	})
 }
 
+// FuzzParseOpen checks that a line that ParseOpen accepts is parsed in the same way after a proxy
+// has forwarded it, except for the wait.
 func FuzzParseOpen(f *testing.F) {
 	f.Add([]byte("OPEN 9b1f 7f3a c=chat,d=2000,g=5c0f"))
 	f.Add([]byte("OPEN a b d=1,c=x,at=s-1"))
@@ -108,13 +112,13 @@
 		if err != nil {
 			return
 		}
-		again, err := ParseOpen(TrimLineEnd(o.Append(nil, 250*time.Millisecond)))
-		if err != nil || again.Wait != 250*time.Millisecond {
-			t.Fatalf("%q goes on as %+v, %v", text, again, err)
+		reparsed, err := ParseOpen(TrimLineEnd(o.Append(nil, 250*time.Millisecond)))
+		if err != nil || reparsed.Wait != 250*time.Millisecond {
+			t.Fatalf("%q is parsed after forwarding as %+v, error %v", text, reparsed, err)
 		}
-		again.Wait, o.Wait = 0, 0
-		if again != o {
-			t.Fatalf("%q: %+v became %+v", text, o, again)
+		reparsed.Wait, o.Wait = 0, 0
+		if reparsed != o {
+			t.Fatalf("%q: parsed as %+v, after forwarding as %+v", text, o, reparsed)
 		}
 	})
 }
--- a/internal/poll/callfaults/callfaults.go
+++ b/internal/poll/callfaults/callfaults.go
@@ -1,5 +1,6 @@
-// Package callfaults makes system calls fail, by a plan drawn from a seed, in the ways that their manual pages document. It stands
-// between the epoll kernel and Linux, so that a whole process can be tried with it.
+// Package callfaults injects faults into system calls: they fail in ways that their manual pages
+// document, by a plan drawn from a seed. It sits between the epoll kernel and Linux, so that a
+// whole process can be tested with such faults.
 package callfaults
 
 import (
@@ -11,10 +12,10 @@
 	"ospreyspan/internal/poll"
 )
 
-// Call names a system call, or a use of one.
+// Call names a system call, or one use of a system call.
 type Call string
 
-// The calls that can be made to fail. ShortRead and ShortSend move fewer bytes than there are.
+// The calls that can fail. ShortRead and ShortSend transfer fewer bytes than possible.
 const (
 	Socket    Call = "socket"
 	Bind      Call = "bind"
@@ -31,10 +32,10 @@
 	ShortSend Call = "short-send"
 )
 
-// Side tells on which connections reads and sends fail.
+// Side selects the connections on which reads and sends fail.
 type Side string
 
-// The sides. AnySide stands for both.
+// The values of Side. AnySide selects both accepted and outgoing connections.
 const (
 	AnySide   Side = ""
 	Accepted  Side = "accepted"
@@ -45,41 +46,41 @@
 type Fault struct {
 	Call        Call          `json:"call"`
 	Errno       unix.Errno    `json:"errno"`
-	Probability float64       `json:"part"` // of the calls that fail, 0 to 1
+	Probability float64       `json:"part"` // that a call fails, 0 to 1
 	Side        Side          `json:"side"` // for reads and sends
-	Skip        int           `json:"skip"` // calls that are let through first
-	Duration    time.Duration `json:"for"`  // since the first failure; 0: without end
+	Skip        int           `json:"skip"` // number of first calls that succeed
+	Duration    time.Duration `json:"for"`  // for which calls fail, from the first failure; 0: without end
 }
 
-// Plan is what goes wrong in a process.
+// Plan lists the faults of a process.
 type Plan struct {
 	Seed   uint64     `json:"seed"`
 	Faults []Fault    `json:"faults"`
 	Steps  []WallStep `json:"steps"`
 }
 
-// WallStep is a step of the wall clock, forward or back, so long after the plan came into force.
+// WallStep is a step of the wall clock, forward or back.
 type WallStep struct {
-	After time.Duration `json:"after"`
-	By    time.Duration `json:"by"`
+	After time.Duration `json:"after"` // since the plan was applied
+	By    time.Duration `json:"by"`    // negative: back
 }
 
-// injector is a plan in use. Like the loop that makes the calls it belongs to one goroutine.
+// injector applies a plan. Like the loop that makes the calls, it belongs to one goroutine.
 type injector struct {
 	rng    *rand.Rand
 	faults []*faultState
-	sides  map[int]Side // of the descriptors that are connections
-	broken map[int]bool // connections that failed: nothing comes of them any more
+	sides  map[int]Side // side of each descriptor that is a connection
+	broken map[int]bool // connections that failed: they deliver no more data
 }
 
-// faultState is a fault with what it has done so far.
+// faultState is a fault with its state.
 type faultState struct {
 	Fault
-	calls        int
-	firstFailure time.Time
+	calls        int       // matching calls so far
+	firstFailure time.Time // zero: none yet
 }
 
-// Wrap returns system calls that fail by a plan.
+// Wrap returns system calls that fail according to a plan, and otherwise call under.
 func Wrap(under poll.SystemCalls, p Plan) poll.SystemCalls {
 	s := &injector{rng: rand.New(rand.NewPCG(p.Seed, p.Seed)), sides: make(map[int]Side), broken: make(map[int]bool)}
 	for _, f := range p.Faults {
@@ -137,11 +138,11 @@
 		}
 		return under.EpollWait(epfd, events, milliseconds)
 	}
-	begun := time.Now()
+	start := time.Now()
 	calls.WallTime = func() time.Time {
 		now := under.WallTime()
 		for _, step := range p.Steps {
-			if time.Since(begun) >= step.After {
+			if time.Since(start) >= step.After {
 				now = now.Add(step.By)
 			}
 		}
@@ -163,7 +164,7 @@
 	return calls
 }
 
-// drawError draws whether a call drawError, and how; 0: it does not.
+// drawError draws whether a call fails, and with which error; 0 means that it does not fail.
 func (s *injector) drawError(call Call, side Side) unix.Errno {
 	for _, f := range s.faults {
 		if f.Call != call || f.Side != AnySide && f.Side != side {
@@ -182,7 +183,7 @@
 	return 0
 }
 
-// breaksConnection tells whether a connection is over after an error of a read or a send.
+// breaksConnection returns whether an error of a read or a send ends the connection.
 func breaksConnection(errno unix.Errno) bool {
 	switch errno {
 	case unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM:
--- a/internal/poll/epoll.go
+++ b/internal/poll/epoll.go
@@ -9,18 +9,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// epoll is the Kernel that serves: Linux's sockets and epoll, without blocking.
+// epoll is the Kernel for real sockets: non-blocking Linux sockets and epoll.
 type epoll struct {
 	calls        SystemCalls
 	epfd, wakefd int
-	ready        [maxEvents]unix.EpollEvent
+	ready        [maxEvents]unix.EpollEvent // events of the last call of EpollWait
 }
 
-// NewEpoll returns the Kernel that serves, on system calls. It opens the two descriptors that a loop needs for itself.
+// NewEpoll returns a Kernel that uses Linux sockets and epoll through the given system calls. It
+// opens two descriptors for its own use: an epoll instance and an eventfd.
 func NewEpoll(calls SystemCalls) (Kernel, error) {
 	epfd, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
-		return nil, fmt.Errorf("epoll: %w", err)
+		return nil, fmt.Errorf("epoll_create1: %w", err)
 	}
 	wakefd, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
 	if err == nil {
@@ -36,7 +37,8 @@
 	return &epoll{calls: calls, epfd: epfd, wakefd: wakefd}, nil
 }
 
-// Now is read by the monotonic clock, which package time keeps beside the wall clock: spans between two such times are of that one.
+// Now returns a time with a reading of the monotonic clock. Differences between two such times use
+// only that reading, so steps of the wall clock do not affect them.
 func (k *epoll) Now() time.Time { return time.Now() }
 
 func (k *epoll) WallTime() time.Time { return k.calls.WallTime() }
@@ -48,25 +50,26 @@
 
 func (k *epoll) Wake() {
 	one := [8]byte{1}
-	_, _ = unix.Write(k.wakefd, one[:]) // a full counter wakes the loop as well
+	_, _ = unix.Write(k.wakefd, one[:]) // EAGAIN means that the counter is full, which also wakes the loop
 }
 
-// timeoutMillis turns a wait into epoll's whole milliseconds, -1 for without end. It is rounded up: a wait that ended
-// early would be followed by another turn with nothing to do.
-func timeoutMillis(most time.Duration) int {
-	if most < 0 {
+// timeoutMillis converts a maximum wait to the whole milliseconds of epoll_wait; -1 means no limit.
+// It rounds up: a wait that ended before the next timer is due would cost one more turn of the loop
+// with nothing to do.
+func timeoutMillis(maxWait time.Duration) int {
+	if maxWait < 0 {
 		return -1
 	}
-	return int((most + time.Millisecond - 1) / time.Millisecond)
+	return int((maxWait + time.Millisecond - 1) / time.Millisecond)
 }
 
-func (k *epoll) Wait(events []Event, most time.Duration) (int, error) {
-	n, err := k.calls.EpollWait(k.epfd, k.ready[:min(len(events), len(k.ready))], timeoutMillis(most))
+func (k *epoll) Wait(events []Event, maxWait time.Duration) (int, error) {
+	n, err := k.calls.EpollWait(k.epfd, k.ready[:min(len(events), len(k.ready))], timeoutMillis(maxWait))
 	if err != nil {
-		if errors.Is(err, unix.EINTR) { // a signal is no reason to stop
+		if errors.Is(err, unix.EINTR) { // interrupted by a signal: not an error
 			return 0, nil
 		}
-		return 0, fmt.Errorf("epoll: %w", err)
+		return 0, fmt.Errorf("epoll_wait: %w", err)
 	}
 	for i := range n {
 		e := &k.ready[i]
@@ -107,10 +110,12 @@
 	return netip.AddrPort{}
 }
 
+// socketFlags are the flags of every socket that this package opens or accepts.
 const socketFlags = unix.SOCK_NONBLOCK | unix.SOCK_CLOEXEC
 
-// classifyConnectError marks the errors of connect for which the other side is not to blame: this machine is out of ports or of memory, or its
-// routes and filters let nothing out to that address now.
+// classifyConnectError marks the errors of connect that are not the fault of the remote side:
+// ErrNoSocket if this machine has run out of ports or memory, ErrNoPath if its routes or filters
+// currently let nothing out to the address.
 func classifyConnectError(err error) error {
 	switch err {
 	case unix.EADDRNOTAVAIL, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM:
@@ -126,23 +131,23 @@
 	if err != nil {
 		return -1, fmt.Errorf("%w: %w", ErrNoSocket, err)
 	}
-	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // only speed is lost without it
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // a failure costs only latency
 	err = k.calls.Connect(fd, sockaddr(to))
-	if err != nil && !errors.Is(err, unix.EINPROGRESS) && !errors.Is(err, unix.EINTR) { // EINTR: it goes on all the same
+	if err != nil && !errors.Is(err, unix.EINPROGRESS) && !errors.Is(err, unix.EINTR) { // EINTR: the connection attempt continues
 		k.CloseFD(fd)
 		return -1, classifyConnectError(err)
 	}
 	return fd, nil
 }
 
-func (k *epoll) Listen(at netip.AddrPort, receive int) (int, error) {
+func (k *epoll) Listen(at netip.AddrPort, receiveBuffer int) (int, error) {
 	fd, err := k.calls.Socket(family(at.Addr()), unix.SOCK_STREAM|socketFlags, 0)
 	if err != nil {
 		return -1, fmt.Errorf("socket: %w", err)
 	}
 	err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if err == nil { // inherited by what is accepted
-		err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_RCVBUF, receive)
+	if err == nil { // accepted sockets inherit the buffer size
+		err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_RCVBUF, receiveBuffer)
 	}
 	if err == nil {
 		err = k.calls.Bind(fd, sockaddr(at))
@@ -167,8 +172,9 @@
 	return -1, classifyAcceptError(err)
 }
 
-// classifyAcceptError tells an error of accept by what is to be done about it. Linux passes on what is wrong with the connection that was
-// next, whatever that is, and the others are to be accepted all the same.
+// classifyAcceptError classifies an error of accept by how the caller must react. Linux also
+// returns pending network errors of the connection that was to be accepted, which can be any error;
+// the caller must then go on accepting the others.
 func classifyAcceptError(err error) error {
 	switch err {
 	case unix.EAGAIN:
@@ -199,7 +205,7 @@
 	return k.calls.OpenFile("/dev/null", unix.O_RDONLY|unix.O_CLOEXEC, 0)
 }
 
-func (k *epoll) CloseFD(fd int) { _ = k.calls.Close(fd) } // the descriptor is gone, whatever it returns
+func (k *epoll) CloseFD(fd int) { _ = k.calls.Close(fd) } // Linux frees the descriptor even if close returns an error
 
 func eventMask(want Interest) uint32 {
 	var events uint32
@@ -228,7 +234,7 @@
 		switch err {
 		case nil:
 			return n, nil
-		case unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM: // a shortage is over soon, and the socket stays ready
+		case unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM: // the shortage is temporary, and the socket stays ready
 			return 0, ErrAgain
 		case unix.EINTR:
 		default:
@@ -237,7 +243,7 @@
 	}
 }
 
-// Send raises no SIGPIPE on a broken connection.
+// Send does not raise SIGPIPE on a broken connection.
 func (k *epoll) Send(fd int, p []byte) (int, error) {
 	for {
 		n, err := k.calls.Send(fd, p)
@@ -280,7 +286,7 @@
 }
 
 func (k *epoll) CloseWrite(fd int) {
-	_ = unix.Shutdown(fd, unix.SHUT_WR) // fails only if the connection is broken already
+	_ = unix.Shutdown(fd, unix.SHUT_WR) // fails only if the connection is already broken
 }
 
 func (k *epoll) ResetOnClose(fd int) {
--- a/internal/poll/listener.go
+++ b/internal/poll/listener.go
@@ -7,22 +7,25 @@
 	"time"
 )
 
-// Listener accepts connections. It keeps one descriptor in reserve: without it a process that is out of
-// descriptors could neither answer new connections nor get rid of them, and would turn without end.
+// Listener accepts TCP connections. It keeps one descriptor in reserve: a process at its descriptor
+// limit could otherwise neither answer new connections nor close them, and its loop would spin
+// because the listener stays ready.
 type Listener struct {
 	sock          *Socket
-	reserve       int // -1: none
+	reserve       int // descriptor; -1: none
 	accept        func(s *Socket, last bool) Handler
-	retry         Timer
-	shortageSince time.Time // the machine has been short of files or memory since then; zero: it is not
+	retry         Timer     // resumes accepting after pause
+	shortageSince time.Time // start of the current shortage of files or memory on the machine; zero: none
 }
 
-// receiveBuffer bounds what the kernel keeps of a connection that is not read: some clients send megabytes, and
-// the kernel would let each of hundreds have as much.
+// receiveBuffer limits, in bytes, the data that the kernel buffers for a connection that is not
+// read. Some clients send megabytes, and without the limit the kernel would buffer that much for
+// each of hundreds of connections.
 const receiveBuffer = 32 << 10
 
-// Listen accepts connections at an address. accept gets each and returns its handler; last tells that the
-// descriptors are used up: the connection must be answered and closed before accept returns.
+// Listen accepts connections at an address. It calls accept for each one and uses the handler that
+// accept returns. If last is true, the process has no descriptor left: accept must answer and close
+// the connection before it returns.
 func (l *Loop) Listen(at netip.AddrPort, accept func(s *Socket, last bool) Handler) (*Listener, error) {
 	fd, err := l.kernel.Listen(at, receiveBuffer)
 	if err != nil {
@@ -35,19 +38,19 @@
 	return n, nil
 }
 
-// takeReserve opens the reserve descriptor unless it is there.
+// takeReserve opens the reserve descriptor unless it is open.
 func (n *Listener) takeReserve() {
 	if n.reserve >= 0 || n.sock.fd < 0 {
 		return
 	}
 	fd, err := n.sock.loop.kernel.OpenReserve()
 	if err != nil {
-		fd = -1 // tried again with the next connection
+		fd = -1 // the next accepted connection tries again
 	}
 	n.reserve = fd
 }
 
-// releaseReserve gives the reserve back.
+// releaseReserve closes the reserve descriptor.
 func (n *Listener) releaseReserve() {
 	if n.reserve >= 0 {
 		n.sock.loop.kernel.CloseFD(n.reserve)
@@ -56,23 +59,28 @@
 }
 
 const (
-	// acceptBatchSize bounds the connections taken in one turn, so that a surge does not starve the others.
+	// acceptBatchSize limits the connections accepted in one turn of the loop, so that a burst of
+	// connections does not starve other sockets.
 	acceptBatchSize = 64
-	// maxAcceptBatches bounds the batches of AcceptAll, in case connections come as fast as they are accepted: more than the kernel's queue.
+	// maxAcceptBatches limits the batches of AcceptAll, in case connections arrive as fast as they
+	// are accepted. All batches together hold more connections than the listen queue of the kernel.
 	maxAcceptBatches = 256
-	// shortagePause is how long nothing is accepted when there is no descriptor at all, or the machine is short of something: the
-	// listener stays ready, and a loop that looks again at once would do nothing else.
+	// shortagePause is how long the listener accepts nothing when no descriptor is left at all, or
+	// the machine is out of files or memory. The listener stays ready meanwhile: a loop that tried
+	// again at once would do nothing else.
 	shortagePause = 5 * time.Millisecond
-	// maxShortage is how long a shortage of the machine is waited out. From then on the reserve's place is used, and who is accepted
-	// on it is turned away: a client that waits unread for longer may have no time left for its answer.
+	// maxShortage is how long the listener waits for a shortage on the machine to end. After that
+	// it accepts connections with the reserve descriptor and refuses them: a client that waits
+	// unread for longer may have no time left for its answer.
 	maxShortage = 200 * time.Millisecond
 )
 
-// Ready accepts what is waiting.
+// Ready implements Handler. It accepts the pending connections.
 func (n *Listener) Ready(Ready) { n.acceptBatch() }
 
-// AcceptAll accepts all that waits, before Close: what waits then is reset. It returns false if something may still wait, for want of
-// descriptors or memory, and is to be called again soon.
+// AcceptAll accepts all pending connections. It is for use before Close, which resets those that
+// are still pending. It returns false if some may still be pending, for lack of descriptors or
+// memory; the caller should then call it again soon.
 func (n *Listener) AcceptAll() bool {
 	for range maxAcceptBatches {
 		if err := n.acceptBatch(); err != nil {
@@ -82,7 +90,8 @@
 	return false
 }
 
-// acceptBatch accepts up to acceptBatch connections. It returns why it stopped: ErrAgain if none waits, nil if more may.
+// acceptBatch accepts up to acceptBatchSize connections. It returns the reason why it stopped:
+// ErrAgain if none is pending, nil if more may be pending.
 func (n *Listener) acceptBatch() error {
 	for range acceptBatchSize {
 		if n.sock.fd < 0 {
@@ -102,7 +111,8 @@
 	return nil
 }
 
-// acceptOne accepts the next connection, in the reserve's place if there is no other.
+// acceptOne accepts the next connection. If there is no other descriptor for it, it uses the
+// reserve descriptor.
 func (n *Listener) acceptOne() error {
 	loop := n.sock.loop
 	fd, err := loop.kernel.Accept(n.sock.fd)
@@ -123,7 +133,7 @@
 	return err
 }
 
-// shortageLasted tells whether an error of accept is a shortage of the machine that has lasted.
+// shortageLasted returns whether err is a shortage on the machine that has lasted for maxShortage.
 func (n *Listener) shortageLasted(err error) bool {
 	if !errors.Is(err, ErrShortage) {
 		return false
@@ -135,24 +145,25 @@
 	return now.Sub(n.shortageSince) >= maxShortage
 }
 
+// handOver registers an accepted connection and passes it to the accept function.
 func (n *Listener) handOver(fd int, last bool) {
 	s := n.sock.loop.add(fd, nil, WantRead)
 	s.handler = n.accept(s, last)
 }
 
-// pause accepts nothing for a while.
+// pause stops accepting for shortagePause.
 func (n *Listener) pause() {
 	n.sock.Want(false, false)
 	n.sock.loop.After(&n.retry, shortagePause)
 }
 
-// Addr is the address at which it listens.
+// Addr returns the address of the listener.
 func (n *Listener) Addr() netip.AddrPort { return n.sock.LocalAddr() }
 
-// Closed tells whether Close was called.
+// Closed returns whether Close was called.
 func (n *Listener) Closed() bool { return n.sock.fd < 0 }
 
-// Close stops listening.
+// Close stops listening and closes the descriptors of the listener.
 func (n *Listener) Close() {
 	n.releaseReserve()
 	if n.sock.fd >= 0 {
--- a/internal/poll/loop.go
+++ b/internal/poll/loop.go
@@ -1,5 +1,6 @@
-// Package poll is the event loop: non-blocking sockets and a heap of timers, over a Kernel, which is epoll where
-// the program serves. A Loop and all that belongs to it are for one goroutine; only Wake and Post may be called from another.
+// Package poll implements an event loop for non-blocking sockets and timers. It runs on a Kernel,
+// which is epoll in production. A Loop and everything that belongs to it must be used by one
+// goroutine; only Wake and Post may be called from others.
 package poll
 
 import (
@@ -8,47 +9,49 @@
 	"time"
 )
 
-// Ready tells what a socket is ready for.
+// Ready states what a socket is ready for.
 type Ready struct {
 	Read, Write bool
-	Hangup      bool // both directions are over, or the connection broke
+	Hangup      bool // both directions have ended, or the connection broke
 }
 
-// Handler is told when its socket is ready.
+// Handler handles the readiness events of a socket.
 type Handler interface{ Ready(Ready) }
 
-// slot is an entry of the table of sockets. Events carry its index and its generation: one that was gathered
-// before the socket closed must not reach the socket that took over the descriptor.
+// slot is an entry of the socket table. Events carry the index and the generation of a slot. The
+// generation changes when the socket closes, so that an event collected before that does not reach
+// the next socket with the same slot or descriptor.
 type slot struct {
 	gen  int32
 	sock *Socket
 }
 
-// maxEvents is how many events a turn takes at the most.
+// maxEvents is the maximum number of events handled in one turn.
 const maxEvents = 256
 
-// Loop waits for sockets and timers.
+// Loop waits for sockets and timers and calls their handlers.
 type Loop struct {
 	kernel       Kernel
-	start        time.Time
-	now          time.Time
+	start        time.Time // timer times are relative to it
+	now          time.Time // time at which the turn began, or of the last RefreshNow
 	slots        []slot
-	free         []int32
+	free         []int32 // indices of unused slots
 	timers       timerHeap
 	events       [maxEvents]Event
-	wake         func()
-	openCount    int
-	urgent       []*Socket // told first in a turn
-	staleWatches []*Socket // whose interest the kernel does not have yet, see watch
+	wake         func()    // called on the loop after Wake or Post
+	openCount    int       // open sockets
+	urgent       []*Socket // their handlers are called first in a turn
+	staleWatches []*Socket // sockets whose current interest the kernel does not have, see updateWatch
 
 	mu     sync.Mutex
-	posted []func() // by other goroutines, to be called on the loop
+	posted []func() // functions from other goroutines, to be called on the loop
 }
 
-// New returns a Loop on epoll. wake is called on the loop after Wake.
+// New returns a Loop that uses epoll. It calls wake on the loop after each call of Wake or Post.
 func New(wake func()) (*Loop, error) { return NewWithCalls(LinuxCalls(), wake) }
 
-// NewWithCalls is New with other system calls than Linux's own.
+// NewWithCalls returns a Loop that uses epoll through the given system calls. It calls wake on the
+// loop after each call of Wake or Post.
 func NewWithCalls(calls SystemCalls, wake func()) (*Loop, error) {
 	k, err := NewEpoll(calls)
 	if err != nil {
@@ -57,23 +60,24 @@
 	return NewOn(k, wake), nil
 }
 
-// NewOn returns a Loop on a kernel, which it owns from then on.
+// NewOn returns a Loop that uses the given kernel and takes ownership of it.
 func NewOn(k Kernel, wake func()) *Loop {
 	now := k.Now()
 	return &Loop{kernel: k, wake: wake, start: now, now: now}
 }
 
-// Close gives back what the loop's kernel holds; its sockets belong to their users.
+// Close closes the kernel of the loop. Sockets belong to their users.
 func (l *Loop) Close() { l.kernel.Close() }
 
-// Now is the time at which the turn began.
+// Now returns the time at which the current turn began, or that of the last call of RefreshNow.
 func (l *Loop) Now() time.Time { return l.now }
 
-// WallTime is the machine's wall clock now; see Kernel.
+// WallTime returns the wall clock time, see Kernel.WallTime.
 func (l *Loop) WallTime() time.Time { return l.kernel.WallTime() }
 
-// RefreshNow reads the clock anew and returns it: the process may have been stopped since the turn began, and what it reads now may have
-// been sent meanwhile. Whoever answers for the age of something reads the clock after the question.
+// RefreshNow reads the clock again and returns the time. The process may have been stopped since
+// the turn began, and data that it reads now may have been sent meanwhile. Code that vouches for
+// the age of something must read the clock after the request arrived.
 func (l *Loop) RefreshNow() time.Time {
 	if now := l.kernel.Now(); now.After(l.now) {
 		l.now = now
@@ -81,16 +85,16 @@
 	return l.now
 }
 
-// Open tells how many sockets are open.
+// Open returns the number of open sockets.
 func (l *Loop) Open() int { return l.openCount }
 
-// Timers tells how many timers are armed.
+// Timers returns the number of armed timers.
 func (l *Loop) Timers() int { return len(l.timers) }
 
 // Wake makes the loop call its wake function. It may be called from any goroutine.
 func (l *Loop) Wake() { l.kernel.Wake() }
 
-// Post has the loop call f, soon. It may be called from any goroutine.
+// Post makes the loop call f soon. It may be called from any goroutine.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, f)
@@ -98,7 +102,7 @@
 	l.kernel.Wake()
 }
 
-// runPosted calls what was posted.
+// runPosted calls the functions that were posted.
 func (l *Loop) runPosted() {
 	l.mu.Lock()
 	posted := l.posted
@@ -109,16 +113,17 @@
 	}
 }
 
-// Turn waits until something is ready or a timer is due, at once if wait is false, and tells the handlers.
+// Turn runs one iteration of the loop. It waits until a socket is ready or a timer is due (it does
+// not wait if wait is false), then calls the handlers and the timers that are due.
 func (l *Loop) Turn(wait bool) error {
-	most := time.Duration(0)
+	maxWait := time.Duration(0)
 	if wait {
-		most = l.timers.next(l.kernel.Now().Sub(l.start))
+		maxWait = l.timers.next(l.kernel.Now().Sub(l.start))
 	}
-	if l.retryWatches(); len(l.staleWatches) > 0 && (most < 0 || most > watchRetryInterval) {
-		most = watchRetryInterval
+	if l.retryWatches(); len(l.staleWatches) > 0 && (maxWait < 0 || maxWait > watchRetryInterval) {
+		maxWait = watchRetryInterval
 	}
-	n, err := l.kernel.Wait(l.events[:], most)
+	n, err := l.kernel.Wait(l.events[:], maxWait)
 	if err != nil {
 		return err
 	}
@@ -141,8 +146,9 @@
 	return nil
 }
 
-// dispatchUrgent tells the urgent sockets before all others. In a turn with more events than fit there may be one that was
-// not gathered: a socket that waits to read is then asked without it.
+// dispatchUrgent calls the handlers of urgent sockets, before those of all others. If more sockets
+// are ready than fit into one turn, the event of an urgent socket may be missing: the handler of
+// one that waits to read is then called without an event.
 func (l *Loop) dispatchUrgent(events []Event) {
 	for i := range events {
 		if e := &events[i]; e.Slot != WakeSlot {
@@ -157,12 +163,13 @@
 	for _, s := range l.urgent {
 		if s.want == WantRead {
 			s.handler.Ready(Ready{Read: true})
-			return // it may have changed the list
+			return // the handler may have changed the list
 		}
 	}
 }
 
-// add puts a new descriptor in the table and has the kernel watch it; the Socket owns it from then on.
+// add adds a descriptor to the socket table and registers it with the kernel. The returned Socket
+// owns the descriptor.
 func (l *Loop) add(fd int, h Handler, want Interest) *Socket {
 	var i int32
 	if n := len(l.free); n > 0 {
@@ -178,11 +185,13 @@
 	return s
 }
 
-// watchRetryInterval is how often the kernel is asked again to watch a socket for which it had no memory.
+// watchRetryInterval is how often the loop retries to register a socket for which the kernel had no
+// memory.
 const watchRetryInterval = 5 * time.Millisecond
 
-// updateWatch has the kernel updateWatch a socket for what it wants. The kernel may be out of memory for that: the socket is then among those
-// that are behind, for which it is asked again each turn, since a client whose socket nobody watches would wait without end.
+// updateWatch registers what a socket waits for with the kernel. The kernel may have no memory for
+// that. The socket then goes into staleWatches, which are retried each turn: a client whose socket
+// nobody watches would wait without end.
 func (l *Loop) updateWatch(s *Socket) {
 	gen := l.slots[s.slot].gen
 	var err error
@@ -198,20 +207,21 @@
 	}
 }
 
-// retryWatches asks the kernel again for the sockets that are behind.
+// retryWatches registers the sockets of staleWatches again.
 func (l *Loop) retryWatches() {
 	if len(l.staleWatches) == 0 {
 		return
 	}
-	again := l.staleWatches
+	stale := l.staleWatches
 	l.staleWatches = nil
-	for _, s := range again {
+	for _, s := range stale {
 		s.watchStale = false
 		l.updateWatch(s)
 	}
 }
 
-// remove takes a socket out of the table and closes it: the one place where a descriptor is given back.
+// remove removes a socket from the table and closes it. This is the only place that closes the
+// descriptor of a socket.
 func (l *Loop) remove(s *Socket) {
 	if s.urgent {
 		l.urgent = slices.DeleteFunc(l.urgent, func(o *Socket) bool { return o == s })
--- a/internal/poll/packet.go
+++ b/internal/poll/packet.go
@@ -6,10 +6,11 @@
 	"net/netip"
 )
 
-// UDPSocket is a UDP socket. Whoever opened it owns it and closes it once.
+// UDPSocket is a UDP socket. Whoever opened it owns it and must close it once.
 type UDPSocket struct{ sock *Socket }
 
-// OpenUDP opens a UDP socket at an address; port 0 picks a free one. Its handler is told when a datagram waits.
+// OpenUDP opens a UDP socket at an address; port 0 selects a free port. The handler is called when
+// a datagram has arrived.
 func (l *Loop) OpenUDP(at netip.AddrPort, h Handler) (*UDPSocket, error) {
 	fd, err := l.kernel.OpenUDP(at)
 	if err != nil {
@@ -18,7 +19,8 @@
 	return &UDPSocket{l.add(fd, h, WantRead)}, nil
 }
 
-// Receive takes one datagram, of which what does not fit into p is lost; ErrAgain if none waits.
+// Receive reads one datagram. It drops the part that does not fit into p. It returns ErrAgain if no
+// datagram is waiting.
 func (u *UDPSocket) Receive(p []byte) (int, netip.AddrPort, error) {
 	n, from, err := u.sock.loop.kernel.Receive(u.sock.fd, p)
 	if err != nil && !errors.Is(err, ErrAgain) {
@@ -27,7 +29,8 @@
 	return n, from, err
 }
 
-// Send sends one datagram, which may be lost on its way. ErrAgain means that it was lost here, for want of room.
+// Send sends one datagram, which may be lost on the network. ErrAgain means that it was dropped
+// locally for lack of buffer space.
 func (u *UDPSocket) Send(p []byte, to netip.AddrPort) error {
 	err := u.sock.loop.kernel.SendTo(u.sock.fd, p, to)
 	if err != nil && !errors.Is(err, ErrAgain) {
@@ -36,8 +39,8 @@
 	return err
 }
 
-// Addr is the address at which it is.
+// Addr returns the local address.
 func (u *UDPSocket) Addr() netip.AddrPort { return u.sock.LocalAddr() }
 
-// Close gives the descriptor back. Further calls do nothing.
+// Close closes the socket. Further calls do nothing.
 func (u *UDPSocket) Close() { u.sock.Close() }
--- a/internal/poll/poll_test.go
+++ b/internal/poll/poll_test.go
@@ -22,7 +22,8 @@
 	return l
 }
 
-// Timers go off in order, once each, and not after they were disarmed, however they are mixed.
+// TestTimers checks that timers fire in order of their time and once each, and that a disarmed
+// timer does not fire, for random sequences of Arm and Disarm.
 func TestTimers(t *testing.T) {
 	l := newLoop(t)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -31,7 +32,7 @@
 	at := make([]int, len(list))
 	for i := range list {
 		list[i].Fire = func() { fired = append(fired, at[i]) }
-		for range 1 + rng.IntN(3) { // arming again moves a timer
+		for range 1 + rng.IntN(3) { // arming an armed timer moves it
 			at[i] = rng.IntN(1000)
 			l.Arm(&list[i], l.now.Add(time.Duration(at[i])*time.Microsecond))
 		}
@@ -55,48 +56,50 @@
 func TestWaitIsRoundedUp(t *testing.T) {
 	l := newLoop(t)
 	if got := timeoutMillis(l.timers.next(0)); got != -1 {
-		t.Errorf("without a timer: %d", got)
+		t.Errorf("without a timer: got %d ms, want -1", got)
 	}
 	var timer Timer
 	for d, want := range map[time.Duration]int{-1: 0, 0: 0, 1: 1, time.Millisecond: 1, 1100 * time.Microsecond: 2} {
 		if l.Arm(&timer, l.now.Add(d)); timeoutMillis(l.timers.next(0)) != want {
-			t.Errorf("%v: %v, want %d ms", d, l.timers.next(0), want)
+			t.Errorf("timer in %v: wait %v, want it to round up to %d ms", d, l.timers.next(0), want)
 		}
 	}
 }
 
-type sink struct {
-	s    *Socket
+// readRecorder is a Handler that records the data and the first error that it reads.
+type readRecorder struct {
+	sock *Socket
 	err  error
 	data []byte
 }
 
-func (k *sink) Ready(Ready) {
+func (k *readRecorder) Ready(Ready) {
 	var buf [64]byte
-	n, err := k.s.Read(buf[:])
+	n, err := k.sock.Read(buf[:])
 	k.data = append(k.data, buf[:n]...)
 	if err != nil && !errors.Is(err, ErrAgain) && k.err == nil {
 		k.err = err
-		k.s.Want(false, false)
+		k.sock.Want(false, false)
 	}
 }
 
-// A write to a connection that the other end has reset is an error, and no signal ends the process.
+// TestWriteAfterReset checks that writing to a connection that the remote side has reset returns an
+// error and does not end the process with SIGPIPE.
 func TestWriteAfterReset(t *testing.T) {
 	l := newLoop(t)
-	var server *sink
+	var server *readRecorder
 	n, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(s *Socket, _ bool) Handler {
-		server = &sink{s: s}
+		server = &readRecorder{sock: s}
 		return server
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	client := &sink{}
-	if client.s, err = l.Dial(n.Addr(), client); err != nil {
+	client := &readRecorder{}
+	if client.sock, err = l.Dial(n.Addr(), client); err != nil {
 		t.Fatal(err)
 	}
-	client.s.Want(true, false)
+	client.sock.Want(true, false)
 	turn := func() {
 		for range 5 {
 			if err := l.Turn(false); err != nil {
@@ -105,54 +108,54 @@
 		}
 	}
 	turn()
-	if _, err := server.s.Write([]byte("hello")); err != nil {
+	if _, err := server.sock.Write([]byte("hello")); err != nil {
 		t.Fatal(err)
 	}
 	turn()
-	if string(client.data) != "hello" || client.s.DialError() != nil {
-		t.Fatalf("got %q", client.data)
+	if string(client.data) != "hello" || client.sock.DialError() != nil {
+		t.Fatalf("dial failed, or client got %q, want hello", client.data)
 	}
-	server.s.Reset()
+	server.sock.Reset()
 	turn()
 	if client.err == nil || errors.Is(client.err, io.EOF) {
-		t.Errorf("a reset was read as %v", client.err)
+		t.Errorf("after a reset: got read error %v, want one other than io.EOF", client.err)
 	}
 	for range 3 {
-		_, err = client.s.Write([]byte("x"))
+		_, err = client.sock.Write([]byte("x"))
 	}
 	if err == nil {
-		t.Error("a write after the reset went through")
+		t.Error("write after the reset did not fail")
 	}
-	client.s.Close()
-	client.s.Close() // does nothing
+	client.sock.Close()
+	client.sock.Close() // does nothing
 	if n.Close(); l.Open() != 0 {
-		t.Errorf("%d sockets are open", l.Open())
+		t.Errorf("%d sockets are open, want 0", l.Open())
 	}
 }
 
-// When the process is out of descriptors, a connection is still accepted with the one in reserve, told as the
-// last one, and the reserve is taken again.
+// TestOutOfDescriptors checks that a process at its descriptor limit still accepts a connection
+// with the reserve descriptor, passes it on as the last one, and opens the reserve again.
 func TestOutOfDescriptors(t *testing.T) {
 	l := newLoop(t)
-	last := 0
+	lastCalls := 0
 	n, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(s *Socket, l bool) Handler {
 		if l {
-			last++
+			lastCalls++
 			s.Close()
 		}
-		return &sink{s: s}
+		return &readRecorder{sock: s}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	client := &sink{}
-	if client.s, err = l.Dial(n.Addr(), client); err != nil {
+	client := &readRecorder{}
+	if client.sock, err = l.Dial(n.Addr(), client); err != nil {
 		t.Fatal(err)
 	}
-	client.s.Want(true, false)
-	var taken []int
+	client.sock.Want(true, false)
+	var duplicates []int
 	defer func() {
-		for _, fd := range taken {
+		for _, fd := range duplicates {
 			unix.Close(fd)
 		}
 	}()
@@ -169,49 +172,50 @@
 		if err != nil {
 			break
 		}
-		taken = append(taken, fd)
+		duplicates = append(duplicates, fd)
 	}
 	for range 5 {
 		if err := l.Turn(false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if last != 1 || client.err == nil || n.reserve < 0 {
-		t.Errorf("%d told as the last, the client saw %v, reserve %d", last, client.err, n.reserve)
+	if lastCalls != 1 || client.err == nil || n.reserve < 0 {
+		t.Errorf("%d connections passed on as the last one, want 1; client error %v; reserve descriptor %d", lastCalls, client.err, n.reserve)
 	}
-	client.s.Close()
+	client.sock.Close()
 	n.Close()
 }
 
-// An event that was gathered before its socket closed must not reach the one that took its place.
+// TestStaleEvent checks that an event collected before its socket closed does not reach the socket
+// that took over its slot.
 func TestStaleEvent(t *testing.T) {
 	l := newLoop(t)
-	pair := func() (int, *sink) {
+	pair := func() (int, *readRecorder) {
 		fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		k := &sink{}
-		k.s = l.add(fds[0], k, WantRead)
+		k := &readRecorder{}
+		k.sock = l.add(fds[0], k, WantRead)
 		return fds[1], k
 	}
-	farA, a := pair()
-	farB, b := pair()
-	var farC int
-	var c *sink
-	swap := func(from *sink) Handler {
-		return handler(func(Ready) { // whichever comes first closes both and opens another in their place
-			a.s.Close()
-			b.s.Close()
+	remoteA, a := pair()
+	remoteB, b := pair()
+	var remoteC int
+	var c *readRecorder
+	swap := func(from *readRecorder) Handler {
+		return handlerFunc(func(Ready) { // the first call closes both sockets and opens another one in their place
+			a.sock.Close()
+			b.sock.Close()
 			if c == nil {
-				farC, c = pair()
-				c.s.SetHandler(handler(func(Ready) { t.Error("it got an event that is not its own") }))
+				remoteC, c = pair()
+				c.sock.SetHandler(handlerFunc(func(Ready) { t.Error("new socket got an event of a closed one") }))
 			}
 		})
 	}
-	a.s.SetHandler(swap(a))
-	b.s.SetHandler(swap(b))
-	for _, fd := range []int{farA, farB} {
+	a.sock.SetHandler(swap(a))
+	b.sock.SetHandler(swap(b))
+	for _, fd := range []int{remoteA, remoteB} {
 		if _, err := unix.Write(fd, []byte("x")); err != nil {
 			t.Fatal(err)
 		}
@@ -220,37 +224,39 @@
 		t.Fatal(err)
 	}
 	if c == nil {
-		t.Fatal("no event came")
+		t.Fatal("no handler was called")
 	}
-	for _, fd := range []int{farA, farB, farC} {
+	for _, fd := range []int{remoteA, remoteB, remoteC} {
 		unix.Close(fd)
 	}
-	c.s.Close()
+	c.sock.Close()
 }
 
-type handler func(Ready)
+type handlerFunc func(Ready)
 
-func (h handler) Ready(r Ready) { h(r) }
+func (h handlerFunc) Ready(r Ready) { h(r) }
 
-// What this machine lacks must not be told as a fault of the other side; what the other side refuses must.
-func TestOwnFault(t *testing.T) {
+// TestClassifyConnectError checks that a shortage of this machine is reported as ErrNoSocket, and
+// that errors of the network or of the remote side are not.
+func TestClassifyConnectError(t *testing.T) {
 	for err, own := range map[error]bool{
 		unix.EADDRNOTAVAIL: true, unix.ENOBUFS: true, unix.ECONNREFUSED: false, unix.ENETUNREACH: false,
 	} {
 		if got := classifyConnectError(err); errors.Is(got, ErrNoSocket) != own || !errors.Is(got, err) {
-			t.Errorf("%v is told as %v", err, got)
+			t.Errorf("%v classified as %v, want ErrNoSocket: %v", err, got, own)
 		}
 	}
 }
 
-// Datagrams pass between two sockets of one loop, each whole and with its sender's address.
-func TestPackets(t *testing.T) {
+// TestUDPSocket checks that datagrams pass between two sockets of one loop whole and with the
+// address of their sender.
+func TestUDPSocket(t *testing.T) {
 	l := newLoop(t)
 	at := netip.MustParseAddrPort("127.0.0.1:0")
 	var got []string
 	var from netip.AddrPort
 	var in *UDPSocket
-	in, err := l.OpenUDP(at, handler(func(Ready) {
+	in, err := l.OpenUDP(at, handlerFunc(func(Ready) {
 		var buf [64]byte
 		for {
 			n, who, err := in.Receive(buf[:])
@@ -266,7 +272,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := l.OpenUDP(at, handler(func(Ready) {}))
+	out, err := l.OpenUDP(at, handlerFunc(func(Ready) {}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -281,31 +287,32 @@
 		}
 	}
 	if !slices.Equal(got, []string{"one", "two"}) || from != out.Addr() {
-		t.Errorf("got %q from %v, sent from %v", got, from, out.Addr())
+		t.Errorf("got %q from %v, want one and two from %v", got, from, out.Addr())
 	}
 	in.Close()
 	out.Close()
 	if l.Open() != 0 {
-		t.Errorf("%d sockets are open", l.Open())
+		t.Errorf("%d sockets are open, want 0", l.Open())
 	}
 }
 
-// An urgent socket is told before all others, also in a turn that has more events than fit and did not gather its own.
+// TestUrgentComesFirst checks that the handler of an urgent socket is called before all others,
+// also in a turn with more ready sockets than maxEvents in which its own event was not collected.
 func TestUrgentComesFirst(t *testing.T) {
 	l := newLoop(t)
 	var order []int
 	var socks []*Socket
-	var fars []int
+	var remotes []int
 	pair := func(i int) *Socket {
 		fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := l.add(fds[0], handler(func(Ready) { order = append(order, i) }), WantRead)
+		s := l.add(fds[0], handlerFunc(func(Ready) { order = append(order, i) }), WantRead)
 		if _, err := unix.Write(fds[1], []byte("x")); err != nil {
 			t.Fatal(err)
 		}
-		socks, fars = append(socks, s), append(fars, fds[1])
+		socks, remotes = append(socks, s), append(remotes, fds[1])
 		return s
 	}
 	for i := range 10 {
@@ -318,79 +325,80 @@
 		t.Fatal(err)
 	}
 	if len(order) != 11 || order[0] != 10 {
-		t.Errorf("told in the order %v", order)
+		t.Errorf("handlers called in the order %v, want 11 with 10 first", order)
 	}
 	for i := 11; i < maxEvents+60; i++ {
 		pair(i)
 	}
-	for range 3 { // whichever events are gathered
+	for range 3 { // the kernel may collect other events each time
 		order = nil
 		if err := l.Turn(false); err != nil {
 			t.Fatal(err)
 		}
 		if len(order) < maxEvents || order[0] != 10 {
-			t.Errorf("%d told, the first one %d", len(order), order[0])
+			t.Errorf("%d handlers called, want at least %d; first was %d, want 10", len(order), maxEvents, order[0])
 		}
 	}
 	for i, s := range socks {
 		s.Close()
-		unix.Close(fars[i])
+		unix.Close(remotes[i])
 	}
 	if l.Open() != 0 || len(l.urgent) != 0 {
-		t.Errorf("%d open, %d urgent", l.Open(), len(l.urgent))
+		t.Errorf("%d sockets are open and %d urgent, want 0", l.Open(), len(l.urgent))
 	}
 }
 
-// A listener whose process has no descriptor left, the reserve included, rests and does not turn without end; it accepts
-// again once there is one.
-func TestListenerRestsWithoutDescriptors(t *testing.T) {
-	k := &shortKernel{Kernel: newLoop(t).kernel, short: true}
+// TestListenerPausesWithoutDescriptors checks that a listener whose process has no descriptor left,
+// not even the reserve, pauses and does not make the loop spin, and that it accepts again once
+// there is a descriptor.
+func TestListenerPausesWithoutDescriptors(t *testing.T) {
+	k := &exhaustedKernel{Kernel: newLoop(t).kernel, exhausted: true}
 	l := NewOn(k, func() {})
-	taken := 0
+	accepted := 0
 	n, err := l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), func(s *Socket, _ bool) Handler {
-		taken++
+		accepted++
 		s.Close()
-		return &sink{s: s}
+		return &readRecorder{sock: s}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	client := &sink{}
-	if client.s, err = l.Dial(n.Addr(), client); err != nil {
+	client := &readRecorder{}
+	if client.sock, err = l.Dial(n.Addr(), client); err != nil {
 		t.Fatal(err)
 	}
-	client.s.Want(false, false)
+	client.sock.Want(false, false)
 	for begin := time.Now(); time.Since(begin) < 2*shortagePause; {
 		if err := l.Turn(true); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if k.tries < 2 || k.tries > 10 {
-		t.Errorf("%d tries to accept in %v", k.tries, 2*shortagePause)
+	if k.accepts < 2 || k.accepts > 10 {
+		t.Errorf("%d calls of Accept in %v, want 2 to 10", k.accepts, 2*shortagePause)
 	}
-	k.short = false
-	for begin := time.Now(); taken == 0 && time.Since(begin) < 5*time.Second; {
+	k.exhausted = false
+	for begin := time.Now(); accepted == 0 && time.Since(begin) < 5*time.Second; {
 		if err := l.Turn(true); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if taken != 1 {
-		t.Error("not accepted when there was a descriptor again")
+	if accepted != 1 {
+		t.Error("connection not accepted once there was a descriptor again")
 	}
-	client.s.Close()
+	client.sock.Close()
 	n.Close()
 }
 
-// shortKernel is a kernel whose process has no descriptor left for what it would accept.
-type shortKernel struct {
+// exhaustedKernel is a Kernel whose Accept fails for lack of descriptors while exhausted is set.
+type exhaustedKernel struct {
 	Kernel
-	short bool
-	tries int
+	exhausted bool
+	accepts   int
 }
 
-func (k *shortKernel) Accept(fd int) (int, error) {
-	if k.short {
-		k.tries++
+func (k *exhaustedKernel) Accept(fd int) (int, error) {
+	if k.exhausted {
+		k.accepts++
 		return -1, ErrDescriptors
 	}
 	return k.Kernel.Accept(fd)
--- a/internal/poll/socket.go
+++ b/internal/poll/socket.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// Socket is one TCP connection. Whoever opened or accepted it owns it and closes it once.
+// Socket is a TCP connection. Whoever opened or accepted it owns it and must close it once.
 type Socket struct {
 	loop       *Loop
-	fd         int
-	slot       int32
+	fd         int   // descriptor; -1: closed
+	slot       int32 // index in Loop.slots
 	want       Interest
 	handler    Handler
-	urgent     bool
-	watched    bool // the kernel watches it
-	watchStale bool // for something else than it wants, see Loop.watch
+	urgent     bool // see SetUrgent
+	watched    bool // the kernel watches the descriptor
+	watchStale bool // the kernel watches for something other than want, see Loop.updateWatch
 }
 
-// Dial starts a connection. It is up, or has failed, once it is ready for writing: Established tells which.
+// Dial starts a connection. The connection is established, or has failed, once the socket is ready
+// for writing; DialError tells which.
 func (l *Loop) Dial(to netip.AddrPort, h Handler) (*Socket, error) {
 	fd, err := l.kernel.Connect(to)
 	if err != nil {
@@ -28,11 +29,12 @@
 	return l.add(fd, h, WantWrite), nil
 }
 
-// DialError tells how a Dial ended.
+// DialError returns the error with which Dial failed; nil if the connection is established.
 func (s *Socket) DialError() error { return s.loop.kernel.SocketError(s.fd) }
 
-// SetUrgent has the socket told before all others in each turn, from the next one on: what it brings changes what may be
-// done with them. Its handler must bear being told that it may read when nothing is there.
+// SetUrgent makes the loop call the handler of the socket before all others in each turn, from the
+// next one on. It is for sockets whose data changes how the others must be handled. The handler
+// must accept being called as ready to read when there is nothing to read.
 func (s *Socket) SetUrgent() {
 	if !s.urgent && s.fd >= 0 {
 		s.urgent = true
@@ -40,10 +42,10 @@
 	}
 }
 
-// SetHandler hands the socket's events to another handler.
+// SetHandler replaces the handler of the socket.
 func (s *Socket) SetHandler(h Handler) { s.handler = h }
 
-// Want tells the loop what to wait for.
+// Want sets what the loop waits for.
 func (s *Socket) Want(read, write bool) {
 	var want Interest
 	if read {
@@ -59,7 +61,8 @@
 	s.loop.updateWatch(s)
 }
 
-// dispatch hands an event to the handler. The kernel may still watch the socket for what it does not want any more.
+// dispatch passes an event to the handler. If the kernel still watches for something that the
+// socket no longer waits for, dispatch removes that from the event.
 func (s *Socket) dispatch(r Ready) {
 	if s.watchStale && !r.Hangup {
 		r.Read = r.Read && s.want&WantRead != 0
@@ -68,7 +71,8 @@
 	s.handler.Ready(r)
 }
 
-// Read reads what is there: ErrAgain if nothing is, io.EOF once the other side has ended its sending.
+// Read reads available bytes. It returns ErrAgain if there are none, and io.EOF once the remote
+// side has ended its sending direction.
 func (s *Socket) Read(p []byte) (int, error) {
 	n, err := s.loop.kernel.Read(s.fd, p)
 	switch {
@@ -82,8 +86,8 @@
 	return 0, fmt.Errorf("read: %w", err)
 }
 
-// Write writes as much as the socket takes now, which may be nothing. A broken connection is an error and
-// raises no SIGPIPE.
+// Write writes as many bytes as the socket accepts now, which may be none. It returns an error for
+// a broken connection and does not raise SIGPIPE.
 func (s *Socket) Write(p []byte) (int, error) {
 	n, err := s.loop.kernel.Send(s.fd, p)
 	switch err {
@@ -95,26 +99,27 @@
 	return 0, fmt.Errorf("write: %w", err)
 }
 
-// CloseWrite ends the sending on the connection; what was written still arrives.
+// CloseWrite ends the sending direction of the connection. Data written before is still delivered.
 func (s *Socket) CloseWrite() { s.loop.kernel.CloseWrite(s.fd) }
 
-// Idle tells how long ago the last bytes arrived, by the kernel's word: they may have waited for the loop.
+// Idle returns the time since the last bytes arrived, as measured by the kernel. The loop may not
+// have read these bytes yet.
 func (s *Socket) Idle() time.Duration { return s.loop.kernel.Idle(s.fd) }
 
-// LocalAddr is the connection's local address.
+// LocalAddr returns the local address of the connection.
 func (s *Socket) LocalAddr() netip.AddrPort { return s.loop.kernel.LocalAddr(s.fd) }
 
-// RemoteAddr is the address of the connection's far end.
+// RemoteAddr returns the remote address of the connection.
 func (s *Socket) RemoteAddr() netip.AddrPort { return s.loop.kernel.RemoteAddr(s.fd) }
 
-// Close ends the connection and gives its descriptor back. Further calls do nothing.
+// Close ends the connection and closes its descriptor. Further calls do nothing.
 func (s *Socket) Close() {
 	if s.fd >= 0 {
 		s.loop.remove(s)
 	}
 }
 
-// Reset ends the connection with a reset.
+// Reset ends the connection with a TCP reset.
 func (s *Socket) Reset() {
 	if s.fd >= 0 {
 		s.loop.kernel.ResetOnClose(s.fd)
--- a/internal/poll/syscalls.go
+++ b/internal/poll/syscalls.go
@@ -6,8 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// SystemCalls are the calls of Linux that the epoll kernel makes and that may fail for a moment though nothing is wrong with the
-// program. A test replaces some of them to make them fail as their manual pages say.
+// SystemCalls are the Linux system calls of the epoll kernel that may fail temporarily without a
+// bug in the program. Tests replace some of them with functions that fail as the manual pages
+// document.
 type SystemCalls struct {
 	Socket       func(domain, kind, protocol int) (int, error)
 	Bind         func(fd int, at unix.Sockaddr) error
@@ -20,11 +21,11 @@
 	Send         func(fd int, p []byte) (int, error)
 	OpenFile     func(path string, flags int, mode uint32) (int, error)
 	Close        func(fd int) error
-	// WallTime is the machine's wall clock, which may be stepped.
+	// WallTime returns the wall clock time, which may be stepped.
 	WallTime func() time.Time
 }
 
-// LinuxCalls returns the calls themselves.
+// LinuxCalls returns the real system calls.
 func LinuxCalls() SystemCalls {
 	return SystemCalls{
 		Socket:       unix.Socket,
@@ -35,7 +36,7 @@
 		EpollControl: unix.EpollCtl,
 		EpollWait:    unix.EpollWait,
 		Read:         unix.Read,
-		Send: func(fd int, p []byte) (int, error) { // raises no SIGPIPE on a broken connection
+		Send: func(fd int, p []byte) (int, error) { // does not raise SIGPIPE on a broken connection
 			return unix.SendmsgN(fd, p, nil, nil, unix.MSG_NOSIGNAL)
 		},
 		OpenFile: unix.Open,
--- a/internal/poll/timer.go
+++ b/internal/poll/timer.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// Timer calls a function once at a time. Its zero value with Fire set is ready for use; it belongs to whoever
-// embeds it, and whoever arms it disarms it before letting go of it.
+// Timer calls a function once at a given time. The zero value with Fire set is ready for use. It
+// belongs to the struct that embeds it; whoever arms it must disarm it before dropping the
+// reference.
 type Timer struct {
 	Fire func()
 	pos  int // index in the heap plus one; 0: not armed
 }
 
-// Armed tells whether the timer is to go off.
+// Armed returns whether the timer is set.
 func (t *Timer) Armed() bool { return t.pos > 0 }
 
-// Arm sets the timer, anew if it is armed.
+// Arm sets the timer to fire at a time. If it is already armed, the new time replaces the old one.
 func (l *Loop) Arm(t *Timer, at time.Time) {
 	due := at.Sub(l.start)
 	if t.pos > 0 {
@@ -26,24 +27,25 @@
 	heap.Push(&l.timers, armedTimer{due, t})
 }
 
-// After sets the timer to go off after d.
+// After sets the timer to fire after d.
 func (l *Loop) After(t *Timer, d time.Duration) { l.Arm(t, l.now.Add(d)) }
 
-// Disarm takes the timer back.
+// Disarm cancels the timer. It does nothing if the timer is not armed.
 func (l *Loop) Disarm(t *Timer) {
 	if t.pos > 0 {
 		heap.Remove(&l.timers, t.pos-1)
 	}
 }
 
-// armedTimer is a timer that is armed. Its time, since the loop began, stands beside the pointer: a heap of ten thousands of
-// timers would otherwise miss the cache at each comparison.
+// armedTimer is the heap entry of an armed timer. The due time, relative to the start of the loop,
+// is stored beside the pointer: in a heap of tens of thousands of timers each comparison would
+// otherwise cause a cache miss.
 type armedTimer struct {
 	due   time.Duration
 	timer *Timer
 }
 
-// timerHeap is a heap, the next one first.
+// timerHeap is a min-heap ordered by due time.
 type timerHeap []armedTimer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -53,7 +55,7 @@
 	h[i].timer.pos, h[j].timer.pos = i+1, j+1
 }
 
-// Push and Pop are for container/heap.
+// Push and Pop implement heap.Interface.
 func (h *timerHeap) Push(x any) {
 	a := x.(armedTimer)
 	*h = append(*h, a)
@@ -69,7 +71,8 @@
 	return a
 }
 
-// next tells how long the kernel may wait, below 0 for without end.
+// next returns how long the kernel may wait for events: until the next timer is due, at most one
+// hour; negative, meaning without limit, if no timer is armed.
 func (h timerHeap) next(now time.Duration) time.Duration {
 	if len(h) == 0 {
 		return -1
@@ -77,7 +80,7 @@
 	return min(max(h[0].due-now, 0), time.Hour)
 }
 
-// fire calls all timers that are due, also those that others arm for now meanwhile.
+// fire calls all timers that are due, including those that the called functions arm for now.
 func (h *timerHeap) fire(now time.Duration) {
 	for len(*h) > 0 && (*h)[0].due <= now {
 		heap.Pop(h).(armedTimer).timer.Fire()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the settings object that an instance is given at its start. The simulator sends it in
-// its first message and a real proxy finds it in its configuration: both programs decode it here.
+// Package settings decodes the settings object that a proxy instance gets at its start. The
+// simulator sends the object in its first message to an instance; a proxy that serves sockets reads
+// it from its configuration.
 package settings
 
 import (
@@ -15,7 +16,8 @@
 	"ospreyspan/balance"
 )
 
-// object is the part of the start-up object that is understood; the rest is skipped.
+// object lists the fields of the settings object that Decode uses. Other fields are ignored. The Go
+// field names are the JSON names; suffix Us means microseconds.
 type object struct {
 	Balancers int
 	Zone      string
@@ -51,30 +53,30 @@
 	Report struct{ Fields []string }
 }
 
-// Settings is what the programs need of the object.
+// Settings is the decoded settings object.
 type Settings struct {
 	Config       balance.Config
-	Classes      map[string]int // indices in Config.Classes by name
-	Tenants      map[string]int // likewise in Config.Tenants
-	ReportFields []string       // names of a load report's values, in the order of the simulator's wire
-	// What only a proxy on sockets needs.
-	MaxWaits      []time.Duration // by class: how long its clients wait at the most
-	DialTimeout   time.Duration   // a connection that is not up by then counts as failed
-	DrainGrace    time.Duration   // new work may go to a server that stops for so long after this was told
-	ConnIdle      time.Duration   // idle connections are closed after this; 0: never
-	MessageTarget time.Duration   // shortest of the classes' aims for a message; 0: not told
-	ReportsDelay  bool            // the module is told of messages that take long
-	ReportsLoad   bool            // and of a connection's load
-	x0IsLoad      bool            // the report's x0 is load over capacity
+	Classes      map[string]int // index in Config.Classes by class name
+	Tenants      map[string]int // index in Config.Tenants by tenant name
+	ReportFields []string       // names of the values of a load report, in the order in which the simulator sends them
+	// The fields from MaxWaits to ReportsLoad are used only by a proxy that serves sockets.
+	MaxWaits      []time.Duration // by class index: longest time that a client of the class waits
+	DialTimeout   time.Duration   // a connection that is not established by then has failed
+	DrainGrace    time.Duration   // grace period for new work to a server after its drain was announced
+	ConnIdle      time.Duration   // idle connections are closed after this time; 0: never
+	MessageTarget time.Duration   // lowest message latency target of all classes; 0: no class has one
+	ReportsDelay  bool            // slow messages are reported to the module
+	ReportsLoad   bool            // the load of connections is reported to the module
+	x0IsLoad      bool            // value x0 of a report is the load divided by the capacity
 }
 
-// ClearReport makes every value of a report absent.
+// ClearReport sets every value of a report to NaN, which means absent.
 func ClearReport(rep *balance.Report) {
 	nan := math.NaN()
 	*rep = balance.Report{Load: nan, CPU: nan, Active: nan, Waiting: nan, Latency: nan, Rate: nan, Errors: nan}
 }
 
-// SetReportValue sets one value of a report by its name; a name that is unknown is passed over.
+// SetReportValue sets the value of a report that has the given name. It ignores an unknown name.
 func (s *Settings) SetReportValue(rep *balance.Report, name string, v float64) {
 	switch name {
 	case "x0":
@@ -104,12 +106,13 @@
 	"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell,
 }
 
-// Decode reads the object. A class whose repeat word is unknown is taken for the
-// strictest kind, an unknown scope for the narrowest.
+// Decode decodes the JSON settings object. A class with an unknown Repeat value is treated as
+// NotIdempotent, the strictest kind; an unknown DedupScope is treated as ScopeCell, the narrowest
+// scope.
 func Decode(text []byte) (*Settings, error) {
 	var s object
 	if err := json.Unmarshal(text, &s); err != nil {
-		return nil, fmt.Errorf("options: %w", err)
+		return nil, fmt.Errorf("settings object: %w", err)
 	}
 	cfg := balance.Config{
 		Relays: s.Balancers,
@@ -154,8 +157,8 @@
 		}
 		r.MaxWaits = append(r.MaxWaits, microseconds(c.HardLimitUs))
 		if i < len(s.Domain.MessageAimUs) {
-			if aim := microseconds(s.Domain.MessageAimUs[i]); aim > 0 && (r.MessageTarget == 0 || aim < r.MessageTarget) {
-				r.MessageTarget = aim
+			if target := microseconds(s.Domain.MessageAimUs[i]); target > 0 && (r.MessageTarget == 0 || target < r.MessageTarget) {
+				r.MessageTarget = target
 			}
 			class.MessageTarget = microseconds(s.Domain.MessageAimUs[i])
 		}
@@ -174,23 +177,23 @@
 	return r, nil
 }
 
-// microseconds converts the object's microseconds.
+// microseconds converts a time in microseconds, the unit of the settings object.
 func microseconds(us float64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// Check tells what a proxy on sockets lacks in the settings, by the field's name. The simulator may leave out
-// any field; a proxy that started without these could serve nobody.
+// Check returns an error that names the first setting without which a proxy on sockets cannot serve
+// clients. The simulator may leave out any setting, so Decode does not check this.
 func (s *Settings) Check() error {
 	switch {
 	case len(s.Classes) == 0:
-		//lint:ignore ST1005 it begins with the field's name
-		return errors.New("Classes: none is given")
+		//lint:ignore ST1005 the message starts with the field name
+		return errors.New("Classes: list is empty, need at least one class")
 	case s.DialTimeout <= 0:
-		return errors.New("Permissions.DialTimeoutUs: not above 0")
+		return errors.New("Permissions.DialTimeoutUs: missing or not above 0")
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Classes)) {
 		if s.MaxWaits[s.Classes[name]] <= 0 {
-			//lint:ignore ST1005 it begins with the field's name
-			return fmt.Errorf("Classes: HardLimitUs of %q: not above 0", name)
+			//lint:ignore ST1005 the message starts with the field name
+			return fmt.Errorf("Classes: HardLimitUs of class %q: missing or not above 0", name)
 		}
 	}
 	return nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Nothing in the settings is cut off at some number: 1,024 processes, classes and tenants.
-func TestManyOfEach(t *testing.T) {
+// TestLargeSettings checks that Decode keeps lists of 1,024 processes, classes and tenants whole.
+func TestLargeSettings(t *testing.T) {
 	const n = 1024
 	object := map[string]any{"Balancers": n, "Permissions": map[string]any{"DialTimeoutUs": 200000}}
 	var classes, tenants []map[string]any
@@ -33,6 +33,7 @@
 	const last = n - 1
 	if s.Config.Relays != n || len(s.Config.Classes) != n || len(s.Config.Tenants) != n || s.Classes["c1023"] != last ||
 		s.MaxWaits[last] != n*time.Millisecond || s.Config.Tenants[s.Tenants["t1023"]].ConnectionQuota != n {
-		t.Errorf("%d processes, %d classes, %d tenants", s.Config.Relays, len(s.Config.Classes), len(s.Config.Tenants))
+		t.Errorf("decoded %d processes, %d classes, %d tenants, want %d of each with the values of the last one",
+			s.Config.Relays, len(s.Config.Classes), len(s.Config.Tenants), n)
 	}
 }
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -1,4 +1,4 @@
-// Package stats counts what a proxy takes in, sends and answers.
+// Package stats holds the counters of a proxy: what it received, sent and answered.
 package stats
 
 import (
@@ -9,52 +9,71 @@
 	"time"
 )
 
-// Counters are a proxy's counts since its start. They belong to the loop's goroutine.
+// Counters counts events of a proxy since its start. It is not safe for concurrent use: it belongs
+// to the goroutine of the event loop. Its JSON form has the field names as keys. In this package a
+// hop is one attempt at an egress target, a probe is a health check of a target, and a watch is one
+// query for the list of targets sent to discovery.
 type Counters struct {
-	// Taken in.
+	// Received: client connections, requests (exchanges), connections that were established and
+	// stay open (standing), pings, and malformed requests.
 	Connections, Exchanges, Standing, Pings, Malformed int
-	// Sent.
+	// Sent: hops, probes, watches, moves of clients to another target, and lines on established
+	// connections.
 	Hops, Probes, Watches, Moves, Lines int
-	// Answered to clients.
+	// Answers to clients: Up (connection established), Shed (refused with BUSY) and Failed. Left
+	// counts clients that closed their connection before the answer.
 	Up, Shed, Failed, Left int
-	// How hops ended.
+	// Hops by their result. HopFull: the target refused for lack of room. HopBroken: the connection
+	// broke.
 	HopOK, HopError, HopFull, HopTimeout, HopNoConnect, HopBroken, HopCancelled int
-	// Where many proxies share targets and discovery: hops to targets that are still warming up; moves off targets that
-	// drain, of all moves; probes that a target turned away, of those that failed; calls that discovery turned away, likewise.
+	// Counters that matter when many proxies share targets and discovery. HopsCold: hops to targets
+	// that are still warming up. MovesDrain: those of Moves that leave a draining target.
+	// ProbesRefused: those of ProbesFailed that the target refused. WatchesBusy: those of
+	// WatchesFailed that discovery refused.
 	HopsCold, MovesDrain, ProbesRefused, WatchesBusy int
-	// Lists of discovery that another process passed on: taken, and refused as old or unreadable.
+	// Lists of targets that another process forwarded: accepted, and rejected as old or unreadable.
 	ListsHeard, ListsRefused int
-	// Questions to the owners of probes in place of an own probe, and reports that came of them in time.
+	// ProbesAsked: requests to the process that owns the probes of a target, sent instead of an own
+	// probe. ProbesShared: reports that such a process returned in time.
 	ProbesAsked, ProbesShared int
-	// Moves off draining targets that waited for the time that their owner gave them.
+	// Moves off draining targets that waited for the time slot that the owner of the target
+	// assigned.
 	MovesPaced int
-	// Targets that the fleet condemned and took back, hops and probes with trouble that were told to others, and turns to try a
-	// target that returns.
+	// Condemned: fleet verdicts that took a target out of service. Acquitted: targets that the
+	// fleet took back. Sightings: hops and probes with trouble that were reported to other
+	// processes. Trials: turns of this process to try a target that returns to service.
 	Condemned, Acquitted, Sightings, Trials int
-	// Requests refused because all processes together have what they may take, and connections moved because a part of a strict
-	// limit had to be given up.
+	// Beyond: requests refused because all processes together had reached a shared limit. Yielded:
+	// connections moved because this process had to give up a part of a strict limit.
 	Beyond, Yielded int
-	// Hops beyond the first one of a client's first request, and times that the fleet's budget for them was found spent or free.
+	// Further: hops after the first one of a first request of a client. Thrifty: changes of the
+	// fleet-wide budget for these retries between available and exhausted.
 	Further, Thrifty int
-	// Hops by how old the list was that they were placed by: under 0.25, 0.5, 1, 2, 3, 5, 10 and 20 s, each without those before,
-	// and older. It is as old as the question whose answer told it, or as what the owner of the asking vouched for.
+	// Hops by the age of the list of targets with which they were placed: under 0.25, 0.5, 1, 2, 3,
+	// 5, 10 and 20 s (each without the ones before), and older. The age counts from when the query
+	// was sent that the list answered, or from the time that the process which queries discovery
+	// confirmed.
 	ListAgeQuarter, ListAgeHalf, ListAge1, ListAge2, ListAge3, ListAge5, ListAge10, ListAge20, ListAgeMore int
-	// Attempts that waited for discovery because the lease of the list had run out, and those that were not made since neither it
-	// nor their server had answered.
+	// ListWaits: attempts that waited for discovery because the lease of the list had expired.
+	// ListsExpired: attempts that were not made because neither discovery nor their server had
+	// answered.
 	ListWaits, ListsExpired int
-	// Other.
+	// Other counters. Silent: established connections whose target was found to send no data.
+	// Overdue: requests answered at their deadline because the module had not answered. Full:
+	// clients refused for lack of file descriptors. Reloads: configuration reloads. Garbled:
+	// protocol violations by targets.
 	ProbesFailed, WatchesFailed, Silent, Overdue, Full, Reloads, Garbled int
 }
 
-// Add adds the counts of another proxy, or of another life of one.
+// Add adds the counters of another proxy, or of an earlier run of the same one.
 func (c *Counters) Add(o *Counters) {
-	to, from := reflect.ValueOf(c).Elem(), reflect.ValueOf(o).Elem()
-	for i := range to.NumField() { // all are ints, and one that is added later must not be forgotten
-		to.Field(i).SetInt(to.Field(i).Int() + from.Field(i).Int())
+	dst, src := reflect.ValueOf(c).Elem(), reflect.ValueOf(o).Elem()
+	for i := range dst.NumField() { // all fields are ints; reflection also covers fields added later
+		dst.Field(i).SetInt(dst.Field(i).Int() + src.Field(i).Int())
 	}
 }
 
-// CountListAge counts a hop that was placed by a list of some age.
+// CountListAge counts a hop that was placed with a list of the given age.
 func (c *Counters) CountListAge(age time.Duration) {
 	for _, b := range c.ageBuckets() {
 		if age < b.under {
@@ -64,11 +83,13 @@
 	}
 }
 
+// ageBucket is a range of list ages, from the limit of the bucket before it up to under.
 type ageBucket struct {
 	under time.Duration
 	count *int
 }
 
+// ageBuckets returns the buckets in ascending order.
 func (c *Counters) ageBuckets() []ageBucket {
 	return []ageBucket{
 		{time.Second / 4, &c.ListAgeQuarter}, {time.Second / 2, &c.ListAgeHalf}, {time.Second, &c.ListAge1}, {2 * time.Second, &c.ListAge2},
@@ -77,7 +98,8 @@
 	}
 }
 
-// ListAgeFraction is the part of the hops that were placed by a list younger than that, one of the classes' bounds; 0 where there were none.
+// ListAgeFraction returns the fraction of hops that were placed with a list younger than age, which
+// must be a limit of a bucket. It returns 0 if there were no hops.
 func (c *Counters) ListAgeFraction(age time.Duration) float64 {
 	under, all := 0, 0
 	for _, b := range c.ageBuckets() {
@@ -88,21 +110,23 @@
 	return float64(under) / float64(max(all, 1))
 }
 
-// ListAgeQuantile is the age under which a part of the hops' lists were, 0 to 1: the upper bound of its class, at most 40 s.
-func (c *Counters) ListAgeQuantile(part float64) time.Duration {
+// ListAgeQuantile returns the age below which the lists of the given fraction of hops were, 0 to 1.
+// The result is the upper limit of a bucket, and at most 40 s.
+func (c *Counters) ListAgeQuantile(quantile float64) time.Duration {
 	all, seen := 0, 0
 	for _, b := range c.ageBuckets() {
 		all += *b.count
 	}
 	for _, b := range c.ageBuckets() {
-		if seen += *b.count; float64(seen) >= part*float64(all) {
+		if seen += *b.count; float64(seen) >= quantile*float64(all) {
 			return min(b.under, 40*time.Second)
 		}
 	}
 	return 0
 }
 
-// Print writes the counts on a few lines.
+// Print writes the counters as text lines. Tools read this text: its words and their order must not
+// change.
 func (c *Counters) Print(w io.Writer) {
 	fmt.Fprintf(w, "in: connections=%d exchanges=%d standing=%d pings=%d malformed=%d\n",
 		c.Connections, c.Exchanges, c.Standing, c.Pings, c.Malformed)
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-func TestListAges(t *testing.T) {
+func TestListAge(t *testing.T) {
 	var c Counters
 	if c.ListAgeQuantile(0.5) > time.Second || c.ListAgeFraction(time.Second) != 0 {
-		t.Error("ages of no hop at all")
+		t.Error("without hops: median age over 1 s, or fraction under 1 s not 0")
 	}
 	for i := range 100 {
-		c.CountListAge(time.Duration(i) * 100 * time.Millisecond) // evenly over 10 s
+		c.CountListAge(time.Duration(i) * 100 * time.Millisecond) // evenly distributed over 10 s
 	}
 	if c.ListAgeQuantile(0.5) != 5*time.Second || c.ListAgeQuantile(0.99) != 10*time.Second || c.ListAgeQuantile(0.1) != time.Second {
-		t.Errorf("%v, %v, %v", c.ListAgeQuantile(0.1), c.ListAgeQuantile(0.5), c.ListAgeQuantile(0.99))
+		t.Errorf("quantiles 0.1, 0.5, 0.99: got %v, %v, %v, want 1s, 5s, 10s", c.ListAgeQuantile(0.1), c.ListAgeQuantile(0.5), c.ListAgeQuantile(0.99))
 	}
 	if got := c.ListAgeFraction(3 * time.Second); got != 0.3 {
-		t.Errorf("%v under 3 s", got)
+		t.Errorf("fraction under 3 s: got %v, want 0.3", got)
 	}
 	c.CountListAge(time.Hour)
 	if c.ListAgeQuantile(1) != 40*time.Second || c.ListAgeMore != 1 {
-		t.Errorf("an hour counts as %v", c.ListAgeQuantile(1))
+		t.Errorf("age of 1 h: quantile 1 is %v, want 40s; ListAgeMore is %d, want 1", c.ListAgeQuantile(1), c.ListAgeMore)
 	}
 }
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -1,5 +1,6 @@
-// Package wire speaks the simulator's wire: it reads batches of events, translates their words into those
-// of package balance, and writes replies. It decides nothing.
+// Package wire implements the protocol between the simulator and its adapter. It reads batches of
+// events, translates their words into the types of package balance, and writes replies. It makes no
+// decisions.
 package wire
 
 import (
@@ -17,7 +18,8 @@
 // Kind is the kind of an Event.
 type Kind uint8
 
-// The kinds of Kind.
+// The values of Kind, one for each message of the simulator. Timer stands for DEADLINE_HIT and
+// ClientGone for TIMED_OUT_CLIENT.
 const (
 	Frame Kind = iota
 	YourTurn
@@ -35,28 +37,28 @@
 	Checked
 )
 
-// Event is one message to the adapter. Which fields are set depends on its kind.
+// Event is one message from the simulator. Which fields are set depends on its kind.
 type Event struct {
 	Kind        Kind
-	Relay       int
+	Relay       int // number of the instance that the event is for
 	Now         time.Time
 	Seed        uint64
 	Config      balance.Config
 	List        balance.ListKind
-	Backends    []balance.Backend // shared by all events that point at one catalogue: read only
+	Backends    []balance.Backend // shared by all events that refer to the same catalogue: read-only
 	Request     balance.Request
 	Attempt     int
-	Settled     bool
+	Settled     bool // the client needs no further answer
 	Backend     string
 	Outcome     balance.Outcome
 	Report      balance.Report
 	Metric      balance.Metric
-	MetricKnown bool // the kind of note is known
+	MetricKnown bool // Metric is valid; false: the message has a metric that this package does not know
 	MetricValue float64
 	Token       uint64
 }
 
-// messages gives each message its kind and its least number of values.
+// messages maps the name of each message to its kind and its minimum number of values.
 var messages = map[string]struct {
 	kind   Kind
 	values int
@@ -82,24 +84,24 @@
 	"SERVING": balance.Ready, "DRAINING": balance.Draining, "DELETED": balance.Gone,
 }
 
-const maxCatalogues = 16 // numbers that catalogues may have
+const maxCatalogues = 16 // catalogue numbers are below this
 
-// Reader reads events line by line.
+// Reader reads events from a stream of lines.
 type Reader struct {
 	in           *bufio.Reader
 	lineNumber   int
-	longLine     []byte
+	longLine     []byte // buffer for a line longer than the buffer of in
 	inBatch      bool
 	now          time.Time
 	catalogues   [maxCatalogues][]balance.Backend
 	catalogueSet [maxCatalogues]bool
-	instances    map[int]*settings.Settings
-	backendIDs   map[string]string // backend ids seen, so that each is kept once
-	values       [][]byte
-	err          error // first bad value of the line in hand
+	instances    map[int]*settings.Settings // settings of each running instance
+	backendIDs   map[string]string          // backend IDs read so far, so that equal IDs share one string
+	values       [][]byte                   // values of the current line
+	err          error                      // first invalid value of the current line
 }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
 		in:         bufio.NewReaderSize(in, 1<<16),
@@ -108,8 +110,8 @@
 	}
 }
 
-// Next reads the next event into e. It returns io.EOF at the end of input between two batches, and an
-// error that names the line for anything that is not of the wire.
+// Next reads the next event into e. It returns io.EOF if the input ends between two batches, and an
+// error with the line number if the input does not conform to the protocol.
 func (r *Reader) Next(e *Event) error {
 	for {
 		line, err := r.readLine()
@@ -135,7 +137,8 @@
 	}
 }
 
-// readLine returns the next line without its end. A line that the input ends in counts as a line.
+// readLine returns the next line without its line end. A last line without a line end counts as a
+// line.
 func (r *Reader) readLine() ([]byte, error) {
 	line, err := r.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -153,7 +156,7 @@
 	return nil, err
 }
 
-// parse reads one line. It reports whether the line was a catalogue, which is no event.
+// parse parses one line. It returns true if the line began a catalogue, which is not an event.
 func (r *Reader) parse(line []byte, e *Event) (catalogue bool, err error) {
 	name, rest, _ := bytes.Cut(line, []byte(" "))
 	if string(name) == "CATALOG" {
@@ -168,7 +171,7 @@
 	}
 	limit := -1
 	if m.kind == Configure {
-		limit = m.values // the settings run to the end of the line
+		limit = m.values // the last value, the settings object, extends to the end of the line
 	}
 	r.split(rest, limit)
 	if len(r.values) < m.values {
@@ -198,7 +201,7 @@
 	return false, nil
 }
 
-// parseValues reads the values of an event that belongs to an instance.
+// parseValues parses the values of an event for an instance.
 func (r *Reader) parseValues(e *Event) {
 	if e.Kind == Configure {
 		e.Seed = r.unsigned(1)
@@ -211,7 +214,7 @@
 		r.instances[e.Relay] = set
 		return
 	}
-	rel, ok := r.instances[e.Relay]
+	set, ok := r.instances[e.Relay]
 	if !ok {
 		r.fail(fmt.Errorf("unknown instance %d", e.Relay))
 		return
@@ -229,7 +232,7 @@
 		}
 		e.Backends = r.catalogues[n]
 	case Ingress, Handover:
-		r.parseRequest(e, rel)
+		r.parseRequest(e, set)
 	case Timer:
 		e.Token = r.unsigned(1)
 	case Streaming:
@@ -242,9 +245,9 @@
 		e.Request.ID = r.unsigned(1)
 		e.Attempt = int(r.signed(2))
 		e.Backend = r.backendID(3)
-		sort := r.signed(4)
-		e.MetricKnown = sort == 1 || sort == 2
-		if sort == 2 {
+		metric := r.signed(4)
+		e.MetricKnown = metric == 1 || metric == 2
+		if metric == 2 {
 			e.Metric = balance.MetricDelay
 		}
 		e.MetricValue = r.float(r.values[5])
@@ -254,30 +257,30 @@
 		e.Backend = r.backendID(3)
 		e.Outcome = lookUp(r, outcomes, 4)
 		e.Attempt = int(r.signed(5))
-		e.Report = r.report(7, rel)
+		e.Report = r.report(7, set)
 	case ClientGone:
 		e.Request.ID = r.unsigned(1)
 	case Checked:
 		e.Backend = r.backendID(1)
 		e.Outcome = lookUp(r, outcomes, 2)
-		e.Report = r.report(4, rel)
+		e.Report = r.report(4, set)
 	}
 }
 
-// Bits of a request's flags.
+// Bits of the flags value of a request.
 const (
 	flagMidFlow   = 8
 	flagReconnect = 16
 )
 
-func (r *Reader) parseRequest(e *Event, rel *settings.Settings) {
+func (r *Reader) parseRequest(e *Event, set *settings.Settings) {
 	q := &e.Request
 	q.ID = r.unsigned(1)
 	q.Class, q.Tenant = -1, -1
-	if i, ok := rel.Classes[string(r.values[2])]; ok {
+	if i, ok := set.Classes[string(r.values[2])]; ok {
 		q.Class = i
 	}
-	if i, ok := rel.Tenants[string(r.values[3])]; ok {
+	if i, ok := set.Tenants[string(r.values[3])]; ok {
 		q.Tenant = i
 	}
 	if !absent(r.values[4]) {
@@ -287,26 +290,26 @@
 	if !absent(r.values[7]) {
 		q.Group = string(r.values[7])
 	}
-	bits := r.optionalSigned(8)
-	q.MidFlow, q.Reconnect = bits&flagMidFlow != 0, bits&flagReconnect != 0
+	flags := r.optionalSigned(8)
+	q.MidFlow, q.Reconnect = flags&flagMidFlow != 0, flags&flagReconnect != 0
 	if e.Kind == Handover {
 		e.Backend = r.backendID(9)
 	}
 }
 
-// readCatalogue reads the head of a readCatalogue and its rows.
+// readCatalogue parses the first line of a catalogue and reads its rows.
 func (r *Reader) readCatalogue(rest []byte) error {
 	r.err = nil
 	r.split(rest, -1)
 	if len(r.values) < 2 {
 		return fmt.Errorf("CATALOG has %d values, not 2", len(r.values))
 	}
-	sheet, rows := r.unsigned(0), r.unsigned(1)
+	number, rows := r.unsigned(0), r.unsigned(1)
 	if r.err != nil {
 		return fmt.Errorf("CATALOG: %w", r.err)
 	}
-	if sheet >= maxCatalogues {
-		return fmt.Errorf("CATALOG: number %d is over %d", sheet, maxCatalogues-1)
+	if number >= maxCatalogues {
+		return fmt.Errorf("CATALOG: number %d is over %d", number, maxCatalogues-1)
 	}
 	var list []balance.Backend
 	for range rows {
@@ -329,8 +332,8 @@
 			State: lookUp(r, states, 4),
 			Size:  1,
 		}
-		if boot := r.optionalSigned(6); boot != 0 {
-			b.StartTime = time.UnixMicro(boot)
+		if start := r.optionalSigned(6); start != 0 {
+			b.StartTime = time.UnixMicro(start)
 		}
 		if !absent(r.values[5]) {
 			b.Size = r.float(r.values[5])
@@ -340,6 +343,6 @@
 		}
 		list = append(list, b)
 	}
-	r.catalogues[sheet], r.catalogueSet[sheet] = list, true
+	r.catalogues[number], r.catalogueSet[number] = list, true
 	return nil
 }
--- a/internal/wire/values.go
+++ b/internal/wire/values.go
@@ -11,7 +11,8 @@
 	"ospreyspan/internal/settings"
 )
 
-// split cuts rest at its spaces into r.parts, into at most limit parts if that is not below 0.
+// split splits rest at its spaces into r.values. If limit is not negative, the result has at most
+// limit values and the last one holds the rest of the line.
 func (r *Reader) split(rest []byte, limit int) {
 	r.values = r.values[:0]
 	for len(rest) > 0 {
@@ -29,33 +30,35 @@
 	}
 }
 
+// absent returns whether a value is "-", which stands for no value.
 func absent(part []byte) bool { return len(part) == 1 && part[0] == '-' }
 
+// fail records the first error of the current line.
 func (r *Reader) fail(err error) {
 	if r.err == nil {
 		r.err = err
 	}
 }
 
-// unsigned reads a number that is not negative.
+// unsigned parses value i as a non-negative integer.
 func (r *Reader) unsigned(i int) uint64 {
 	n := uint64(0)
 	part := r.values[i]
 	for _, c := range part {
 		d := uint64(c - '0')
 		if d > 9 || n > (math.MaxUint64-d)/10 {
-			r.fail(fmt.Errorf("%q is not a whole number", part))
+			r.fail(fmt.Errorf("%q is not an unsigned 64-bit integer", part))
 			return 0
 		}
 		n = n*10 + d
 	}
 	if len(part) == 0 {
-		r.fail(errors.New("an empty value"))
+		r.fail(errors.New("value is empty, expected a number"))
 	}
 	return n
 }
 
-// signed reads a number with a sign.
+// signed parses value i as an integer that may be negative.
 func (r *Reader) signed(i int) int64 {
 	part := r.values[i]
 	negative := len(part) > 1 && part[0] == '-'
@@ -64,7 +67,7 @@
 	}
 	n := r.unsigned(i)
 	if n > math.MaxInt64 {
-		r.fail(fmt.Errorf("%q is too large", part))
+		r.fail(fmt.Errorf("%q does not fit into a signed 64-bit integer", part))
 		return 0
 	}
 	if negative {
@@ -73,7 +76,8 @@
 	return int64(n)
 }
 
-// optionalSigned reads a number that may be absent, which counts as 0.
+// optionalSigned parses value i as an integer that may be negative. It returns 0 if the value is
+// absent.
 func (r *Reader) optionalSigned(i int) int64 {
 	if absent(r.values[i]) {
 		return 0
@@ -81,7 +85,7 @@
 	return r.signed(i)
 }
 
-// float reads a float with a fraction; one that is absent is NaN.
+// float parses a decimal number. It returns NaN if the value is absent or empty.
 func (r *Reader) float(part []byte) float64 {
 	if absent(part) || len(part) == 0 {
 		return math.NaN()
@@ -93,6 +97,7 @@
 	return f
 }
 
+// backendID returns value i, the ID of a backend, which must be present.
 func (r *Reader) backendID(i int) string {
 	part := r.values[i]
 	if name, ok := r.backendIDs[string(part)]; ok {
@@ -107,7 +112,8 @@
 	return name
 }
 
-// lookUp looks a value up among the words that the wire knows there.
+// lookUp returns the entry of words for value i, which must be one of the words that the protocol
+// allows there.
 func lookUp[T any](r *Reader, words map[string]T, i int) T {
 	v, ok := words[string(r.values[i])]
 	if !ok {
@@ -116,7 +122,8 @@
 	return v
 }
 
-// report reads a load report; what it lacks is NaN.
+// report parses value i as a load report with the fields that the settings name. Fields that the
+// report lacks are NaN.
 func (r *Reader) report(i int, set *settings.Settings) balance.Report {
 	var rep balance.Report
 	settings.ClearReport(&rep)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,7 +12,7 @@
 	"ospreyspan/balance"
 )
 
-const options = `{"Balancers":4,"Zone":"z","Classes":[{"Name":"c0","Repeat":"free"},` +
+const settingsObject = `{"Balancers":4,"Zone":"z","Classes":[{"Name":"c0","Repeat":"free"},` +
 	`{"Name":"c1","Repeat":"guarded","DedupScope":"cell","TargetUs":300000.0,"WindowUs":5e6,"Worth":3.0}],` +
 	`"Orgs":[{"Name":"t0","QuotaPerS":2.5}],"OverShareWorth":0.1,"Discovery":"subscribe","Weights":"live",` +
 	`"Domain":{"Groups":true,"ReportX0":"load asked of the server over what it can do","ParkUs":4000000,` +
@@ -23,9 +23,10 @@
 	`"RetryAfter":true,"SecondCopies":false},"Prices":{"CrossZone":0.08,"Moves":0.03,"Probe":0.002},` +
 	`"Report":{"Fields":["x0","active","x9","err_rps"],"How":"pull"}}`
 
-// batch is the start of a batch with one instance, 3.
-const batch = "FRAME 100\nCONFIGURE 3 77 " + options + "\n"
+// batchStart is the start of a batch with one instance, number 3.
+const batchStart = "FRAME 100\nCONFIGURE 3 77 " + settingsObject + "\n"
 
+// readAll reads all events of text, up to the first error.
 func readAll(text string) ([]Event, error) {
 	r := NewReader(strings.NewReader(text))
 	var all []Event
@@ -43,7 +44,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	all, err := readAll(batch + "YOUR_TURN\n")
+	all, err := readAll(batchStart + "YOUR_TURN\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,21 +55,21 @@
 	c := e.Config
 	if c.Relays != 4 || c.Zone != "z" || !c.Subscribe || !c.GroupAffinity || c.MaxAttempts != 5 ||
 		!c.MayProbe || !c.MayCancel || c.MaxRetryAfter != 1500*time.Millisecond || c.DetachedTimeout != 4*time.Second {
-		t.Errorf("config %+v", c)
+		t.Errorf("config: got %+v", c)
 	}
 	if want := (balance.Rules{
 		AnswerSlack: 8 * time.Millisecond, MaxDiscoveryGap: 10 * time.Second, InitialCapacity: 0.12, WarmUpTime: 22 * time.Second, OverloadFactor: 3,
 		OverloadWindow: 1500 * time.Millisecond,
 	}); c.Rules != want {
-		t.Errorf("rules %+v", c.Rules)
+		t.Errorf("rules: got %+v, want %+v", c.Rules, want)
 	}
 	if want := (balance.Class{
 		SetupTarget: 300 * time.Millisecond, Worth: 3, Idempotency: balance.IdempotentByKey, DedupScope: balance.ScopeCell, DedupWindow: 5 * time.Second,
 	}); c.Classes[1] != want {
-		t.Errorf("class %+v", c.Classes[1])
+		t.Errorf("class: got %+v, want %+v", c.Classes[1], want)
 	}
 	if want := (balance.Tenant{ConnectionQuota: 39}); c.Tenants[0] != want {
-		t.Errorf("tenant %+v", c.Tenants[0])
+		t.Errorf("tenant: got %+v, want %+v", c.Tenants[0], want)
 	}
 }
 
@@ -126,19 +127,19 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.line, func(t *testing.T) {
-			all, err := readAll(batch + tt.line + "\nYOUR_TURN\n")
+			all, err := readAll(batchStart + tt.line + "\nYOUR_TURN\n")
 			if err != nil {
 				t.Fatal(err)
 			}
 			if len(all) != 4 || !tt.ok(all[2]) {
-				t.Errorf("read as %+v", all[2:])
+				t.Errorf("parsed as %+v", all[2:])
 			}
 		})
 	}
 }
 
-func TestCatalogueNumbersAreUsedAgain(t *testing.T) {
-	all, err := readAll(batch +
+func TestCatalogueNumberReuse(t *testing.T) {
+	all, err := readAll(batchStart +
 		"CATALOG 0 2\nROW b0 z k 4 SERVING 1.5 6100000\nROW b1 z k - DRAINING 1 -\nMEMBERS 3 whole 1 0\n" +
 		"CATALOG 0 1\nROW b2 y k 1 DELETED 1 0\nMEMBERS 3 patch 2 0\nYOUR_TURN\n")
 	if err != nil {
@@ -147,60 +148,60 @@
 	first, second := all[2].Backends, all[3].Backends
 	want := balance.Backend{ID: "b0", Zone: "z", Cell: 4, State: balance.Ready, Size: 1.5, StartTime: time.UnixMicro(6100000)}
 	if len(first) != 2 || first[0] != want || first[1].State != balance.Draining || !first[1].StartTime.IsZero() {
-		t.Errorf("first list %+v", first)
+		t.Errorf("first list: got %+v", first)
 	}
 	if len(second) != 1 || second[0].ID != "b2" || second[0].State != balance.Gone {
-		t.Errorf("second list %+v", second)
+		t.Errorf("second list: got %+v", second)
 	}
 }
 
 func TestRestartInOneBatch(t *testing.T) {
-	all, err := readAll(batch + "RETIRE 3\nCONFIGURE 3 78 {}\nINGRESS 3 1 c0 0 - 5 - - 0\nYOUR_TURN\n")
+	all, err := readAll(batchStart + "RETIRE 3\nCONFIGURE 3 78 {}\nINGRESS 3 1 c0 0 - 5 - - 0\nYOUR_TURN\n")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if all[3].Seed != 78 || all[4].Request.Class != -1 {
-		t.Errorf("read as %+v", all[3:])
+		t.Errorf("parsed as %+v", all[3:])
 	}
 }
 
 func TestBadInput(t *testing.T) {
 	tests := []struct{ name, text, want string }{
-		{"unknown message", batch + "NONSENSE 3\n", `line 3: unknown message "NONSENSE"`},
-		{"too few values", batch + "STREAMING 3 9 0 b1\n", "line 3: STREAMING has 4 values, not 5"},
-		{"bad number", batch + "DEADLINE_HIT 3 x7\n", "line 3: DEADLINE_HIT"},
-		{"number too large", batch + "DEADLINE_HIT 3 99999999999999999999\n", "line 3: DEADLINE_HIT"},
-		{"bad fraction", batch + "CHECKED 3 b1 pass 1 0.x,1\n", "line 3: CHECKED"},
-		{"unknown instance", batch + "DEADLINE_HIT 4 1\n", "line 3: DEADLINE_HIT: unknown instance 4"},
-		{"retired instance", batch + "RETIRE 3\nDEADLINE_HIT 3 1\n", "line 4: DEADLINE_HIT: unknown instance 3"},
-		{"missing catalogue", batch + "MEMBERS 3 whole 1 5\n", "line 3: MEMBERS: no catalogue 5"},
-		{"catalogue over 15", batch + "CATALOG 16 0\n", "line 3: CATALOG"},
-		{"unknown list kind", batch + "MEMBERS 3 sideways 1 0\n", "line 3: MEMBERS"},
-		{"unknown ending", batch + "CHECKED 3 b1 maybe 1 -\n", `line 3: CHECKED: unknown word "maybe"`},
-		{"short catalogue", batch + "CATALOG 0 2\nROW b0 z k 0 SERVING 1 -\nYOUR_TURN\n", "line 5: CATALOG: not a ROW"},
-		{"options not JSON", "FRAME 1\nCONFIGURE 3 7 {nope\n", "line 2: CONFIGURE: options"},
+		{"unknown message", batchStart + "NONSENSE 3\n", `line 3: unknown message "NONSENSE"`},
+		{"too few values", batchStart + "STREAMING 3 9 0 b1\n", "line 3: STREAMING has 4 values, not 5"},
+		{"bad number", batchStart + "DEADLINE_HIT 3 x7\n", "line 3: DEADLINE_HIT"},
+		{"number too large", batchStart + "DEADLINE_HIT 3 99999999999999999999\n", "line 3: DEADLINE_HIT"},
+		{"bad fraction", batchStart + "CHECKED 3 b1 pass 1 0.x,1\n", "line 3: CHECKED"},
+		{"unknown instance", batchStart + "DEADLINE_HIT 4 1\n", "line 3: DEADLINE_HIT: unknown instance 4"},
+		{"retired instance", batchStart + "RETIRE 3\nDEADLINE_HIT 3 1\n", "line 4: DEADLINE_HIT: unknown instance 3"},
+		{"missing catalogue", batchStart + "MEMBERS 3 whole 1 5\n", "line 3: MEMBERS: no catalogue 5"},
+		{"catalogue over 15", batchStart + "CATALOG 16 0\n", "line 3: CATALOG"},
+		{"unknown list kind", batchStart + "MEMBERS 3 sideways 1 0\n", "line 3: MEMBERS"},
+		{"unknown outcome", batchStart + "CHECKED 3 b1 maybe 1 -\n", `line 3: CHECKED: unknown word "maybe"`},
+		{"short catalogue", batchStart + "CATALOG 0 2\nROW b0 z k 0 SERVING 1 -\nYOUR_TURN\n", "line 5: CATALOG: not a ROW"},
+		{"settings not JSON", "FRAME 1\nCONFIGURE 3 7 {nope\n", "line 2: CONFIGURE: settings object"},
 		{"event outside a batch", "RETIRE 3\n", "line 1: RETIRE out of place"},
-		{"batch in a batch", batch + "FRAME 5\n", "line 3: FRAME out of place"},
-		{"ends inside a batch", batch, "line 2: input ends inside a batch"},
-		{"ends inside a catalogue", batch + "CATALOG 0 2\nROW b0 z k 0 SERVING 1 -\n", "input ends inside"},
-		{"empty line in a batch", batch + "\n", "line 3: unknown message"},
-		{"empty backend", batch + "CHECKED 3  pass 1 -\n", "line 3: CHECKED: the backend is missing"},
+		{"batch in a batch", batchStart + "FRAME 5\n", "line 3: FRAME out of place"},
+		{"ends inside a batch", batchStart, "line 2: input ends inside a batch"},
+		{"ends inside a catalogue", batchStart + "CATALOG 0 2\nROW b0 z k 0 SERVING 1 -\n", "input ends inside"},
+		{"empty line in a batch", batchStart + "\n", "line 3: unknown message"},
+		{"empty backend", batchStart + "CHECKED 3  pass 1 -\n", "line 3: CHECKED: the backend is missing"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			_, err := readAll(tt.text)
 			if err == nil || !strings.Contains(err.Error(), tt.want) {
-				t.Errorf("error %v, want %q", err, tt.want)
+				t.Errorf("got error %v, want one that contains %q", err, tt.want)
 			}
 		})
 	}
 }
 
 func TestLongLines(t *testing.T) {
-	long := strings.Replace(options, `"Unheard":{"of":[1]}`, `"Unheard":"`+strings.Repeat("x", 1<<18)+`"`, 1)
+	long := strings.Replace(settingsObject, `"Unheard":{"of":[1]}`, `"Unheard":"`+strings.Repeat("x", 1<<18)+`"`, 1)
 	all, err := readAll("FRAME 1\nCONFIGURE 3 77 " + long + "\nYOUR_TURN\nFRAME 2\nYOUR_TURN\n")
 	if err != nil || len(all) != 5 || all[1].Config.Relays != 4 {
-		t.Errorf("read %d events, error %v", len(all), err)
+		t.Errorf("read %d events, want 5; error %v", len(all), err)
 	}
 }
 
@@ -218,7 +219,7 @@
 	h.After(500*time.Millisecond, 77)
 	w.InternalError(4, "panic: x\ny")
 	if out.Len() != 0 {
-		t.Error("part of a reply was written early")
+		t.Error("part of the reply was written before Finish")
 	}
 	if err := w.Finish(); err != nil {
 		t.Fatal(err)
@@ -231,23 +232,24 @@
 	}
 }
 
-// FuzzReader checks that no input makes the reader panic, and that what it accepts is whole.
+// FuzzReader checks that no input makes the Reader panic, that errors name their line, and that
+// accepted input consists of complete batches.
 func FuzzReader(f *testing.F) {
-	f.Add(batch + "INGRESS 3 1 c0 0 - 5 - - 0\nYOUR_TURN\n")
-	f.Add(batch + "CATALOG 0 1\nROW b0 z k 4 SERVING 1.5 6100000\nMEMBERS 3 whole 1 0\nYOUR_TURN\n")
-	f.Add(batch + "FINISHED 3 9 0 b1 too_slow 2 18500 0.5,7,1,0.25\n")
+	f.Add(batchStart + "INGRESS 3 1 c0 0 - 5 - - 0\nYOUR_TURN\n")
+	f.Add(batchStart + "CATALOG 0 1\nROW b0 z k 4 SERVING 1.5 6100000\nMEMBERS 3 whole 1 0\nYOUR_TURN\n")
+	f.Add(batchStart + "FINISHED 3 9 0 b1 too_slow 2 18500 0.5,7,1,0.25\n")
 	f.Add("FRAME -1\nYOUR_TURN\n\n")
 	f.Add("CATALOG 0 99999999999\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		all, err := readAll(text)
 		if err != nil {
 			if !strings.HasPrefix(err.Error(), "line ") {
-				t.Errorf("error without its line: %v", err)
+				t.Errorf("error without line number: %v", err)
 			}
 			return
 		}
 		if n := len(all); n > 0 && (all[0].Kind != Frame || all[n-1].Kind != YourTurn) {
-			t.Errorf("accepted a batch that is not whole: %+v", all)
+			t.Errorf("accepted an incomplete batch: %+v", all)
 		}
 	})
 }
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -9,13 +9,13 @@
 	"ospreyspan/balance"
 )
 
-// Writer gathers the actions of one reply and writes it whole.
+// Writer collects the actions of one reply and writes the reply in one call.
 type Writer struct {
 	out io.Writer
 	buf []byte
 }
 
-// NewWriter returns a Writer to out.
+// NewWriter returns a Writer that writes to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: out} }
 
 // Finish ends the reply and writes it.
@@ -26,7 +26,8 @@
 	return err
 }
 
-// begin starts a message of an instance; number and text add its values, end ends its line.
+// begin starts a message of an instance. The methods number, microseconds and text add its values,
+// and end ends its line.
 func (w *Writer) begin(name string, relay int) {
 	w.buf = append(w.buf, name...)
 	w.number(int64(relay))
@@ -37,7 +38,7 @@
 	w.buf = strconv.AppendInt(w.buf, n, 10)
 }
 
-// microseconds writes a microseconds in the wire's microseconds.
+// microseconds adds a duration in microseconds, the unit of the protocol.
 func (w *Writer) microseconds(d time.Duration) { w.number(d.Microseconds()) }
 
 func (w *Writer) text(s string) {
@@ -47,17 +48,17 @@
 
 func (w *Writer) end() { w.buf = append(w.buf, '\n') }
 
-// newlineReplacer keeps a text from breaking the wire.
+// newlineReplacer replaces line ends in free text, which must stay on one line of the protocol.
 var newlineReplacer = strings.NewReplacer("\n", " ", "\r", " ")
 
-// InternalError tells the simulator that the decision code failed.
+// InternalError reports to the simulator that the decision code failed.
 func (w *Writer) InternalError(relay int, what string) {
 	w.begin("INTERNAL_ERROR", relay)
 	w.text(newlineReplacer.Replace(what))
 	w.end()
 }
 
-// Host returns the balance.Host that writes one instance's actions.
+// Host returns the balance.Host that writes the actions of one instance.
 func (w *Writer) Host(relay int) balance.Host { return host{w, relay} }
 
 type host struct {
@@ -73,10 +74,10 @@
 	h.w.end()
 }
 
-func (h host) Refuse(id balance.RequestID, advice time.Duration) {
+func (h host) Refuse(id balance.RequestID, retryAfter time.Duration) {
 	h.w.begin("SAY_NO", h.relay)
 	h.w.number(int64(id))
-	h.w.microseconds(advice)
+	h.w.microseconds(retryAfter)
 	h.w.end()
 }
 
