--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -18,8 +18,8 @@
 // Kind is the kind of an Event.
 type Kind uint8
 
-// The values of Kind, one for each message of the simulator. Timer stands for DEADLINE_HIT and
-// ClientGone for TIMED_OUT_CLIENT.
+// The values of Kind, one for each kind of event that the simulator sends. Timer stands for
+// DEADLINE_HIT and ClientGone for TIMED_OUT_CLIENT.
 const (
 	Frame Kind = iota
 	YourTurn
