--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -345,7 +345,7 @@
 func (c *client) Ready(r poll.Ready) {
 	w := c.w
 	if c.state == clientDialing {
-		if c.sock.Established() != nil {
+		if c.sock.DialError() != nil {
 			w.ledger.Count.Unmade++
 			c.retry(0)
 			return
@@ -365,7 +365,7 @@
 		c.ended()
 		return
 	}
-	whole, rest, err := line.Whole(w.scratch[:held+n])
+	whole, rest, err := line.SplitComplete(w.scratch[:held+n])
 	if err != nil {
 		w.ledger.broken("line-too-long", "client %s got a line over the limit", c.key)
 		c.ended()
@@ -375,7 +375,7 @@
 	for len(whole) > 0 && c.sock != nil {
 		var first []byte
 		first, whole = line.Next(whole)
-		c.hear(line.Text(first))
+		c.hear(line.TrimLineEnd(first))
 	}
 }
 
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -234,7 +234,7 @@
 		s.end()
 		return
 	}
-	whole, rest, err := line.Whole(scratch[:held+n])
+	whole, rest, err := line.SplitComplete(scratch[:held+n])
 	if err != nil {
 		s.end()
 		return
@@ -243,7 +243,7 @@
 	for len(whole) > 0 && !s.gone {
 		var first []byte
 		first, whole = line.Next(whole)
-		s.line(line.Text(first))
+		s.line(line.TrimLineEnd(first))
 	}
 }
 
@@ -284,7 +284,7 @@
 	}
 	s.asked, s.open, s.class = true, o, 0
 	if r.c.SiteOf != nil {
-		if from := r.c.SiteOf(s.sock.Peer().Addr()); from != "" && from != r.c.Site {
+		if from := r.c.SiteOf(s.sock.RemoteAddr().Addr()); from != "" && from != r.c.Site {
 			r.ledger.Count.Crossing++
 		}
 	}
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -194,7 +194,7 @@
 
 // moveExcess moves clients whose slices are lost, at once and before anything else.
 func (l *limits) moveExcess() {
-	now := l.fleet.loop.Refresh()
+	now := l.fleet.loop.RefreshNow()
 	for i, lim := range l.states {
 		if lim.slices == nil {
 			continue
--- a/internal/mesh/node.go
+++ b/internal/mesh/node.go
@@ -75,7 +75,7 @@
 
 // open opens the UDP socket and determines the node's address.
 func (n *Node) open() error {
-	socket, err := n.loop.OpenPackets(n.cfg.Listen, n)
+	socket, err := n.loop.OpenUDP(n.cfg.Listen, n)
 	if err != nil {
 		return fmt.Errorf("mesh: open socket: %w", err)
 	}
--- a/internal/mesh/query.go
+++ b/internal/mesh/query.go
@@ -20,7 +20,7 @@
 // query is a request sent by an operator's command. It has its own loop and socket.
 type query struct {
 	loop      *poll.Loop
-	socket    *poll.Packets
+	socket    *poll.UDPSocket
 	cluster   string
 	onMessage func(*envelope) (done bool) // done: the response is complete
 	done      bool
@@ -33,7 +33,7 @@
 	}
 	q := &query{loop: loop, cluster: cluster, onMessage: onMessage}
 	anyAddress := netip.AddrPortFrom(netip.IPv4Unspecified(), 0)
-	if q.socket, err = loop.OpenPackets(anyAddress, q); err != nil {
+	if q.socket, err = loop.OpenUDP(anyAddress, q); err != nil {
 		loop.Close()
 		return nil, err
 	}
--- a/internal/mesh/transport.go
+++ b/internal/mesh/transport.go
@@ -14,7 +14,7 @@
 // transport sends and receives the messages of one cluster, one datagram each, and counts them.
 type transport struct {
 	loop     *poll.Loop
-	socket   *poll.Packets
+	socket   *poll.UDPSocket
 	cluster  string
 	counters *Counters
 	buffer   [receiveBufferBytes]byte
@@ -47,7 +47,7 @@
 	// Read the clock again. If the process was paused between the loop's clock reading and this
 	// read, the outdated time would make reported ages too small, or make a lease renewal seem to
 	// arrive before it was requested.
-	t.loop.Refresh()
+	t.loop.RefreshNow()
 	t.counters.Received++
 	t.counters.BytesReceived += uint64(size)
 	return t.parse(size), from, true
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -121,7 +121,7 @@
 	e.startedAt = e.loop.Now()
 	module.Start(e.startedAt)
 	// reads both clocks at the same moment
-	e.bootTimes = routes.NewStartTimes(e.loop.Refresh(), e.loop.Wall())
+	e.bootTimes = routes.NewStartTimes(e.loop.RefreshNow(), e.loop.WallTime())
 	e.bootTimes.SetStarts(c.Known, e.startedAt, time.Time{})
 	e.table.Merge(c.Known)
 	e.push(event{kind: evList, list: balance.ListStale, entries: backends(c.Known.Hosts)})
@@ -167,7 +167,7 @@
 
 // Accept creates the exchange for a client's request.
 func (e *Engine) Accept(c Client, o ClientRequest) (*Exchange, error) {
-	if class, ok := e.settings.Classes[o.Class]; ok && e.settings.Waits[class] > 0 {
+	if class, ok := e.settings.Classes[o.Class]; ok && e.settings.MaxWaits[class] > 0 {
 		// the class limits the wait that a client may ask for
 		o.Wait = min(o.Wait, e.settings.Waits[class])
 	}
@@ -346,7 +346,7 @@
 			known = at
 		}
 	}
-	e.counters.Aged(e.loop.Now().Sub(known))
+	e.counters.CountListAge(e.loop.Now().Sub(known))
 	if !to.StartedAt.IsZero() && e.loop.Now().Sub(to.StartedAt) < e.settings.Config.Rules.WarmUpTime {
 		e.counters.HopsCold++
 	}
--- a/internal/routes/watch.go
+++ b/internal/routes/watch.go
@@ -248,7 +248,7 @@
 		// After a stall of the process an answer may be readable together with hops whose
 		// connections were established meanwhile. It must be read first: a hop to a draining target
 		// has to be cancelled instead of sent.
-		sock.Urgent()
+		sock.SetUrgent()
 		w.socket, w.state = sock, watchDialing
 		if w.pushed {
 			w.loop.After(&w.timer, pushedDialTimeout)
@@ -293,7 +293,7 @@
 // Ready implements poll.Handler.
 func (w *Watch) Ready(r poll.Ready) {
 	if w.state == watchDialing {
-		if err := w.socket.Established(); err != nil {
+		if err := w.socket.DialError(); err != nil {
 			w.lease.Unreachable(w.loop.Now())
 			w.fail(err)
 			return
--- a/internal/vnet/kernel.go
+++ b/internal/vnet/kernel.go
@@ -32,7 +32,7 @@
 
 func (k *kernel) over() bool { return k.life != k.host.life }
 
-func (k *kernel) Wall() time.Time { return k.Now().Add(k.host.wallStep) }
+func (k *kernel) WallTime() time.Time { return k.Now().Add(k.host.wallStep) }
 
 func (k *kernel) Now() time.Time {
 	k.read = max(k.read, k.clock())
@@ -188,7 +188,7 @@
 	return fd, nil
 }
 
-func (k *kernel) Spare() (int, error) {
+func (k *kernel) OpenReserve() (int, error) {
 	if k.over() {
 		return -1, unix.ENETDOWN
 	}
@@ -232,7 +232,7 @@
 	return nil
 }
 
-func (k *kernel) Rewatch(fd int, want poll.Interest, _, _ int32) error {
+func (k *kernel) UpdateWatch(fd int, want poll.Interest, _, _ int32) error {
 	f := k.file(fd)
 	if f == nil {
 		return unix.EBADF
@@ -290,7 +290,7 @@
 	}
 }
 
-func (k *kernel) Fault(fd int) error {
+func (k *kernel) SocketError(fd int) error {
 	e := k.end(fd)
 	if e == nil {
 		return unix.ECONNRESET
@@ -307,7 +307,7 @@
 	return 0
 }
 
-func (k *kernel) Name(fd int) netip.AddrPort {
+func (k *kernel) LocalAddr(fd int) netip.AddrPort {
 	switch f := k.file(fd).(type) {
 	case *end:
 		return f.local
@@ -319,7 +319,7 @@
 	return netip.AddrPort{}
 }
 
-func (k *kernel) Peer(fd int) netip.AddrPort {
+func (k *kernel) RemoteAddr(fd int) netip.AddrPort {
 	if e := k.end(fd); e != nil {
 		return e.remote
 	}
--- a/internal/wire/values.go
+++ b/internal/wire/values.go
@@ -11,60 +11,63 @@
 	"ospreyspan/internal/settings"
 )
 
-// split cuts rest at its spaces into r.parts, into at most limit parts if that is not below 0.
+// split splits rest at its spaces into r.values. If limit is not negative, the result has at most
+// limit values and the last one holds the rest of the line.
 func (r *Reader) split(rest []byte, limit int) {
-	r.parts = r.parts[:0]
+	r.values = r.values[:0]
 	for len(rest) > 0 {
-		if limit >= 0 && len(r.parts) == limit-1 {
-			r.parts = append(r.parts, rest)
+		if limit >= 0 && len(r.values) == limit-1 {
+			r.values = append(r.values, rest)
 			return
 		}
 		i := bytes.IndexByte(rest, ' ')
 		if i < 0 {
-			r.parts = append(r.parts, rest)
+			r.values = append(r.values, rest)
 			return
 		}
-		r.parts = append(r.parts, rest[:i])
+		r.values = append(r.values, rest[:i])
 		rest = rest[i+1:]
 	}
 }
 
+// absent returns whether a value is "-", which stands for no value.
 func absent(part []byte) bool { return len(part) == 1 && part[0] == '-' }
 
+// fail records the first error of the current line.
 func (r *Reader) fail(err error) {
 	if r.err == nil {
 		r.err = err
 	}
 }
 
-// whole reads a number that is not negative.
-func (r *Reader) whole(i int) uint64 {
+// unsigned parses value i as a non-negative integer.
+func (r *Reader) unsigned(i int) uint64 {
 	n := uint64(0)
-	part := r.parts[i]
+	part := r.values[i]
 	for _, c := range part {
 		d := uint64(c - '0')
 		if d > 9 || n > (math.MaxUint64-d)/10 {
-			r.fail(fmt.Errorf("%q is not a whole number", part))
+			r.fail(fmt.Errorf("%q is not an unsigned 64-bit integer", part))
 			return 0
 		}
 		n = n*10 + d
 	}
 	if len(part) == 0 {
-		r.fail(errors.New("an empty value"))
+		r.fail(errors.New("value is empty, expected a number"))
 	}
 	return n
 }
 
-// integer reads a number with a sign.
-func (r *Reader) integer(i int) int64 {
-	part := r.parts[i]
+// signed parses value i as an integer that may be negative.
+func (r *Reader) signed(i int) int64 {
+	part := r.values[i]
 	negative := len(part) > 1 && part[0] == '-'
 	if negative {
-		r.parts[i] = part[1:]
+		r.values[i] = part[1:]
 	}
-	n := r.whole(i)
+	n := r.unsigned(i)
 	if n > math.MaxInt64 {
-		r.fail(fmt.Errorf("%q is too large", part))
+		r.fail(fmt.Errorf("%q does not fit into a signed 64-bit integer", part))
 		return 0
 	}
 	if negative {
@@ -73,16 +76,17 @@
 	return int64(n)
 }
 
-// optional reads a number that may be absent, which counts as 0.
-func (r *Reader) optional(i int) int64 {
-	if absent(r.parts[i]) {
+// optionalSigned parses value i as an integer that may be negative. It returns 0 if the value is
+// absent.
+func (r *Reader) optionalSigned(i int) int64 {
+	if absent(r.values[i]) {
 		return 0
 	}
-	return r.integer(i)
+	return r.signed(i)
 }
 
-// number reads a number with a fraction; one that is absent is NaN.
-func (r *Reader) number(part []byte) float64 {
+// float parses a decimal number. It returns NaN if the value is absent or empty.
+func (r *Reader) float(part []byte) float64 {
 	if absent(part) || len(part) == 0 {
 		return math.NaN()
 	}
@@ -93,9 +97,10 @@
 	return f
 }
 
-func (r *Reader) backend(i int) string {
-	part := r.parts[i]
-	if name, ok := r.names[string(part)]; ok {
+// backendID returns value i, the ID of a backend, which must be present.
+func (r *Reader) backendID(i int) string {
+	part := r.values[i]
+	if name, ok := r.backendIDs[string(part)]; ok {
 		return name
 	}
 	if absent(part) || len(part) == 0 {
@@ -103,31 +108,33 @@
 		return ""
 	}
 	name := string(part)
-	r.names[name] = name
+	r.backendIDs[name] = name
 	return name
 }
 
-// word looks a value up among the words that the wire knows there.
-func word[T any](r *Reader, words map[string]T, i int) T {
-	v, ok := words[string(r.parts[i])]
+// lookUp returns the entry of words for value i, which must be one of the words that the protocol
+// allows there.
+func lookUp[T any](r *Reader, words map[string]T, i int) T {
+	v, ok := words[string(r.values[i])]
 	if !ok {
-		r.fail(fmt.Errorf("unknown word %q", r.parts[i]))
+		r.fail(fmt.Errorf("unknown word %q", r.values[i]))
 	}
 	return v
 }
 
-// report reads a load report; what it lacks is NaN.
+// report parses value i as a load report with the fields that the settings name. Fields that the
+// report lacks are NaN.
 func (r *Reader) report(i int, set *settings.Settings) balance.Report {
 	var rep balance.Report
-	settings.Clear(&rep)
-	rest := r.parts[i]
+	settings.ClearReport(&rep)
+	rest := r.values[i]
 	if absent(rest) {
 		return rep
 	}
-	for _, name := range set.Fields {
+	for _, name := range set.ReportFields {
 		value, more, _ := bytes.Cut(rest, []byte(","))
 		rest = more
-		set.Put(&rep, name, r.number(value))
+		set.SetReportValue(&rep, name, r.float(value))
 	}
 	return rep
 }
