--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -169,7 +169,7 @@
 func (e *Engine) Accept(c Client, o ClientRequest) (*Exchange, error) {
 	if class, ok := e.settings.Classes[o.Class]; ok && e.settings.MaxWaits[class] > 0 {
 		// the class limits the wait that a client may ask for
-		o.Wait = min(o.Wait, e.settings.Waits[class])
+		o.Wait = min(o.Wait, e.settings.MaxWaits[class])
 	}
 	x, err := e.addExchange(c, o)
 	if err != nil {
