--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -19,7 +19,7 @@
 
 // FleetConfig configures the work that a proxy shares with other proxies.
 type FleetConfig struct {
-	Mesh           mesh.Config    // New sets Loop and the callbacks; a given Tell is called as well
+	Mesh           mesh.Config    // New sets Loop and the callbacks; a given OnEvent is called as well
 	SameAddresses  bool           // targets have the same addresses for all proxies
 	Verdicts       *VerdictConfig // nil: each proxy judges targets alone
 	Limits         *LimitsConfig  // nil: no limits on all proxies together
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -136,8 +136,8 @@
 	i.engine.SetDiscovery(discovery)
 }
 
-// Audit checks the internal counts for consistency; see proxy.Lines. The counts under limits must
-// match the engine's exchanges.
+// Audit checks the internal counts for consistency; see proxy.LineFrontend. The counts under limits
+// must match the engine's exchanges.
 func (i *Instance) Audit() error {
 	if err := i.front.Audit(); err != nil || i.fleet == nil || i.fleet.limits == nil {
 		return err
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -41,8 +41,8 @@
 type limitState struct {
 	limit.Limit
 	key string // key of the published evidence
-	// class and tenant are indices in the settings. anyIndex: all; unknownIndex: none. Clients
-	// without a tenant have index -1, so that only a limit for all tenants covers them.
+	// class and tenant are indices in the settings. anyIndex: all; -2: none. Clients without a
+	// tenant have index -1, so that only a limit for all tenants covers them.
 	class, tenant    int
 	inUse            int         // connections that are open or being opened
 	admittedAt       []time.Time // times of admissions, of which those within Within count
@@ -57,11 +57,7 @@
 	available int
 }
 
-// Indices in limits; proxy uses 0 and more, and -1 for no tenant.
-const (
-	anyIndex     = math.MaxInt
-	unknownIndex = -2
-)
+const anyIndex = math.MaxInt
 
 func newLimits(f *fleet, c LimitsConfig, proxyConfig Config) *limits {
 	l := &limits{fleet: f, config: c, startedAt: f.loop.Now()}
@@ -87,7 +83,7 @@
 	if i, ok := all[name]; ok {
 		return i
 	}
-	return unknownIndex
+	return -2 // unknown: no client has this index; proxy uses 0 and more, and -1 for no tenant
 }
 
 func (lim *limitState) covers(class, tenant int) bool {
--- a/internal/lab/crowded_queue_test.go
+++ b/internal/lab/crowded_queue_test.go
@@ -8,7 +8,8 @@
 // Cause: a call was given up 1.2 s after it was made, to be made anew, while it waited for its turn. The evidence: of 103 turns that
 // discovery gave in 6.5 s 25 went to processes that had had one; "1007 calls were refused, 25 others were given up".
 //
-// Mend: Watch.ask waits for 3 s where others may ask at the same time, and pace.busy has processes whose lease ends soon ask first.
+// Mend: Watch.sendRequest waits for 3 s where others may ask at the same time, and requestPacer.busyPause has processes
+// whose lease ends soon ask first.
 func TestCallsInDiscoverysQueueAreWaitedFor(t *testing.T) {
 	c := play(t, must(t, `
 [run]
--- a/internal/lab/planted_test.go
+++ b/internal/lab/planted_test.go
@@ -95,7 +95,7 @@
 	},
 	{
 		name: "a process asks four times as seldom after a call that failed", file: "internal/routes/watch.go",
-		function: "func (w *Watch) pauseAfter(err error) time.Duration", to: "	return w.pace.jitter(4 * w.pace.initialMaxWait)\n",
+		function: "func (w *Watch) pauseAfter(err error) time.Duration", to: "	return w.pacer.jitter(4 * w.pacer.initialMaxWait)\n",
 		days: "throng", set: []string{"rules.cold_budget=false"}, rules: []string{"ask-again", "stale-list"},
 	},
 	{
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -107,8 +107,8 @@
 }
 
 // Decode decodes the JSON settings object. A class with an unknown Repeat value is treated as
-// NotIdempotent, the strictest kind; an unknown DedupScope is treated as ScopeCell, the narrowest
-// scope.
+// NotIdempotent, the strictest kind; an unknown DedupScope is treated as DedupScopeCell, the
+// narrowest scope.
 func Decode(text []byte) (*Settings, error) {
 	var s object
 	if err := json.Unmarshal(text, &s); err != nil {
--- a/internal/vnet/tcp.go
+++ b/internal/vnet/tcp.go
@@ -62,7 +62,7 @@
 	tries  int           // of the segment that is sent again; 0: none is
 	held   []*segment    // what waits for it
 
-	err     error // pending; taken by Fault, Read or Send
+	err     error // pending; taken by SocketError, Read or Send
 	phase   endState
 	shut    bool // a send found no room: told once there is
 	finIn   bool // the far end has ended its sending
