--- a/cmd/ospreyspan/bed_test.go
+++ b/cmd/ospreyspan/bed_test.go
@@ -18,84 +18,84 @@
 	"ospreyspan/internal/line"
 )
 
-// bed is the program in a process of its own between servers, a discovery and clients that the test plays. What they receive is
+// testbed is the program in a process of its own between servers, a discovery and clients that the test plays. What they receive is
 // what its verdicts count.
-type bed struct {
+type testbed struct {
 	t         *testing.T
 	process   *process
 	discovery *testDiscovery
 	servers   []*testServer
-	book      *attemptBook
+	recorder  *attemptRecorder
 }
 
-// attemptBook sees the attempts of all servers as they arrive.
-type attemptBook struct {
-	lock     sync.Mutex
-	out      map[string][]net.Conn // by request
-	overlaps []string              // requests of which an attempt arrived while another was out
+// attemptRecorder sees the attempts of all servers as they arrive.
+type attemptRecorder struct {
+	lock         sync.Mutex
+	openAttempts map[string][]net.Conn // by request
+	overlaps     []string              // requests of which an attempt arrived while another was out
 }
 
-// arrives notes an attempt. An earlier one that was given up has its end in its connection by then, whether its server has read that yet
+// record notes an attempt. An earlier one that was given up has its end in its connection by then, whether its server has read that yet
 // or not.
-func (b *attemptBook) arrives(id string, conn net.Conn) {
+func (b *attemptRecorder) record(id string, conn net.Conn) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	for _, earlier := range b.out[id] {
-		if !endIsThere(earlier) {
+	for _, earlier := range b.openAttempts[id] {
+		if !peerClosed(earlier) {
 			b.overlaps = append(b.overlaps, id)
 		}
 	}
-	b.out[id] = append(b.out[id], conn)
+	b.openAttempts[id] = append(b.openAttempts[id], conn)
 }
 
-// endIsThere tells whether the far side's end of a connection has arrived.
-func endIsThere(conn net.Conn) bool {
+// peerClosed tells whether the far side's end of a connection has arrived.
+func peerClosed(conn net.Conn) bool {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return true // closed here
 	}
-	over := false
+	closed := false
 	err = raw.Control(func(fd uintptr) {
 		var next [1]byte
 		n, _, err := unix.Recvfrom(int(fd), next[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		over = n == 0 && err == nil || err != nil && !errors.Is(err, unix.EAGAIN)
+		closed = n == 0 && err == nil || err != nil && !errors.Is(err, unix.EAGAIN)
 	})
-	return over || err != nil
+	return closed || err != nil
 }
 
-// bedConfig is what a bed is made of.
-type bedConfig struct {
+// testbedConfig is what a bed is made of.
+type testbedConfig struct {
 	servers   int
-	waits     map[string]time.Duration // deadlines of classes, where they differ from the example's
+	deadlines map[string]time.Duration // deadlines of classes, where they differ from the example's
 	configure func(settings map[string]any)
 	env       []string
-	names     int // of servers in the list, of which several share a listener; 0: each has one of its own
+	hostCount int // of servers in the list, of which several share a listener; 0: each has one of its own
 }
 
-// newBed starts servers, a discovery that names them and the program, and waits until that answers PONG.
-func newBed(t *testing.T, c bedConfig) *bed {
+// newTestbed starts servers, a discovery that names them and the program, and waits until that answers PONG.
+func newTestbed(t *testing.T, c testbedConfig) *testbed {
 	t.Helper()
-	b := &bed{t: t, book: &attemptBook{out: make(map[string][]net.Conn)}}
+	b := &testbed{t: t, recorder: &attemptRecorder{openAttempts: make(map[string][]net.Conn)}}
 	for i := range c.servers {
 		s := newTestServer(t, fmt.Sprint("s", i))
-		s.book = b.book
+		s.recorder = b.recorder
 		b.servers = append(b.servers, s)
 	}
 	b.discovery = newTestDiscovery(t, b.servers)
-	b.discovery.names = max(c.names, c.servers)
-	b.process = startProcessIn(t, 1024, c.env, func(config map[string]any) {
-		config["discovery"] = b.discovery.at
+	b.discovery.hostCount = max(c.hostCount, c.servers)
+	b.process = startProcessWithEnv(t, 1024, c.env, func(config map[string]any) {
+		config["discovery"] = b.discovery.addr
 		config["known"] = json.RawMessage(b.discovery.list())
-		set := config["settings"].(map[string]any)
-		for _, class := range set["Classes"].([]any) {
+		settings := config["settings"].(map[string]any)
+		for _, class := range settings["Classes"].([]any) {
 			class := class.(map[string]any)
-			if wait := c.waits[class["Name"].(string)]; wait > 0 {
-				class["HardLimitUs"] = wait.Microseconds()
-				class["TargetUs"] = min(wait.Microseconds()/2, int64(class["TargetUs"].(float64)))
+			if deadline := c.deadlines[class["Name"].(string)]; deadline > 0 {
+				class["HardLimitUs"] = deadline.Microseconds()
+				class["TargetUs"] = min(deadline.Microseconds()/2, int64(class["TargetUs"].(float64)))
 			}
 		}
 		if c.configure != nil {
-			c.configure(set)
+			c.configure(settings)
 		}
 	})
 	return b
@@ -103,30 +103,30 @@
 
 // testServer takes all connections that it is sent and echoes their lines.
 type testServer struct {
-	name     string
-	at       string
-	book     *attemptBook // nil: it keeps none
-	lock     sync.Mutex
-	bornMS   int64
-	health   string
-	hung     bool // it answers nothing any more, whatever it is sent
-	full     bool // it turns requests away, and answers probes as before
-	attempts []attempt
-	accepted int
-}
-
-// connections is how many were made to it.
-func (s *testServer) connections() int {
+	name          string
+	addr          string
+	recorder      *attemptRecorder // nil: it keeps none
+	lock          sync.Mutex
+	startMS       int64
+	health        string
+	unresponsive  bool // it answers nothing any more, whatever it is sent
+	rejecting     bool // it turns requests away, and answers probes as before
+	attempts      []attempt
+	acceptedCount int
+}
+
+// connectionCount is how many were made to it.
+func (s *testServer) connectionCount() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.accepted
+	return s.acceptedCount
 }
 
 // attempt is a request's line as a server received it.
 type attempt struct {
-	id    string
-	class string
-	at    time.Time
+	id         string
+	className  string
+	receivedAt time.Time
 }
 
 func newTestServer(t *testing.T, name string) *testServer {
@@ -136,7 +136,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	s := &testServer{name: name, at: l.Addr().String(), health: "SERVING"}
+	s := &testServer{name: name, addr: l.Addr().String(), health: "SERVING"}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -144,7 +144,7 @@
 				return
 			}
 			s.lock.Lock()
-			s.accepted++
+			s.acceptedCount++
 			s.lock.Unlock()
 			go s.serve(c)
 		}
@@ -161,14 +161,14 @@
 		case strings.HasPrefix(text, "OPEN "):
 			id := strings.Fields(text)[1]
 			reply := "UP " + s.name
-			if s.book != nil {
-				s.book.arrives(id, c)
+			if s.recorder != nil {
+				s.recorder.record(id, c)
 			}
 			s.lock.Lock()
 			open, _ := line.ParseOpen([]byte(text))
-			s.attempts = append(s.attempts, attempt{id: id, class: open.Class, at: time.Now()})
-			hung := s.hung
-			if s.full {
+			s.attempts = append(s.attempts, attempt{id: id, className: open.Class, receivedAt: time.Now()})
+			hung := s.unresponsive
+			if s.rejecting {
 				reply = "BUSY"
 			}
 			s.lock.Unlock()
@@ -178,7 +178,7 @@
 			if reply == "BUSY" {
 				return
 			}
-		case s.hangs():
+		case s.isUnresponsive():
 		case text == "STATS":
 			fmt.Fprint(c, "PONG cpu=0.1,x0=0.1,rps=1\r\n")
 		default:
@@ -187,28 +187,28 @@
 	}
 }
 
-// drain has the server take nothing new.
-func (s *testServer) drain() {
+// startDraining has the server take nothing new.
+func (s *testServer) startDraining() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.full, s.health = true, "DRAINING"
+	s.rejecting, s.health = true, "DRAINING"
 }
 
-// hang has the server answer nothing any more.
-func (s *testServer) hang() {
+// stopResponding has the server answer nothing any more.
+func (s *testServer) stopResponding() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.hung = true
+	s.unresponsive = true
 }
 
-func (s *testServer) hangs() bool {
+func (s *testServer) isUnresponsive() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.hung
+	return s.unresponsive
 }
 
-// received are the attempts so far.
-func (s *testServer) received() []attempt {
+// receivedAttempts are the attempts so far.
+func (s *testServer) receivedAttempts() []attempt {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return append([]attempt(nil), s.attempts...)
@@ -216,31 +216,31 @@
 
 // testDiscovery answers with the servers' present state. A watch waits for a change.
 type testDiscovery struct {
-	at      string
-	lock    sync.Mutex
-	servers []*testServer
-	version int
-	asked   int
-	names   int    // of servers; those beyond the listeners share them
-	told    int    // bytes of lists
-	patch   string // the last change, if it was of one server only
-	busy    bool   // it refuses all calls, since too many wait
-	changed chan struct{}
-}
-
-// refuse has it refuse all calls from now on, and ends the watches that are open.
-func (d *testDiscovery) refuse() {
+	addr         string
+	lock         sync.Mutex
+	servers      []*testServer
+	version      int
+	callCount    int
+	hostCount    int    // of servers; those beyond the listeners share them
+	listBytes    int    // bytes of lists
+	changedEntry string // the last change, if it was of one server only
+	refusing     bool   // it refuses all calls, since too many wait
+	changed      chan struct{}
+}
+
+// startRefusing has it startRefusing all calls from now on, and ends the watches that are open.
+func (d *testDiscovery) startRefusing() {
 	d.lock.Lock()
-	d.busy = true
+	d.refusing = true
 	d.lock.Unlock()
-	d.change()
+	d.announceWholeList()
 }
 
 // calls is how many calls there have been.
 func (d *testDiscovery) calls() int {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return d.asked
+	return d.callCount
 }
 
 func newTestDiscovery(t *testing.T, servers []*testServer) *testDiscovery {
@@ -249,18 +249,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &testDiscovery{at: l.Addr().String(), servers: servers, version: 1, changed: make(chan struct{})}
+	d := &testDiscovery{addr: l.Addr().String(), servers: servers, version: 1, changed: make(chan struct{})}
 	server := &http.Server{Handler: d}
 	go server.Serve(l)
 	t.Cleanup(func() { server.Close() })
 	return d
 }
 
-// accept has it answer again.
-func (d *testDiscovery) accept() {
+// stopRefusing has it answer again.
+func (d *testDiscovery) stopRefusing() {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	d.busy = false
+	d.refusing = false
 }
 
 // list is the whole list.
@@ -268,7 +268,7 @@
 	var hosts []string
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	for i := range max(d.names, len(d.servers)) {
+	for i := range max(d.hostCount, len(d.servers)) {
 		hosts = append(hosts, d.entry(i))
 	}
 	return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[%s]}`, d.version, strings.Join(hosts, ","))
@@ -283,52 +283,52 @@
 	if i >= len(d.servers) {
 		name = fmt.Sprint(s.name, "-", i)
 	}
-	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"here","class":"m","block":0,"health":%q,"share":1,"born_ms":%d}`, name, s.at, s.health, s.bornMS)
+	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"here","class":"m","block":0,"health":%q,"share":1,"born_ms":%d}`, name, s.addr, s.health, s.startMS)
 }
 
-// repeat tells watches of a change of one server, which stays as it is.
-func (d *testDiscovery) repeat(i int) {
+// announceEntry tells watches of a change of one server, which stays as it is.
+func (d *testDiscovery) announceEntry(i int) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.announce(d.entry(i))
 }
 
-// bytes are those of all lists that it has told.
-func (d *testDiscovery) bytes() int {
+// sentListBytes are those of all lists that it has told.
+func (d *testDiscovery) sentListBytes() int {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return d.told
+	return d.listBytes
 }
 
-// add has the list name another server.
-func (d *testDiscovery) add(s *testServer) {
+// addServer has the list name another server.
+func (d *testDiscovery) addServer(s *testServer) {
 	d.lock.Lock()
 	d.servers = append(d.servers, s)
 	d.lock.Unlock()
-	d.change()
+	d.announceWholeList()
 }
 
-// change tells all watches of what has changed in the servers.
-func (d *testDiscovery) change() {
+// announceWholeList tells all watches of what has changed in the servers.
+func (d *testDiscovery) announceWholeList() {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.announce("")
 }
 
 // announce ends the watches with a new version of the list; patch is its one changed entry, empty for the whole list.
-func (d *testDiscovery) announce(patch string) {
+func (d *testDiscovery) announce(changedEntry string) {
 	d.version++
-	d.patch = patch
+	d.changedEntry = changedEntry
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
 func (d *testDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.lock.Lock()
-	d.asked++
+	d.callCount++
 	known, changed := r.FormValue("index") == fmt.Sprint(d.version), d.changed
 	d.lock.Unlock()
-	if known && !d.refuses() {
+	if known && !d.isRefusing() {
 		wait, _ := time.ParseDuration(r.FormValue("wait") + "ms")
 		select {
 		case <-changed:
@@ -339,72 +339,72 @@
 			return
 		}
 	}
-	if d.refuses() {
+	if d.isRefusing() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	list := d.list()
 	d.lock.Lock()
-	if known && d.patch != "" {
-		list = fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[%s]}`, d.version, d.patch)
+	if known && d.changedEntry != "" {
+		list = fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[%s]}`, d.version, d.changedEntry)
 	}
-	d.told += len(list)
+	d.listBytes += len(list)
 	d.lock.Unlock()
 	io.WriteString(w, list)
 }
 
-func (d *testDiscovery) refuses() bool {
+func (d *testDiscovery) isRefusing() bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return d.busy
+	return d.refusing
 }
 
 // testClient is one client's connection to the program.
 type testClient struct {
-	id    string
-	conn  net.Conn
-	lines *bufio.Reader
-	sent  time.Time // its request's last byte
+	id     string
+	conn   net.Conn
+	reader *bufio.Reader
+	sentAt time.Time // its request's last byte
 }
 
 // dial connects without a request.
-func (b *bed) dial() (*testClient, error) {
-	conn, err := net.DialTimeout("tcp", b.process.at, 2*time.Second)
+func (b *testbed) dial() (*testClient, error) {
+	conn, err := net.DialTimeout("tcp", b.process.addr, 2*time.Second)
 	if err != nil {
 		return nil, err
 	}
-	return &testClient{conn: conn, lines: bufio.NewReader(conn)}, nil
+	return &testClient{conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// ask sends the request's line.
-func (c *testClient) ask(id, class string, wait time.Duration) error {
+// sendOpen sends the request's line.
+func (c *testClient) sendOpen(id, class string, deadline time.Duration) error {
 	c.id = id
-	_, err := fmt.Fprintf(c.conn, "OPEN %s k%s c=%s,d=%d,g=g%s\r\n", id, id, class, wait.Milliseconds(), id)
-	c.sent = time.Now()
+	_, err := fmt.Fprintf(c.conn, "OPEN %s k%s c=%s,d=%d,g=g%s\r\n", id, id, class, deadline.Milliseconds(), id)
+	c.sentAt = time.Now()
 	return err
 }
 
-// next reads a line, without its end. io.EOF and resets come as errors.
-func (c *testClient) next(within time.Duration) (string, error) {
-	_ = c.conn.SetReadDeadline(time.Now().Add(within))
-	text, err := c.lines.ReadString('\n')
+// readLine reads a line, without its end. io.EOF and resets come as errors.
+func (c *testClient) readLine(timeout time.Duration) (string, error) {
+	_ = c.conn.SetReadDeadline(time.Now().Add(timeout))
+	text, err := c.reader.ReadString('\n')
 	return strings.TrimRight(text, "\r\n"), err
 }
 
-// answerLatest is how long after a client's time its final answer may come, by the standing pages.
-const answerLatest = 500 * time.Millisecond
+// answerMargin is how long after a client's time its final answer may come, by the standing pages.
+const answerMargin = 500 * time.Millisecond
 
-// answerTo sends a request on a connection of its own and returns the first word of its answer.
-func (b *bed) answerTo(id, class string, wait time.Duration) (c *testClient, word string, err error) {
+// request sends a request on a connection of its own and returns the first word of its answer.
+func (b *testbed) request(id, class string, deadline time.Duration) (c *testClient, word string, err error) {
 	if c, err = b.dial(); err != nil {
 		return nil, "", err
 	}
-	if err = c.ask(id, class, wait); err != nil {
+	if err = c.sendOpen(id, class, deadline); err != nil {
 		return c, "", err
 	}
-	text, err := c.next(wait + answerLatest)
+	text, err := c.readLine(deadline + answerMargin)
 	if err != nil {
-		return c, "", fmt.Errorf("no answer after %v: %w", time.Since(c.sent).Round(time.Millisecond), err)
+		return c, "", fmt.Errorf("no answer after %v: %w", time.Since(c.sentAt).Round(time.Millisecond), err)
 	}
 	first, _ := line.ParseWord([]byte(text))
 	switch first {
@@ -416,12 +416,12 @@
 	return c, text, nil
 }
 
-// oneAttemptAtATime checks that no request had two attempts out together.
-func (b *bed) oneAttemptAtATime() {
+// checkNoOverlappingAttempts checks that no request had two attempts out together.
+func (b *testbed) checkNoOverlappingAttempts() {
 	b.t.Helper()
-	b.book.lock.Lock()
-	defer b.book.lock.Unlock()
-	for _, id := range b.book.overlaps {
+	b.recorder.lock.Lock()
+	defer b.recorder.lock.Unlock()
+	for _, id := range b.recorder.overlaps {
 		b.t.Errorf("request %s: an attempt arrived while another was out", id)
 	}
 }
--- a/cmd/ospreyspan/command.go
+++ b/cmd/ospreyspan/command.go
@@ -21,62 +21,62 @@
 
 // The exit codes: 1, it could not start or go on; 2, the command line or a file is wrong.
 const (
-	exitFailed = 1
-	exitWrong  = 2
+	exitFailed       = 1
+	exitInvalidInput = 2
 )
 
 // app is what the commands share.
 type app struct {
-	env       func(string) string
-	out, errs io.Writer
-	operator  string
+	env          func(string) string
+	out, errOut  io.Writer
+	operatorFile string
 }
 
-// command carries out a command line and returns the exit code. Without arguments it serves, as the platform starts it,
-// and nothing of the command line is made ready for that.
-func command(args []string, env func(string) string, out, errs io.Writer) int {
-	a := &app{env: env, out: out, errs: errs, operator: env("OSPREYSPAN_OPERATOR")}
+// execute carries out a execute line and returns the exit code. Without arguments it serves, as the platform starts it,
+// and nothing of the execute line is made ready for that.
+func execute(args []string, env func(string) string, out, errOut io.Writer) int {
+	a := &app{env: env, out: out, errOut: errOut, operatorFile: env("OSPREYSPAN_OPERATOR")}
 	var err error
 	if len(args) == 0 {
-		err = run(env, a.operator, errs)
+		err = run(env, a.operatorFile, errOut)
 	} else {
-		root := a.root()
+		root := a.rootCommand()
 		root.SetArgs(args)
 		root.SetOut(out)
-		root.SetErr(errs)
+		root.SetErr(errOut)
 		err = root.Execute()
 	}
 	var (
 		problems inifile.Problems
-		bad      wrong
+		invalid  inputError
 	)
 	switch {
 	case err == nil:
 		return 0
 	case errors.As(err, &problems):
-		fmt.Fprintln(errs, err)
-		return exitWrong
-	case errors.As(err, &bad):
-		fmt.Fprintln(errs, "ospreyspan:", err)
-		return exitWrong
+		fmt.Fprintln(errOut, err)
+		return exitInvalidInput
+	case errors.As(err, &invalid):
+		fmt.Fprintln(errOut, "ospreyspan:", err)
+		return exitInvalidInput
 	}
-	fmt.Fprintln(errs, "ospreyspan:", err)
+	fmt.Fprintln(errOut, "ospreyspan:", err)
 	return exitFailed
 }
 
-// wrong marks a mistake of the command line.
-type wrong struct{ error }
+// inputError marks a mistake of the command line.
+type inputError struct{ error }
 
-func (w wrong) Unwrap() error { return w.error }
+func (e inputError) Unwrap() error { return e.error }
 
-func (a *app) root() *cobra.Command {
-	serve := func(*cobra.Command, []string) error { return run(a.env, a.operator, a.errs) }
+func (a *app) rootCommand() *cobra.Command {
+	serve := func(*cobra.Command, []string) error { return run(a.env, a.operatorFile, a.errOut) }
 	root := &cobra.Command{
 		Use: "ospreyspan", Short: "A proxy for long-lived connections; alone, it serves",
 		SilenceUsage: true, SilenceErrors: true, Args: noArgs, RunE: serve,
 	}
-	root.PersistentFlags().StringVar(&a.operator, "operator", a.operator, "the operator's own file; also OSPREYSPAN_OPERATOR")
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return wrong{err} })
+	root.PersistentFlags().StringVar(&a.operatorFile, "operator", a.operatorFile, "the operator's own file; also OSPREYSPAN_OPERATOR")
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return inputError{err} })
 	root.AddCommand(
 		&cobra.Command{Use: "serve", Short: "Serve, as without a command", Args: noArgs, RunE: serve},
 		&cobra.Command{Use: "check", Short: "Check EDGE_CONFIG, where it is set, and the operator's file", Args: noArgs, RunE: a.check},
@@ -85,14 +85,14 @@
 		a.viewCommand("duties", "Show duties and owners as a running process sees them", a.printDuties),
 		a.viewCommand("verdicts", "Show which targets the fleet holds to be bad, as a running process sees it", a.printShared("verdict", "TARGET\tVERDICT\tAGE\tBY", "%d targets; all others are sound")),
 		a.viewCommand("limits", "Show what all proxies together may take, and what is known of its use", a.printShared("limit", "LIMIT\tSTATE\tAGE\tUSE AND BOUND", "%d limits")),
-		a.keepers(),
+		a.keepersCommand(),
 	)
 	return root
 }
 
 func noArgs(c *cobra.Command, args []string) error {
 	if len(args) > 0 {
-		return wrong{fmt.Errorf("%s: takes no arguments, got %q", c.Name(), args)}
+		return inputError{fmt.Errorf("%s: takes no arguments, got %q", c.Name(), args)}
 	}
 	return nil
 }
@@ -105,16 +105,16 @@
 		_, err := loadConfig(a.env)
 		errs = append(errs, err)
 	}
-	if a.operator != "" {
+	if a.operatorFile != "" {
 		checked++
-		_, err := operator.Read(a.operator)
+		_, err := operator.Read(a.operatorFile)
 		errs = append(errs, err)
 	}
 	if checked == 0 {
-		return wrong{errors.New("check: neither EDGE_CONFIG nor --operator names a file")}
+		return inputError{errors.New("check: neither EDGE_CONFIG nor --operator names a file")}
 	}
 	if err := errors.Join(errs...); err != nil {
-		return wrong{err}
+		return inputError{err}
 	}
 	fmt.Fprintf(a.out, "files checked: %d, nothing is wrong\n", checked)
 	return nil
@@ -135,61 +135,61 @@
 	return nil
 }
 
-// asked is where a question goes: --of, else the operator's file's own address.
-func (a *app) asked(of string) (cluster string, at netip.AddrPort, err error) {
-	if a.operator == "" {
-		return "", at, wrong{errors.New("--operator: names the file that has the fleet's cluster")}
+// queryEndpoint is where a question goes: --of, else the operator's file's own address.
+func (a *app) queryEndpoint(process string) (cluster string, addr netip.AddrPort, err error) {
+	if a.operatorFile == "" {
+		return "", addr, inputError{errors.New("--operator: names the file that has the fleet's cluster")}
 	}
-	c, err := operator.Read(a.operator)
+	config, err := operator.Read(a.operatorFile)
 	if err != nil {
-		return "", at, err
+		return "", addr, err
 	}
-	if !c.Fleet.On {
-		return "", at, wrong{fmt.Errorf("%s: has no section [fleet]", a.operator)}
+	if !config.Fleet.On {
+		return "", addr, inputError{fmt.Errorf("%s: has no section [fleet]", a.operatorFile)}
 	}
-	at = c.Fleet.Listen.AddrPort
-	if of != "" {
-		if at, err = netip.ParseAddrPort(of); err != nil {
-			return "", at, wrong{fmt.Errorf("--of: %w", err)}
+	addr = config.Fleet.Listen.AddrPort
+	if process != "" {
+		if addr, err = netip.ParseAddrPort(process); err != nil {
+			return "", addr, inputError{fmt.Errorf("--of: %w", err)}
 		}
 	}
-	return c.Fleet.Cluster, at, nil
+	return config.Fleet.Cluster, addr, nil
 }
 
-// askWait is how long a question may take in all.
-const askWait = 3 * time.Second
+// queryTimeout is how long a question may take in all.
+const queryTimeout = 3 * time.Second
 
 func (a *app) viewCommand(use, short string, show func(*mesh.View) error) *cobra.Command {
-	var of string
+	var process string
 	c := &cobra.Command{Use: use, Short: short, Args: noArgs, RunE: func(*cobra.Command, []string) error {
-		cluster, at, err := a.asked(of)
+		cluster, addr, err := a.queryEndpoint(process)
 		if err != nil {
 			return err
 		}
-		v, err := mesh.Ask(cluster, at, askWait)
+		view, err := mesh.Ask(cluster, addr, queryTimeout)
 		if err != nil {
 			return err
 		}
-		return show(v)
+		return show(view)
 	}}
-	c.Flags().StringVar(&of, "of", "", "the process that is asked, HOST:PORT; otherwise that of the operator's file")
+	c.Flags().StringVar(&process, "of", "", "the process that is asked, HOST:PORT; otherwise that of the operator's file")
 	return c
 }
 
-func (a *app) printPeers(v *mesh.View) error {
+func (a *app) printPeers(view *mesh.View) error {
 	w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tADDRESS\tZONE\tSTATE\tINCARNATION\tSESSION")
-	for _, m := range v.Members {
+	for _, m := range view.Members {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%x\n", m.Name, m.Addr, m.Zone, m.State, m.Incarnation, m.Session)
 	}
-	fmt.Fprintf(w, "%d members\n", len(v.Members))
+	fmt.Fprintf(w, "%d members\n", len(view.Members))
 	return w.Flush()
 }
 
-func (a *app) printDuties(v *mesh.View) error {
+func (a *app) printDuties(view *mesh.View) error {
 	w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "DUTY\tOWNER\tTOKEN\tWORD\tAGE\tREFUSES BELOW\tHERE")
-	for _, d := range v.Leases {
+	for _, d := range view.Leases {
 		age, owner := "unknown", d.Holder
 		if d.AgeMS >= 0 {
 			age = (time.Duration(d.AgeMS) * time.Millisecond).String()
@@ -199,7 +199,7 @@
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%d\t%v\n", d.Lease, owner, d.Token, d.Version, age, d.Floor, d.Mine)
 	}
-	if k := v.Keeper; k != nil {
+	if k := view.Keeper; k != nil {
 		fmt.Fprintf(w, "keeper %d: leader %d, term %d, applied %d, voters %v, refused %d\n", k.ID, k.Leader, k.Term, k.Applied, k.Voters, k.Refused)
 	} else {
 		fmt.Fprintln(w, "not a keeper")
@@ -208,71 +208,71 @@
 }
 
 // printShared returns what prints the lines on one matter that has no owner.
-func (a *app) printShared(matter, head, end string) func(*mesh.View) error {
-	return func(v *mesh.View) error {
+func (a *app) printShared(kind, header, summary string) func(*mesh.View) error {
+	return func(view *mesh.View) error {
 		w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
-		fmt.Fprintln(w, head)
-		n := 0
-		for _, x := range v.Shared {
-			if x.Matter == matter {
-				n++
-				fmt.Fprintf(w, "%s\t%s\t%v\t%s\n", x.Name, x.State, time.Duration(x.AgeMS)*time.Millisecond, x.Text)
+		fmt.Fprintln(w, header)
+		count := 0
+		for _, entry := range view.Shared {
+			if entry.Matter == kind {
+				count++
+				fmt.Fprintf(w, "%s\t%s\t%v\t%s\n", entry.Name, entry.State, time.Duration(entry.AgeMS)*time.Millisecond, entry.Text)
 			}
 		}
-		fmt.Fprintf(w, end+"\n", n)
+		fmt.Fprintf(w, summary+"\n", count)
 		return w.Flush()
 	}
 }
 
-func (a *app) keepers() *cobra.Command {
+func (a *app) keepersCommand() *cobra.Command {
 	c := &cobra.Command{Use: "keepers", Short: "Set keepers up, add and remove them"}
-	init := &cobra.Command{Use: "init", Short: "Make this keeper's log, once, when its fleet is first set up", Args: noArgs,
+	initCommand := &cobra.Command{Use: "init", Short: "Make this keeper's log, once, when its fleet is first set up", Args: noArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if a.operator == "" {
-				return wrong{errors.New("keepers init: --operator names no file")}
+			if a.operatorFile == "" {
+				return inputError{errors.New("keepers init: --operator names no file")}
 			}
-			conf, err := operator.Read(a.operator)
+			config, err := operator.Read(a.operatorFile)
 			if err != nil {
 				return err
 			}
-			if conf.Self == 0 {
-				return wrong{fmt.Errorf("%s: [fleet] listen is none of [keepers] members", a.operator)}
+			if config.Self == 0 {
+				return inputError{fmt.Errorf("%s: [fleet] listen is none of [keepers] members", a.operatorFile)}
 			}
-			id, err := drawSession()
+			id, err := randomSessionID()
 			if err != nil {
 				return err
 			}
-			if err := keeper.Create(conf.Keepers.Dir, id); err != nil {
+			if err := keeper.Create(config.Keepers.Dir, id); err != nil {
 				return err
 			}
-			fmt.Fprintf(a.out, "keeper %d: log made in %s\n", conf.Self, conf.Keepers.Dir)
+			fmt.Fprintf(a.out, "keeper %d: log made in %s\n", config.Self, config.Keepers.Dir)
 			return nil
 		}}
-	c.AddCommand(init)
+	c.AddCommand(initCommand)
 	for _, add := range []bool{true, false} {
 		use, short := "remove ID", "Remove a voter; asks the leader, one change at a time"
 		if add {
 			use, short = "add ID", "Add a voter; asks the leader, one change at a time"
 		}
-		var of string
-		change := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
+		var process string
+		changeCommand := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 			id, err := strconv.ParseUint(args[0], 10, 32)
 			if err != nil || id == 0 {
-				return wrong{fmt.Errorf("%s: %q is not a keeper's number", strings.Fields(use)[0], args[0])}
+				return inputError{fmt.Errorf("%s: %q is not a keeper's number", strings.Fields(use)[0], args[0])}
 			}
-			cluster, at, err := a.asked(of)
+			cluster, addr, err := a.queryEndpoint(process)
 			if err != nil {
 				return err
 			}
-			answer, err := mesh.ChangeVoters(cluster, at, add, id, askWait)
+			answer, err := mesh.ChangeVoters(cluster, addr, add, id, queryTimeout)
 			if err != nil {
 				return err
 			}
 			fmt.Fprintln(a.out, answer)
 			return nil
 		}}
-		change.Flags().StringVar(&of, "of", "", "the leading keeper, HOST:PORT")
-		c.AddCommand(change)
+		changeCommand.Flags().StringVar(&process, "of", "", "the leading keeper, HOST:PORT")
+		c.AddCommand(changeCommand)
 	}
 	return c
 }
--- a/cmd/ospreyspan/config.go
+++ b/cmd/ospreyspan/config.go
@@ -75,62 +75,62 @@
 }
 
 func parseConfig(text []byte, env func(string) string) (*config, error) {
-	var c config
-	if err := json.Unmarshal(text, &c); err != nil {
-		return nil, field(text, err)
+	var cfg config
+	if err := json.Unmarshal(text, &cfg); err != nil {
+		return nil, locateFieldError(text, err)
 	}
 	if name := env("EDGE_NAME"); name != "" {
-		c.Name = name
+		cfg.Name = name
 	}
-	for _, a := range []struct {
+	for _, address := range []struct {
 		name, env string
-		to        *netip.AddrPort
-	}{{"listen", "EDGE_LISTEN", &c.Listen}, {"discovery", "EDGE_DISCOVERY", &c.Discovery}} {
-		if v := env(a.env); v != "" {
+		dest      *netip.AddrPort
+	}{{"listen", "EDGE_LISTEN", &cfg.Listen}, {"discovery", "EDGE_DISCOVERY", &cfg.Discovery}} {
+		if v := env(address.env); v != "" {
 			addr, err := netip.ParseAddrPort(v)
 			if err != nil {
-				return nil, fmt.Errorf("%s: %w", a.env, err)
+				return nil, fmt.Errorf("%s: %w", address.env, err)
 			}
-			*a.to = addr
+			*address.dest = addr
 		}
-		if !a.to.IsValid() {
-			return nil, fmt.Errorf("%s: missing", a.name)
+		if !address.dest.IsValid() {
+			return nil, fmt.Errorf("%s: missing", address.name)
 		}
 	}
-	if c.Limits.Sockets < 0 || c.Limits.MemoryMB < 0 {
+	if cfg.Limits.Sockets < 0 || cfg.Limits.MemoryMB < 0 {
 		return nil, errors.New("limits: a figure below 0")
 	}
-	if err := c.Known.Check(); err != nil {
+	if err := cfg.Known.Check(); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
-	if len(c.Settings) == 0 {
+	if len(cfg.Settings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
 	var err error
-	if c.settings, err = settings.Decode(c.Settings); err == nil {
-		err = c.settings.Check()
+	if cfg.settings, err = settings.Decode(cfg.Settings); err == nil {
+		err = cfg.settings.Check()
 	}
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return &c, nil
+	return &cfg, nil
 }
 
-// field finds the field at fault: a type's own decoding fails without naming it.
-func field(text []byte, err error) error {
-	var all map[string]json.RawMessage
-	if json.Unmarshal(text, &all) != nil {
+// locateFieldError finds the locateFieldError at fault: a type's own decoding fails without naming it.
+func locateFieldError(text []byte, err error) error {
+	var fields map[string]json.RawMessage
+	if json.Unmarshal(text, &fields) != nil {
 		return err
 	}
 	for _, f := range []struct {
 		name string
-		to   any
+		dest any
 	}{
 		{"name", new(string)}, {"listen", new(netip.AddrPort)}, {"discovery", new(netip.AddrPort)}, {"seed", new(seed)},
 		{"limits", new(limits)}, {"known", new(routes.List)},
 	} {
-		if raw, ok := all[f.name]; ok {
-			if e := json.Unmarshal(raw, f.to); e != nil {
+		if raw, ok := fields[f.name]; ok {
+			if e := json.Unmarshal(raw, f.dest); e != nil {
 				return fmt.Errorf("%s: %w", f.name, e)
 			}
 		}
--- a/cmd/ospreyspan/config_test.go
+++ b/cmd/ospreyspan/config_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func example(t *testing.T) string {
+func exampleConfig(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "..", "example", "config.json"))
 	if err != nil {
@@ -16,10 +16,10 @@
 	return string(text)
 }
 
-func none(string) string { return "" }
+func emptyEnv(string) string { return "" }
 
 func TestConfig(t *testing.T) {
-	c, err := parseConfig([]byte(example(t)), func(name string) string {
+	c, err := parseConfig([]byte(exampleConfig(t)), func(name string) string {
 		return map[string]string{"EDGE_LISTEN": "127.0.0.9:1", "EDGE_NAME": "n7"}[name]
 	})
 	if err != nil {
@@ -50,11 +50,11 @@
 		{`"settings": {`, `"other": {`, "settings: missing"},
 		{`{`, ``, ""},
 	} {
-		text := strings.Replace(example(t), tt[0], tt[1], 1)
-		if text == example(t) {
+		text := strings.Replace(exampleConfig(t), tt[0], tt[1], 1)
+		if text == exampleConfig(t) {
 			t.Fatalf("%q is not in the example", tt[0])
 		}
-		if _, err := parseConfig([]byte(text), none); err == nil || !strings.Contains(err.Error(), tt[2]) {
+		if _, err := parseConfig([]byte(text), emptyEnv); err == nil || !strings.Contains(err.Error(), tt[2]) {
 			t.Errorf("%q: error %v", tt[1], err)
 		}
 	}
@@ -80,7 +80,7 @@
 			t.Fatal(err)
 		}
 	}
-	write(example(t))
+	write(exampleConfig(t))
 	c, err := loadConfig(env)
 	if err != nil || c.Discovery.String() != "127.0.0.7:7" {
 		t.Fatalf("at the start: %+v, %v", c, err)
@@ -89,7 +89,7 @@
 	if err != nil || c.Discovery.String() != "127.0.0.1:18500" || c.Listen.String() != "127.0.0.9:1" || c.Name != "n7" {
 		t.Fatalf("on a reload: %+v, %v", c, err)
 	}
-	for _, bad := range []string{"", example(t)[:200], strings.Replace(example(t), "127.0.0.1:18500", "nowhere", 1)} {
+	for _, bad := range []string{"", exampleConfig(t)[:200], strings.Replace(exampleConfig(t), "127.0.0.1:18500", "nowhere", 1)} {
 		write(bad)
 		if _, err := reloadConfig(env); err == nil {
 			t.Errorf("taken: %q", bad)
--- a/cmd/ospreyspan/descriptors_test.go
+++ b/cmd/ospreyspan/descriptors_test.go
@@ -23,13 +23,13 @@
 
 // process is the program in a process of its own.
 type process struct {
-	t   *testing.T
-	cmd *exec.Cmd
-	at  string // where it listens
-	// config is the file with its configuration, which a test may replace.
-	config string
-	lock   sync.Mutex
-	log    bytes.Buffer
+	t    *testing.T
+	cmd  *exec.Cmd
+	addr string // where it listens
+	// configPath is the file with its configuration, which a test may replace.
+	configPath string
+	lock       sync.Mutex
+	log        bytes.Buffer
 }
 
 // Write takes the program's log.
@@ -39,7 +39,7 @@
 	return p.log.Write(text)
 }
 
-func (p *process) logged() string {
+func (p *process) logText() string {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return p.log.String()
@@ -60,25 +60,25 @@
 // waits until it serves. The limit is set while the program reads its configuration, which is a FIFO.
 func startProcess(t *testing.T, limit uint64, change func(c map[string]any)) *process {
 	t.Helper()
-	return startProcessIn(t, limit, nil, change)
+	return startProcessWithEnv(t, limit, nil, change)
 }
 
-// startProcessIn is startProcess with further variables in the program's environment.
-func startProcessIn(t *testing.T, limit uint64, env []string, change func(c map[string]any)) *process {
+// startProcessWithEnv is startProcess with further variables in the program's environment.
+func startProcessWithEnv(t *testing.T, limit uint64, env []string, change func(c map[string]any)) *process {
 	t.Helper()
 	var c map[string]any
-	if err := json.Unmarshal([]byte(example(t)), &c); err != nil {
+	if err := json.Unmarshal([]byte(exampleConfig(t)), &c); err != nil {
 		t.Fatal(err)
 	}
-	p := &process{t: t, at: freeAddress(t)}
-	c["listen"] = p.at
+	p := &process{t: t, addr: freeAddress(t)}
+	c["listen"] = p.addr
 	change(c)
 	text, err := json.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.config = filepath.Join(t.TempDir(), "config.json")
-	fifo := p.config
+	p.configPath = filepath.Join(t.TempDir(), "config.json")
+	fifo := p.configPath
 	if err := unix.Mkfifo(fifo, 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -107,12 +107,12 @@
 	if err := os.Remove(fifo); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(p.config, text, 0o600); err != nil {
+	if err := os.WriteFile(p.configPath, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for begin := time.Now(); !strings.Contains(p.logged(), "serving at"); time.Sleep(5 * time.Millisecond) {
+	for begin := time.Now(); !strings.Contains(p.logText(), "serving at"); time.Sleep(5 * time.Millisecond) {
 		if time.Since(begin) > 10*time.Second {
-			t.Fatalf("it does not serve\n%s", p.logged())
+			t.Fatalf("it does not serve\n%s", p.logText())
 		}
 	}
 	return p
@@ -128,15 +128,15 @@
 	n := 0
 	for _, e := range list {
 		fd, _ := strconv.Atoi(e.Name())
-		if fd <= 2 || p.closedOnExec(e.Name()) {
+		if fd <= 2 || p.isCloseOnExec(e.Name()) {
 			n++
 		}
 	}
 	return n
 }
 
-// closedOnExec tells whether a descriptor ends with exec, as all do that the program itself opens.
-func (p *process) closedOnExec(fd string) bool {
+// isCloseOnExec tells whether a descriptor ends with exec, as all do that the program itself opens.
+func (p *process) isCloseOnExec(fd string) bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/fdinfo/%s", p.cmd.Process.Pid, fd))
 	if err != nil {
 		return false // closed meanwhile
@@ -170,7 +170,7 @@
 		t.Fatal(err)
 	}
 	defer target.Close()
-	go answerOpens(target)
+	go serveAllRequests(target)
 	discovery := freeAddress(t)
 	p := startProcess(t, 200, func(c map[string]any) {
 		c["discovery"] = discovery
@@ -179,24 +179,24 @@
 			"host": "s0", "dial": target.Addr().String(), "site": "a", "health": "SERVING", "share": 1,
 		}}}
 	})
-	var idle []net.Conn
-	fill := func() {
+	var idleClients []net.Conn
+	connectIdleClients := func() {
 		for range 300 {
-			if c, err := net.Dial("tcp", p.at); err == nil {
-				idle = append(idle, c)
+			if c, err := net.Dial("tcp", p.addr); err == nil {
+				idleClients = append(idleClients, c)
 			}
 		}
 	}
 	defer func() {
-		for _, c := range idle {
+		for _, c := range idleClients {
 			c.Close()
 		}
 	}()
-	fill()
+	connectIdleClients()
 	const requests = 140 // two descriptors each, if they are taken
 	clients := make([]net.Conn, requests)
 	for i := range clients {
-		if clients[i], err = net.Dial("tcp", p.at); err != nil {
+		if clients[i], err = net.Dial("tcp", p.addr); err != nil {
 			t.Fatal(err)
 		}
 		defer clients[i].Close()
@@ -225,17 +225,17 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	fill()
+	connectIdleClients()
 	_ = l.(*net.TCPListener).SetDeadline(time.Now().Add(5 * time.Second))
 	call, err := l.Accept()
 	if err != nil {
-		t.Fatalf("no call reaches discovery: %v\n%s", err, p.logged())
+		t.Fatalf("no call reaches discovery: %v\n%s", err, p.logText())
 	}
 	call.Close()
 }
 
-// answerOpens is a target that serves all.
-func answerOpens(l net.Listener) {
+// serveAllRequests is a target that serves all.
+func serveAllRequests(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -259,7 +259,7 @@
 // exampleClass is the name of a class of the example's settings.
 func exampleClass(t *testing.T) string {
 	t.Helper()
-	c, err := parseConfig([]byte(example(t)), none)
+	c, err := parseConfig([]byte(exampleConfig(t)), emptyEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/ospreyspan/drains_test.go
+++ b/cmd/ospreyspan/drains_test.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// newsWithin is how long after discovery had it a change counts as told at the latest, drainGrace the settings' time in which sends
+	// maxNewsDelay is how long after discovery had it a change counts as told at the latest, drainGrace the settings' time in which sends
 	// must cease after that, and socketSlack by how much each limit of time is longer on sockets.
-	newsWithin  = 6 * time.Second
-	drainGrace  = 500 * time.Millisecond
-	socketSlack = 50 * time.Millisecond
+	maxNewsDelay  = 6 * time.Second
+	drainGrace    = 500 * time.Millisecond
+	timeTolerance = 50 * time.Millisecond
 )
 
 // Discovery has too many callers and refuses all calls; a server begins to drain meanwhile, answers probes as before and turns new
@@ -19,41 +19,41 @@
 // It failed each time: "a request reached the server 6.653903604s after it began to drain". The process took the PONG of its probe for a
 // proof that the server takes new work until another one that drained had answered a probe in its sight; here none had. Only a request
 // that the server took is a proof now (proxy/proofs.go).
-func TestDrainThatDiscoveryIsTooBusyToTell(t *testing.T) {
-	b := newBed(t, bedConfig{servers: 3, configure: withoutGroups})
-	b.drainUnheard(t)
+func TestDrainWhileDiscoveryRefusesCalls(t *testing.T) {
+	b := newTestbed(t, testbedConfig{servers: 3, configure: disableGroups})
+	b.checkUnannouncedDrain(t)
 }
 
 // The same, where the process has seen before that a server which drains answers probes.
-func TestDrainUnheardOfWhereDrainingServersAnswerProbes(t *testing.T) {
-	b := newBed(t, bedConfig{servers: 4, configure: withoutGroups})
-	b.servers[3].drain()
-	b.discovery.change()
+func TestUnannouncedDrainWhereDrainingServersAnswerProbes(t *testing.T) {
+	b := newTestbed(t, testbedConfig{servers: 4, configure: disableGroups})
+	b.servers[3].startDraining()
+	b.discovery.announceWholeList()
 	time.Sleep(time.Second)
-	b.drainUnheard(t)
+	b.checkUnannouncedDrain(t)
 }
 
-func withoutGroups(set map[string]any) { set["Domain"].(map[string]any)["Groups"] = false }
+func disableGroups(set map[string]any) { set["Domain"].(map[string]any)["Groups"] = false }
 
-func (b *bed) drainUnheard(t *testing.T) {
+func (b *testbed) checkUnannouncedDrain(t *testing.T) {
 	t.Helper()
-	b.askMany("before", 30, time.Second)
-	b.discovery.refuse()
-	b.servers[0].drain()
+	b.requestMany("before", 30, time.Second)
+	b.discovery.startRefusing()
+	b.servers[0].startDraining()
 	drained := time.Now()
-	counts := drained.Add(newsWithin + drainGrace + socketSlack)
-	time.Sleep(time.Until(counts))
-	b.askMany("during", 40, time.Second)
-	for _, a := range b.servers[0].received() {
-		if a.at.After(counts) {
-			t.Errorf("a request reached the server %v after it began to drain", a.at.Sub(drained))
+	drainDeadline := drained.Add(maxNewsDelay + drainGrace + timeTolerance)
+	time.Sleep(time.Until(drainDeadline))
+	b.requestMany("during", 40, time.Second)
+	for _, a := range b.servers[0].receivedAttempts() {
+		if a.receivedAt.After(drainDeadline) {
+			t.Errorf("a request reached the server %v after it began to drain", a.receivedAt.Sub(drained))
 		}
 	}
-	b.discovery.accept()
+	b.discovery.stopRefusing()
 	time.Sleep(2 * time.Second)
-	before := len(b.servers[1].received()) + len(b.servers[2].received())
-	b.askMany("after", 40, time.Second)
-	if n := len(b.servers[1].received()) + len(b.servers[2].received()) - before; n < 40 {
+	before := len(b.servers[1].receivedAttempts()) + len(b.servers[2].receivedAttempts())
+	b.requestMany("after", 40, time.Second)
+	if n := len(b.servers[1].receivedAttempts()) + len(b.servers[2].receivedAttempts()) - before; n < 40 {
 		t.Errorf("once discovery answers again the others are sent %d of 40 requests", n)
 	}
 }
--- a/cmd/ospreyspan/growth_test.go
+++ b/cmd/ospreyspan/growth_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// use is what a process needed over a play.
-type use struct {
-	cpu         time.Duration // shown, and no verdict: the machine may be busy
-	memory      int           // KB at its peak
+// resourceUse is what a process needed over a play.
+type resourceUse struct {
+	cpuTime     time.Duration // shown, and no verdict: the machine may be busy
+	memoryKB    int           // KB at its peak
 	descriptors int
 	connections int // made to servers
 	listBytes   int
@@ -21,44 +21,44 @@
 // With sixteen times the servers and the same traffic a process needs at most what the standing pages allow: memory, descriptors,
 // connections to servers and bytes of lists while discovery tells changes.
 func TestGrowthWithServers(t *testing.T) {
-	const usual, many = 200, 3200
-	before, after := playGrowth(t, usual), playGrowth(t, many)
-	t.Logf("%d servers: %+v; %d: %+v", usual, before, many, after)
-	const thousands = float64(many) / 1000
+	const fewServers, manyServers = 200, 3200
+	before, after := measureResourceUse(t, fewServers), measureResourceUse(t, manyServers)
+	t.Logf("%d servers: %+v; %d: %+v", fewServers, before, manyServers, after)
+	const thousands = float64(manyServers) / 1000
 	for _, tt := range []struct {
-		what      string
-		got, most float64
+		quantity   string
+		got, limit float64
 	}{
-		{"KB of memory", float64(after.memory), 1.5*float64(before.memory) + 1024*(8+4*thousands)},
+		{"KB of memory", float64(after.memoryKB), 1.5*float64(before.memoryKB) + 1024*(8+4*thousands)},
 		{"descriptors", float64(after.descriptors), 2*float64(before.descriptors) + 40},
 		{"connections to servers", float64(after.connections), 2.5*float64(before.connections) + 40},
 		{"bytes of lists", float64(after.listBytes), 2*float64(before.listBytes) + 64e3 + 500e3*thousands},
 	} {
-		if tt.got > tt.most {
-			t.Errorf("%s: %.0f, at most %.0f", tt.what, tt.got, tt.most)
+		if tt.got > tt.limit {
+			t.Errorf("%s: %.0f, at most %.0f", tt.quantity, tt.got, tt.limit)
 		}
 	}
 }
 
-// playGrowth plays some seconds of requests and changes of the list with so many servers, which listen at few addresses.
-func playGrowth(t *testing.T, servers int) use {
+// measureResourceUse plays some seconds of requests and changes of the list with so many servers, which listen at few addresses.
+func measureResourceUse(t *testing.T, servers int) resourceUse {
 	t.Helper()
 	const listeners, rounds = 20, 8
-	b := newBed(t, bedConfig{servers: listeners, configure: func(set map[string]any) { set["Balancers"] = 300 }, names: servers})
+	b := newTestbed(t, testbedConfig{servers: listeners, configure: func(set map[string]any) { set["Balancers"] = 300 }, hostCount: servers})
 	for round := range rounds {
-		b.askMany(fmt.Sprint(servers, "-", round, "-"), 20, 500*time.Millisecond)
-		b.discovery.repeat(round)
+		b.requestMany(fmt.Sprint(servers, "-", round, "-"), 20, 500*time.Millisecond)
+		b.discovery.announceEntry(round)
 	}
 	pid := b.process.cmd.Process.Pid
-	u := use{descriptors: b.process.descriptors(), memory: peakMemory(t, pid), cpu: cpuOf(t, pid), listBytes: b.discovery.bytes()}
+	u := resourceUse{descriptors: b.process.descriptors(), memoryKB: peakMemoryKB(t, pid), cpuTime: cpuTime(t, pid), listBytes: b.discovery.sentListBytes()}
 	for _, s := range b.servers {
-		u.connections += s.connections()
+		u.connections += s.connectionCount()
 	}
 	return u
 }
 
-// peakMemory is a process's largest resident size in KB.
-func peakMemory(t *testing.T, pid int) int {
+// peakMemoryKB is a process's largest resident size in KB.
+func peakMemoryKB(t *testing.T, pid int) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -72,8 +72,8 @@
 	return n
 }
 
-// cpuOf is the processor time that a process has used, by Linux's hundredths of a second.
-func cpuOf(t *testing.T, pid int) time.Duration {
+// cpuTime is the processor time that a process has used, by Linux's hundredths of a second.
+func cpuTime(t *testing.T, pid int) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/cmd/ospreyspan/main.go
+++ b/cmd/ospreyspan/main.go
@@ -13,64 +13,64 @@
 	"ospreyspan/internal/poll"
 )
 
-func main() { os.Exit(command(os.Args[1:], os.Getenv, os.Stdout, os.Stderr)) }
+func main() { os.Exit(execute(os.Args[1:], os.Getenv, os.Stdout, os.Stderr)) }
 
 // systemCalls are those that the loop makes; a test has them fail.
 var systemCalls = poll.LinuxCalls()
 
 // run serves until a planned stop is over. own is the operator's file, empty for none.
-func run(env func(string) string, own string, out io.Writer) error {
+func run(env func(string) string, operatorFile string, out io.Writer) error {
 	sig := catchSignals()
-	var c *config
-	err := patiently(func() (err error) {
-		c, err = loadConfig(env)
+	var cfg *config
+	err := retryTransient(func() (err error) {
+		cfg, err = loadConfig(env)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	var shared *sharing
-	if own != "" {
-		if shared, err = loadSharing(own, out); err != nil {
+	var features *operatorFeatures
+	if operatorFile != "" {
+		if features, err = loadOperatorFeatures(operatorFile, out); err != nil {
 			return err
 		}
 	}
 	runtime.GOMAXPROCS(1) // one core is all there is; a second thread of Go's would only be switched to
-	limitMemory(c)
-	logger := log.New(shared.writer(out), "", 0)
-	reloads := &reloader{env: env, log: logger, config: c}
+	limitMemory(cfg)
+	logger := log.New(features.logWriter(out), "", 0)
+	configReloader := &reloader{env: env, log: logger, config: cfg}
 	var proxy *instance.Instance
 	wake := func() {
-		if sig.print.Swap(false) {
+		if sig.printRequested.Swap(false) {
 			proxy.Count.Print(out)
-			shared.print(proxy, out)
+			features.printCounters(proxy, out)
 		}
-		if sig.reload.Swap(false) {
-			reloads.reload(proxy)
-			shared.reload(proxy, logger)
+		if sig.reloadRequested.Swap(false) {
+			configReloader.reload(proxy)
+			features.reload(proxy, logger)
 		}
-		if sig.stop.Swap(false) {
+		if sig.stopRequested.Swap(false) {
 			proxy.Drain()
 		}
 	}
-	err = patiently(func() (err error) {
-		reloads.loop, err = poll.NewWithCalls(systemCalls, wake)
+	err = retryTransient(func() (err error) {
+		configReloader.loop, err = poll.NewWithCalls(systemCalls, wake)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	loop := reloads.loop
+	loop := configReloader.loop
 	defer loop.Close()
-	sig.watch(loop)
-	fleet, err := shared.fleet(c, loop, logger)
+	sig.forward(loop)
+	fleet, err := features.fleetConfig(cfg, loop, logger)
 	if err != nil {
 		return err
 	}
-	defer shared.close()
+	defer features.close()
 	proxy, err = instance.New(loop, instance.Config{
-		Fleet: fleet, Name: c.Name, Listen: c.Listen, Discovery: c.Discovery, Seed: uint64(c.Seed), MaxDescriptors: c.Limits.Sockets,
-		KnownList: &c.Known, Settings: c.settings, Log: logger, Retry: patiently,
+		Fleet: fleet, Name: cfg.Name, Listen: cfg.Listen, Discovery: cfg.Discovery, Seed: uint64(cfg.Seed), MaxDescriptors: cfg.Limits.Sockets,
+		KnownList: &cfg.Known, Settings: cfg.settings, Log: logger, Retry: retryTransient,
 	})
 	if err != nil {
 		return err
@@ -81,7 +81,7 @@
 		}
 	}
 	proxy.Count.Print(out)
-	shared.print(proxy, out)
+	features.printCounters(proxy, out)
 	return nil
 }
 
--- a/cmd/ospreyspan/memory_test.go
+++ b/cmd/ospreyspan/memory_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// status reads a figure of the process's status.
-func (p *process) status(name string) int {
+// statusField reads a figure of the process's statusField.
+func (p *process) statusField(name string) int {
 	p.t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
@@ -34,16 +34,16 @@
 
 // Memory and threads of one of 350 processes with 500 targets, and of one of 1,024 with as many: with lists that come again and
 // again, clients that stand and others that say nothing, half of what a scored day allows is enough.
-func TestMemoryOfAProcess(t *testing.T) {
-	const mostMB, mostThreads = 96, 16
+func TestProcessMemoryAndThreads(t *testing.T) {
+	const maxMB, maxThreads = 96, 16
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer target.Close()
-	go answerOpens(target)
+	go serveAllRequests(target)
 	for processes, targets := range map[int]int{350: 500, 1024: 1024} {
-		list := manyTargets(t, targets, target.Addr().String())
+		list := targetList(t, targets, target.Addr().String())
 		asked := make(chan struct{}, 1000)
 		discovery, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -60,7 +60,7 @@
 			set["Balancers"], set["Invariants"].(map[string]any)["AskWithinUs"] = processes, 200000
 		})
 		for i := range 700 {
-			c, err := net.Dial("tcp", p.at)
+			c, err := net.Dial("tcp", p.addr)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -81,16 +81,16 @@
 				t.Fatal("it does not ask discovery")
 			}
 		}
-		peak, threads := p.status("VmHWM")>>10, p.status("Threads")
-		if t.Logf("%d processes, %d targets: %d MB at the peak, %d threads", processes, targets, peak, threads); peak > mostMB || threads > mostThreads {
-			t.Errorf("over %d MB or %d threads", mostMB, mostThreads)
+		peak, threads := p.statusField("VmHWM")>>10, p.statusField("Threads")
+		if t.Logf("%d processes, %d targets: %d MB at the peak, %d threads", processes, targets, peak, threads); peak > maxMB || threads > maxThreads {
+			t.Errorf("over %d MB or %d threads", maxMB, maxThreads)
 		}
 		_ = server.Close()
 	}
 }
 
-// manyTargets is a whole list of so many targets, all at one address.
-func manyTargets(t *testing.T, n int, addr string) []byte {
+// targetList is a whole list of so many targets, all at one address.
+func targetList(t *testing.T, n int, addr string) []byte {
 	t.Helper()
 	var hosts []map[string]any
 	for i := range n {
--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -20,114 +20,114 @@
 	"ospreyspan/internal/shared/verdict"
 )
 
-// sharing is what the operator's file switches on. A nil one is off.
-type sharing struct {
-	path string
-	conf *operator.Config
-	log  zerolog.Logger
-	file *keeper.File
+// operatorFeatures is what the operator's file switches on. A nil one is off.
+type operatorFeatures struct {
+	path      string
+	config    *operator.Config
+	log       zerolog.Logger
+	keeperLog *keeper.File
 }
 
-func loadSharing(path string, out io.Writer) (*sharing, error) {
-	conf, err := operator.Read(path)
+func loadOperatorFeatures(path string, out io.Writer) (*operatorFeatures, error) {
+	config, err := operator.Read(path)
 	if err != nil {
 		return nil, err
 	}
-	s := &sharing{path: path, conf: conf}
-	if conf.Log.Format == "json" {
-		s.log = zerolog.New(out).With().Timestamp().Logger()
+	features := &operatorFeatures{path: path, config: config}
+	if config.Log.Format == "json" {
+		features.log = zerolog.New(out).With().Timestamp().Logger()
 	} else {
-		s.log = zerolog.New(zerolog.ConsoleWriter{Out: out, NoColor: true, PartsOrder: []string{zerolog.MessageFieldName}})
+		features.log = zerolog.New(zerolog.ConsoleWriter{Out: out, NoColor: true, PartsOrder: []string{zerolog.MessageFieldName}})
 	}
-	return s, nil
+	return features, nil
 }
 
-// writer is where the lines of the proxy's log go: with JSON each becomes an event.
-func (s *sharing) writer(out io.Writer) io.Writer {
-	if s == nil || s.conf.Log.Format != "json" {
+// logWriter is where the lines of the proxy's log go: with JSON each becomes an event.
+func (f *operatorFeatures) logWriter(out io.Writer) io.Writer {
+	if f == nil || f.config.Log.Format != "json" {
 		return out
 	}
-	return lines{s.log}
+	return eventWriter{f.log}
 }
 
-type lines struct{ log zerolog.Logger }
+type eventWriter struct{ log zerolog.Logger }
 
-func (l lines) Write(p []byte) (int, error) {
-	l.log.Info().Msg(strings.TrimRight(string(p), "\n"))
+func (w eventWriter) Write(p []byte) (int, error) {
+	w.log.Info().Msg(strings.TrimRight(string(p), "\n"))
 	return len(p), nil
 }
 
-// fleet returns what the proxy needs to take part, nil if it does not.
-func (s *sharing) fleet(c *config, loop *poll.Loop, logger *log.Logger) (*instance.Fleet, error) {
-	if s == nil || !s.conf.Fleet.On {
+// fleetConfig returns what the proxy needs to take part, nil if it does not.
+func (f *operatorFeatures) fleetConfig(cfg *config, loop *poll.Loop, logger *log.Logger) (*instance.Fleet, error) {
+	if f == nil || !f.config.Fleet.On {
 		return nil, nil
 	}
-	session, err := drawSession()
+	session, err := randomSessionID()
 	if err != nil {
 		return nil, err
 	}
-	name := s.conf.Fleet.Name
+	name := f.config.Fleet.Name
 	if name == "" {
-		name = c.Name
+		name = cfg.Name
 	}
 	if len(name) > 32 {
-		return nil, fmt.Errorf("%s: [fleet] name: %q has more than 32 bytes", s.path, name)
+		return nil, fmt.Errorf("%s: [fleet] name: %q has more than 32 bytes", f.path, name)
 	}
-	m := mesh.Config{
-		Cluster: s.conf.Fleet.Cluster, Name: name, Zone: s.conf.Fleet.Zone, Listen: s.conf.Fleet.Listen.AddrPort,
-		Advertise: s.conf.Fleet.Advertise.AddrPort,
-		Session:   session, Seeds: s.conf.Seeds, Keepers: s.conf.Members, Terms: s.conf.Terms(), Duties: s.conf.Duties.Take,
-		Seed: uint64(c.Seed) ^ session, Tell: s.tell,
+	meshConfig := mesh.Config{
+		Cluster: f.config.Fleet.Cluster, Name: name, Zone: f.config.Fleet.Zone, Listen: f.config.Fleet.Listen.AddrPort,
+		Advertise: f.config.Fleet.Advertise.AddrPort,
+		Session:   session, Seeds: f.config.Seeds, Keepers: f.config.Members, Terms: f.config.Terms(), Duties: f.config.Duties.Take,
+		Seed: uint64(cfg.Seed) ^ session, Tell: f.logEvent,
 	}
-	if s.conf.Self != 0 {
-		if err := s.keep(&m, loop, logger); err != nil {
+	if f.config.Self != 0 {
+		if err := f.openKeeper(&meshConfig, loop, logger); err != nil {
 			return nil, err
 		}
 	}
-	f := &instance.Fleet{Mesh: m, SameAddresses: s.conf.Discovery.SameAddresses, MovesPerSecond: s.conf.Moves.PerSecond}
-	if o := s.conf.Verdicts; o.On {
-		v := instance.DefaultVerdicts()
-		v.Judge = verdict.Config{Fresh: o.Fresh, Forget: o.Forget, Witnesses: o.Witnesses, Part: o.Part}
-		v.Evidence.Keep = o.Forget + v.Evidence.Width
-		v.OnChange = s.judged
-		f.Verdicts = &v
-	}
-	if o := s.conf.Retries; o.On {
-		f.Retries = &limit.Retries{Part: o.Part, Within: o.Within, Least: o.Least}
-	}
-	if len(s.conf.Limits) > 0 {
-		o := s.conf.Soft
-		f.Limits = &instance.Limits{Soft: limit.Soft{Stale: o.Stale, Hold: o.Hold, Expect: o.Expect}, List: s.conf.Limits, OnChange: s.limited}
-		for _, l := range s.conf.Limits {
-			if err := named(c, l); err != nil {
-				return nil, fmt.Errorf("%s: [limit %s] %w", s.path, l.Name, err)
+	fleet := &instance.Fleet{Mesh: meshConfig, SameAddresses: f.config.Discovery.SameAddresses, MovesPerSecond: f.config.Moves.PerSecond}
+	if o := f.config.Verdicts; o.On {
+		verdicts := instance.DefaultVerdicts()
+		verdicts.Judge = verdict.Config{Fresh: o.Fresh, Forget: o.Forget, Witnesses: o.Witnesses, Part: o.Part}
+		verdicts.Evidence.Keep = o.Forget + verdicts.Evidence.Width
+		verdicts.OnChange = f.logVerdictChange
+		fleet.Verdicts = &verdicts
+	}
+	if o := f.config.Retries; o.On {
+		fleet.Retries = &limit.Retries{Part: o.Part, Within: o.Within, Least: o.Least}
+	}
+	if len(f.config.Limits) > 0 {
+		o := f.config.Soft
+		fleet.Limits = &instance.Limits{Soft: limit.Soft{Stale: o.Stale, Hold: o.Hold, Expect: o.Expect}, List: f.config.Limits, OnChange: f.logLimitChange}
+		for _, l := range f.config.Limits {
+			if err := checkLimitNames(cfg, l); err != nil {
+				return nil, fmt.Errorf("%s: [limit %s] %w", f.path, l.Name, err)
 			}
 		}
 	}
-	return f, nil
+	return fleet, nil
 }
 
-// named tells whether the platform's settings know whom a limit is for.
-func named(c *config, l limit.Limit) error {
-	if _, ok := c.settings.Tenants[l.Tenant]; !ok && l.Tenant != "" {
+// checkLimitNames tells whether the platform's settings know whom a limit is for.
+func checkLimitNames(cfg *config, l limit.Limit) error {
+	if _, ok := cfg.settings.Tenants[l.Tenant]; !ok && l.Tenant != "" {
 		return fmt.Errorf("tenant: the settings name no %q", l.Tenant)
 	}
-	if _, ok := c.settings.Classes[l.Class]; !ok && l.Class != "" {
+	if _, ok := cfg.settings.Classes[l.Class]; !ok && l.Class != "" {
 		return fmt.Errorf("class: the settings name no %q", l.Class)
 	}
 	return nil
 }
 
-// limited logs that a limit begins or ends to refuse.
-func (s *sharing) limited(c instance.LimitChange) {
-	what := "fleet: limit takes again"
-	if c.Refusing {
-		what = "fleet: limit refuses"
+// logLimitChange logs that a limit begins or ends to refuse.
+func (f *operatorFeatures) logLimitChange(change instance.LimitChange) {
+	message := "fleet: limit takes again"
+	if change.Refusing {
+		message = "fleet: limit refuses"
 	}
-	s.log.Info().Str("limit", c.Limit.Name).Stringer("kind", c.Limit.Kind).Int("most", c.Limit.Most).Int("use", c.InUse).Int("room", c.Available).Msg(what)
+	f.log.Info().Str("limit", change.Limit.Name).Stringer("kind", change.Limit.Kind).Int("most", change.Limit.Most).Int("use", change.InUse).Int("room", change.Available).Msg(message)
 }
 
-func drawSession() (uint64, error) {
+func randomSessionID() (uint64, error) {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		return 0, fmt.Errorf("session: %w", err)
@@ -135,10 +135,10 @@
 	return binary.BigEndian.Uint64(b[:]) | 1, nil
 }
 
-// keep makes this process a keeper. Without a log it is none: one that had a log and lost it must not vote as if it had
+// openKeeper makes this process a keeper. Without a log it is none: one that had a log and lost it must not vote as if it had
 // promised nothing.
-func (s *sharing) keep(m *mesh.Config, loop *poll.Loop, logger *log.Logger) error {
-	file, restored, err := keeper.OpenFile(s.conf.Keepers.Dir, loop.Post)
+func (f *operatorFeatures) openKeeper(meshConfig *mesh.Config, loop *poll.Loop, logger *log.Logger) error {
+	file, restored, err := keeper.OpenFile(f.config.Keepers.Dir, loop.Post)
 	if errors.Is(err, keeper.ErrEmpty) {
 		logger.Printf("%v: this process is no keeper until `ospreyspan keepers init` has made one, for a new fleet only", err)
 		return nil
@@ -146,76 +146,76 @@
 	if err != nil {
 		return err
 	}
-	s.file = file
-	k := keeper.DefaultConfig()
-	k.ID, k.Terms, k.Seed = s.conf.Self, s.conf.Terms(), m.Seed
-	for _, at := range s.conf.Members {
-		k.Voters = append(k.Voters, at.ID)
+	f.keeperLog = file
+	keeperConfig := keeper.DefaultConfig()
+	keeperConfig.ID, keeperConfig.Terms, keeperConfig.Seed = f.config.Self, f.config.Terms(), meshConfig.Seed
+	for _, member := range f.config.Members {
+		keeperConfig.Voters = append(keeperConfig.Voters, member.ID)
 	}
-	m.Keeper, m.Log, m.Disk = &k, restored, file
+	meshConfig.Keeper, meshConfig.Log, meshConfig.Disk = &keeperConfig, restored, file
 	return nil
 }
 
-func (s *sharing) close() {
-	if s != nil && s.file != nil {
-		s.file.Close()
+func (f *operatorFeatures) close() {
+	if f != nil && f.keeperLog != nil {
+		f.keeperLog.Close()
 	}
 }
 
-// tell logs a change.
-func (s *sharing) tell(e mesh.Event) {
-	l := s.log.Info()
-	if e.Err != nil {
-		l = s.log.Error().Err(e.Err)
+// logEvent logs a change.
+func (f *operatorFeatures) logEvent(event mesh.Event) {
+	entry := f.log.Info()
+	if event.Err != nil {
+		entry = f.log.Error().Err(event.Err)
 	}
-	if e.Lease != "" {
-		l = l.Str("duty", e.Lease).Uint64("token", e.Token)
+	if event.Lease != "" {
+		entry = entry.Str("duty", event.Lease).Uint64("token", event.Token)
 	}
-	if e.Version != 0 {
-		l = l.Uint64("version", e.Version)
+	if event.Version != 0 {
+		entry = entry.Uint64("version", event.Version)
 	}
-	if e.Member != nil {
-		l = l.Str("member", e.Member.Name).Stringer("at", e.Member.Addr).Str("session", fmt.Sprintf("%x", e.Member.Session))
+	if event.Member != nil {
+		entry = entry.Str("member", event.Member.Name).Stringer("at", event.Member.Addr).Str("session", fmt.Sprintf("%x", event.Member.Session))
 	}
-	l.Msg("fleet: " + e.What)
+	entry.Msg("fleet: " + event.What)
 }
 
-// judged logs a verdict that changed, with what it rests on.
-func (s *sharing) judged(c instance.VerdictChange) {
-	s.log.Info().Str("target", c.Target).Stringer("verdict", c.Verdict).Stringer("was", c.Previous).Dur("age_ms", c.Age).
-		Int("witnesses", c.Witnesses).Int("against", c.Against).Msg("fleet: verdict")
+// logVerdictChange logs a verdict that changed, with what it rests on.
+func (f *operatorFeatures) logVerdictChange(change instance.VerdictChange) {
+	f.log.Info().Str("target", change.Target).Stringer("verdict", change.Verdict).Stringer("was", change.Previous).Dur("age_ms", change.Age).
+		Int("witnesses", change.Witnesses).Int("against", change.Against).Msg("fleet: verdict")
 }
 
 // reload takes what the operator's file may change while the program serves; one that is wrong changes nothing.
-func (s *sharing) reload(i *instance.Instance, logger *log.Logger) {
-	if s == nil {
+func (f *operatorFeatures) reload(proxy *instance.Instance, logger *log.Logger) {
+	if f == nil {
 		return
 	}
-	conf, err := operator.Read(s.path)
+	config, err := operator.Read(f.path)
 	if err != nil {
 		logger.Printf("reload: the old operator's file stays:\n%v", err)
 		return
 	}
-	if conf.Fixed() != s.conf.Fixed() {
-		logger.Printf("reload: %s: all but seeds, duties and how much limits hold takes a new start", s.path)
+	if config.Fixed() != f.config.Fixed() {
+		logger.Printf("reload: %s: all but seeds, duties and how much limits hold takes a new start", f.path)
 	}
-	s.conf.Seeds, s.conf.Duties = conf.Seeds, conf.Duties
-	if n := i.Node(); n != nil {
-		n.SetSeeds(conf.Seeds)
-		i.SetDuties(conf.Duties.Take)
-		i.SetLimits(conf.Limits)
+	f.config.Seeds, f.config.Duties = config.Seeds, config.Duties
+	if n := proxy.Node(); n != nil {
+		n.SetSeeds(config.Seeds)
+		proxy.SetDuties(config.Duties.Take)
+		proxy.SetLimits(config.Limits)
 	}
-	logger.Printf("reload: %s: %d seeds, duties: %s", s.path, len(conf.Seeds), strings.Join(conf.Duties.Take, ", "))
+	logger.Printf("reload: %s: %d seeds, duties: %s", f.path, len(config.Seeds), strings.Join(config.Duties.Take, ", "))
 }
 
-// print writes the conversation's counters.
-func (s *sharing) print(i *instance.Instance, out io.Writer) {
-	if s == nil || i.Node() == nil {
+// printCounters writes the conversation's counters.
+func (f *operatorFeatures) printCounters(proxy *instance.Instance, out io.Writer) {
+	if f == nil || proxy.Node() == nil {
 		return
 	}
 	fmt.Fprint(out, "fleet:")
-	for _, f := range i.Node().Figures() {
-		fmt.Fprintf(out, " %s=%d", f.Name, f.Value)
+	for _, figure := range proxy.Node().Figures() {
+		fmt.Fprintf(out, " %s=%d", figure.Name, figure.Value)
 	}
 	fmt.Fprintln(out)
 }
--- a/cmd/ospreyspan/signals_test.go
+++ b/cmd/ospreyspan/signals_test.go
@@ -16,20 +16,20 @@
 	"ospreyspan/internal/poll/callfaults"
 )
 
-// faultsVariable names the plan by which the program's system calls fail.
-const faultsVariable = "OSPREYSPAN_TEST_FAULTS"
+// faultPlanEnv names the plan by which the program's system calls fail.
+const faultPlanEnv = "OSPREYSPAN_TEST_FAULTS"
 
 // TestMain runs the program itself in a process of a test's own.
 func TestMain(m *testing.M) {
 	if os.Getenv("OSPREYSPAN_TEST_PROGRAM") != "" {
-		if text := os.Getenv(faultsVariable); text != "" {
+		if text := os.Getenv(faultPlanEnv); text != "" {
 			var plan callfaults.Plan
 			if err := json.Unmarshal([]byte(text), &plan); err != nil {
 				panic(err)
 			}
 			systemCalls = callfaults.Wrap(systemCalls, plan)
 		}
-		os.Exit(command(nil, os.Getenv, os.Stdout, os.Stderr))
+		os.Exit(execute(nil, os.Getenv, os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
 }
@@ -37,7 +37,7 @@
 // A signal that comes while the program still reads its configuration does not end the process: SIGTERM is a planned stop, which
 // ends in order with exit code 0, and SIGHUP and SIGUSR1 are waited with, however many come before it. The program is held at that
 // point: its configuration is a FIFO, which opens for writing once it is being read.
-func TestSignalsBeforeItServes(t *testing.T) {
+func TestSignalsDuringStart(t *testing.T) {
 	for name, series := range map[string][]os.Signal{
 		"USR1 TERM":            {syscall.SIGUSR1, syscall.SIGTERM},
 		"TERM TERM":            {syscall.SIGTERM, syscall.SIGTERM},
@@ -46,15 +46,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			signalsBeforeItServes(t, series)
+			testSignalsDuringStart(t, series)
 		})
 	}
 }
 
-// betweenSignals is long enough for each signal of a series to reach the program by itself.
-const betweenSignals = 5 * time.Millisecond
+// signalInterval is long enough for each signal of a series to reach the program by itself.
+const signalInterval = 5 * time.Millisecond
 
-func signalsBeforeItServes(t *testing.T, series []os.Signal) {
+func testSignalsDuringStart(t *testing.T, series []os.Signal) {
 	fifo := filepath.Join(t.TempDir(), "config.json")
 	if err := syscall.Mkfifo(fifo, 0o600); err != nil {
 		t.Fatal(err)
@@ -83,9 +83,9 @@
 			if err := program.Process.Signal(sig); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(betweenSignals)
+			time.Sleep(signalInterval)
 		}
-		text := regexp.MustCompile(`"HardLimitUs": \d+`).ReplaceAllString(example(t), `"HardLimitUs": 100000`)
+		text := regexp.MustCompile(`"HardLimitUs": \d+`).ReplaceAllString(exampleConfig(t), `"HardLimitUs": 100000`)
 		_, _ = w.WriteString(text) // fails where the process has ended, which is told below
 		w.Close()
 	case err := <-ended:
--- a/cmd/ospreyspan/systemcalls_test.go
+++ b/cmd/ospreyspan/systemcalls_test.go
@@ -12,35 +12,35 @@
 	"ospreyspan/internal/poll/callfaults"
 )
 
-// faultsIn is the environment of a process whose system calls fail by a plan.
-func faultsIn(t *testing.T, faults ...callfaults.Fault) []string {
+// faultPlanEnvironment is the environment of a process whose system calls fail by a plan.
+func faultPlanEnvironment(t *testing.T, faults ...callfaults.Fault) []string {
 	t.Helper()
 	text, err := json.Marshal(callfaults.Plan{Seed: 1, Faults: faults})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return []string{faultsVariable + "=" + string(text)}
+	return []string{faultPlanEnv + "=" + string(text)}
 }
 
 // System calls fail for a moment, in the ways that Linux documents, while the servers are sound: every request has one final answer
 // in its time, a connection that stands passes its lines, and such moments are no reason to refuse.
-func TestSystemCallsFail(t *testing.T) {
-	const now, often, ever = 0.25, 0.5, 1.0
+func TestFailingSystemCalls(t *testing.T) {
+	const sometimes, often, always = 0.25, 0.5, 1.0
 	fault := func(call callfaults.Call, errno unix.Errno, part float64) callfaults.Fault {
 		return callfaults.Fault{Call: call, Errno: errno, Part: part}
 	}
-	on := func(side callfaults.Side, f callfaults.Fault) callfaults.Fault {
+	onSide := func(side callfaults.Side, f callfaults.Fault) callfaults.Fault {
 		f.Side = side
 		return f
 	}
-	moment := func(f callfaults.Fault) callfaults.Fault {
+	briefly := func(f callfaults.Fault) callfaults.Fault {
 		f.For = 150 * time.Millisecond
 		return f
 	}
 	for _, tt := range []struct {
-		name   string
-		faults []callfaults.Fault
-		served int // of the 40 requests, at the least
+		name      string
+		faults    []callfaults.Fault
+		minServed int // of the 40 requests, at the least
 	}{
 		{"accept ECONNABORTED", []callfaults.Fault{fault(callfaults.Accept, unix.ECONNABORTED, often)}, 40},
 		{"accept EINTR", []callfaults.Fault{fault(callfaults.Accept, unix.EINTR, often)}, 40},
@@ -48,50 +48,50 @@
 		{"accept ENETDOWN", []callfaults.Fault{fault(callfaults.Accept, unix.ENETDOWN, often)}, 40},
 		{"accept EPERM", []callfaults.Fault{fault(callfaults.Accept, unix.EPERM, often)}, 40},
 		{"accept ENOBUFS", []callfaults.Fault{fault(callfaults.Accept, unix.ENOBUFS, often)}, 40},
-		{"accept ENOMEM for a moment", []callfaults.Fault{moment(fault(callfaults.Accept, unix.ENOMEM, ever))}, 40},
+		{"accept ENOMEM for a moment", []callfaults.Fault{briefly(fault(callfaults.Accept, unix.ENOMEM, always))}, 40},
 		{"accept ENFILE", []callfaults.Fault{fault(callfaults.Accept, unix.ENFILE, often)}, 40},
-		{"accept ENFILE for a moment", []callfaults.Fault{moment(fault(callfaults.Accept, unix.ENFILE, ever))}, 40},
-		{"accept ENFILE, then aborted", []callfaults.Fault{fault(callfaults.Accept, unix.ENFILE, now), fault(callfaults.Accept, unix.ECONNABORTED, often)}, 40},
-		{"accept EMFILE, then aborted", []callfaults.Fault{fault(callfaults.Accept, unix.EMFILE, now), fault(callfaults.Accept, unix.ECONNABORTED, often)}, 20},
-		{"spare ENFILE", []callfaults.Fault{fault(callfaults.Accept, unix.ENFILE, now), fault(callfaults.OpenFile, unix.ENFILE, often)}, 40},
-		{"socket ENFILE", []callfaults.Fault{fault(callfaults.Socket, unix.ENFILE, now)}, 40},
-		{"socket EMFILE for a moment", []callfaults.Fault{moment(callfaults.Fault{Call: callfaults.Socket, Errno: unix.EMFILE, Part: ever, Skip: 4})}, 40},
+		{"accept ENFILE for a moment", []callfaults.Fault{briefly(fault(callfaults.Accept, unix.ENFILE, always))}, 40},
+		{"accept ENFILE, then aborted", []callfaults.Fault{fault(callfaults.Accept, unix.ENFILE, sometimes), fault(callfaults.Accept, unix.ECONNABORTED, often)}, 40},
+		{"accept EMFILE, then aborted", []callfaults.Fault{fault(callfaults.Accept, unix.EMFILE, sometimes), fault(callfaults.Accept, unix.ECONNABORTED, often)}, 20},
+		{"spare ENFILE", []callfaults.Fault{fault(callfaults.Accept, unix.ENFILE, sometimes), fault(callfaults.OpenFile, unix.ENFILE, often)}, 40},
+		{"socket ENFILE", []callfaults.Fault{fault(callfaults.Socket, unix.ENFILE, sometimes)}, 40},
+		{"socket EMFILE for a moment", []callfaults.Fault{briefly(callfaults.Fault{Call: callfaults.Socket, Errno: unix.EMFILE, Part: always, Skip: 4})}, 40},
 		{"socket ENOBUFS", []callfaults.Fault{fault(callfaults.Socket, unix.ENOBUFS, often)}, 40},
 		{"connect EADDRNOTAVAIL", []callfaults.Fault{fault(callfaults.Connect, unix.EADDRNOTAVAIL, often)}, 40},
 		{"connect EAGAIN", []callfaults.Fault{fault(callfaults.Connect, unix.EAGAIN, often)}, 40},
 		{"connect ENETUNREACH", []callfaults.Fault{fault(callfaults.Connect, unix.ENETUNREACH, often)}, 40},
 		{"connect EHOSTUNREACH", []callfaults.Fault{fault(callfaults.Connect, unix.EHOSTUNREACH, often)}, 40},
 		{"connect EACCES", []callfaults.Fault{fault(callfaults.Connect, unix.EACCES, often)}, 40},
-		{"connect EPERM for a moment", []callfaults.Fault{moment(callfaults.Fault{Call: callfaults.Connect, Errno: unix.EPERM, Part: ever, Skip: 4})}, 40},
+		{"connect EPERM for a moment", []callfaults.Fault{briefly(callfaults.Fault{Call: callfaults.Connect, Errno: unix.EPERM, Part: always, Skip: 4})}, 40},
 		{"connect EINTR", []callfaults.Fault{fault(callfaults.Connect, unix.EINTR, 0)}, 40},
-		{"epoll_ctl ADD ENOMEM", []callfaults.Fault{{Call: callfaults.WatchAdd, Errno: unix.ENOMEM, Part: now, Skip: 1}}, 40},
-		{"epoll_ctl ADD ENOSPC for a moment", []callfaults.Fault{moment(callfaults.Fault{Call: callfaults.WatchAdd, Errno: unix.ENOSPC, Part: ever, Skip: 6})}, 40},
-		{"epoll_ctl MOD ENOMEM", []callfaults.Fault{fault(callfaults.WatchMod, unix.ENOMEM, now)}, 40},
-		{"epoll_ctl both", []callfaults.Fault{{Call: callfaults.WatchAdd, Errno: unix.ENOMEM, Part: now, Skip: 1}, fault(callfaults.WatchMod, unix.ENOMEM, often)}, 40},
+		{"epoll_ctl ADD ENOMEM", []callfaults.Fault{{Call: callfaults.WatchAdd, Errno: unix.ENOMEM, Part: sometimes, Skip: 1}}, 40},
+		{"epoll_ctl ADD ENOSPC for a moment", []callfaults.Fault{briefly(callfaults.Fault{Call: callfaults.WatchAdd, Errno: unix.ENOSPC, Part: always, Skip: 6})}, 40},
+		{"epoll_ctl MOD ENOMEM", []callfaults.Fault{fault(callfaults.WatchMod, unix.ENOMEM, sometimes)}, 40},
+		{"epoll_ctl both", []callfaults.Fault{{Call: callfaults.WatchAdd, Errno: unix.ENOMEM, Part: sometimes, Skip: 1}, fault(callfaults.WatchMod, unix.ENOMEM, often)}, 40},
 		{"epoll_wait EINTR", []callfaults.Fault{fault(callfaults.Wait, unix.EINTR, often)}, 40},
 		{"read EINTR", []callfaults.Fault{fault(callfaults.Read, unix.EINTR, often)}, 40},
-		{"read ENOMEM", []callfaults.Fault{fault(callfaults.Read, unix.ENOMEM, now)}, 40},
-		{"read ENOBUFS", []callfaults.Fault{fault(callfaults.Read, unix.ENOBUFS, now)}, 40},
+		{"read ENOMEM", []callfaults.Fault{fault(callfaults.Read, unix.ENOMEM, sometimes)}, 40},
+		{"read ENOBUFS", []callfaults.Fault{fault(callfaults.Read, unix.ENOBUFS, sometimes)}, 40},
 		{"send EINTR", []callfaults.Fault{fault(callfaults.Send, unix.EINTR, often)}, 40},
-		{"send ENOBUFS", []callfaults.Fault{fault(callfaults.Send, unix.ENOBUFS, now)}, 40},
-		{"send ENOMEM", []callfaults.Fault{fault(callfaults.Send, unix.ENOMEM, now)}, 40},
+		{"send ENOBUFS", []callfaults.Fault{fault(callfaults.Send, unix.ENOBUFS, sometimes)}, 40},
+		{"send ENOMEM", []callfaults.Fault{fault(callfaults.Send, unix.ENOMEM, sometimes)}, 40},
 		{"short reads and writes", []callfaults.Fault{fault(callfaults.ShortRead, 1, often), fault(callfaults.ShortSend, 1, often)}, 40},
-		{"server's connections ETIMEDOUT", []callfaults.Fault{on(callfaults.Connected, callfaults.Fault{Call: callfaults.Read, Errno: unix.ETIMEDOUT, Part: 0.1, Skip: 2})}, 30},
-		{"server's connections EHOSTUNREACH", []callfaults.Fault{on(callfaults.Connected, callfaults.Fault{Call: callfaults.Send, Errno: unix.EHOSTUNREACH, Part: 0.1, Skip: 2})}, 30},
+		{"server's connections ETIMEDOUT", []callfaults.Fault{onSide(callfaults.Connected, callfaults.Fault{Call: callfaults.Read, Errno: unix.ETIMEDOUT, Part: 0.1, Skip: 2})}, 30},
+		{"server's connections EHOSTUNREACH", []callfaults.Fault{onSide(callfaults.Connected, callfaults.Fault{Call: callfaults.Send, Errno: unix.EHOSTUNREACH, Part: 0.1, Skip: 2})}, 30},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			b := newBed(t, bedConfig{servers: 3, env: faultsIn(t, tt.faults...)})
-			serveAll(t, b, tt.served)
+			b := newTestbed(t, testbedConfig{servers: 3, env: faultPlanEnvironment(t, tt.faults...)})
+			checkRequestsServed(t, b, tt.minServed)
 		})
 	}
 }
 
-// serveAll has 40 clients ask within a second and use their connections, and counts what they get.
-func serveAll(t *testing.T, b *bed, least int) {
+// checkRequestsServed has 40 clients ask within a second and use their connections, and counts what they get.
+func checkRequestsServed(t *testing.T, b *testbed, minServed int) {
 	t.Helper()
 	const clients, lines = 40, 3
-	const wait = 1500 * time.Millisecond
+	const deadline = 1500 * time.Millisecond
 	var (
 		all     sync.WaitGroup
 		lock    sync.Mutex
@@ -100,7 +100,7 @@
 	for i := range clients {
 		all.Go(func() {
 			time.Sleep(time.Duration(i) * 20 * time.Millisecond)
-			c, word, err := b.answerTo(fmt.Sprintf("a%d", i), exampleClass(t), wait)
+			c, word, err := b.request(fmt.Sprintf("a%d", i), exampleClass(t), deadline)
 			if c != nil {
 				defer c.conn.Close()
 			}
@@ -112,18 +112,18 @@
 			answers[word]++
 			lock.Unlock()
 			for n := 0; word == "UP" && n < lines; n++ {
-				said := fmt.Sprintf("line %d of %d", n, i)
-				fmt.Fprint(c.conn, said+"\r\n")
-				if echo, err := c.next(time.Second); echo != said && least == clients {
-					t.Errorf("client %d: said %q, heard %q, %v", i, said, echo, err)
+				sent := fmt.Sprintf("line %d of %d", n, i)
+				fmt.Fprint(c.conn, sent+"\r\n")
+				if echo, err := c.readLine(time.Second); echo != sent && minServed == clients {
+					t.Errorf("client %d: said %q, heard %q, %v", i, sent, echo, err)
 					return
 				}
 			}
 		})
 	}
 	all.Wait()
-	if answers["UP"] < least {
-		t.Errorf("answers %v, %d served wanted\n%s", answers, least, b.process.logged())
+	if answers["UP"] < minServed {
+		t.Errorf("answers %v, %d served wanted\n%s", answers, minServed, b.process.logText())
 	}
-	b.oneAttemptAtATime()
+	b.checkNoOverlappingAttempts()
 }
--- a/cmd/ospreyspan/wallclock_test.go
+++ b/cmd/ospreyspan/wallclock_test.go
@@ -12,8 +12,8 @@
 
 // The machine's wall clock is stepped, before the process starts or while it runs, and a server starts. What the server is sent while
 // it is cold is a small part of the requests, whatever the wall clock shows, and once it is warm it has its share.
-func TestWallClockIsStepped(t *testing.T) {
-	const warmIn, requests = 6 * time.Second, 60
+func TestWallClockSteps(t *testing.T) {
+	const warmUp, requests = 6 * time.Second, 60
 	for _, tt := range []struct {
 		name  string
 		steps []callfaults.WallStep
@@ -32,37 +32,37 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b := newBed(t, bedConfig{servers: 3, env: []string{faultsVariable + "=" + string(plan)}, configure: func(set map[string]any) {
-				set["Invariants"].(map[string]any)["WarmWithinUs"] = warmIn.Microseconds()
+			b := newTestbed(t, testbedConfig{servers: 3, env: []string{faultPlanEnv + "=" + string(plan)}, configure: func(set map[string]any) {
+				set["Invariants"].(map[string]any)["WarmWithinUs"] = warmUp.Microseconds()
 				set["Domain"].(map[string]any)["Groups"] = false
 			}})
 			time.Sleep(2 * time.Second)
-			cold := newTestServer(t, "cold")
-			cold.bornMS = time.Now().Add(-time.Second).UnixMilli()
-			b.discovery.add(cold)
+			coldServer := newTestServer(t, "cold")
+			coldServer.startMS = time.Now().Add(-time.Second).UnixMilli()
+			b.discovery.addServer(coldServer)
 			time.Sleep(200 * time.Millisecond)
-			b.askMany("c", requests, 1500*time.Millisecond)
-			if n := len(cold.received()); n > requests/10 {
+			b.requestMany("c", requests, 1500*time.Millisecond)
+			if n := len(coldServer.receivedAttempts()); n > requests/10 {
 				t.Errorf("a server that had just started was sent %d of %d requests", n, requests)
 			}
-			time.Sleep(warmIn)
-			before := len(cold.received())
-			b.askMany("w", requests, 1500*time.Millisecond)
-			if n := len(cold.received()) - before; n < requests/10 {
+			time.Sleep(warmUp)
+			before := len(coldServer.receivedAttempts())
+			b.requestMany("w", requests, 1500*time.Millisecond)
+			if n := len(coldServer.receivedAttempts()) - before; n < requests/10 {
 				t.Errorf("once it was warm it was sent %d of %d requests", n, requests)
 			}
 		})
 	}
 }
 
-// askMany has so many clients ask over a span, each on a connection that it closes when it has its answer.
-func (b *bed) askMany(prefix string, n int, over time.Duration) {
+// requestMany has so many clients ask over a span, each on a connection that it closes when it has its answer.
+func (b *testbed) requestMany(prefix string, n int, span time.Duration) {
 	b.t.Helper()
 	var all sync.WaitGroup
 	for i := range n {
 		all.Go(func() {
-			time.Sleep(over * time.Duration(i) / time.Duration(n))
-			c, _, err := b.answerTo(fmt.Sprint(prefix, i), exampleClass(b.t), 1500*time.Millisecond)
+			time.Sleep(span * time.Duration(i) / time.Duration(n))
+			c, _, err := b.request(fmt.Sprint(prefix, i), exampleClass(b.t), 1500*time.Millisecond)
 			if err != nil {
 				b.t.Errorf("request %s%d: %v", prefix, i, err)
 			}
