--- a/cmd/ospreyspan/command.go
+++ b/cmd/ospreyspan/command.go
@@ -19,21 +19,22 @@
 	"ospreyspan/internal/operator"
 )
 
-// The exit codes: 1, it could not start or go on; 2, the command line or a file is wrong.
+// Exit codes: 1 if the program could not start or had to end because of an error, 2 if the command
+// line, the operator file or a checked file is invalid.
 const (
 	exitFailed       = 1
 	exitInvalidInput = 2
 )
 
-// app is what the commands share.
+// app holds what all commands of the program share.
 type app struct {
 	env          func(string) string
 	out, errOut  io.Writer
 	operatorFile string
 }
 
-// execute carries out a execute line and returns the exit code. Without arguments it serves, as the platform starts it,
-// and nothing of the execute line is made ready for that.
+// execute runs the command that args name and returns the exit code. Without arguments, as the
+// platform starts the program, it serves and does not build the command tree.
 func execute(args []string, env func(string) string, out, errOut io.Writer) int {
 	a := &app{env: env, out: out, errOut: errOut, operatorFile: env("OSPREYSPAN_OPERATOR")}
 	var err error
@@ -64,7 +65,8 @@
 	return exitFailed
 }
 
-// inputError marks a mistake of the command line.
+// inputError marks an error in the command line, or in a file that the command line names, for
+// which the program exits with exitInvalidInput.
 type inputError struct{ error }
 
 func (e inputError) Unwrap() error { return e.error }
@@ -72,24 +74,25 @@
 func (a *app) rootCommand() *cobra.Command {
 	serve := func(*cobra.Command, []string) error { return run(a.env, a.operatorFile, a.errOut) }
 	root := &cobra.Command{
-		Use: "ospreyspan", Short: "A proxy for long-lived connections; alone, it serves",
+		Use: "ospreyspan", Short: "A proxy for long-lived connections; without a command it serves",
 		SilenceUsage: true, SilenceErrors: true, Args: noArgs, RunE: serve,
 	}
-	root.PersistentFlags().StringVar(&a.operatorFile, "operator", a.operatorFile, "the operator's own file; also OSPREYSPAN_OPERATOR")
+	root.PersistentFlags().StringVar(&a.operatorFile, "operator", a.operatorFile, "the operator file; the default is taken from OSPREYSPAN_OPERATOR")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return inputError{err} })
 	root.AddCommand(
-		&cobra.Command{Use: "serve", Short: "Serve, as without a command", Args: noArgs, RunE: serve},
-		&cobra.Command{Use: "check", Short: "Check EDGE_CONFIG, where it is set, and the operator's file", Args: noArgs, RunE: a.check},
-		&cobra.Command{Use: "version", Short: "Print what this was built from", Args: noArgs, RunE: a.version},
-		a.viewCommand("peers", "Show the members as a running process sees them", a.printPeers),
-		a.viewCommand("duties", "Show duties and owners as a running process sees them", a.printDuties),
-		a.viewCommand("verdicts", "Show which targets the fleet holds to be bad, as a running process sees it", a.printShared("verdict", "TARGET\tVERDICT\tAGE\tBY", "%d targets; all others are sound")),
-		a.viewCommand("limits", "Show what all proxies together may take, and what is known of its use", a.printShared("limit", "LIMIT\tSTATE\tAGE\tUSE AND BOUND", "%d limits")),
+		&cobra.Command{Use: "serve", Short: "Serve; the default if no command is given", Args: noArgs, RunE: serve},
+		&cobra.Command{Use: "check", Short: "Check the file that EDGE_CONFIG names, if it is set, and the operator file", Args: noArgs, RunE: a.check},
+		&cobra.Command{Use: "version", Short: "Print the source revision and the Go version of this build", Args: noArgs, RunE: a.version},
+		a.viewCommand("peers", "Show the fleet's members as a running process sees them", a.printPeers),
+		a.viewCommand("duties", "Show the duties and their owners as a running process sees them", a.printDuties),
+		a.viewCommand("verdicts", "Show the targets that the fleet judges unsound, as a running process sees them", a.printShared("verdict", "TARGET\tVERDICT\tAGE\tBY", "%d targets; all others are sound")),
+		a.viewCommand("limits", "Show the limits that all proxies share, and their known use", a.printShared("limit", "LIMIT\tSTATE\tAGE\tUSE AND BOUND", "%d limits")),
 		a.keepersCommand(),
 	)
 	return root
 }
 
+// noArgs rejects any positional argument.
 func noArgs(c *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return inputError{fmt.Errorf("%s: takes no arguments, got %q", c.Name(), args)}
@@ -97,6 +100,7 @@
 	return nil
 }
 
+// check validates the files that are configured, without serving.
 func (a *app) check(*cobra.Command, []string) error {
 	var errs []error
 	checked := 0
@@ -116,14 +120,14 @@
 	if err := errors.Join(errs...); err != nil {
 		return inputError{err}
 	}
-	fmt.Fprintf(a.out, "files checked: %d, nothing is wrong\n", checked)
+	fmt.Fprintf(a.out, "files checked: %d, no errors found\n", checked)
 	return nil
 }
 
 func (a *app) version(*cobra.Command, []string) error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return errors.New("version: not known")
+		return errors.New("version: the program was built without build information")
 	}
 	revision := "unknown revision"
 	for _, s := range info.Settings {
@@ -135,17 +139,18 @@
 	return nil
 }
 
-// queryEndpoint is where a question goes: --of, else the operator's file's own address.
+// queryEndpoint returns the cluster and the address that a query is sent to: the address given as
+// process (the flag --of) or, if that is empty, the listen address of the operator file.
 func (a *app) queryEndpoint(process string) (cluster string, addr netip.AddrPort, err error) {
 	if a.operatorFile == "" {
-		return "", addr, inputError{errors.New("--operator: names the file that has the fleet's cluster")}
+		return "", addr, inputError{errors.New("--operator: not set; the operator file names the fleet's cluster")}
 	}
 	config, err := operator.Read(a.operatorFile)
 	if err != nil {
 		return "", addr, err
 	}
 	if !config.Fleet.On {
-		return "", addr, inputError{fmt.Errorf("%s: has no section [fleet]", a.operatorFile)}
+		return "", addr, inputError{fmt.Errorf("%s: section [fleet] is missing", a.operatorFile)}
 	}
 	addr = config.Fleet.Listen.AddrPort
 	if process != "" {
@@ -156,9 +161,11 @@
 	return config.Fleet.Cluster, addr, nil
 }
 
-// queryTimeout is how long a question may take in all.
+// queryTimeout bounds a whole query to a running process, from sending it to its answer.
 const queryTimeout = 3 * time.Second
 
+// viewCommand returns a command that queries a running process for its view of the fleet and shows
+// it.
 func (a *app) viewCommand(use, short string, show func(*mesh.View) error) *cobra.Command {
 	var process string
 	c := &cobra.Command{Use: use, Short: short, Args: noArgs, RunE: func(*cobra.Command, []string) error {
@@ -172,7 +179,7 @@
 		}
 		return show(view)
 	}}
-	c.Flags().StringVar(&process, "of", "", "the process that is asked, HOST:PORT; otherwise that of the operator's file")
+	c.Flags().StringVar(&process, "of", "", "the process to query, HOST:PORT; by default the address in the operator file")
 	return c
 }
 
@@ -207,7 +214,8 @@
 	return w.Flush()
 }
 
-// printShared returns what prints the lines on one matter that has no owner.
+// printShared returns a function that prints a table of one kind of shared state that has no owner:
+// "verdict" or "limit". summary is the format of the last line, which gets the number of rows.
 func (a *app) printShared(kind, header, summary string) func(*mesh.View) error {
 	return func(view *mesh.View) error {
 		w := tabwriter.NewWriter(a.out, 0, 4, 2, ' ', 0)
@@ -224,19 +232,20 @@
 	}
 }
 
+// keepersCommand returns the commands that set up keepers and change which keepers vote.
 func (a *app) keepersCommand() *cobra.Command {
-	c := &cobra.Command{Use: "keepers", Short: "Set keepers up, add and remove them"}
-	initCommand := &cobra.Command{Use: "init", Short: "Make this keeper's log, once, when its fleet is first set up", Args: noArgs,
+	c := &cobra.Command{Use: "keepers", Short: "Set up, add and remove keepers"}
+	initCommand := &cobra.Command{Use: "init", Short: "Create this keeper's log; only once, when its fleet is first set up", Args: noArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if a.operatorFile == "" {
-				return inputError{errors.New("keepers init: --operator names no file")}
+				return inputError{errors.New("keepers init: --operator is not set")}
 			}
 			config, err := operator.Read(a.operatorFile)
 			if err != nil {
 				return err
 			}
 			if config.Self == 0 {
-				return inputError{fmt.Errorf("%s: [fleet] listen is none of [keepers] members", a.operatorFile)}
+				return inputError{fmt.Errorf("%s: [fleet] listen: not the address of any keeper in [keepers] members", a.operatorFile)}
 			}
 			id, err := randomSessionID()
 			if err != nil {
@@ -245,20 +254,20 @@
 			if err := keeper.Create(config.Keepers.Dir, id); err != nil {
 				return err
 			}
-			fmt.Fprintf(a.out, "keeper %d: log made in %s\n", config.Self, config.Keepers.Dir)
+			fmt.Fprintf(a.out, "keeper %d: log created in %s\n", config.Self, config.Keepers.Dir)
 			return nil
 		}}
 	c.AddCommand(initCommand)
 	for _, add := range []bool{true, false} {
-		use, short := "remove ID", "Remove a voter; asks the leader, one change at a time"
+		use, short := "remove ID", "Remove a voter, through the leader; one change at a time"
 		if add {
-			use, short = "add ID", "Add a voter; asks the leader, one change at a time"
+			use, short = "add ID", "Add a voter, through the leader; one change at a time"
 		}
 		var process string
 		changeCommand := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 			id, err := strconv.ParseUint(args[0], 10, 32)
 			if err != nil || id == 0 {
-				return inputError{fmt.Errorf("%s: %q is not a keeper's number", strings.Fields(use)[0], args[0])}
+				return inputError{fmt.Errorf("%s: %q is not a keeper ID, a whole number from 1 to 4294967295", strings.Fields(use)[0], args[0])}
 			}
 			cluster, addr, err := a.queryEndpoint(process)
 			if err != nil {
@@ -271,7 +280,7 @@
 			fmt.Fprintln(a.out, answer)
 			return nil
 		}}
-		changeCommand.Flags().StringVar(&process, "of", "", "the leading keeper, HOST:PORT")
+		changeCommand.Flags().StringVar(&process, "of", "", "the keeper that leads, HOST:PORT")
 		c.AddCommand(changeCommand)
 	}
 	return c
--- a/cmd/ospreyspan/config.go
+++ b/cmd/ospreyspan/config.go
@@ -12,7 +12,8 @@
 	"ospreyspan/internal/settings"
 )
 
-// config is what the program is told at its start.
+// config is the configuration that the platform gives the program: the JSON file that EDGE_CONFIG
+// names, with the overrides from the environment.
 type config struct {
 	Name      string          `json:"name"`
 	Listen    netip.AddrPort  `json:"listen"`
@@ -24,12 +25,13 @@
 	settings  *settings.Settings
 }
 
+// limits are the resources that the process may use.
 type limits struct {
-	MemoryMB int64 `json:"memory_mb"`
-	Sockets  int   `json:"sockets"`
+	MemoryMB int64 `json:"memory_mb"` // 0: not limited
+	Sockets  int   `json:"sockets"`   // most open descriptors; 0: no limit is known
 }
 
-// seed is written in hexadecimal.
+// seed is a 64-bit random seed, written in hexadecimal in the configuration.
 type seed uint64
 
 func (s *seed) UnmarshalText(text []byte) error {
@@ -41,14 +43,15 @@
 	return nil
 }
 
-// loadConfig reads the configuration that the environment names. What the environment itself says of the
-// addresses goes first.
+// loadConfig reads the configuration file that the environment names. Addresses and the name that
+// are set in the environment take precedence over the file.
 func loadConfig(env func(string) string) (*config, error) {
 	return readConfig(env)
 }
 
-// reloadConfig reads the file again for a program that serves. EDGE_DISCOVERY tells where discovery was at the
-// start: the file is what has been replaced, so its address wins now.
+// reloadConfig reads the configuration file again while the program serves. It ignores
+// EDGE_DISCOVERY, which holds the address of discovery at the start: the file has been replaced
+// since, so its address takes precedence.
 func reloadConfig(env func(string) string) (*config, error) {
 	return readConfig(func(name string) string {
 		if name == "EDGE_DISCOVERY" {
@@ -58,6 +61,7 @@
 	})
 }
 
+// readConfig reads and parses the file that EDGE_CONFIG names.
 func readConfig(env func(string) string) (*config, error) {
 	path := env("EDGE_CONFIG")
 	if path == "" {
@@ -74,6 +78,8 @@
 	return c, nil
 }
 
+// parseConfig decodes a configuration, applies the overrides from the environment and validates the
+// result.
 func parseConfig(text []byte, env func(string) string) (*config, error) {
 	var cfg config
 	if err := json.Unmarshal(text, &cfg); err != nil {
@@ -98,7 +104,7 @@
 		}
 	}
 	if cfg.Limits.Sockets < 0 || cfg.Limits.MemoryMB < 0 {
-		return nil, errors.New("limits: a figure below 0")
+		return nil, errors.New("limits: memory_mb and sockets must not be below 0")
 	}
 	if err := cfg.Known.Check(); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
@@ -116,7 +122,8 @@
 	return &cfg, nil
 }
 
-// locateFieldError finds the locateFieldError at fault: a type's own decoding fails without naming it.
+// locateFieldError adds the name of the invalid field to a decoding error, if it can be found: errors
+// from a type's own decoding method do not name the field.
 func locateFieldError(text []byte, err error) error {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(text, &fields) != nil {
--- a/cmd/ospreyspan/main.go
+++ b/cmd/ospreyspan/main.go
@@ -1,5 +1,6 @@
-// Command ospreyspan is one proxy: it accepts clients' long-lived connections, asks the decision module where
-// each goes and passes its lines between the client and the egress target.
+// Command ospreyspan is a proxy for long-lived connections. It accepts clients' connections, asks the
+// decision module (package balance) for a target for each of them, and forwards lines between the
+// client and the target.
 package main
 
 import (
@@ -15,10 +16,11 @@
 
 func main() { os.Exit(execute(os.Args[1:], os.Getenv, os.Stdout, os.Stderr)) }
 
-// systemCalls are those that the loop makes; a test has them fail.
+// systemCalls are the system calls that the event loop uses. Tests replace them to inject failures.
 var systemCalls = poll.LinuxCalls()
 
-// run serves until a planned stop is over. own is the operator's file, empty for none.
+// run serves until a planned stop has been completed. operatorFile is the path of the operator file;
+// it is empty if there is none. Log lines and counters are written to out.
 func run(env func(string) string, operatorFile string, out io.Writer) error {
 	sig := catchSignals()
 	var cfg *config
@@ -35,7 +37,7 @@
 			return err
 		}
 	}
-	runtime.GOMAXPROCS(1) // one core is all there is; a second thread of Go's would only be switched to
+	runtime.GOMAXPROCS(1) // the process has one core; a second running Go thread only adds switches
 	limitMemory(cfg)
 	logger := log.New(features.logWriter(out), "", 0)
 	configReloader := &reloader{env: env, log: logger, config: cfg}
@@ -85,7 +87,8 @@
 	return nil
 }
 
-// limitMemory has the garbage collector keep well under what the process may use.
+// limitMemory sets the memory limit of the Go runtime to three quarters of the memory that the
+// process may use.
 func limitMemory(c *config) {
 	if c.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(c.Limits.MemoryMB << 20 / 4 * 3)
--- a/cmd/ospreyspan/reload.go
+++ b/cmd/ospreyspan/reload.go
@@ -10,29 +10,35 @@
 )
 
 const (
-	// reloadRetryInterval is how soon a file is read again that could not be read for a passing reason, and reloadPatience for how long: by
-	// then discovery's news at the new address counts as told.
+	// reloadRetryInterval is the time until a configuration file that could not be read because of
+	// a transient error is read again.
 	reloadRetryInterval = 50 * time.Millisecond
-	reloadRetryTimeout  = 4 * time.Second
+	// reloadRetryTimeout bounds the retries of one reload: so long after the signal, changes that
+	// discovery announces at the new address count as known.
+	reloadRetryTimeout = 4 * time.Second
 )
 
-// reloader takes a replaced configuration while the program serves. It belongs to the loop.
+// reloader applies a replaced configuration file while the program serves. Only the goroutine of the
+// event loop may use it.
 type reloader struct {
 	loop          *poll.Loop
 	env           func(string) string
 	log           *log.Logger
-	config        *config // in force
+	config        *config // the configuration in force
 	retryTimer    poll.Timer
 	retryDeadline time.Time
 }
 
-// reload reads the file that the environment names. A file that can't be used changes nothing at all; one that can't be read for
-// want of a descriptor or the like is read again soon.
+// reload reads the configuration file that the environment names and applies it. An invalid file
+// changes nothing. A file that cannot be read because of a transient error, such as a lack of
+// descriptors, is read again shortly.
 func (r *reloader) reload(proxy *instance.Instance) {
 	r.retryDeadline = r.loop.Now().Add(reloadRetryTimeout)
 	r.attempt(proxy)
 }
 
+// attempt reads the configuration file once and, after a transient error before retryDeadline,
+// schedules the next attempt.
 func (r *reloader) attempt(proxy *instance.Instance) {
 	r.loop.Disarm(&r.retryTimer)
 	cfg, err := reloadConfig(r.env)
@@ -47,7 +53,8 @@
 	}
 }
 
-// apply takes what a replaced configuration may change while the program serves. Connections, whatever their state, go on.
+// apply puts into force those parts of a replaced configuration that may change while the program
+// serves: the address of discovery and the limits. Connections in every state continue.
 func (r *reloader) apply(cfg *config, proxy *instance.Instance) {
 	running := r.config
 	for _, setting := range []struct {
@@ -58,10 +65,10 @@
 		{"settings", bytes.Equal(cfg.Settings, running.Settings)},
 	} {
 		if !setting.unchanged {
-			r.log.Printf("reload: %s: has changed, which takes a new start", setting.name)
+			r.log.Printf("reload: %s: has changed; the change takes effect after a restart", setting.name)
 		}
 	}
-	// What a later reload is compared with is what runs, not what the file said in between.
+	// A later reload is compared with the values that are in force, not with those of this file.
 	cfg.Name, cfg.Listen, cfg.Settings, cfg.settings = running.Name, running.Listen, running.Settings, running.settings
 	r.config = cfg
 	limitMemory(cfg)
--- a/cmd/ospreyspan/retry.go
+++ b/cmd/ospreyspan/retry.go
@@ -7,20 +7,22 @@
 )
 
 const (
-	// startRetryTimeout is how long what a start needs is tried again while the machine lacks it: a process that ends then has crashed,
-	// though a moment later it could have served. The platform waits for longer.
+	// startRetryTimeout bounds how long a step of the start is retried while the machine lacks a
+	// resource for it. A process that ended at the first failure would count as crashed, although
+	// it could have served a moment later. The platform waits longer than this for the start.
 	startRetryTimeout = 5 * time.Second
 	retryInterval     = 20 * time.Millisecond
 )
 
-// transientErrors are the errors that may be gone a moment later though nobody does anything about them: the machine is out of files, memory
-// or buffers, a disk reports a fault, or the address still belongs to a process that is ending.
+// transientErrors are the errors that may disappear shortly without intervention: the machine is out
+// of descriptors, memory or buffers, a disk reports an I/O error, or the address still belongs to a
+// process that is ending.
 var transientErrors = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.ENOBUFS, syscall.EAGAIN, syscall.EINTR, syscall.EIO,
 	syscall.EADDRINUSE, syscall.EADDRNOTAVAIL,
 }
 
-// isTransient tells whether an error may be gone a moment later.
+// isTransient reports whether an error is one of transientErrors.
 func isTransient(err error) bool {
 	for _, transient := range transientErrors {
 		if errors.Is(err, transient) {
@@ -30,8 +32,8 @@
 	return false
 }
 
-// retryTransient tries something until it is done, it fails for good, or startPatience is over. It is for the start: nothing else goes on
-// meanwhile.
+// retryTransient calls attempt until it succeeds, fails with an error that is not transient, or
+// startRetryTimeout has passed. It blocks, so it is only for the start.
 func retryTransient(attempt func() error) error {
 	for begin := time.Now(); ; time.Sleep(retryInterval) {
 		err := attempt()
--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -20,7 +20,8 @@
 	"ospreyspan/internal/shared/verdict"
 )
 
-// operatorFeatures is what the operator's file switches on. A nil one is off.
+// operatorFeatures holds the features that the operator file turns on, such as taking part in a
+// fleet. A nil *operatorFeatures has all of them turned off.
 type operatorFeatures struct {
 	path      string
 	config    *operator.Config
@@ -28,6 +29,8 @@
 	keeperLog *keeper.File
 }
 
+// loadOperatorFeatures reads the operator file at path and sets up the log of fleet events, which is
+// written to out.
 func loadOperatorFeatures(path string, out io.Writer) (*operatorFeatures, error) {
 	config, err := operator.Read(path)
 	if err != nil {
@@ -42,7 +45,8 @@
 	return features, nil
 }
 
-// logWriter is where the lines of the proxy's log go: with JSON each becomes an event.
+// logWriter returns the writer for the lines of the proxy's own log. If the operator file asks for a
+// log in JSON, each line becomes an event of that log.
 func (f *operatorFeatures) logWriter(out io.Writer) io.Writer {
 	if f == nil || f.config.Log.Format != "json" {
 		return out
@@ -50,6 +54,7 @@
 	return eventWriter{f.log}
 }
 
+// eventWriter writes each log line as an event of a structured log.
 type eventWriter struct{ log zerolog.Logger }
 
 func (w eventWriter) Write(p []byte) (int, error) {
@@ -57,7 +62,8 @@
 	return len(p), nil
 }
 
-// fleetConfig returns what the proxy needs to take part, nil if it does not.
+// fleetConfig returns the configuration for taking part in a fleet, or nil if this process does not
+// take part in one. It opens the keeper's log if this process is a keeper.
 func (f *operatorFeatures) fleetConfig(cfg *config, loop *poll.Loop, logger *log.Logger) (*instance.Fleet, error) {
 	if f == nil || !f.config.Fleet.On {
 		return nil, nil
@@ -71,7 +77,7 @@
 		name = cfg.Name
 	}
 	if len(name) > 32 {
-		return nil, fmt.Errorf("%s: [fleet] name: %q has more than 32 bytes", f.path, name)
+		return nil, fmt.Errorf("%s: [fleet] name: %q is longer than 32 bytes", f.path, name)
 	}
 	meshConfig := mesh.Config{
 		Cluster: f.config.Fleet.Cluster, Name: name, Zone: f.config.Fleet.Zone, Listen: f.config.Fleet.Listen.AddrPort,
@@ -107,18 +113,19 @@
 	return fleet, nil
 }
 
-// checkLimitNames tells whether the platform's settings know whom a limit is for.
+// checkLimitNames checks that the platform's settings have the tenant and the class that a limit is
+// for.
 func checkLimitNames(cfg *config, l limit.Limit) error {
 	if _, ok := cfg.settings.Tenants[l.Tenant]; !ok && l.Tenant != "" {
-		return fmt.Errorf("tenant: the settings name no %q", l.Tenant)
+		return fmt.Errorf("tenant: %q is not in the settings", l.Tenant)
 	}
 	if _, ok := cfg.settings.Classes[l.Class]; !ok && l.Class != "" {
-		return fmt.Errorf("class: the settings name no %q", l.Class)
+		return fmt.Errorf("class: %q is not in the settings", l.Class)
 	}
 	return nil
 }
 
-// logLimitChange logs that a limit begins or ends to refuse.
+// logLimitChange logs that a limit has started or stopped refusing clients.
 func (f *operatorFeatures) logLimitChange(change instance.LimitChange) {
 	message := "fleet: limit takes again"
 	if change.Refusing {
@@ -127,6 +134,7 @@
 	f.log.Info().Str("limit", change.Limit.Name).Stringer("kind", change.Limit.Kind).Int("most", change.Limit.Most).Int("use", change.InUse).Int("room", change.Available).Msg(message)
 }
 
+// randomSessionID returns a random ID that is never 0.
 func randomSessionID() (uint64, error) {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
@@ -135,8 +143,8 @@
 	return binary.BigEndian.Uint64(b[:]) | 1, nil
 }
 
-// openKeeper makes this process a keeper. Without a log it is none: one that had a log and lost it must not vote as if it had
-// promised nothing.
+// openKeeper opens the keeper's log and makes this process a keeper. Without a log the process does
+// not become a keeper: a keeper that has lost its log must not vote as if it had never voted.
 func (f *operatorFeatures) openKeeper(meshConfig *mesh.Config, loop *poll.Loop, logger *log.Logger) error {
 	file, restored, err := keeper.OpenFile(f.config.Keepers.Dir, loop.Post)
 	if errors.Is(err, keeper.ErrEmpty) {
@@ -156,13 +164,14 @@
 	return nil
 }
 
+// close closes the keeper's log, if there is one.
 func (f *operatorFeatures) close() {
 	if f != nil && f.keeperLog != nil {
 		f.keeperLog.Close()
 	}
 }
 
-// logEvent logs a change.
+// logEvent logs a change in the fleet: of a member, of the owner of a duty, or of the keeper.
 func (f *operatorFeatures) logEvent(event mesh.Event) {
 	entry := f.log.Info()
 	if event.Err != nil {
@@ -180,24 +189,25 @@
 	entry.Msg("fleet: " + event.What)
 }
 
-// logVerdictChange logs a verdict that changed, with what it rests on.
+// logVerdictChange logs a changed verdict on a target, with the evidence behind it.
 func (f *operatorFeatures) logVerdictChange(change instance.VerdictChange) {
 	f.log.Info().Str("target", change.Target).Stringer("verdict", change.Verdict).Stringer("was", change.Previous).Dur("age_ms", change.Age).
 		Int("witnesses", change.Witnesses).Int("against", change.Against).Msg("fleet: verdict")
 }
 
-// reload takes what the operator's file may change while the program serves; one that is wrong changes nothing.
+// reload reads the operator file again and applies what may change while the program serves: seeds,
+// duties and the value of each limit. An invalid file changes nothing.
 func (f *operatorFeatures) reload(proxy *instance.Instance, logger *log.Logger) {
 	if f == nil {
 		return
 	}
 	config, err := operator.Read(f.path)
 	if err != nil {
-		logger.Printf("reload: the old operator's file stays:\n%v", err)
+		logger.Printf("reload: the old operator file stays in force:\n%v", err)
 		return
 	}
 	if config.Fixed() != f.config.Fixed() {
-		logger.Printf("reload: %s: all but seeds, duties and how much limits hold takes a new start", f.path)
+		logger.Printf("reload: %s: changes to anything but seeds, duties and the values of limits take effect after a restart", f.path)
 	}
 	f.config.Seeds, f.config.Duties = config.Seeds, config.Duties
 	if n := proxy.Node(); n != nil {
@@ -208,7 +218,7 @@
 	logger.Printf("reload: %s: %d seeds, duties: %s", f.path, len(config.Seeds), strings.Join(config.Duties.Take, ", "))
 }
 
-// printCounters writes the conversation's counters.
+// printCounters writes the counters of the messages between the processes of the fleet.
 func (f *operatorFeatures) printCounters(proxy *instance.Instance, out io.Writer) {
 	if f == nil || proxy.Node() == nil {
 		return
--- a/cmd/ospreyspan/signals.go
+++ b/cmd/ospreyspan/signals.go
@@ -9,33 +9,37 @@
 	"ospreyspan/internal/poll"
 )
 
-// signals passes the process's signals to the loop.
+// signals delivers the signals of the process to the event loop, as flags that the loop reads and
+// clears.
 type signals struct {
 	stopRequested, printRequested, reloadRequested atomic.Bool
 	stopSignals, printSignals, reloadSignals       chan os.Signal
 }
 
-// catchSignals is the first thing that the program does: a signal that comes before would end the process. What comes before watch
-// waits. Each matter has a channel of its own, since one that is full drops what comes: however many signals of one kind wait, none
-// of another is lost.
+// catchSignals registers for the signals. The program calls it first of all, since a signal that
+// arrives earlier ends the process. Signals that arrive before forward is called stay in their
+// channels. Each purpose has a channel of its own, because a full channel drops signals: however many
+// signals of one kind are pending, none of another kind is lost.
 func catchSignals() *signals {
 	s := &signals{
 		stopSignals:   notifyChannel(syscall.SIGTERM, syscall.SIGINT),
 		printSignals:  notifyChannel(syscall.SIGUSR1),
 		reloadSignals: notifyChannel(syscall.SIGHUP),
 	}
-	// A log that nobody reads any more is no reason to end, nor is a file that may not grow: writes tell both by an error.
+	// Neither a log whose reader is gone nor a file that has reached its size limit may end the
+	// process. Writes report both as errors.
 	signal.Ignore(syscall.SIGPIPE, syscall.SIGXFSZ)
 	return s
 }
 
+// notifyChannel returns a channel, with room for one signal, on which the given signals arrive.
 func notifyChannel(signals ...os.Signal) chan os.Signal {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, signals...)
 	return c
 }
 
-// forward passes on what was caught, and what is from now on.
+// forward starts passing signals to the loop: those already caught and all that arrive later.
 func (s *signals) forward(loop *poll.Loop) {
 	go func() {
 		for {
