--- a/cmd/ospreyspan/answering_test.go
+++ b/cmd/ospreyspan/answering_test.go
@@ -10,15 +10,17 @@
 )
 
 var (
-	pingProcesses = flag.Int("ping.processes", 12, "processes that TestProcessesKeepAnswering starts")
-	pingDuration  = flag.Duration("ping.for", 3*time.Second, "how long it asks them")
+	pingProcesses = flag.Int("ping.processes", 12, "number of processes that TestProcessesKeepAnswering starts")
+	pingDuration  = flag.Duration("ping.for", 3*time.Second, "duration for which TestProcessesKeepAnswering sends them PING")
 )
 
-// maxSilence is how long a process that has work may be silent, on however busy a machine: longer, and it has stopped running.
+// maxSilence is the longest time after which a process must answer, however busy the machine is. A
+// process that stays silent for longer has stopped running.
 const maxSilence = 5 * time.Second
 
-// Many processes start together and are asked PING all the time, on new connections: none of them stops answering. Run it by hand with
-// a hundred processes beside other work; a process that stops is a find, and its threads are to be looked at before anything else.
+// TestProcessesKeepAnswering starts many processes together and sends them PING continuously, on
+// new connections: none of them may stop answering. To search for such a fault, run it by hand with
+// a hundred processes beside other work; if a process stops, examine its threads first.
 func TestProcessesKeepAnswering(t *testing.T) {
 	var clients sync.WaitGroup
 	var answers atomic.Int64
@@ -36,7 +38,7 @@
 				text, err := c.readLine(maxSilence)
 				c.conn.Close()
 				if err != nil {
-					t.Errorf("process %d is silent: %v", b.process.cmd.Process.Pid, err)
+					t.Errorf("process %d does not answer PING: %v", b.process.cmd.Process.Pid, err)
 					return
 				}
 				if text == "PONG" {
--- a/cmd/ospreyspan/bed_test.go
+++ b/cmd/ospreyspan/bed_test.go
@@ -18,8 +18,8 @@
 	"ospreyspan/internal/line"
 )
 
-// testbed is the program in a process of its own between servers, a discovery and clients that the test plays. What they receive is
-// what its verdicts count.
+// testbed runs the program in a process of its own, with servers, a discovery service and clients
+// that are part of the test. Tests assert only on what these receive.
 type testbed struct {
 	t         *testing.T
 	process   *process
@@ -28,31 +28,32 @@
 	recorder  *attemptRecorder
 }
 
-// attemptRecorder sees the attempts of all servers as they arrive.
+// attemptRecorder records the attempts at all servers in the order in which they arrive.
 type attemptRecorder struct {
 	lock         sync.Mutex
-	openAttempts map[string][]net.Conn // by request
-	overlaps     []string              // requests of which an attempt arrived while another was out
-}
-
-// record notes an attempt. An earlier one that was given up has its end in its connection by then, whether its server has read that yet
-// or not.
-func (b *attemptRecorder) record(id string, conn net.Conn) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	for _, earlier := range b.openAttempts[id] {
-		if !peerClosed(earlier) {
-			b.overlaps = append(b.overlaps, id)
+	openAttempts map[string][]net.Conn // by request ID
+	overlaps     []string              // request IDs of attempts that arrived while one was open
+}
+
+// record adds an attempt. If the program has abandoned an earlier attempt of the request, the end
+// of that connection has arrived by now, even if its server has not read it yet.
+func (r *attemptRecorder) record(id string, conn net.Conn) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	for _, previous := range r.openAttempts[id] {
+		if !peerClosed(previous) {
+			r.overlaps = append(r.overlaps, id)
 		}
 	}
-	b.openAttempts[id] = append(b.openAttempts[id], conn)
+	r.openAttempts[id] = append(r.openAttempts[id], conn)
 }
 
-// peerClosed tells whether the far side's end of a connection has arrived.
+// peerClosed reports whether a connection is over: its peer's end or reset has arrived, or it is
+// closed on this side.
 func peerClosed(conn net.Conn) bool {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
-		return true // closed here
+		return true // closed on this side
 	}
 	closed := false
 	err = raw.Control(func(fd uintptr) {
@@ -63,16 +64,17 @@
 	return closed || err != nil
 }
 
-// testbedConfig is what a bed is made of.
+// testbedConfig describes a testbed.
 type testbedConfig struct {
 	servers   int
-	deadlines map[string]time.Duration // deadlines of classes, where they differ from the example's
+	deadlines map[string]time.Duration // by class name; others keep those of the example
 	configure func(settings map[string]any)
 	env       []string
-	hostCount int // of servers in the list, of which several share a listener; 0: each has one of its own
+	hostCount int // hosts in the list; 0: one per server, more: they share servers
 }
 
-// newTestbed starts servers, a discovery that names them and the program, and waits until that answers PONG.
+// newTestbed starts servers, a discovery service that lists them, and the program, and waits until
+// the program serves.
 func newTestbed(t *testing.T, c testbedConfig) *testbed {
 	t.Helper()
 	b := &testbed{t: t, recorder: &attemptRecorder{openAttempts: make(map[string][]net.Conn)}}
@@ -101,28 +103,28 @@
 	return b
 }
 
-// testServer takes all connections that it is sent and echoes their lines.
+// testServer is a server that accepts all requests and echoes the lines of its connections.
 type testServer struct {
 	name          string
 	addr          string
-	recorder      *attemptRecorder // nil: it keeps none
+	recorder      *attemptRecorder // nil: attempts are not recorded
 	lock          sync.Mutex
 	startMS       int64
 	health        string
-	unresponsive  bool // it answers nothing any more, whatever it is sent
-	rejecting     bool // it turns requests away, and answers probes as before
+	unresponsive  bool // does not answer anything that it receives
+	rejecting     bool // rejects requests, but still answers probes
 	attempts      []attempt
 	acceptedCount int
 }
 
-// connectionCount is how many were made to it.
+// connectionCount returns the number of connections that the server has accepted.
 func (s *testServer) connectionCount() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.acceptedCount
 }
 
-// attempt is a request's line as a server received it.
+// attempt is an OPEN line that a server received.
 type attempt struct {
 	id         string
 	className  string
@@ -167,12 +169,12 @@
 			s.lock.Lock()
 			open, _ := line.ParseOpen([]byte(text))
 			s.attempts = append(s.attempts, attempt{id: id, className: open.Class, receivedAt: time.Now()})
-			hung := s.unresponsive
+			unresponsive := s.unresponsive
 			if s.rejecting {
 				reply = "BUSY"
 			}
 			s.lock.Unlock()
-			if !hung {
+			if !unresponsive {
 				fmt.Fprint(c, reply+"\r\n")
 			}
 			if reply == "BUSY" {
@@ -187,14 +189,14 @@
 	}
 }
 
-// startDraining has the server take nothing new.
+// startDraining makes the server reject all new requests.
 func (s *testServer) startDraining() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.rejecting, s.health = true, "DRAINING"
 }
 
-// stopResponding has the server answer nothing any more.
+// stopResponding makes the server ignore everything that it receives from now on.
 func (s *testServer) stopResponding() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -207,28 +209,29 @@
 	return s.unresponsive
 }
 
-// receivedAttempts are the attempts so far.
+// receivedAttempts returns a copy of the attempts received so far.
 func (s *testServer) receivedAttempts() []attempt {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return append([]attempt(nil), s.attempts...)
 }
 
-// testDiscovery answers with the servers' present state. A watch waits for a change.
+// testDiscovery is a discovery service that answers with the current state of the servers. A call
+// that knows the current version waits for a change.
 type testDiscovery struct {
 	addr         string
 	lock         sync.Mutex
 	servers      []*testServer
 	version      int
 	callCount    int
-	hostCount    int    // of servers; those beyond the listeners share them
-	listBytes    int    // bytes of lists
-	changedEntry string // the last change, if it was of one server only
-	refusing     bool   // it refuses all calls, since too many wait
+	hostCount    int    // hosts in the list, which share servers if there are more of them
+	listBytes    int    // total size of the lists sent
+	changedEntry string // the entry that the last change announced; empty: the whole list
+	refusing     bool   // refuses all calls, as if too many were waiting
 	changed      chan struct{}
 }
 
-// startRefusing has it startRefusing all calls from now on, and ends the watches that are open.
+// startRefusing makes discovery refuse all calls from now on, including those that are waiting.
 func (d *testDiscovery) startRefusing() {
 	d.lock.Lock()
 	d.refusing = true
@@ -236,7 +239,7 @@
 	d.announceWholeList()
 }
 
-// calls is how many calls there have been.
+// calls returns the number of calls received.
 func (d *testDiscovery) calls() int {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -256,14 +259,14 @@
 	return d
 }
 
-// stopRefusing has it answer again.
+// stopRefusing makes discovery answer calls again.
 func (d *testDiscovery) stopRefusing() {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.refusing = false
 }
 
-// list is the whole list.
+// list returns the whole list.
 func (d *testDiscovery) list() string {
 	var hosts []string
 	d.lock.Lock()
@@ -274,7 +277,7 @@
 	return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[%s]}`, d.version, strings.Join(hosts, ","))
 }
 
-// entry is a server's part of the list.
+// entry returns the list entry of host i.
 func (d *testDiscovery) entry(i int) string {
 	s := d.servers[i%len(d.servers)]
 	s.lock.Lock()
@@ -286,21 +289,21 @@
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"here","class":"m","block":0,"health":%q,"share":1,"born_ms":%d}`, name, s.addr, s.health, s.startMS)
 }
 
-// announceEntry tells watches of a change of one server, which stays as it is.
+// announceEntry announces a change of host i alone, with its unchanged entry.
 func (d *testDiscovery) announceEntry(i int) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.announce(d.entry(i))
 }
 
-// sentListBytes are those of all lists that it has told.
+// sentListBytes returns the total size of the lists sent.
 func (d *testDiscovery) sentListBytes() int {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	return d.listBytes
 }
 
-// addServer has the list name another server.
+// addServer adds a server to the list and announces it.
 func (d *testDiscovery) addServer(s *testServer) {
 	d.lock.Lock()
 	d.servers = append(d.servers, s)
@@ -308,14 +311,15 @@
 	d.announceWholeList()
 }
 
-// announceWholeList tells all watches of what has changed in the servers.
+// announceWholeList announces the current state of all servers.
 func (d *testDiscovery) announceWholeList() {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.announce("")
 }
 
-// announce ends the watches with a new version of the list; patch is its one changed entry, empty for the whole list.
+// announce answers the waiting calls with a new version of the list. changedEntry is its only
+// changed entry; if it is empty, the whole list is sent.
 func (d *testDiscovery) announce(changedEntry string) {
 	d.version++
 	d.changedEntry = changedEntry
@@ -359,15 +363,15 @@
 	return d.refusing
 }
 
-// testClient is one client's connection to the program.
+// testClient is a client's connection to the program.
 type testClient struct {
 	id     string
 	conn   net.Conn
 	reader *bufio.Reader
-	sentAt time.Time // its request's last byte
+	sentAt time.Time // when the request was written
 }
 
-// dial connects without a request.
+// dial connects a client that has not sent a request yet.
 func (b *testbed) dial() (*testClient, error) {
 	conn, err := net.DialTimeout("tcp", b.process.addr, 2*time.Second)
 	if err != nil {
@@ -376,7 +380,7 @@
 	return &testClient{conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// sendOpen sends the request's line.
+// sendOpen sends the OPEN line of a request.
 func (c *testClient) sendOpen(id, class string, deadline time.Duration) error {
 	c.id = id
 	_, err := fmt.Fprintf(c.conn, "OPEN %s k%s c=%s,d=%d,g=g%s\r\n", id, id, class, deadline.Milliseconds(), id)
@@ -384,17 +388,20 @@
 	return err
 }
 
-// readLine reads a line, without its end. io.EOF and resets come as errors.
+// readLine returns the next line without its line ending. The end of the connection and resets are
+// returned as errors.
 func (c *testClient) readLine(timeout time.Duration) (string, error) {
 	_ = c.conn.SetReadDeadline(time.Now().Add(timeout))
 	text, err := c.reader.ReadString('\n')
 	return strings.TrimRight(text, "\r\n"), err
 }
 
-// answerMargin is how long after a client's time its final answer may come, by the standing pages.
+// answerMargin is how long after the deadline of a request its final answer may arrive, by the
+// specification.
 const answerMargin = 500 * time.Millisecond
 
-// request sends a request on a connection of its own and returns the first word of its answer.
+// request sends a request on a connection of its own and returns the first word of its answer if
+// that is UP or BUSY, otherwise the whole line.
 func (b *testbed) request(id, class string, deadline time.Duration) (c *testClient, word string, err error) {
 	if c, err = b.dial(); err != nil {
 		return nil, "", err
@@ -416,12 +423,12 @@
 	return c, text, nil
 }
 
-// checkNoOverlappingAttempts checks that no request had two attempts out together.
+// checkNoOverlappingAttempts checks that no request had two attempts open at the same time.
 func (b *testbed) checkNoOverlappingAttempts() {
 	b.t.Helper()
 	b.recorder.lock.Lock()
 	defer b.recorder.lock.Unlock()
 	for _, id := range b.recorder.overlaps {
-		b.t.Errorf("request %s: an attempt arrived while another was out", id)
+		b.t.Errorf("request %s: an attempt arrived while another was open", id)
 	}
 }
--- a/cmd/ospreyspan/config.go
+++ b/cmd/ospreyspan/config.go
@@ -122,8 +122,8 @@
 	return &cfg, nil
 }
 
-// locateFieldError adds the name of the invalid field to a decoding error, if it can be found: errors
-// from a type's own decoding method do not name the field.
+// locateFieldError adds the name of the invalid field to a decoding error, if it can be found:
+// errors from a type's own decoding method do not name the field.
 func locateFieldError(text []byte, err error) error {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(text, &fields) != nil {
--- a/cmd/ospreyspan/config_test.go
+++ b/cmd/ospreyspan/config_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// exampleConfig returns the text of the example configuration.
 func exampleConfig(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "..", "example", "config.json"))
@@ -16,6 +17,7 @@
 	return string(text)
 }
 
+// emptyEnv is an environment without any variables.
 func emptyEnv(string) string { return "" }
 
 func TestConfig(t *testing.T) {
@@ -28,11 +30,12 @@
 	if c.Name != "n7" || c.Listen.String() != "127.0.0.9:1" || c.Discovery.String() != "127.0.0.1:18500" ||
 		c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 1024 || len(c.settings.Classes) != 2 ||
 		!c.settings.Config.Subscribe {
-		t.Errorf("read as %+v", c)
+		t.Errorf("parsed as %+v", c)
 	}
 }
 
-// A configuration that can't work must end the program with a message that names the field.
+// TestBadConfig checks that an invalid configuration is rejected with an error that names the
+// field.
 func TestBadConfig(t *testing.T) {
 	for _, tt := range [][3]string{
 		{`"listen": "127.0.0.1:18440"`, `"listen": "nowhere"`, "listen"},
@@ -52,7 +55,7 @@
 	} {
 		text := strings.Replace(exampleConfig(t), tt[0], tt[1], 1)
 		if text == exampleConfig(t) {
-			t.Fatalf("%q is not in the example", tt[0])
+			t.Fatalf("%q is not in the example configuration", tt[0])
 		}
 		if _, err := parseConfig([]byte(text), emptyEnv); err == nil || !strings.Contains(err.Error(), tt[2]) {
 			t.Errorf("%q: error %v", tt[1], err)
@@ -65,8 +68,8 @@
 	}
 }
 
-// EDGE_DISCOVERY goes before the file at the start; on a reload the file is the news. One that is cut off or
-// wrong is an error, and the caller keeps what it has.
+// TestReloadConfig checks that EDGE_DISCOVERY takes precedence over the file at the start but not
+// on a reload, and that reloading a truncated or invalid file is an error.
 func TestReloadConfig(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(name string) string {
@@ -92,7 +95,7 @@
 	for _, bad := range []string{"", exampleConfig(t)[:200], strings.Replace(exampleConfig(t), "127.0.0.1:18500", "nowhere", 1)} {
 		write(bad)
 		if _, err := reloadConfig(env); err == nil {
-			t.Errorf("taken: %q", bad)
+			t.Errorf("invalid configuration accepted: %q", bad)
 		}
 	}
 }
--- a/cmd/ospreyspan/descriptors_test.go
+++ b/cmd/ospreyspan/descriptors_test.go
@@ -21,18 +21,18 @@
 	"ospreyspan/internal/proxy"
 )
 
-// process is the program in a process of its own.
+// process is the program, running in a process of its own.
 type process struct {
 	t    *testing.T
 	cmd  *exec.Cmd
-	addr string // where it listens
-	// configPath is the file with its configuration, which a test may replace.
+	addr string // listen address
+	// configPath is the path of the configuration file, which a test may replace.
 	configPath string
 	lock       sync.Mutex
 	log        bytes.Buffer
 }
 
-// Write takes the program's log.
+// Write appends to the program's log.
 func (p *process) Write(text []byte) (int, error) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -45,7 +45,7 @@
 	return p.log.String()
 }
 
-// freeAddress is a local address at which nobody listens.
+// freeAddress returns a local address at which no process listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,14 +56,15 @@
 	return l.Addr().String()
 }
 
-// startProcess starts the program with a configuration that is changed out of the example's, under a limit of descriptors, and
-// waits until it serves. The limit is set while the program reads its configuration, which is a FIFO.
+// startProcess starts the program and waits until it serves. The configuration is the example's as
+// modified by change, and limit is the limit of open descriptors. The limit is set while the
+// program waits for its configuration, which it reads from a FIFO.
 func startProcess(t *testing.T, limit uint64, change func(c map[string]any)) *process {
 	t.Helper()
 	return startProcessWithEnv(t, limit, nil, change)
 }
 
-// startProcessWithEnv is startProcess with further variables in the program's environment.
+// startProcessWithEnv is startProcess with additional variables in the program's environment.
 func startProcessWithEnv(t *testing.T, limit uint64, env []string, change func(c map[string]any)) *process {
 	t.Helper()
 	var c map[string]any
@@ -83,7 +84,8 @@
 		t.Fatal(err)
 	}
 	p.cmd = exec.Command(os.Args[0])
-	// The race detector has a process sleep for a second at its end, which is none of the program's own time.
+	// By default the race detector makes a process sleep for one second at its exit, which would
+	// count as time that the program takes to stop.
 	p.cmd.Env = append(append(os.Environ(), "OSPREYSPAN_TEST_PROGRAM=1", "EDGE_CONFIG="+fifo, "GORACE=atexit_sleep_ms=0"), env...)
 	p.cmd.Stdout, p.cmd.Stderr = p, p
 	if err := p.cmd.Start(); err != nil {
@@ -112,13 +114,14 @@
 	}
 	for begin := time.Now(); !strings.Contains(p.logText(), "serving at"); time.Sleep(5 * time.Millisecond) {
 		if time.Since(begin) > 10*time.Second {
-			t.Fatalf("it does not serve\n%s", p.logText())
+			t.Fatalf("the program does not serve within 10 s\n%s", p.logText())
 		}
 	}
 	return p
 }
 
-// descriptors counts those that the process holds, without what the test itself was given by whoever runs it.
+// descriptors returns the number of open descriptors of the process, without those that the test
+// process inherited and passed on.
 func (p *process) descriptors() int {
 	p.t.Helper()
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fdinfo", p.cmd.Process.Pid))
@@ -135,11 +138,12 @@
 	return n
 }
 
-// isCloseOnExec tells whether a descriptor ends with exec, as all do that the program itself opens.
+// isCloseOnExec reports whether a descriptor is closed on exec, as all are that the program itself
+// opens.
 func (p *process) isCloseOnExec(fd string) bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/fdinfo/%s", p.cmd.Process.Pid, fd))
 	if err != nil {
-		return false // closed meanwhile
+		return false // closed in the meantime
 	}
 	found := regexp.MustCompile(`flags:\s*([0-7]+)`).FindSubmatch(text)
 	if found == nil {
@@ -152,18 +156,21 @@
 	return flags&unix.O_CLOEXEC != 0
 }
 
-// What the process holds beside its loop's sockets fits what the proxy keeps for that.
+// TestOwnDescriptors checks that the descriptors that the process holds besides its loop's sockets
+// fit into proxy.OwnDescriptors, the number that the proxy reserves for them.
 func TestOwnDescriptors(t *testing.T) {
 	p := startProcess(t, 1024, func(map[string]any) {})
 	const listener, reloadedFile = 1, 1
 	time.Sleep(50 * time.Millisecond)
 	if own := p.descriptors() - listener + reloadedFile; own > proxy.OwnDescriptors || own < 6 {
-		t.Errorf("%d descriptors are the process's own, %d are kept for them", own, proxy.OwnDescriptors)
+		t.Errorf("the process holds %d descriptors of its own, want 6 to %d", own, proxy.OwnDescriptors)
 	}
 }
 
-// Discovery is down while clients that say nothing take all descriptors that the process may hold by its configuration and by the
-// system. The call to discovery finds one when that is back, and so does the request of a client.
+// TestIdleClientsFillTheDescriptors connects idle clients until the process holds as many
+// descriptors as its configuration and the system allow, while discovery is down. Requests of
+// clients must still be served, and the call to discovery must find a descriptor once discovery is
+// back.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -193,7 +200,7 @@
 		}
 	}()
 	connectIdleClients()
-	const requests = 140 // two descriptors each, if they are taken
+	const requests = 140 // each uses two descriptors if it is accepted
 	clients := make([]net.Conn, requests)
 	for i := range clients {
 		if clients[i], err = net.Dial("tcp", p.addr); err != nil {
@@ -209,16 +216,16 @@
 		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		text, err := bufio.NewReader(c).ReadString('\n')
 		if err != nil {
-			t.Fatalf("client %d got %q, %v", i, text, err)
+			t.Fatalf("client %d: got answer %q, %v", i, text, err)
 		}
 		word, _, _ := strings.Cut(strings.TrimSpace(text), " ")
 		count[word]++
 	}
 	if count["UP"] < 65 || count["UP"]+count["BUSY"] < requests {
-		t.Errorf("%d requests were answered %v", requests, count)
+		t.Errorf("%d requests, answers %v, want at least 65 UP and otherwise BUSY", requests, count)
 	}
 	if n := p.descriptors(); n > 200-proxy.OwnDescriptors {
-		t.Errorf("%d descriptors of 200 are open", n)
+		t.Errorf("%d of 200 descriptors are open", n)
 	}
 	l, err := net.Listen("tcp", discovery)
 	if err != nil {
@@ -229,12 +236,12 @@
 	_ = l.(*net.TCPListener).SetDeadline(time.Now().Add(5 * time.Second))
 	call, err := l.Accept()
 	if err != nil {
-		t.Fatalf("no call reaches discovery: %v\n%s", err, p.logText())
+		t.Fatalf("discovery receives no call: %v\n%s", err, p.logText())
 	}
 	call.Close()
 }
 
-// serveAllRequests is a target that serves all.
+// serveAllRequests is a server that accepts all requests.
 func serveAllRequests(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -256,7 +263,7 @@
 	}
 }
 
-// exampleClass is the name of a class of the example's settings.
+// exampleClass returns the name of a class in the settings of the example configuration.
 func exampleClass(t *testing.T) string {
 	t.Helper()
 	c, err := parseConfig([]byte(exampleConfig(t)), emptyEnv)
@@ -266,6 +273,6 @@
 	for name := range c.settings.Classes {
 		return name
 	}
-	t.Fatal("the example has no class")
+	t.Fatal("the example configuration has no class")
 	return ""
 }
--- a/cmd/ospreyspan/drains_test.go
+++ b/cmd/ospreyspan/drains_test.go
@@ -6,25 +6,33 @@
 )
 
 const (
-	// maxNewsDelay is how long after discovery had it a change counts as told at the latest, drainGrace the settings' time in which sends
-	// must cease after that, and socketSlack by how much each limit of time is longer on sockets.
-	maxNewsDelay  = 6 * time.Second
-	drainGrace    = 500 * time.Millisecond
+	// maxNewsDelay is the time after which a change in discovery counts as known to the proxy,
+	// whether or not it has arrived.
+	maxNewsDelay = 6 * time.Second
+	// drainGrace is the time, by the settings, within which the proxy must stop sending to a server
+	// once its drain counts as known.
+	drainGrace = 500 * time.Millisecond
+	// timeTolerance is added to each time limit when it is checked on real sockets.
 	timeTolerance = 50 * time.Millisecond
 )
 
-// Discovery has too many callers and refuses all calls; a server begins to drain meanwhile, answers probes as before and turns new
-// work away. The drain counts as told 6 s later whether it arrived or not: from 0.5 s after that nothing new reaches the server.
+// TestDrainWhileDiscoveryRefusesCalls lets a server begin to drain while discovery is overloaded
+// and refuses all calls. The server still answers probes, but rejects new requests. The drain
+// counts as known 6 s later, whether or not it was announced; from 0.5 s after that no new request
+// may reach the server.
 //
-// It failed each time: "a request reached the server 6.653903604s after it began to drain". The process took the PONG of its probe for a
-// proof that the server takes new work until another one that drained had answered a probe in its sight; here none had. Only a request
-// that the server took is a proof now (proxy/proofs.go).
+// The test guards against accepting the PONG of a probe as proof that a server takes new requests.
+// The proxy did so unless it had seen another draining server answer a probe, and the test failed
+// each time: "a request reached the server 6.653903604s after it began to drain". Only a request
+// that the server accepted is proof (internal/proxy/proofs.go).
 func TestDrainWhileDiscoveryRefusesCalls(t *testing.T) {
 	b := newTestbed(t, testbedConfig{servers: 3, configure: disableGroups})
 	b.checkUnannouncedDrain(t)
 }
 
-// The same, where the process has seen before that a server which drains answers probes.
+// TestUnannouncedDrainWhereDrainingServersAnswerProbes makes the check of
+// TestDrainWhileDiscoveryRefusesCalls after the process has seen another draining server answer
+// probes.
 func TestUnannouncedDrainWhereDrainingServersAnswerProbes(t *testing.T) {
 	b := newTestbed(t, testbedConfig{servers: 4, configure: disableGroups})
 	b.servers[3].startDraining()
@@ -33,8 +41,12 @@
 	b.checkUnannouncedDrain(t)
 }
 
-func disableGroups(set map[string]any) { set["Domain"].(map[string]any)["Groups"] = false }
+// disableGroups turns groups off in the settings.
+func disableGroups(settings map[string]any) { settings["Domain"].(map[string]any)["Groups"] = false }
 
+// checkUnannouncedDrain drains server 0 while discovery refuses calls, and checks that requests
+// stop reaching it in time and that the other servers get all requests once discovery answers
+// again.
 func (b *testbed) checkUnannouncedDrain(t *testing.T) {
 	t.Helper()
 	b.requestMany("before", 30, time.Second)
@@ -54,6 +66,6 @@
 	before := len(b.servers[1].receivedAttempts()) + len(b.servers[2].receivedAttempts())
 	b.requestMany("after", 40, time.Second)
 	if n := len(b.servers[1].receivedAttempts()) + len(b.servers[2].receivedAttempts()) - before; n < 40 {
-		t.Errorf("once discovery answers again the others are sent %d of 40 requests", n)
+		t.Errorf("once discovery answers again, the other servers receive %d of 40 requests", n)
 	}
 }
--- a/cmd/ospreyspan/growth_test.go
+++ b/cmd/ospreyspan/growth_test.go
@@ -9,17 +9,18 @@
 	"time"
 )
 
-// resourceUse is what a process needed over a play.
+// resourceUse is the use of resources by a process during a run.
 type resourceUse struct {
-	cpuTime     time.Duration // shown, and no verdict: the machine may be busy
-	memoryKB    int           // KB at its peak
+	cpuTime     time.Duration // logged, but not checked, since the machine may be busy
+	memoryKB    int           // peak resident size
 	descriptors int
-	connections int // made to servers
+	connections int // accepted by servers
 	listBytes   int
 }
 
-// With sixteen times the servers and the same traffic a process needs at most what the standing pages allow: memory, descriptors,
-// connections to servers and bytes of lists while discovery tells changes.
+// TestGrowthWithServers checks that, with sixteen times the servers and the same traffic, a process
+// needs no more memory, descriptors, connections to servers and bytes of lists than the
+// specification allows, while discovery announces changes.
 func TestGrowthWithServers(t *testing.T) {
 	const fewServers, manyServers = 200, 3200
 	before, after := measureResourceUse(t, fewServers), measureResourceUse(t, manyServers)
@@ -40,24 +41,25 @@
 	}
 }
 
-// measureResourceUse plays some seconds of requests and changes of the list with so many servers, which listen at few addresses.
+// measureResourceUse runs a process for some seconds of requests and list changes with the given
+// number of servers, which share a few listen addresses.
 func measureResourceUse(t *testing.T, servers int) resourceUse {
 	t.Helper()
 	const listeners, rounds = 20, 8
-	b := newTestbed(t, testbedConfig{servers: listeners, configure: func(set map[string]any) { set["Balancers"] = 300 }, hostCount: servers})
+	b := newTestbed(t, testbedConfig{servers: listeners, configure: func(settings map[string]any) { settings["Balancers"] = 300 }, hostCount: servers})
 	for round := range rounds {
 		b.requestMany(fmt.Sprint(servers, "-", round, "-"), 20, 500*time.Millisecond)
 		b.discovery.announceEntry(round)
 	}
 	pid := b.process.cmd.Process.Pid
-	u := resourceUse{descriptors: b.process.descriptors(), memoryKB: peakMemoryKB(t, pid), cpuTime: cpuTime(t, pid), listBytes: b.discovery.sentListBytes()}
+	use := resourceUse{descriptors: b.process.descriptors(), memoryKB: peakMemoryKB(t, pid), cpuTime: cpuTime(t, pid), listBytes: b.discovery.sentListBytes()}
 	for _, s := range b.servers {
-		u.connections += s.connectionCount()
+		use.connections += s.connectionCount()
 	}
-	return u
+	return use
 }
 
-// peakMemoryKB is a process's largest resident size in KB.
+// peakMemoryKB returns the peak resident size of a process in KB.
 func peakMemoryKB(t *testing.T, pid int) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -72,7 +74,8 @@
 	return n
 }
 
-// cpuTime is the processor time that a process has used, by Linux's hundredths of a second.
+// cpuTime returns the processor time that a process has used. Linux counts it in hundredths of a
+// second.
 func cpuTime(t *testing.T, pid int) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
--- a/cmd/ospreyspan/main.go
+++ b/cmd/ospreyspan/main.go
@@ -1,6 +1,6 @@
-// Command ospreyspan is a proxy for long-lived connections. It accepts clients' connections, asks the
-// decision module (package balance) for a target for each of them, and forwards lines between the
-// client and the target.
+// Command ospreyspan is a proxy for long-lived connections. It accepts clients' connections, asks
+// the decision module (package balance) for a target for each of them, and forwards lines between
+// the client and the target.
 package main
 
 import (
@@ -19,8 +19,8 @@
 // systemCalls are the system calls that the event loop uses. Tests replace them to inject failures.
 var systemCalls = poll.LinuxCalls()
 
-// run serves until a planned stop has been completed. operatorFile is the path of the operator file;
-// it is empty if there is none. Log lines and counters are written to out.
+// run serves until a planned stop has been completed. operatorFile is the path of the operator
+// file; it is empty if there is none. Log lines and counters are written to out.
 func run(env func(string) string, operatorFile string, out io.Writer) error {
 	sig := catchSignals()
 	var cfg *config
--- a/cmd/ospreyspan/memory_test.go
+++ b/cmd/ospreyspan/memory_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// statusField reads a figure of the process's statusField.
+// statusField returns a numeric field of the process's /proc status.
 func (p *process) statusField(name string) int {
 	p.t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
@@ -23,7 +23,7 @@
 	}
 	found := regexp.MustCompile(name + `:\s*(\d+)`).FindSubmatch(text)
 	if found == nil {
-		p.t.Fatalf("no %s", name)
+		p.t.Fatalf("no field %s in the status of the process", name)
 	}
 	n, err := strconv.Atoi(string(found[1]))
 	if err != nil {
@@ -32,8 +32,10 @@
 	return n
 }
 
-// Memory and threads of one of 350 processes with 500 targets, and of one of 1,024 with as many: with lists that come again and
-// again, clients that stand and others that say nothing, half of what a scored day allows is enough.
+// TestProcessMemoryAndThreads checks the memory and the number of threads of one process out of 350
+// with 500 targets, and of one out of 1,024 with 1,024 targets, while whole lists arrive repeatedly
+// and both open connections and clients without a request are present. Each bound is half of what
+// a scored day allows.
 func TestProcessMemoryAndThreads(t *testing.T) {
 	const maxMB, maxThreads = 96, 16
 	target, err := net.Listen("tcp", "127.0.0.1:0")
@@ -44,20 +46,20 @@
 	go serveAllRequests(target)
 	for processes, targets := range map[int]int{350: 500, 1024: 1024} {
 		list := targetList(t, targets, target.Addr().String())
-		asked := make(chan struct{}, 1000)
+		calls := make(chan struct{}, 1000)
 		discovery, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		server := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = w.Write(list)
-			asked <- struct{}{}
+			calls <- struct{}{}
 		})}
 		go func() { _ = server.Serve(discovery) }()
 		p := startProcess(t, 1024, func(c map[string]any) {
 			c["discovery"], c["known"] = discovery.Addr().String(), json.RawMessage(list)
-			set := c["settings"].(map[string]any)
-			set["Balancers"], set["Invariants"].(map[string]any)["AskWithinUs"] = processes, 200000
+			settings := c["settings"].(map[string]any)
+			settings["Balancers"], settings["Invariants"].(map[string]any)["AskWithinUs"] = processes, 200000
 		})
 		for i := range 700 {
 			c, err := net.Dial("tcp", p.addr)
@@ -66,30 +68,30 @@
 			}
 			defer c.Close()
 			if i >= 200 {
-				continue // it says nothing
+				continue // sends no request
 			}
 			fmt.Fprintf(c, "OPEN a%d k%d c=%s,d=1500\r\n", i, i, exampleClass(t))
 			_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 			if text, err := bufio.NewReader(c).ReadString('\n'); !strings.HasPrefix(text, "UP ") {
-				t.Fatalf("client %d got %q, %v", i, text, err)
+				t.Fatalf("client %d: got answer %q, %v", i, text, err)
 			}
 		}
 		for range 20 {
 			select {
-			case <-asked:
+			case <-calls:
 			case <-time.After(5 * time.Second):
-				t.Fatal("it does not ask discovery")
+				t.Fatal("discovery receives no call within 5 s")
 			}
 		}
 		peak, threads := p.statusField("VmHWM")>>10, p.statusField("Threads")
 		if t.Logf("%d processes, %d targets: %d MB at the peak, %d threads", processes, targets, peak, threads); peak > maxMB || threads > maxThreads {
-			t.Errorf("over %d MB or %d threads", maxMB, maxThreads)
+			t.Errorf("more than %d MB or %d threads", maxMB, maxThreads)
 		}
 		_ = server.Close()
 	}
 }
 
-// targetList is a whole list of so many targets, all at one address.
+// targetList returns a whole list of n targets that all have the same address.
 func targetList(t *testing.T, n int, addr string) []byte {
 	t.Helper()
 	var hosts []map[string]any
--- a/cmd/ospreyspan/reload.go
+++ b/cmd/ospreyspan/reload.go
@@ -18,8 +18,8 @@
 	reloadRetryTimeout = 4 * time.Second
 )
 
-// reloader applies a replaced configuration file while the program serves. Only the goroutine of the
-// event loop may use it.
+// reloader applies a replaced configuration file while the program serves. Only the goroutine of
+// the event loop may use it.
 type reloader struct {
 	loop          *poll.Loop
 	env           func(string) string
--- a/cmd/ospreyspan/reload_test.go
+++ b/cmd/ospreyspan/reload_test.go
@@ -11,8 +11,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// The file can't be opened in the moment of SIGHUP, since the process or the machine is out of descriptors. It counts all the same
-// 4 s later: a drain that only the new discovery tells of is kept.
+// TestReloadWithoutFreeDescriptors checks that the program retries a reload if the file cannot be
+// opened at the time of SIGHUP because the process or the machine is out of descriptors. The new
+// configuration counts from 4 s after the signal all the same: the program must respect a drain
+// that only the new discovery announces.
 func TestReloadWithoutFreeDescriptors(t *testing.T) {
 	b := newTestbed(t, testbedConfig{servers: 2})
 	path := b.process.configPath
@@ -42,19 +44,20 @@
 	}
 	time.Sleep(2 * time.Second)
 	if newDiscovery.calls() == 0 {
-		t.Errorf("the new discovery was not asked\n%s", b.process.logText())
+		t.Errorf("the new discovery received no call\n%s", b.process.logText())
 	}
 }
 
-// New configurations come in a row, some of them broken: the last one that can be used is in force, a drain that only its discovery
-// tells of is kept from 4 s after its signal, and connections go on through all of them.
+// TestConsecutiveReloads replaces the configuration several times in quick succession, partly with
+// invalid files. The last valid one must be in force, a drain that only its discovery announces
+// must be respected from 4 s after its signal, and connections must continue through all reloads.
 func TestConsecutiveReloads(t *testing.T) {
 	b := newTestbed(t, testbedConfig{servers: 3, configure: disableGroups})
 	text, err := os.ReadFile(b.process.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	standingClient, word, err := b.request("stands", exampleClass(t), time.Second)
+	standingClient, word, err := b.request("standing", exampleClass(t), time.Second)
 	if word != "UP" {
 		t.Fatalf("answer %q, %v", word, err)
 	}
@@ -93,8 +96,8 @@
 	io.WriteString(standingClient.conn, "still there\r\n")
 	for text, err := standingClient.readLine(time.Second); text != "still there"; text, err = standingClient.readLine(time.Second) {
 		if err != nil || text == "MOVE" {
-			if text != "MOVE" { // off the draining server
-				t.Errorf("the connection that stood: %q, %v", text, err)
+			if text != "MOVE" { // MOVE is allowed: the connection's server may be the draining one
+				t.Errorf("the open connection: got %q, %v", text, err)
 			}
 			break
 		}
--- a/cmd/ospreyspan/retry.go
+++ b/cmd/ospreyspan/retry.go
@@ -14,9 +14,9 @@
 	retryInterval     = 20 * time.Millisecond
 )
 
-// transientErrors are the errors that may disappear shortly without intervention: the machine is out
-// of descriptors, memory or buffers, a disk reports an I/O error, or the address still belongs to a
-// process that is ending.
+// transientErrors are the errors that may disappear shortly without intervention: the machine is
+// out of descriptors, memory or buffers, a disk reports an I/O error, or the address still belongs
+// to a process that is ending.
 var transientErrors = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.ENOBUFS, syscall.EAGAIN, syscall.EINTR, syscall.EIO,
 	syscall.EADDRINUSE, syscall.EADDRNOTAVAIL,
--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -29,8 +29,8 @@
 	keeperLog *keeper.File
 }
 
-// loadOperatorFeatures reads the operator file at path and sets up the log of fleet events, which is
-// written to out.
+// loadOperatorFeatures reads the operator file at path and sets up the log of fleet events, which
+// is written to out.
 func loadOperatorFeatures(path string, out io.Writer) (*operatorFeatures, error) {
 	config, err := operator.Read(path)
 	if err != nil {
@@ -45,8 +45,8 @@
 	return features, nil
 }
 
-// logWriter returns the writer for the lines of the proxy's own log. If the operator file asks for a
-// log in JSON, each line becomes an event of that log.
+// logWriter returns the writer for the lines of the proxy's own log. If the operator file asks for
+// a log in JSON, each line becomes an event of that log.
 func (f *operatorFeatures) logWriter(out io.Writer) io.Writer {
 	if f == nil || f.config.Log.Format != "json" {
 		return out
--- a/cmd/ospreyspan/signals.go
+++ b/cmd/ospreyspan/signals.go
@@ -18,8 +18,8 @@
 
 // catchSignals registers for the signals. The program calls it first of all, since a signal that
 // arrives earlier ends the process. Signals that arrive before forward is called stay in their
-// channels. Each purpose has a channel of its own, because a full channel drops signals: however many
-// signals of one kind are pending, none of another kind is lost.
+// channels. Each purpose has a channel of its own, because a full channel drops signals: however
+// many signals of one kind are pending, none of another kind is lost.
 func catchSignals() *signals {
 	s := &signals{
 		stopSignals:   notifyChannel(syscall.SIGTERM, syscall.SIGINT),
--- a/cmd/ospreyspan/signals_test.go
+++ b/cmd/ospreyspan/signals_test.go
@@ -16,10 +16,11 @@
 	"ospreyspan/internal/poll/callfaults"
 )
 
-// faultPlanEnv names the plan by which the program's system calls fail.
+// faultPlanEnv is the environment variable that holds the plan, in JSON, by which the program's
+// system calls fail.
 const faultPlanEnv = "OSPREYSPAN_TEST_FAULTS"
 
-// TestMain runs the program itself in a process of a test's own.
+// TestMain runs the program itself, instead of the tests, in the processes that tests start.
 func TestMain(m *testing.M) {
 	if os.Getenv("OSPREYSPAN_TEST_PROGRAM") != "" {
 		if text := os.Getenv(faultPlanEnv); text != "" {
@@ -34,9 +35,10 @@
 	os.Exit(m.Run())
 }
 
-// A signal that comes while the program still reads its configuration does not end the process: SIGTERM is a planned stop, which
-// ends in order with exit code 0, and SIGHUP and SIGUSR1 are waited with, however many come before it. The program is held at that
-// point: its configuration is a FIFO, which opens for writing once it is being read.
+// TestSignalsDuringStart checks that signals that arrive while the program still reads its
+// configuration do not end the process. SIGTERM causes a planned stop with exit code 0; SIGHUP and
+// SIGUSR1 stay pending, however many of them arrive before it. The configuration is a FIFO, which
+// opens for writing only once the program reads it, so the test can hold the program at that point.
 func TestSignalsDuringStart(t *testing.T) {
 	for name, series := range map[string][]os.Signal{
 		"USR1 TERM":            {syscall.SIGUSR1, syscall.SIGTERM},
@@ -51,7 +53,7 @@
 	}
 }
 
-// signalInterval is long enough for each signal of a series to reach the program by itself.
+// signalInterval is long enough for the program to receive each signal of a series separately.
 const signalInterval = 5 * time.Millisecond
 
 func testSignalsDuringStart(t *testing.T, series []os.Signal) {
@@ -86,17 +88,17 @@
 			time.Sleep(signalInterval)
 		}
 		text := regexp.MustCompile(`"HardLimitUs": \d+`).ReplaceAllString(exampleConfig(t), `"HardLimitUs": 100000`)
-		_, _ = w.WriteString(text) // fails where the process has ended, which is told below
+		_, _ = w.WriteString(text) // fails if the process has ended, which is reported below
 		w.Close()
 	case err := <-ended:
-		t.Fatalf("it ended before it read its configuration: %v\n%s", err, log.String())
+		t.Fatalf("the program ended before it read its configuration: %v\n%s", err, log.String())
 	}
 	select {
 	case err := <-ended:
 		if err != nil || !strings.Contains(log.String(), "stopping: 0 sessions") {
-			t.Errorf("%v\n%s", err, log.String())
+			t.Errorf("exit error %v, want nil and the log line of a planned stop\n%s", err, log.String())
 		}
 	case <-time.After(20 * time.Second):
-		t.Errorf("it goes on after SIGTERM")
+		t.Errorf("the program is still running 20 s after its configuration")
 	}
 }
--- a/cmd/ospreyspan/stalls_test.go
+++ b/cmd/ospreyspan/stalls_test.go
@@ -11,12 +11,13 @@
 	"time"
 )
 
-// maxAttemptDelay is how long after its client left an attempt may begin, by the standing pages.
+// maxAttemptDelay is how long after its client has left an attempt may begin, by the specification.
 const maxAttemptDelay = 100 * time.Millisecond
 
-// The machine keeps the process from running for 0.15 s again and again, a server hangs, and clients wait for 0.1 to 0.5 s or leave
-// before that. Every request has its final answer at the latest 0.5 s after its time, one attempt is out at a time, and none begins
-// more than 0.1 s after its client left.
+// TestStalls suspends the process for 0.15 s repeatedly while a server does not respond and clients
+// wait for 0.1 to 0.5 s or leave earlier. Every request must have its final answer at most 0.5 s
+// after its deadline, may have only one attempt open at a time, and no attempt may begin more than
+// 0.1 s after its client has left.
 func TestStalls(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -74,7 +75,7 @@
 				return
 			}
 			if _, err := c.readLine(deadline + answerMargin); err != nil {
-				t.Errorf("request %s of %v: no answer after %v: %v, its end %v", id, deadline, time.Since(c.sentAt), err, errors.Is(err, io.EOF))
+				t.Errorf("request %s with deadline %v: no answer after %v: %v, connection ended: %v", id, deadline, time.Since(c.sentAt), err, errors.Is(err, io.EOF))
 			}
 		})
 	}
@@ -85,7 +86,7 @@
 	for _, s := range b.servers {
 		for _, a := range s.receivedAttempts() {
 			if at, ok := leftAt[a.id]; ok && a.receivedAt.Sub(at) > maxAttemptDelay {
-				t.Errorf("request %s: an attempt began %v after its client left", a.id, a.receivedAt.Sub(at))
+				t.Errorf("request %s: an attempt began %v after its client had left", a.id, a.receivedAt.Sub(at))
 			}
 		}
 	}
--- a/cmd/ospreyspan/stop_test.go
+++ b/cmd/ospreyspan/stop_test.go
@@ -15,22 +15,23 @@
 )
 
 var (
-	stopSeeds     = flag.Uint64("soak.seeds", 12, "planned stops that TestPlannedStops plays")
-	firstStopSeed = flag.Uint64("soak.from", 1, "its first seed")
+	stopSeeds     = flag.Uint64("soak.seeds", 12, "number of planned stops, each with its own seed, that TestPlannedStops runs")
+	firstStopSeed = flag.Uint64("soak.from", 1, "first seed of TestPlannedStops")
 )
 
-// plannedStop is one planned stop of the program, drawn from a seed, with clients that go on until the process is killed.
+// plannedStop is one planned stop of the program, drawn from a seed, with clients that continue
+// until the process is killed.
 type plannedStop struct {
 	*testbed
 	rng       *rand.Rand
 	deadlines map[string]time.Duration
-	// stopSentAt is when the first signal that stops the process was sent, killAt when SIGKILL follows by the protocol: the longest
-	// deadline, counted as 3 s at the most, and 0.7 s later.
+	// stopSentAt is when the first signal that stops the process was sent. killAt is when SIGKILL
+	// follows by the protocol: after the longest deadline, of which at most 3 s count, plus 0.7 s.
 	stopSentAt, killAt time.Time
 	lock               sync.Mutex
 	outcomes           map[string]int
-	refused            map[string]bool // requests that were answered BUSY
-	singleShot         map[string]bool // classes that must not run twice
+	refused            map[string]bool // IDs of requests that were answered BUSY
+	singleShot         map[string]bool // classes whose requests must not run twice
 	clients            sync.WaitGroup
 }
 
@@ -41,13 +42,16 @@
 	idleClients        = 25
 	newClients         = 25
 	silentClients      = 300
-	// maxStall is how long the machine may keep a process from running, by the standing pages.
+	// maxStall is how long the machine may keep a process from running, by the specification.
 	maxStall = 150 * time.Millisecond
 )
 
-// Planned stops on real processes, from seeds: deadlines down to 100 ms, the kill at the earliest moment that the protocol allows,
-// signals in series, a server that hangs, a crowd that says nothing, a stall of 0.15 s, and clients that use their open connections until the kill.
-// Every request has its final answer, every client that stands hears MOVE while its server lives, and nothing is held at the kill.
+// TestPlannedStops runs planned stops of real processes, drawn from seeds: deadlines as short as
+// 100 ms, SIGKILL at the earliest time that the protocol allows, series of signals, an unresponsive
+// server, many clients that send no complete request, a stall of 0.15 s, and clients that use their
+// open connections until the kill. Every request must have its final answer, every client with an
+// open session must receive MOVE while its server runs, and the process must have ended by the time
+// of the kill.
 func TestPlannedStops(t *testing.T) {
 	for seed := *firstStopSeed; seed < *firstStopSeed+*stopSeeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -72,15 +76,15 @@
 		{syscall.SIGUSR1, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGHUP},
 	}[p.rng.IntN(6)]
 	serverHangs, manySilentClients, stalls := p.rng.IntN(3) == 0, p.rng.IntN(3) == 0, p.rng.IntN(3) == 0
-	p.testbed = newTestbed(t, testbedConfig{servers: 3, deadlines: p.deadlines, configure: func(set map[string]any) {
-		for _, class := range set["Classes"].([]any) {
+	p.testbed = newTestbed(t, testbedConfig{servers: 3, deadlines: p.deadlines, configure: func(settings map[string]any) {
+		for _, class := range settings["Classes"].([]any) {
 			if class := class.(map[string]any); p.singleShot[class["Name"].(string)] {
 				class["Repeat"] = "single_shot"
 			}
 		}
 	}})
 	defer func() {
-		t.Logf("deadlines %v, once %v, signals %v, a server hangs %v, crowd %v, stall %v: %v", p.deadlines, p.singleShot, signals, serverHangs, manySilentClients, stalls, p.outcomes)
+		t.Logf("deadlines %v, single-shot classes %v, signals %v, unresponsive server %v, silent clients %v, stall %v: outcomes %v", p.deadlines, p.singleShot, signals, serverHangs, manySilentClients, stalls, p.outcomes)
 		if t.Failed() {
 			t.Log(p.process.logText())
 		}
@@ -115,7 +119,7 @@
 			p.stopSentAt = time.Now()
 			p.killAt = p.stopSentAt.Add(longest + killMargin)
 		}
-		_ = p.process.cmd.Process.Signal(sig) // it may have ended
+		_ = p.process.cmd.Process.Signal(sig) // fails if the process has ended
 		time.Sleep(time.Duration(p.rng.IntN(30)) * time.Millisecond)
 	}
 	p.lock.Unlock()
@@ -150,11 +154,11 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("it ended with %v", err)
+			t.Errorf("the process ended with an error: %v", err)
 		}
 	case <-time.After(time.Until(p.killAt)):
 		_ = p.process.cmd.Process.Signal(os.Kill)
-		t.Errorf("it had to be killed %v after the signal", time.Since(p.stopSentAt))
+		t.Errorf("the process was still running %v after the signal and had to be killed", time.Since(p.stopSentAt))
 		<-ended
 	}
 	p.clients.Wait()
@@ -162,7 +166,8 @@
 	p.checkSingleShotRequests()
 }
 
-// checkSingleShotRequests checks that a request of a class that must not run twice was sent once, and was not refused once it had been sent.
+// checkSingleShotRequests checks that requests of classes that must not run twice were sent at most
+// once, and were not answered BUSY if they had been sent.
 func (p *plannedStop) checkSingleShotRequests() {
 	sent := make(map[string]int)
 	for _, s := range p.servers {
@@ -182,7 +187,8 @@
 	p.outcomes[outcome]++
 }
 
-// runStandingClient is a client that was there before the stop; one that is refused comes again, as clients do.
+// runStandingClient is a client that connects before the stop. If it is refused, it tries again, up
+// to three times in all.
 func (p *plannedStop) runStandingClient(id string) {
 	for try := range 3 {
 		c, err := p.dial()
@@ -195,18 +201,19 @@
 	}
 }
 
-// requestOn sends a requestOn on an open connection, judges its answer and, once it is up, sends lines until the connection ends.
+// requestOn sends a request on an open connection and checks its answer. If the answer is UP, it
+// exchanges lines until the client is told to move, and returns true.
 func (p *plannedStop) requestOn(c *testClient, id, class string) (up bool) {
 	defer c.conn.Close()
 	if err := c.sendOpen(id, class, p.deadlines[class]); err != nil {
 		p.countOutcome("unsent")
-		return false // the connection had ended: it was never taken
+		return false // the connection had ended before the request was accepted
 	}
 	text, err := c.readLine(p.deadlines[class] + answerMargin)
 	switch {
 	case errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET):
 		if text != "" {
-			p.t.Errorf("request %s: half an answer %q", id, text)
+			p.t.Errorf("request %s: truncated answer %q", id, text)
 		}
 		p.t.Errorf("request %s, sent %v after the signal: its connection ended without an answer: %v", id, p.sinceStop(c.sentAt), err)
 		return false
@@ -225,6 +232,7 @@
 	return true
 }
 
+// sinceStop returns how long after the stop signal a time is; 0 if the signal has not been sent.
 func (p *plannedStop) sinceStop(at time.Time) time.Duration {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -234,28 +242,28 @@
 	return at.Sub(p.stopSentAt).Round(time.Millisecond)
 }
 
-// maxLineDelay is how long a line may be held back, by the protocol.
+// maxLineDelay is the longest time for which the proxy may delay a line, by the protocol.
 const maxLineDelay = time.Second
 
-// exchangeLines sends lines on a connection that stands, until it is told to move. Its server may have been hung since: then no line comes
-// back, and MOVE does all the same.
+// exchangeLines sends lines on an open session and checks their echoes until the client receives
+// MOVE. If the server has become unresponsive, no line returns, but MOVE must still arrive.
 func (p *plannedStop) exchangeLines(c *testClient, serverMayHang bool) {
 	for n := 0; ; n++ {
 		sent := fmt.Sprintf("line %d of %s", n, c.id)
 		if _, err := fmt.Fprint(c.conn, sent+"\r\n"); err != nil {
-			sent = "" // it ends; what it was told comes first
+			sent = "" // the connection is ending; lines already sent to the client still arrive
 		}
 		text, err := c.readLine(maxLineDelay)
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded) && serverMayHang && p.servers[0].isUnresponsive() && time.Now().Before(p.killAt):
 		case err != nil:
-			p.t.Errorf("client %s, %v after the signal: cut off without MOVE: %v", c.id, p.sinceStop(time.Now()), err)
+			p.t.Errorf("client %s, %v after the signal: connection ended without MOVE: %v", c.id, p.sinceStop(time.Now()), err)
 			return
 		case text == "MOVE":
 			p.countOutcome("MOVE")
 			return
 		case text != sent && sent != "":
-			p.t.Errorf("client %s: said %q, heard %q", c.id, sent, text)
+			p.t.Errorf("client %s: sent %q, received %q", c.id, sent, text)
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/cmd/ospreyspan/systemcalls_test.go
+++ b/cmd/ospreyspan/systemcalls_test.go
@@ -12,7 +12,8 @@
 	"ospreyspan/internal/poll/callfaults"
 )
 
-// faultPlanEnvironment is the environment of a process whose system calls fail by a plan.
+// faultPlanEnvironment returns the environment variables that make the system calls of a process
+// fail with the given faults.
 func faultPlanEnvironment(t *testing.T, faults ...callfaults.Fault) []string {
 	t.Helper()
 	text, err := json.Marshal(callfaults.Plan{Seed: 1, Faults: faults})
@@ -22,12 +23,13 @@
 	return []string{faultPlanEnv + "=" + string(text)}
 }
 
-// System calls fail for a moment, in the ways that Linux documents, while the servers are sound: every request has one final answer
-// in its time, a connection that stands passes its lines, and such moments are no reason to refuse.
+// TestFailingSystemCalls makes system calls fail temporarily, in the ways that Linux documents,
+// while the servers are healthy. Every request must have one final answer in time, open connections
+// must forward lines, and temporary failures must not cause refusals.
 func TestFailingSystemCalls(t *testing.T) {
 	const sometimes, often, always = 0.25, 0.5, 1.0
-	fault := func(call callfaults.Call, errno unix.Errno, part float64) callfaults.Fault {
-		return callfaults.Fault{Call: call, Errno: errno, Part: part}
+	fault := func(call callfaults.Call, errno unix.Errno, probability float64) callfaults.Fault {
+		return callfaults.Fault{Call: call, Errno: errno, Part: probability}
 	}
 	onSide := func(side callfaults.Side, f callfaults.Fault) callfaults.Fault {
 		f.Side = side
@@ -40,7 +42,7 @@
 	for _, tt := range []struct {
 		name      string
 		faults    []callfaults.Fault
-		minServed int // of the 40 requests, at the least
+		minServed int // of 40 requests
 	}{
 		{"accept ECONNABORTED", []callfaults.Fault{fault(callfaults.Accept, unix.ECONNABORTED, often)}, 40},
 		{"accept EINTR", []callfaults.Fault{fault(callfaults.Accept, unix.EINTR, often)}, 40},
@@ -53,7 +55,7 @@
 		{"accept ENFILE for a moment", []callfaults.Fault{briefly(fault(callfaults.Accept, unix.ENFILE, always))}, 40},
 		{"accept ENFILE, then aborted", []callfaults.Fault{fault(callfaults.Accept, unix.ENFILE, sometimes), fault(callfaults.Accept, unix.ECONNABORTED, often)}, 40},
 		{"accept EMFILE, then aborted", []callfaults.Fault{fault(callfaults.Accept, unix.EMFILE, sometimes), fault(callfaults.Accept, unix.ECONNABORTED, often)}, 20},
-		{"spare ENFILE", []callfaults.Fault{fault(callfaults.Accept, unix.ENFILE, sometimes), fault(callfaults.OpenFile, unix.ENFILE, often)}, 40},
+		{"spare descriptor ENFILE", []callfaults.Fault{fault(callfaults.Accept, unix.ENFILE, sometimes), fault(callfaults.OpenFile, unix.ENFILE, often)}, 40},
 		{"socket ENFILE", []callfaults.Fault{fault(callfaults.Socket, unix.ENFILE, sometimes)}, 40},
 		{"socket EMFILE for a moment", []callfaults.Fault{briefly(callfaults.Fault{Call: callfaults.Socket, Errno: unix.EMFILE, Part: always, Skip: 4})}, 40},
 		{"socket ENOBUFS", []callfaults.Fault{fault(callfaults.Socket, unix.ENOBUFS, often)}, 40},
@@ -87,18 +89,19 @@
 	}
 }
 
-// checkRequestsServed has 40 clients ask within a second and use their connections, and counts what they get.
+// checkRequestsServed sends the requests of 40 clients within a second, exchanges lines on the
+// connections that are served, and checks that at least minServed requests are served.
 func checkRequestsServed(t *testing.T, b *testbed, minServed int) {
 	t.Helper()
 	const clients, lines = 40, 3
 	const deadline = 1500 * time.Millisecond
 	var (
-		all     sync.WaitGroup
-		lock    sync.Mutex
-		answers = make(map[string]int)
+		requests sync.WaitGroup
+		lock     sync.Mutex
+		answers  = make(map[string]int)
 	)
 	for i := range clients {
-		all.Go(func() {
+		requests.Go(func() {
 			time.Sleep(time.Duration(i) * 20 * time.Millisecond)
 			c, word, err := b.request(fmt.Sprintf("a%d", i), exampleClass(t), deadline)
 			if c != nil {
@@ -115,15 +118,15 @@
 				sent := fmt.Sprintf("line %d of %d", n, i)
 				fmt.Fprint(c.conn, sent+"\r\n")
 				if echo, err := c.readLine(time.Second); echo != sent && minServed == clients {
-					t.Errorf("client %d: said %q, heard %q, %v", i, sent, echo, err)
+					t.Errorf("client %d: sent %q, received %q, %v", i, sent, echo, err)
 					return
 				}
 			}
 		})
 	}
-	all.Wait()
+	requests.Wait()
 	if answers["UP"] < minServed {
-		t.Errorf("answers %v, %d served wanted\n%s", answers, minServed, b.process.logText())
+		t.Errorf("answers %v, want at least %d UP\n%s", answers, minServed, b.process.logText())
 	}
 	b.checkNoOverlappingAttempts()
 }
