--- a/cmd/ospreyspan/drains_test.go
+++ b/cmd/ospreyspan/drains_test.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// maxNewsDelay is the time after which a change in discovery counts as known to the proxy,
+	// maxAnnouncementDelay is the time after which a change in discovery counts as known to the proxy,
 	// whether or not it has arrived.
-	maxNewsDelay = 6 * time.Second
+	maxAnnouncementDelay = 6 * time.Second
 	// drainGrace is the time, by the settings, within which the proxy must stop sending to a server
 	// once its drain counts as known.
 	drainGrace = 500 * time.Millisecond
@@ -53,7 +53,7 @@
 	b.discovery.startRefusing()
 	b.servers[0].startDraining()
 	drained := time.Now()
-	drainDeadline := drained.Add(maxNewsDelay + drainGrace + timeTolerance)
+	drainDeadline := drained.Add(maxAnnouncementDelay + drainGrace + timeTolerance)
 	time.Sleep(time.Until(drainDeadline))
 	b.requestMany("during", 40, time.Second)
 	for _, a := range b.servers[0].receivedAttempts() {
--- a/cmd/ospreyspan/reload_test.go
+++ b/cmd/ospreyspan/reload_test.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	standingClient, word, err := b.request("standing", exampleClass(t), time.Second)
+	standingClient, word, err := b.request("stands", exampleClass(t), time.Second)
 	if word != "UP" {
 		t.Fatalf("answer %q, %v", word, err)
 	}
