--- a/cmd/ospreyspan/drains_test.go
+++ b/cmd/ospreyspan/drains_test.go
@@ -6,54 +6,66 @@
 )
 
 const (
-	// newsWithin is how long after discovery had it a change counts as told at the latest, drainGrace the settings' time in which sends
-	// must cease after that, and socketSlack by how much each limit of time is longer on sockets.
-	newsWithin  = 6 * time.Second
-	drainGrace  = 500 * time.Millisecond
-	socketSlack = 50 * time.Millisecond
+	// maxAnnouncementDelay is the time after which a change in discovery counts as known to the proxy,
+	// whether or not it has arrived.
+	maxAnnouncementDelay = 6 * time.Second
+	// drainGrace is the time, by the settings, within which the proxy must stop sending to a server
+	// once its drain counts as known.
+	drainGrace = 500 * time.Millisecond
+	// timeTolerance is added to each time limit when it is checked on real sockets.
+	timeTolerance = 50 * time.Millisecond
 )
 
-// Discovery has too many callers and refuses all calls; a server begins to drain meanwhile, answers probes as before and turns new
-// work away. The drain counts as told 6 s later whether it arrived or not: from 0.5 s after that nothing new reaches the server.
+// TestDrainWhileDiscoveryRefusesCalls lets a server begin to drain while discovery is overloaded
+// and refuses all calls. The server still answers probes, but rejects new requests. The drain
+// counts as known 6 s later, whether or not it was announced; from 0.5 s after that no new request
+// may reach the server.
 //
-// It failed each time: "a request reached the server 6.653903604s after it began to drain". The process took the PONG of its probe for a
-// proof that the server takes new work until another one that drained had answered a probe in its sight; here none had. Only a request
-// that the server took is a proof now (proxy/proofs.go).
-func TestDrainThatDiscoveryIsTooBusyToTell(t *testing.T) {
-	b := newBed(t, bedConfig{servers: 3, configure: withoutGroups})
-	b.drainUnheard(t)
+// The test guards against accepting the PONG of a probe as proof that a server takes new requests.
+// The proxy did so unless it had seen another draining server answer a probe, and the test failed
+// each time: "a request reached the server 6.653903604s after it began to drain". Only a request
+// that the server accepted is proof (internal/proxy/proofs.go).
+func TestDrainWhileDiscoveryRefusesCalls(t *testing.T) {
+	b := newTestbed(t, testbedConfig{servers: 3, configure: disableGroups})
+	b.checkUnannouncedDrain(t)
 }
 
-// The same, where the process has seen before that a server which drains answers probes.
-func TestDrainUnheardOfWhereDrainingServersAnswerProbes(t *testing.T) {
-	b := newBed(t, bedConfig{servers: 4, configure: withoutGroups})
-	b.servers[3].drain()
-	b.discovery.change()
+// TestUnannouncedDrainWhereDrainingServersAnswerProbes makes the check of
+// TestDrainWhileDiscoveryRefusesCalls after the process has seen another draining server answer
+// probes.
+func TestUnannouncedDrainWhereDrainingServersAnswerProbes(t *testing.T) {
+	b := newTestbed(t, testbedConfig{servers: 4, configure: disableGroups})
+	b.servers[3].startDraining()
+	b.discovery.announceWholeList()
 	time.Sleep(time.Second)
-	b.drainUnheard(t)
+	b.checkUnannouncedDrain(t)
 }
 
-func withoutGroups(set map[string]any) { set["Domain"].(map[string]any)["Groups"] = false }
+// disableGroups turns groups off in the settings.
+func disableGroups(settings map[string]any) { settings["Domain"].(map[string]any)["Groups"] = false }
 
-func (b *bed) drainUnheard(t *testing.T) {
+// checkUnannouncedDrain drains server 0 while discovery refuses calls, and checks that requests
+// stop reaching it in time and that the other servers get all requests once discovery answers
+// again.
+func (b *testbed) checkUnannouncedDrain(t *testing.T) {
 	t.Helper()
-	b.askMany("before", 30, time.Second)
-	b.discovery.refuse()
-	b.servers[0].drain()
+	b.requestMany("before", 30, time.Second)
+	b.discovery.startRefusing()
+	b.servers[0].startDraining()
 	drained := time.Now()
-	counts := drained.Add(newsWithin + drainGrace + socketSlack)
-	time.Sleep(time.Until(counts))
-	b.askMany("during", 40, time.Second)
-	for _, a := range b.servers[0].received() {
-		if a.at.After(counts) {
-			t.Errorf("a request reached the server %v after it began to drain", a.at.Sub(drained))
+	drainDeadline := drained.Add(maxAnnouncementDelay + drainGrace + timeTolerance)
+	time.Sleep(time.Until(drainDeadline))
+	b.requestMany("during", 40, time.Second)
+	for _, a := range b.servers[0].receivedAttempts() {
+		if a.receivedAt.After(drainDeadline) {
+			t.Errorf("a request reached the server %v after it began to drain", a.receivedAt.Sub(drained))
 		}
 	}
-	b.discovery.accept()
+	b.discovery.stopRefusing()
 	time.Sleep(2 * time.Second)
-	before := len(b.servers[1].received()) + len(b.servers[2].received())
-	b.askMany("after", 40, time.Second)
-	if n := len(b.servers[1].received()) + len(b.servers[2].received()) - before; n < 40 {
-		t.Errorf("once discovery answers again the others are sent %d of 40 requests", n)
+	before := len(b.servers[1].receivedAttempts()) + len(b.servers[2].receivedAttempts())
+	b.requestMany("after", 40, time.Second)
+	if n := len(b.servers[1].receivedAttempts()) + len(b.servers[2].receivedAttempts()) - before; n < 40 {
+		t.Errorf("once discovery answers again, the other servers receive %d of 40 requests", n)
 	}
 }
--- a/cmd/ospreyspan/wallclock_test.go
+++ b/cmd/ospreyspan/wallclock_test.go
@@ -10,10 +10,11 @@
 	"ospreyspan/internal/poll/callfaults"
 )
 
-// The machine's wall clock is stepped, before the process starts or while it runs, and a server starts. What the server is sent while
-// it is cold is a small part of the requests, whatever the wall clock shows, and once it is warm it has its share.
-func TestWallClockIsStepped(t *testing.T) {
-	const warmIn, requests = 6 * time.Second, 60
+// TestWallClockSteps steps the wall clock of the machine, before the process starts or while it
+// runs, and starts a server. Whatever the wall clock shows, the server must receive only a small
+// part of the requests while it is cold, and its share once it is warm.
+func TestWallClockSteps(t *testing.T) {
+	const warmUp, requests = 6 * time.Second, 60
 	for _, tt := range []struct {
 		name  string
 		steps []callfaults.WallStep
@@ -21,10 +22,10 @@
 		{"never", nil},
 		{"an hour forward before the start", []callfaults.WallStep{{By: time.Hour}}},
 		{"an hour back before the start", []callfaults.WallStep{{By: -time.Hour}}},
-		{"an hour forward before the news", []callfaults.WallStep{{After: time.Second, By: time.Hour}}},
-		{"an hour back before the news", []callfaults.WallStep{{After: time.Second, By: -time.Hour}}},
+		{"an hour forward before the announcement", []callfaults.WallStep{{After: time.Second, By: time.Hour}}},
+		{"an hour back before the announcement", []callfaults.WallStep{{After: time.Second, By: -time.Hour}}},
 		{"10 s forward, then an hour back", []callfaults.WallStep{{After: time.Second, By: 10 * time.Second}, {After: 2500 * time.Millisecond, By: -time.Hour}}},
-		{"10 s back after the news, then forward", []callfaults.WallStep{{After: 2300 * time.Millisecond, By: -10 * time.Second}, {After: 2500 * time.Millisecond, By: time.Hour}}},
+		{"10 s back after the announcement, then forward", []callfaults.WallStep{{After: 2300 * time.Millisecond, By: -10 * time.Second}, {After: 2500 * time.Millisecond, By: time.Hour}}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
@@ -32,37 +33,38 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b := newBed(t, bedConfig{servers: 3, env: []string{faultsVariable + "=" + string(plan)}, configure: func(set map[string]any) {
-				set["Invariants"].(map[string]any)["WarmWithinUs"] = warmIn.Microseconds()
-				set["Domain"].(map[string]any)["Groups"] = false
+			b := newTestbed(t, testbedConfig{servers: 3, env: []string{faultPlanEnv + "=" + string(plan)}, configure: func(settings map[string]any) {
+				settings["Invariants"].(map[string]any)["WarmWithinUs"] = warmUp.Microseconds()
+				settings["Domain"].(map[string]any)["Groups"] = false
 			}})
 			time.Sleep(2 * time.Second)
-			cold := newTestServer(t, "cold")
-			cold.bornMS = time.Now().Add(-time.Second).UnixMilli()
-			b.discovery.add(cold)
+			coldServer := newTestServer(t, "cold")
+			coldServer.startMS = time.Now().Add(-time.Second).UnixMilli()
+			b.discovery.addServer(coldServer)
 			time.Sleep(200 * time.Millisecond)
-			b.askMany("c", requests, 1500*time.Millisecond)
-			if n := len(cold.received()); n > requests/10 {
-				t.Errorf("a server that had just started was sent %d of %d requests", n, requests)
+			b.requestMany("c", requests, 1500*time.Millisecond)
+			if n := len(coldServer.receivedAttempts()); n > requests/10 {
+				t.Errorf("a cold server received %d of %d requests, want at most a tenth", n, requests)
 			}
-			time.Sleep(warmIn)
-			before := len(cold.received())
-			b.askMany("w", requests, 1500*time.Millisecond)
-			if n := len(cold.received()) - before; n < requests/10 {
-				t.Errorf("once it was warm it was sent %d of %d requests", n, requests)
+			time.Sleep(warmUp)
+			before := len(coldServer.receivedAttempts())
+			b.requestMany("w", requests, 1500*time.Millisecond)
+			if n := len(coldServer.receivedAttempts()) - before; n < requests/10 {
+				t.Errorf("a warm server received %d of %d requests, want at least a tenth", n, requests)
 			}
 		})
 	}
 }
 
-// askMany has so many clients ask over a span, each on a connection that it closes when it has its answer.
-func (b *bed) askMany(prefix string, n int, over time.Duration) {
+// requestMany sends count requests, spread evenly over span, each on a connection of its own that
+// is closed after the answer.
+func (b *testbed) requestMany(prefix string, count int, span time.Duration) {
 	b.t.Helper()
-	var all sync.WaitGroup
-	for i := range n {
-		all.Go(func() {
-			time.Sleep(over * time.Duration(i) / time.Duration(n))
-			c, _, err := b.answerTo(fmt.Sprint(prefix, i), exampleClass(b.t), 1500*time.Millisecond)
+	var requests sync.WaitGroup
+	for i := range count {
+		requests.Go(func() {
+			time.Sleep(span * time.Duration(i) / time.Duration(count))
+			c, _, err := b.request(fmt.Sprint(prefix, i), exampleClass(b.t), 1500*time.Millisecond)
 			if err != nil {
 				b.t.Errorf("request %s%d: %v", prefix, i, err)
 			}
@@ -71,5 +73,5 @@
 			}
 		})
 	}
-	all.Wait()
+	requests.Wait()
 }
