--- a/internal/lab/owners/run.go
+++ b/internal/lab/owners/run.go
@@ -340,7 +340,7 @@
 	}
 	m.run.judge.StaleRefused += int(m.node.Count.AnnouncementsStale)
 	m.run.judge.Refuted += int(m.node.Peers().Tally.Refuted)
-	m.run.judge.Twins += int(m.node.Peers().Tally.Twins)
+	m.run.judge.Twins += int(m.node.Peers().Tally.NameConflicts)
 	if k := m.node.Keeper(); k != nil {
 		m.run.judge.Snapshots += int(k.Count.Snapshots)
 	}
--- a/internal/mesh/settle.go
+++ b/internal/mesh/settle.go
@@ -102,7 +102,7 @@
 		what = "member-new"
 	}
 	n.tell(Event{What: what, Member: &e.Member})
-	if e.Twin {
+	if e.NameConflict {
 		n.tell(Event{What: "member-twin", Member: &e.Member})
 	}
 }
--- a/internal/peers/merge.go
+++ b/internal/peers/merge.go
@@ -69,7 +69,7 @@
 	}
 	p.updates.add(m)
 	p.changed++
-	p.events = append(p.events, Event{Member: m.Member, New: true, Twin: p.isTwin(m)})
+	p.events = append(p.events, Event{Member: m.Member, New: true, NameConflict: p.isTwin(m)})
 }
 
 // isTwin tells whether another live member has this one's name at another address. One at the same address is its former
@@ -82,7 +82,7 @@
 		}
 	}
 	if found {
-		p.Tally.Twins++
+		p.Tally.NameConflicts++
 	}
 	return found
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -16,10 +16,10 @@
 
 // Event is a change of one member.
 type Event struct {
-	Member Member
-	Was    State // before
-	New    bool  // it was not known before
-	Twin   bool  // another one of its name lives
+	Member       Member
+	Was          State // before
+	New          bool  // it was not known before
+	NameConflict bool  // another one of its name lives
 }
 
 // Counters count what a process's view did.
@@ -28,7 +28,7 @@
 	Suspected       uint64 // members that did not answer this process
 	Refuted         uint64 // suspicions of this process
 	Died            uint64 // members that were taken for dead
-	Twins           uint64 // members that had the name of another live one
+	NameConflicts   uint64 // members that had the name of another live one
 	Dropped         uint64 // packets and records that broke the bounds
 }
 
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -97,7 +97,7 @@
 	w.run(6 * time.Second)
 	w.knows(t, 8)
 	for _, e := range w.seen {
-		if e.Twin {
+		if e.NameConflict {
 			t.Errorf("a restart passed for a twin: %+v", e)
 		}
 	}
@@ -112,7 +112,7 @@
 	w.knows(t, 6)
 	twins := 0
 	for _, e := range w.seen {
-		if e.Twin && e.Member.Session == 99 {
+		if e.NameConflict && e.Member.Session == 99 {
 			twins++
 		}
 	}
