--- a/internal/lab/owners/run.go
+++ b/internal/lab/owners/run.go
@@ -339,8 +339,8 @@
 		return
 	}
 	m.run.judge.StaleRefused += int(m.node.Count.AnnouncementsStale)
-	m.run.judge.Refuted += int(m.node.Peers().Tally.Refuted)
-	m.run.judge.Twins += int(m.node.Peers().Tally.NameConflicts)
+	m.run.judge.Refuted += int(m.node.Peers().Counters.Refuted)
+	m.run.judge.Twins += int(m.node.Peers().Counters.NameConflicts)
 	if k := m.node.Keeper(); k != nil {
 		m.run.judge.Snapshots += int(k.Count.Snapshots)
 	}
--- a/internal/mesh/view.go
+++ b/internal/mesh/view.go
@@ -110,7 +110,7 @@
 
 // Figures are the counters, in a fixed order.
 func (n *Node) Figures() []Figure {
-	c, p := &n.Count, &n.peers.Tally
+	c, p := &n.Count, &n.peers.Counters
 	return []Figure{
 		{"datagrams-sent", c.Sent}, {"datagrams-received", c.Received}, {"bytes-sent", c.BytesSent}, {"bytes-received", c.BytesReceived},
 		{"dropped-foreign", c.Foreign}, {"dropped-damaged", c.Damaged}, {"dropped-long", c.Long}, {"unsent", c.Unsent},
--- a/internal/peers/detector.go
+++ b/internal/peers/detector.go
@@ -116,7 +116,7 @@
 	}
 	sequence := p.detector.nextSequence()
 	p.detector.probe = probe{target: m.Session, sequence: sequence, stage: directProbe, end: now.Add(p.probeTimeout())}
-	p.Tally.Pings++
+	p.Counters.Pings++
 	p.send(m.Addr, Packet{Kind: Ping, Seq: sequence, Target: m.Session})
 }
 
@@ -141,7 +141,7 @@
 	for _, helper := range p.RandomMembers(indirectProbes + 1) {
 		if helper.Session != target.Session && asked < indirectProbes {
 			asked++
-			p.Tally.PingReqs++
+			p.Counters.PingReqs++
 			request := Packet{Kind: PingReq, Seq: current.sequence, Target: target.Session, Members: []Member{target.Member}}
 			p.send(helper.Addr, request)
 		}
@@ -157,7 +157,7 @@
 	p.detector.probe = probe{}
 	p.health.worsen()
 	if target != nil && target.State == Alive {
-		p.Tally.Suspected++
+		p.Counters.Suspected++
 		p.setState(now, target, Suspect)
 	}
 }
--- a/internal/peers/merge.go
+++ b/internal/peers/merge.go
@@ -10,7 +10,7 @@
 // one with the higher incarnation holds, of equal ones the worse state; who has left does not come back.
 func (p *Peers) merge(now time.Time, r *Member) {
 	if !valid(r) {
-		p.Tally.Dropped++
+		p.Counters.Dropped++
 		return
 	}
 	if r.Session == p.self.Session {
@@ -19,7 +19,7 @@
 	}
 	var addr netip.AddrPort
 	if addr.UnmarshalBinary(r.At) != nil || !addr.IsValid() {
-		p.Tally.Dropped++
+		p.Counters.Dropped++
 		return
 	}
 	m := p.members.find(r.Session)
@@ -82,7 +82,7 @@
 		}
 	}
 	if found {
-		p.Tally.NameConflicts++
+		p.Counters.NameConflicts++
 	}
 	return found
 }
@@ -95,7 +95,7 @@
 		m.deadAt = now.Add(p.suspicionTimeout())
 	}
 	if s == Dead && was != Dead {
-		p.Tally.Died++
+		p.Counters.Died++
 	}
 	p.updates.add(m)
 	if m == p.self {
@@ -129,10 +129,10 @@
 		return
 	}
 	if r.Incarnation > mostIncarnation {
-		p.Tally.Dropped++
+		p.Counters.Dropped++
 		return
 	}
-	p.Tally.Refuted++
+	p.Counters.Refuted++
 	p.health.worsen()
 	p.self.Incarnation = r.Incarnation + 1
 	p.updates.add(p.self)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -47,7 +47,7 @@
 	out      []Send
 	events   []Event
 	changed  uint64
-	Tally    Counters
+	Counters Counters
 }
 
 // New returns the view of a process that knows its seeds, and the members that the configuration names.
@@ -178,7 +178,7 @@
 // Handle takes a packet from an address.
 func (p *Peers) Handle(now time.Time, from netip.AddrPort, k *Packet) {
 	if k.Session == 0 || k.Session == p.self.Session || len(k.Members) > mostRecords {
-		p.Tally.Dropped++
+		p.Counters.Dropped++
 		return
 	}
 	for i := range k.Members {
@@ -196,6 +196,6 @@
 		p.sendMembers(from, SyncAck)
 	case SyncAck:
 	default:
-		p.Tally.Dropped++
+		p.Counters.Dropped++
 	}
 }
