--- a/internal/peers/merge.go
+++ b/internal/peers/merge.go
@@ -105,7 +105,7 @@
 		p.noteLiveChange(m)
 	}
 	if was != s {
-		p.events = append(p.events, Event{Member: m.Member, Was: was})
+		p.events = append(p.events, Event{Member: m.Member, Previous: was})
 	}
 }
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -17,7 +17,7 @@
 // Event is a change of one member.
 type Event struct {
 	Member       Member
-	Was          State // before
+	Previous     State // before
 	New          bool  // it was not known before
 	NameConflict bool  // another one of its name lives
 }
