--- a/internal/instance/probes.go
+++ b/internal/instance/probes.go
@@ -44,7 +44,7 @@
 // chooseParts chooses the parts to claim from the live members.
 func (p *probes) chooseParts() {
 	list := p.fleet.node.Members()
-	p.fleet.probeParts = duty.ProbePartsOf(p.fleet.node.Peers().Me().Session, list)
+	p.fleet.probeParts = duty.ProbePartsOf(p.fleet.node.Peers().Self().Session, list)
 	p.fleet.claimDuties()
 }
 
--- a/internal/lab/owners/run.go
+++ b/internal/lab/owners/run.go
@@ -372,7 +372,7 @@
 	for _, m := range r.members {
 		// A datagram that a link held for 30 s may name a life that is over; one that lives must not be missing.
 		for _, o := range r.members {
-			me := o.node.Peers().Me().Session
+			me := o.node.Peers().Self().Session
 			if !slices.ContainsFunc(m.node.Members(), func(p peers.Member) bool { return p.Session == me }) {
 				r.world.Fail(fmt.Errorf("%s does not know that %s lives, %v after the last fault", m.host.Name(), o.host.Name(), r.o.Quiet))
 				return
--- a/internal/lab/owners/scale.go
+++ b/internal/lab/owners/scale.go
@@ -82,7 +82,7 @@
 	for x == nil || x.keeper || !x.host.Running() || r.ownsAny(x) {
 		x = r.any()
 	}
-	session := x.node.Peers().Me().Session
+	session := x.node.Peers().Self().Session
 	x.kill()
 	begin := r.world.Elapsed()
 	for r.world.Elapsed()-begin < 5*time.Minute {
@@ -91,7 +91,7 @@
 		}
 		known := true
 		for _, m := range r.members {
-			if m.node != nil && m.node.Peers().Lives(session) {
+			if m.node != nil && m.node.Peers().IsLive(session) {
 				known = false
 				break
 			}
--- a/internal/mesh/settle.go
+++ b/internal/mesh/settle.go
@@ -109,10 +109,10 @@
 
 // tellMembers tells whoever follows the list of members that it has changed.
 func (n *Node) tellMembers() {
-	if n.cfg.Members == nil || n.membersSeen == n.peers.Changed()+1 {
+	if n.cfg.Members == nil || n.membersSeen == n.peers.ChangeCount()+1 {
 		return
 	}
-	n.membersSeen = n.peers.Changed() + 1
+	n.membersSeen = n.peers.ChangeCount() + 1
 	n.cfg.Members(n.peers.Members())
 }
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -92,11 +92,11 @@
 	return due
 }
 
-// Me returns this process's own record.
-func (p *Peers) Me() Member { return p.self.Member }
+// Self returns this process's own record.
+func (p *Peers) Self() Member { return p.self.Member }
 
-// Changed counts the changes of who lives: equal figures mean an unchanged list.
-func (p *Peers) Changed() uint64 { return p.changed }
+// ChangeCount counts the changes of who lives: equal figures mean an unchanged list.
+func (p *Peers) ChangeCount() uint64 { return p.changed }
 
 // Members returns those that live, this process among them, by name and session; suspects are among them.
 func (p *Peers) Members() []Member {
@@ -114,8 +114,8 @@
 	return netip.AddrPort{}, false
 }
 
-// Lives tells whether a member that is known lives.
-func (p *Peers) Lives(session uint64) bool {
+// IsLive tells whether a member that is known lives.
+func (p *Peers) IsLive(session uint64) bool {
 	m := p.members.find(session)
 	return m != nil && m.live()
 }
--- a/internal/peers/tree.go
+++ b/internal/peers/tree.go
@@ -10,7 +10,7 @@
 		return netip.AddrPort{}, false
 	}
 	place := p.members.countBelow(p.self.Session, root)
-	rootLives := p.Lives(root)
+	rootLives := p.IsLive(root)
 	if rootLives {
 		place++
 	}
