--- a/internal/lab/hollow/cluster.go
+++ b/internal/lab/hollow/cluster.go
@@ -125,7 +125,7 @@
 	own := slices.Clone(k.members)
 	for i := range own {
 		m := &own[i]
-		m.Name, m.Zone, m.At = strings.Clone(m.Name), strings.Clone(m.Zone), slices.Clone(m.At)
+		m.Name, m.Zone, m.EncodedAddr = strings.Clone(m.Name), strings.Clone(m.Zone), slices.Clone(m.EncodedAddr)
 	}
 	return own
 }
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -78,7 +78,7 @@
 // member is what others hold of the process.
 func (p *process) member() peers.Member {
 	text, _ := p.address().MarshalBinary() // of a valid address it can't fail
-	return peers.Member{Session: p.session, Name: p.name, Zone: p.zoneName(), Addr: p.address(), At: text}
+	return peers.Member{Session: p.session, Name: p.name, Zone: p.zoneName(), Addr: p.address(), EncodedAddr: text}
 }
 
 func (p *process) makeDisk() {
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -201,7 +201,7 @@
 	long := "a name that is as long as one may be, and not one byte longer.."
 	var members []peers.Member
 	for range 12 {
-		members = append(members, peers.Member{Session: 1 << 63, Name: "proxy-with-a-long-name-of-32-byte", At: make([]byte, 6), Incarnation: 9, Zone: "winterthur"})
+		members = append(members, peers.Member{Session: 1 << 63, Name: "proxy-with-a-long-name-of-32-byte", EncodedAddr: make([]byte, 6), Incarnation: 9, Zone: "winterthur"})
 	}
 	for _, e := range []*envelope{
 		{Peers: &peers.Packet{Kind: peers.Sync, Seq: 1 << 60, Session: 1 << 63, Members: members}},
--- a/internal/mesh/query.go
+++ b/internal/mesh/query.go
@@ -140,7 +140,7 @@
 	}
 	for i := range c.view.Members {
 		m := &c.view.Members[i]
-		_ = m.Addr.UnmarshalBinary(m.At) // one that can't be read is shown without an address
+		_ = m.Addr.UnmarshalBinary(m.EncodedAddr) // one that can't be read is shown without an address
 	}
 	return &c.view, nil
 }
--- a/internal/peers/byname_test.go
+++ b/internal/peers/byname_test.go
@@ -58,7 +58,7 @@
 		c.Name, c.Addr, c.Session, c.Seed = "b", addr(0), 50, 1
 		if rapid.Bool().Draw(t, "restored") {
 			for i := range 9 {
-				c.Known = append(c.Known, Member{Session: uint64(100 - i), Name: string(rune('a' + i%3)), Addr: addr(i), At: addrBytes(addr(i))})
+				c.Known = append(c.Known, Member{Session: uint64(100 - i), Name: string(rune('a' + i%3)), Addr: addr(i), EncodedAddr: addrBytes(addr(i))})
 			}
 		}
 		p := New(now, c)
@@ -66,7 +66,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "seconds")) * time.Second)
 			n := rapid.IntRange(1, 100).Draw(t, "session")
 			p.merge(now, &Member{
-				Session: uint64(n), Name: string(rune('a' + n%4)), At: addrBytes(addr(rapid.IntRange(0, 5).Draw(t, "address"))),
+				Session: uint64(n), Name: string(rune('a' + n%4)), EncodedAddr: addrBytes(addr(rapid.IntRange(0, 5).Draw(t, "address"))),
 				Incarnation: uint64(rapid.IntRange(0, 3).Draw(t, "incarnation")), State: State(rapid.IntRange(0, 3).Draw(t, "state")),
 			})
 			p.Tick(now)
@@ -96,12 +96,12 @@
 		c := DefaultConfig()
 		c.Name, c.Addr, c.Session, c.Seed, c.MostMembers = "p", addr(0), 1, 1, most
 		for i := range known {
-			c.Known = append(c.Known, Member{Session: uint64(1000 + i), Name: "q", Addr: addr(i + 1), At: addrBytes(addr(i + 1))})
+			c.Known = append(c.Known, Member{Session: uint64(1000 + i), Name: "q", Addr: addr(i + 1), EncodedAddr: addrBytes(addr(i + 1))})
 		}
 		now := time.Unix(1e9, 0)
 		p := New(now, c)
 		for i := range 2 * most {
-			p.merge(now, &Member{Session: uint64(2000 + i), Name: "r", At: addrBytes(addr(i + 100))})
+			p.merge(now, &Member{Session: uint64(2000 + i), Name: "r", EncodedAddr: addrBytes(addr(i + 100))})
 		}
 		if got := len(p.Members()); got != 1+most {
 			t.Errorf("with %d at the start: %d members, not %d", known, got, 1+most)
--- a/internal/peers/member.go
+++ b/internal/peers/member.go
@@ -26,7 +26,7 @@
 	Session     uint64         `cbor:"1,keyasint"`
 	Name        string         `cbor:"2,keyasint"`
 	Addr        netip.AddrPort `cbor:"-"`
-	At          []byte         `cbor:"3,keyasint"` // Addr on the wire
+	EncodedAddr []byte         `cbor:"3,keyasint"` // Addr on the wire
 	Incarnation uint64         `cbor:"4,keyasint"`
 	State       State          `cbor:"5,keyasint"`
 	Zone        string         `cbor:"6,keyasint,omitempty"`
--- a/internal/peers/merge.go
+++ b/internal/peers/merge.go
@@ -18,7 +18,7 @@
 		return
 	}
 	var addr netip.AddrPort
-	if addr.UnmarshalBinary(r.At) != nil || !addr.IsValid() {
+	if addr.UnmarshalBinary(r.EncodedAddr) != nil || !addr.IsValid() {
 		p.Counters.Dropped++
 		return
 	}
@@ -61,7 +61,7 @@
 // add takes a member that was not known.
 func (p *Peers) add(now time.Time, r *Member, addr netip.AddrPort) {
 	m := &member{Member: *r, since: now}
-	m.Addr, m.At = addr, slices.Clone(r.At)
+	m.Addr, m.EncodedAddr = addr, slices.Clone(r.EncodedAddr)
 	p.members.insert(m)
 	p.detector.round.insert(m.Session, p.rng)
 	if m.State == Suspect {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -55,7 +55,7 @@
 	if c.MostMembers <= 0 {
 		c.MostMembers = mostMembers
 	}
-	self := &member{Member: Member{Session: c.Session, Name: c.Name, Zone: c.Zone, Addr: c.Addr, At: addrBytes(c.Addr)}, since: now}
+	self := &member{Member: Member{Session: c.Session, Name: c.Name, Zone: c.Zone, Addr: c.Addr, EncodedAddr: addrBytes(c.Addr)}, since: now}
 	p := &Peers{
 		cfg: c, rng: rand.New(rand.NewPCG(c.Seed, c.Session)), self: self, members: newMemberTable(self), detector: newDetector(),
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -184,7 +184,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Member {
 			return Member{
-				Session: rapid.Uint64Range(1, 3).Draw(t, "session"), Name: "x", At: addrBytes(addr(9)),
+				Session: rapid.Uint64Range(1, 3).Draw(t, "session"), Name: "x", EncodedAddr: addrBytes(addr(9)),
 				Incarnation: rapid.Uint64Range(0, 3).Draw(t, "incarnation"), State: State(rapid.IntRange(0, 1).Draw(t, "state")),
 			}
 		}), 1, 12).Draw(t, "records")
@@ -222,7 +222,7 @@
 			t.Fatal(err)
 		}
 		k.Kind, k.Session = Sync, 1001
-		if k.Members = append(k.Members, Member{Session: uint64(1000 + i), Name: fmt.Sprint("p", i), At: at}); len(k.Members) == mostRecords {
+		if k.Members = append(k.Members, Member{Session: uint64(1000 + i), Name: fmt.Sprint("p", i), EncodedAddr: at}); len(k.Members) == mostRecords {
 			tell()
 		}
 	}
