--- a/internal/mesh/node.go
+++ b/internal/mesh/node.go
@@ -91,7 +91,7 @@
 	p := peers.DefaultConfig()
 	p.Name, p.Zone, p.Addr = n.cfg.Name, n.cfg.Zone, n.addr
 	p.Session, p.Seeds, p.Seed = n.cfg.Session, n.cfg.Seeds, n.cfg.Seed
-	p.Known, p.MostMembers = n.cfg.Known, n.cfg.MostMembers
+	p.Known, p.MaxMembers = n.cfg.Known, n.cfg.MostMembers
 	return p
 }
 
--- a/internal/peers/byname_test.go
+++ b/internal/peers/byname_test.go
@@ -94,7 +94,7 @@
 	const most = 40
 	for _, known := range []int{0, 60} {
 		c := DefaultConfig()
-		c.Name, c.Addr, c.Session, c.Seed, c.MostMembers = "p", addr(0), 1, 1, most
+		c.Name, c.Addr, c.Session, c.Seed, c.MaxMembers = "p", addr(0), 1, 1, most
 		for i := range known {
 			c.Known = append(c.Known, Member{Session: uint64(1000 + i), Name: "q", Addr: addr(i + 1), EncodedAddr: addrBytes(addr(i + 1))})
 		}
--- a/internal/peers/config.go
+++ b/internal/peers/config.go
@@ -16,8 +16,8 @@
 	Period  time.Duration    // between two pings
 	Timeout time.Duration    // until others are asked to ping in one's place; under half of Period
 	Seed    uint64           // of random choices
-	// MostMembers is how many other members are known at once; further ones are dropped. 0: 4,096.
-	MostMembers int
+	// MaxMembers is how many other members are known at once; further ones are dropped. 0: 4,096.
+	MaxMembers int
 }
 
 // DefaultConfig returns the times that serve; all else remains to be set.
--- a/internal/peers/merge.go
+++ b/internal/peers/merge.go
@@ -24,7 +24,7 @@
 	}
 	m := p.members.find(r.Session)
 	switch {
-	case m == nil && r.live() && len(p.members.list) < p.cfg.MostMembers:
+	case m == nil && r.live() && len(p.members.list) < p.cfg.MaxMembers:
 		p.add(now, r, addr)
 	case m == nil: // one that is gone and was never known is no news
 	case m.supersededBy(r):
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -52,8 +52,8 @@
 
 // New returns the view of a process that knows its seeds, and the members that the configuration names.
 func New(now time.Time, c Config) *Peers {
-	if c.MostMembers <= 0 {
-		c.MostMembers = mostMembers
+	if c.MaxMembers <= 0 {
+		c.MaxMembers = mostMembers
 	}
 	self := &member{Member: Member{Session: c.Session, Name: c.Name, Zone: c.Zone, Addr: c.Addr, EncodedAddr: addrBytes(c.Addr)}, since: now}
 	p := &Peers{
--- a/internal/peers/restore.go
+++ b/internal/peers/restore.go
@@ -14,7 +14,7 @@
 		if record.Session == p.self.Session || p.members.find(record.Session) != nil {
 			continue
 		}
-		if len(p.members.list) >= p.cfg.MostMembers {
+		if len(p.members.list) >= p.cfg.MaxMembers {
 			break
 		}
 		p.members.append(&member{Member: record, since: now})
