--- a/internal/duty/probes.go
+++ b/internal/duty/probes.go
@@ -125,17 +125,17 @@
 	return &a, nil
 }
 
-// Asker is a process that waits for a report at the owner: its address and the number of its request.
-type Asker[A any] struct {
+// Requester is a process that waits for a report at the owner: its address and the number of its request.
+type Requester[A any] struct {
 	To  A
 	Seq uint64
 }
 
 // ProbeOwner is the owner's side: it probes a target once for all requests within a short time.
 type ProbeOwner[A any] struct {
-	cache   map[string]cachedReport // by target
-	waiting map[string][]Asker[A]   // by target
-	count   int                     // of all that wait
+	cache   map[string]cachedReport   // by target
+	waiting map[string][]Requester[A] // by target
+	count   int                       // of all that wait
 }
 
 // cachedReport is a report and when its probe ended.
@@ -146,12 +146,12 @@
 
 // NewProbeOwner returns an owner that has probed nothing.
 func NewProbeOwner[A any]() *ProbeOwner[A] {
-	return &ProbeOwner[A]{cache: make(map[string]cachedReport), waiting: make(map[string][]Asker[A])}
+	return &ProbeOwner[A]{cache: make(map[string]cachedReport), waiting: make(map[string][]Requester[A])}
 }
 
 // Request takes a request. Either a response is there at once, or the requester waits, and probe says that a probe is to go out. One
 // above the bound is dropped: it will probe itself.
-func (o *ProbeOwner[A]) Request(now time.Time, target string, from Asker[A]) (response *ProbeResponse, probe bool) {
+func (o *ProbeOwner[A]) Request(now time.Time, target string, from Requester[A]) (response *ProbeResponse, probe bool) {
 	if c, ok := o.cache[target]; ok && now.Sub(c.at) <= cacheFresh {
 		return &ProbeResponse{Target: target, AgeUS: now.Sub(c.at).Microseconds(), Report: encodeReport(c.rep)}, false
 	}
@@ -164,7 +164,7 @@
 }
 
 // Complete takes the end of a probe, with its report if ok, and returns who waits for it and the response for them.
-func (o *ProbeOwner[A]) Complete(now time.Time, target string, ok bool, rep balance.Report) ([]Asker[A], *ProbeResponse) {
+func (o *ProbeOwner[A]) Complete(now time.Time, target string, ok bool, rep balance.Report) ([]Requester[A], *ProbeResponse) {
 	if ok {
 		if len(o.cache) >= mostCached {
 			clear(o.cache)
--- a/internal/duty/probes_test.go
+++ b/internal/duty/probes_test.go
@@ -14,20 +14,20 @@
 // One probe serves all who ask meanwhile and shortly after; later ones cause another.
 func TestOneProbeServesAll(t *testing.T) {
 	o := NewProbeOwner[int]()
-	if a, probe := o.Request(now, "s", Asker[int]{1, 1}); a != nil || !probe {
+	if a, probe := o.Request(now, "s", Requester[int]{1, 1}); a != nil || !probe {
 		t.Fatal("the first question causes no probe")
 	}
-	if a, probe := o.Request(now, "s", Asker[int]{2, 1}); a != nil || probe {
+	if a, probe := o.Request(now, "s", Requester[int]{2, 1}); a != nil || probe {
 		t.Fatal("the second question causes a probe of its own")
 	}
 	list, a := o.Complete(now.Add(5*time.Millisecond), "s", true, balance.Report{Load: 0.5})
 	if len(list) != 2 || a.Failed || a.Report[0] != 0.5 {
 		t.Fatalf("%v, %+v", list, a)
 	}
-	if a, probe := o.Request(now.Add(50*time.Millisecond), "s", Asker[int]{3, 1}); a == nil || probe || a.AgeUS != 45000 {
+	if a, probe := o.Request(now.Add(50*time.Millisecond), "s", Requester[int]{3, 1}); a == nil || probe || a.AgeUS != 45000 {
 		t.Fatalf("a fresh report is not used: %+v", a)
 	}
-	if a, probe := o.Request(now.Add(time.Second), "s", Asker[int]{3, 2}); a != nil || !probe {
+	if a, probe := o.Request(now.Add(time.Second), "s", Requester[int]{3, 2}); a != nil || !probe {
 		t.Fatalf("an old report is used: %+v", a)
 	}
 	if _, a := o.Complete(now.Add(time.Second), "s", false, balance.Report{}); !a.Failed {
--- a/internal/instance/probes.go
+++ b/internal/instance/probes.go
@@ -93,16 +93,16 @@
 	if _, holds := p.fleet.node.Holds(d.Lease); err != nil || !holds || duty.ProbePart(request.Target) != d.Lease || p.fleet.instance.engine.Table().Find(request.Target) == nil {
 		return // the requester times out and probes the target itself
 	}
-	answer, probe := p.owner.Request(now, request.Target, duty.Asker[netip.AddrPort]{To: from, Seq: d.Seq})
+	answer, probe := p.owner.Request(now, request.Target, duty.Requester[netip.AddrPort]{To: from, Seq: d.Seq})
 	if answer != nil {
-		p.sendResponse(d.Lease, duty.Asker[netip.AddrPort]{To: from, Seq: d.Seq}, answer)
+		p.sendResponse(d.Lease, duty.Requester[netip.AddrPort]{To: from, Seq: d.Seq}, answer)
 	}
 	if probe {
 		p.fleet.instance.engine.ProbeDirectly(request.Target)
 	}
 }
 
-func (p *probes) sendResponse(part string, to duty.Asker[netip.AddrPort], a *duty.ProbeResponse) {
+func (p *probes) sendResponse(part string, to duty.Requester[netip.AddrPort], a *duty.ProbeResponse) {
 	if text, err := a.Encode(); err == nil {
 		p.fleet.node.AnswerAs(to.To, mesh.Direct{Lease: part, Seq: to.Seq, Data: text})
 	}
