--- a/internal/duty/discovery.go
+++ b/internal/duty/discovery.go
@@ -17,8 +17,8 @@
 // Parts of the longest time that the rules allow without a question to discovery. Together they stay under 1, so that a process
 // without a confirmed announcement has asked before changes count as told to it.
 const (
-	relyPart     = 0.6  // for which a process relies on the owner's announcement after that was confirmed
-	fallbackPart = 0.25 // over which the processes' own questions are spread after that
+	relyFraction     = 0.6  // for which a process relies on the owner's announcement after that was confirmed
+	fallbackFraction = 0.25 // over which the processes' own questions are spread after that
 )
 
 // RelyUntil returns until when a process need not ask discovery itself, zero for now. askWithin is the longest time that the rules
@@ -27,12 +27,12 @@
 	if confirmed.IsZero() || askWithin <= 0 {
 		return time.Time{}
 	}
-	return confirmed.Add(time.Duration(relyPart * float64(askWithin)))
+	return confirmed.Add(time.Duration(relyFraction * float64(askWithin)))
 }
 
 // FallbackSpread is the time over which the processes' own questions are spread after RelyUntil.
 func FallbackSpread(askWithin time.Duration) time.Duration {
-	return time.Duration(fallbackPart * float64(askWithin))
+	return time.Duration(fallbackFraction * float64(askWithin))
 }
 
 // listMessage is the announcement of the owner of Discovery.
@@ -44,14 +44,14 @@
 
 // listEntry is one routes.Target.
 type listEntry struct {
-	ID     string        `cbor:"1,keyasint"`
-	Addr   []byte        `cbor:"2,keyasint"`
-	Site   string        `cbor:"3,keyasint,omitempty"`
-	Kind   string        `cbor:"4,keyasint,omitempty"`
-	Block  int           `cbor:"5,keyasint,omitempty"`
-	Health routes.Health `cbor:"6,keyasint,omitempty"`
-	Share  float64       `cbor:"7,keyasint"`
-	BornMS int64         `cbor:"8,keyasint,omitempty"`
+	ID          string        `cbor:"1,keyasint"`
+	Addr        []byte        `cbor:"2,keyasint"`
+	Site        string        `cbor:"3,keyasint,omitempty"`
+	Kind        string        `cbor:"4,keyasint,omitempty"`
+	Block       int           `cbor:"5,keyasint,omitempty"`
+	Health      routes.Health `cbor:"6,keyasint,omitempty"`
+	Share       float64       `cbor:"7,keyasint"`
+	StartUnixMS int64         `cbor:"8,keyasint,omitempty"`
 }
 
 // mostTargets is how many entries a message may have.
@@ -84,18 +84,18 @@
 // may name another one to each proxy. Unknown ones are taken only if same says that addresses are the same for all. known is the
 // version that this process has. A list of another discovery than this process's is an error, and so is one that is older than
 // known, too long, or malformed.
-func DecodeList(text []byte, discovery netip.AddrPort, known int64, same bool, find func(id string) *routes.Target) (*ReceivedList, error) {
+func DecodeList(data []byte, discovery netip.AddrPort, knownSeq int64, sameAddrs bool, find func(id string) *routes.Target) (*ReceivedList, error) {
 	var message listMessage
-	if err := cbor.Unmarshal(text, &message); err != nil {
+	if err := cbor.Unmarshal(data, &message); err != nil {
 		return nil, fmt.Errorf("duty: list: %w", err)
 	}
-	if err := message.check(discovery, known); err != nil {
+	if err := message.check(discovery, knownSeq); err != nil {
 		return nil, err
 	}
 	received := &ReceivedList{List: &routes.List{Seq: message.Seq, Whole: true}}
 	for i := range message.Targets {
 		entry := &message.Targets[i]
-		if err := received.add(entry, find(entry.ID), same); err != nil {
+		if err := received.add(entry, find(entry.ID), sameAddrs); err != nil {
 			return nil, err
 		}
 	}
@@ -106,12 +106,12 @@
 }
 
 // check returns an error if a list is not one for this process.
-func (m *listMessage) check(discovery netip.AddrPort, known int64) error {
+func (m *listMessage) check(discovery netip.AddrPort, knownSeq int64) error {
 	switch {
 	case m.Source != sourceHash(discovery):
 		return fmt.Errorf("duty: list: of another discovery than %s", discovery)
-	case m.Seq < known:
-		return fmt.Errorf("duty: list: version %d, older than %d, which is known", m.Seq, known)
+	case m.Seq < knownSeq:
+		return fmt.Errorf("duty: list: version %d, older than %d, which is known", m.Seq, knownSeq)
 	case len(m.Targets) > mostTargets:
 		return fmt.Errorf("duty: list: %d targets, more than %d", len(m.Targets), mostTargets)
 	}
@@ -119,19 +119,19 @@
 }
 
 // add adds an entry; known is the target that this process has under its id, nil if there is none.
-func (r *ReceivedList) add(entry *listEntry, known *routes.Target, same bool) error {
-	if known == nil && !same {
+func (r *ReceivedList) add(entry *listEntry, known *routes.Target, sameAddrs bool) error {
+	if known == nil && !sameAddrs {
 		r.Unknown++
 		return nil
 	}
-	if known != nil && known.StartUnixMS != entry.BornMS && !same {
+	if known != nil && known.StartUnixMS != entry.StartUnixMS && !sameAddrs {
 		r.Unknown++ // it has started anew, perhaps elsewhere
 	}
 	target := entry.target()
 	if known != nil {
 		target.Addr = known.Addr
 	}
-	if !target.Addr.IsValid() || same {
+	if !target.Addr.IsValid() || sameAddrs {
 		if target.Addr.UnmarshalBinary(entry.Addr) != nil {
 			return fmt.Errorf("duty: list: target %s: its address can't be read", entry.ID)
 		}
@@ -143,6 +143,6 @@
 // target returns the target of an entry, without its address.
 func (e *listEntry) target() *routes.Target {
 	return &routes.Target{
-		ID: e.ID, Site: e.Site, Kind: e.Kind, Block: e.Block, Health: e.Health, Share: e.Share, StartUnixMS: e.BornMS,
+		ID: e.ID, Site: e.Site, Kind: e.Kind, Block: e.Block, Health: e.Health, Share: e.Share, StartUnixMS: e.StartUnixMS,
 	}
 }
--- a/internal/duty/moves.go
+++ b/internal/duty/moves.go
@@ -11,28 +11,28 @@
 // evenly, however many connections each of them has.
 const Moves = "moves"
 
-// longestMoveWait is the longest that a move waits for its time. The decision module spreads its own moves off a server over 3 s, and
+// maxMoveWait is the longest that a move waits for its time. The decision module spreads its own moves off a server over 3 s, and
 // the server may stop soon after: with waits of 1 to 1.5 s and a pace that was too low, clients were cut off in the emulator.
-const longestMoveWait = 500 * time.Millisecond
+const maxMoveWait = 500 * time.Millisecond
 
 // MovePacer gives moves their times, for the owner of Moves. Its zero value with Rate set is ready.
 type MovePacer struct {
-	Rate float64   // moves a second, of all proxies together; above 0
-	next time.Time // of the next move
+	Rate   float64   // moves a second, of all proxies together; above 0
+	nextAt time.Time // of the next move
 }
 
 // Schedule gives a move its time, as a wait from now, from 0 to longestMoveWait. Under Rate moves a second there is none.
 func (p *MovePacer) Schedule(now time.Time) time.Duration {
-	if p.next.Before(now) {
-		p.next = now
+	if p.nextAt.Before(now) {
+		p.nextAt = now
 	}
-	wait := p.next.Sub(now)
-	p.next = p.next.Add(time.Duration(float64(time.Second) / p.Rate))
-	if wait > longestMoveWait {
+	wait := p.nextAt.Sub(now)
+	p.nextAt = p.nextAt.Add(time.Duration(float64(time.Second) / p.Rate))
+	if wait > maxMoveWait {
 		// The fleet has more to move than it can move evenly in time. Later moves go as late as they may, and the backlog does not
 		// grow without end.
-		p.next = now.Add(longestMoveWait)
-		return longestMoveWait
+		p.nextAt = now.Add(maxMoveWait)
+		return maxMoveWait
 	}
 	return wait
 }
@@ -49,16 +49,16 @@
 
 // DecodeMove reads an owner's response and returns how long the move still waits, at least 0, if its request was sent so long ago. A
 // wait out of range is an error.
-func DecodeMove(text []byte, sent time.Duration) (time.Duration, error) {
-	var a moveResponse
-	if err := cbor.Unmarshal(text, &a); err != nil {
+func DecodeMove(data []byte, elapsed time.Duration) (time.Duration, error) {
+	var response moveResponse
+	if err := cbor.Unmarshal(data, &response); err != nil {
 		return 0, fmt.Errorf("duty: move: %w", err)
 	}
-	wait := time.Duration(a.WaitUS) * time.Microsecond
-	if wait < 0 || wait > longestMoveWait {
+	wait := time.Duration(response.WaitUS) * time.Microsecond
+	if wait < 0 || wait > maxMoveWait {
 		return 0, fmt.Errorf("duty: move: a wait of %v", wait)
 	}
-	return max(wait-sent, 0), nil
+	return max(wait-elapsed, 0), nil
 }
 
 // MoveResponseTimeout is how long an owner's response may take; after it the proxy moves as without an owner.
--- a/internal/duty/moves_test.go
+++ b/internal/duty/moves_test.go
@@ -8,16 +8,16 @@
 // A hundred moves that are asked for at once are spread at the rate; none waits so long that its target has stopped.
 func TestMovesAreSpread(t *testing.T) {
 	o := MovePacer{Rate: 50}
-	within := make(map[int]int) // moves by tenth of a second
+	countByTenth := make(map[int]int) // moves by tenth of a second
 	for range 60 {
 		wait := o.Schedule(now)
-		if wait > longestMoveWait {
+		if wait > maxMoveWait {
 			t.Fatalf("a wait of %v", wait)
 		}
-		within[int(wait/(100*time.Millisecond))]++
+		countByTenth[int(wait/(100*time.Millisecond))]++
 	}
 	for tenth := range 4 {
-		if n := within[tenth]; n < 4 || n > 6 {
+		if n := countByTenth[tenth]; n < 4 || n > 6 {
 			t.Errorf("%d moves in tenth %d", n, tenth)
 		}
 	}
@@ -27,7 +27,7 @@
 }
 
 // An answer's wait is what is left of it; one that is out of range is none.
-func TestMoveAnswer(t *testing.T) {
+func TestDecodeMove(t *testing.T) {
 	text, _ := EncodeMove(400 * time.Millisecond)
 	if d, err := DecodeMove(text, 300*time.Millisecond); err != nil || d != 100*time.Millisecond {
 		t.Error(d, err)
--- a/internal/duty/probes_test.go
+++ b/internal/duty/probes_test.go
@@ -12,7 +12,7 @@
 var now = time.Unix(1e9, 0)
 
 // One probe serves all who ask meanwhile and shortly after; later ones cause another.
-func TestOneProbeServesAll(t *testing.T) {
+func TestProbeOwnerSharesProbes(t *testing.T) {
 	o := NewProbeOwner[int]()
 	if a, probe := o.Request(now, "s", Requester[int]{1, 1}); a != nil || !probe {
 		t.Fatal("the first question causes no probe")
@@ -36,7 +36,7 @@
 }
 
 // A report's age counts from before the question: what a link held is old, whatever its owner said.
-func TestLateAnswersAreNoReports(t *testing.T) {
+func TestLateResponsesAreNotFresh(t *testing.T) {
 	a := &ProbeResponse{Target: "s", AgeUS: 100000, Report: encodeReport(balance.Report{Load: 0.5, CPU: math.NaN()})}
 	for _, tt := range []struct {
 		after        time.Duration
@@ -67,7 +67,7 @@
 }
 
 // Each part has exactly one claimant among the same members, and a death moves only the dead one's parts.
-func TestPartsAreDivided(t *testing.T) {
+func TestProbePartsAreDivided(t *testing.T) {
 	var all []peers.Member
 	for i := range uint64(9) {
 		all = append(all, peers.Member{Session: 100 + i})
--- a/internal/peers/byname.go
+++ b/internal/peers/byname.go
@@ -16,24 +16,24 @@
 	t.byName = slices.Insert(t.byName, at, m)
 }
 
-// forgetByName removes what is no longer in the table from the order by name.
-func (t *memberTable) forgetByName() {
+// removeForgottenByName removes what is no longer in the table from the order by name.
+func (t *memberTable) removeForgottenByName() {
 	t.byName = slices.DeleteFunc(t.byName, func(m *member) bool { return m != t.self && t.find(m.Session) == nil })
 }
 
 // liveMembers returns the members that live, by name and session. This process is always among them.
 func (t *memberTable) liveMembers() []Member {
-	all := make([]Member, 0, 1+t.alive)
+	members := make([]Member, 0, 1+t.liveOthers)
 	for _, m := range t.byName {
 		if m == t.self || m.live() {
-			all = append(all, m.Member)
+			members = append(members, m.Member)
 		}
 	}
-	return all
+	return members
 }
 
-// namesakes returns all members that have a name, this process among them.
-func (t *memberTable) namesakes(name string) []*member {
+// withName returns all members that have a name, this process among them.
+func (t *memberTable) withName(name string) []*member {
 	first, _ := slices.BinarySearchFunc(t.byName, name, func(m *member, name string) int { return cmp.Compare(m.Name, name) })
 	end := first
 	for end < len(t.byName) && t.byName[end].Name == name {
--- a/internal/peers/byname_test.go
+++ b/internal/peers/byname_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// plainMembers and plainParent say the same as Members and Parent without any order that is kept.
-func plainMembers(p *Peers) []Member {
+// referenceMembers and plainParent say the same as Members and Parent without any order that is kept.
+func referenceMembers(p *Peers) []Member {
 	all := []Member{p.self.Member}
-	for _, m := range p.members.list {
+	for _, m := range p.members.others {
 		if m.live() {
 			all = append(all, m.Member)
 		}
@@ -24,8 +24,8 @@
 	return all
 }
 
-func plainParent(p *Peers, root uint64, children int) (netip.AddrPort, bool) {
-	all := plainMembers(p)
+func referenceParent(p *Peers, root uint64, fanout int) (netip.AddrPort, bool) {
+	all := referenceMembers(p)
 	slices.SortFunc(all, func(a, b Member) int {
 		if (a.Session == root) != (b.Session == root) {
 			if a.Session == root {
@@ -39,19 +39,19 @@
 	if i <= 0 || root == 0 {
 		return netip.AddrPort{}, false
 	}
-	return all[(i-1)/children].Addr, true
+	return all[(i-1)/fanout].Addr, true
 }
 
-func plainTwin(p *Peers, m *member) bool {
+func referenceNameConflict(p *Peers, m *member) bool {
 	found := m.Name == p.self.Name && m.Addr != p.self.Addr
-	for _, o := range p.members.list {
+	for _, o := range p.members.others {
 		found = found || o != m && o.Name == m.Name && o.live() && o.Addr != m.Addr
 	}
 	return found
 }
 
 // Whatever is learnt, dies and is forgotten, the members, a parent and twins are as they are without an order that is kept.
-func TestOrderOfMembers(t *testing.T) {
+func TestOrderedMembersMatchReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1e9, 0)
 		c := DefaultConfig()
@@ -71,17 +71,17 @@
 			})
 			p.Tick(now)
 			p.Take()
-			if got, want := p.Members(), plainMembers(p); !slices.EqualFunc(got, want, func(a, b Member) bool { return a.Session == b.Session && a.State == b.State }) {
+			if got, want := p.Members(), referenceMembers(p); !slices.EqualFunc(got, want, func(a, b Member) bool { return a.Session == b.Session && a.State == b.State }) {
 				t.Fatalf("members %v, not %v", got, want)
 			}
 			root := uint64(rapid.IntRange(0, 100).Draw(t, "root"))
-			children := rapid.IntRange(1, 4).Draw(t, "children")
-			got, ok := p.Parent(root, children)
-			if want, there := plainParent(p, root, children); got != want || ok != there {
+			fanout := rapid.IntRange(1, 4).Draw(t, "children")
+			got, ok := p.Parent(root, fanout)
+			if want, there := referenceParent(p, root, fanout); got != want || ok != there {
 				t.Fatalf("the parent under root %d is %v %v, not %v %v", root, got, ok, want, there)
 			}
-			for _, m := range p.members.list {
-				if got, want := p.isTwin(m), plainTwin(p, m); got != want {
+			for _, m := range p.members.others {
+				if got, want := p.hasNameConflict(m), referenceNameConflict(p, m); got != want {
 					t.Fatalf("%s is a twin: %v, not %v", m.Name, got, want)
 				}
 			}
@@ -90,21 +90,21 @@
 }
 
 // A table takes no more members than it has room for, whether it learns them or starts with them.
-func TestTableIsBounded(t *testing.T) {
-	const most = 40
+func TestMemberTableIsBounded(t *testing.T) {
+	const maxMembers = 40
 	for _, known := range []int{0, 60} {
 		c := DefaultConfig()
-		c.Name, c.Addr, c.Session, c.Seed, c.MaxMembers = "p", addr(0), 1, 1, most
+		c.Name, c.Addr, c.Session, c.Seed, c.MaxMembers = "p", addr(0), 1, 1, maxMembers
 		for i := range known {
 			c.Known = append(c.Known, Member{Session: uint64(1000 + i), Name: "q", Addr: addr(i + 1), EncodedAddr: addrBytes(addr(i + 1))})
 		}
 		now := time.Unix(1e9, 0)
 		p := New(now, c)
-		for i := range 2 * most {
+		for i := range 2 * maxMembers {
 			p.merge(now, &Member{Session: uint64(2000 + i), Name: "r", EncodedAddr: addrBytes(addr(i + 100))})
 		}
-		if got := len(p.Members()); got != 1+most {
-			t.Errorf("with %d at the start: %d members, not %d", known, got, 1+most)
+		if got := len(p.Members()); got != 1+maxMembers {
+			t.Errorf("with %d at the start: %d members, not %d", known, got, 1+maxMembers)
 		}
 	}
 }
--- a/internal/peers/config.go
+++ b/internal/peers/config.go
@@ -26,17 +26,17 @@
 }
 
 const (
-	indirectProbes  = 3                      // members that are asked to ping in one's place
-	mostRecords     = 12                     // members that a packet carries at the most
-	mostMembers     = 4096                   // known at once, unless Config.MostMembers says otherwise
-	mostName        = 64                     // bytes
-	syncEvery       = 10 * time.Second       // the usual time between two Syncs
-	syncFirst       = 2 * time.Second        // so often the first times
-	syncPerMember   = 100 * time.Millisecond // at least, for each member, so that bytes a second stay flat
-	forgetAfter     = time.Minute            // a dead member is remembered for so long, against late gossip
-	worstHealth     = 8                      // see localHealth
-	joinEvery       = time.Second            // the mean time between two attempts to join
-	firstSyncs      = 3                      // Syncs that go out at syncFirst: what it was told at its start may miss those that started with it
-	mostRelays      = 256                    // pings that are made for others at once
-	mostIncarnation = 1 << 62                // nobody gets there honestly, and above it there would soon be no higher one
+	indirectProbes        = 3                      // members that are asked to ping in one's place
+	maxPacketRecords      = 12                     // members that a packet carries at the most
+	mostMembers           = 4096                   // known at once, unless Config.MostMembers says otherwise
+	maxNameBytes          = 64                     // bytes
+	steadySyncInterval    = 10 * time.Second       // the usual time between two Syncs
+	initialSyncInterval   = 2 * time.Second        // so often the first times
+	syncIntervalPerMember = 100 * time.Millisecond // at least, for each member, so that bytes a second stay flat
+	endedRetention        = time.Minute            // a dead member is remembered for so long, against late gossip
+	maxLocalHealth        = 8                      // see localHealth
+	joinInterval          = time.Second            // the mean time between two attempts to join
+	initialSyncs          = 3                      // Syncs that go out at syncFirst: what it was told at its start may miss those that started with it
+	maxRelays             = 256                    // pings that are made for others at once
+	maxIncarnation        = 1 << 62                // nobody gets there honestly, and above it there would soon be no higher one
 )
--- a/internal/peers/detector.go
+++ b/internal/peers/detector.go
@@ -13,44 +13,44 @@
 	indirectProbe // others were asked to ping it
 )
 
-// stillInPeriod is longer than any period, whose end decides on an indirect probe.
-const stillInPeriod = time.Hour
+// indirectProbeTimeout is longer than any period, whose end decides on an indirect probe.
+const indirectProbeTimeout = time.Hour
 
 // probe is the ping of a member that is out.
 type probe struct {
 	target   uint64 // session
 	sequence uint64
 	stage    uint8
-	end      time.Time // of the stage
+	deadline time.Time // of the stage
 }
 
 // relay is a ping that was made for another member.
 type relay struct {
-	to       netip.AddrPort
-	sequence uint64 // of the other member's request
-	end      time.Time
+	requester       netip.AddrPort
+	requestSequence uint64 // of the other member's request
+	expiresAt       time.Time
 }
 
 // detector is the state of the search for failures.
 type detector struct {
-	sequence uint64 // of the last ping
-	probe    probe
-	round    probeRound
-	relays   map[uint64]relay // by the sequence of the ping
+	lastSequence uint64 // of the last ping
+	probe        probe
+	round        probeRound
+	relays       map[uint64]relay // by the sequence of the ping
 }
 
 func newDetector() detector { return detector{relays: make(map[uint64]relay)} }
 
 // nextSequence numbers a ping.
 func (d *detector) nextSequence() uint64 {
-	d.sequence++
-	return d.sequence
+	d.lastSequence++
+	return d.lastSequence
 }
 
-// dropRelays forgets the pings for others that were not answered.
-func (d *detector) dropRelays(now time.Time) {
+// expireRelays forgets the pings for others that were not answered.
+func (d *detector) expireRelays(now time.Time) {
 	for sequence, r := range d.relays {
-		if now.After(r.end) {
+		if now.After(r.expiresAt) {
 			delete(d.relays, sequence)
 		}
 	}
@@ -91,8 +91,8 @@
 
 func (r *probeRound) swap(i, j int) { (*r)[i], (*r)[j] = (*r)[j], (*r)[i] }
 
-// nextLive takes the next member that lives off the round, nil if none is left.
-func (p *Peers) nextLive() *member {
+// nextProbeTarget takes the next member that lives off the round, nil if none is left.
+func (p *Peers) nextProbeTarget() *member {
 	for {
 		session, ok := p.detector.round.next()
 		if !ok {
@@ -104,34 +104,34 @@
 	}
 }
 
-// probeNext pings the next member of the round, and of the next round if this one is over.
-func (p *Peers) probeNext(now time.Time) {
-	m := p.nextLive()
+// startProbe pings the next member of the round, and of the next round if this one is over.
+func (p *Peers) startProbe(now time.Time) {
+	m := p.nextProbeTarget()
 	if m == nil {
-		p.detector.round.fill(p.members.list, p.rng)
-		m = p.nextLive()
+		p.detector.round.fill(p.members.others, p.rng)
+		m = p.nextProbeTarget()
 	}
 	if m == nil {
 		return // nobody else lives
 	}
 	sequence := p.detector.nextSequence()
-	p.detector.probe = probe{target: m.Session, sequence: sequence, stage: directProbe, end: now.Add(p.probeTimeout())}
+	p.detector.probe = probe{target: m.Session, sequence: sequence, stage: directProbe, deadline: now.Add(p.probeTimeout())}
 	p.Counters.Pings++
 	p.send(m.Addr, Packet{Kind: Ping, Seq: sequence, Target: m.Session})
 }
 
 // probeTimeout is how long a direct probe waits for its answer.
 func (p *Peers) probeTimeout() time.Duration {
-	return min(p.cfg.Timeout*p.health.factor(), p.cfg.Period*2/3)
+	return min(p.cfg.Timeout*p.health.multiplier(), p.cfg.Period*2/3)
 }
 
-// checkProbe has others ping in this one's place if the direct probe was not answered: the way between the two may be at fault.
-func (p *Peers) checkProbe(now time.Time) {
+// checkDirectProbe has others ping in this one's place if the direct probe was not answered: the way between the two may be at fault.
+func (p *Peers) checkDirectProbe(now time.Time) {
 	current := &p.detector.probe
-	if current.stage != directProbe || now.Before(current.end) {
+	if current.stage != directProbe || now.Before(current.deadline) {
 		return
 	}
-	current.stage, current.end = indirectProbe, now.Add(stillInPeriod)
+	current.stage, current.deadline = indirectProbe, now.Add(indirectProbeTimeout)
 	target := p.members.find(current.target)
 	if target == nil {
 		p.detector.probe = probe{}
@@ -163,32 +163,32 @@
 }
 
 // handlePingReq pings a member in another one's place.
-func (p *Peers) handlePingReq(now time.Time, from netip.AddrPort, k *Packet) {
-	target := p.members.find(k.Target)
-	if target == nil || len(p.detector.relays) >= mostRelays {
+func (p *Peers) handlePingReq(now time.Time, from netip.AddrPort, packet *Packet) {
+	target := p.members.find(packet.Target)
+	if target == nil || len(p.detector.relays) >= maxRelays {
 		return
 	}
 	sequence := p.detector.nextSequence()
-	p.detector.relays[sequence] = relay{to: from, sequence: k.Seq, end: now.Add(2 * p.cfg.Period)}
-	p.send(target.Addr, Packet{Kind: Ping, Seq: sequence, Target: k.Target})
+	p.detector.relays[sequence] = relay{requester: from, requestSequence: packet.Seq, expiresAt: now.Add(2 * p.cfg.Period)}
+	p.send(target.Addr, Packet{Kind: Ping, Seq: sequence, Target: packet.Target})
 }
 
 // handleAck takes the answer to a ping: one that was made for another member, or this one's probe.
-func (p *Peers) handleAck(now time.Time, from netip.AddrPort, k *Packet) {
-	if r, ok := p.detector.relays[k.Seq]; ok {
-		delete(p.detector.relays, k.Seq)
-		if k.Session == k.Target {
-			p.out = append(p.out, Send{r.to, Packet{Kind: Ack, Seq: r.sequence, Session: k.Session, Target: k.Target}})
+func (p *Peers) handleAck(now time.Time, from netip.AddrPort, packet *Packet) {
+	if r, ok := p.detector.relays[packet.Seq]; ok {
+		delete(p.detector.relays, packet.Seq)
+		if packet.Session == packet.Target {
+			p.sends = append(p.sends, Send{r.requester, Packet{Kind: Ack, Seq: r.requestSequence, Session: packet.Session, Target: packet.Target}})
 		}
 		return
 	}
-	if p.detector.probe.stage == noProbe || k.Seq != p.detector.probe.sequence {
+	if p.detector.probe.stage == noProbe || packet.Seq != p.detector.probe.sequence {
 		return
 	}
 	target := p.members.find(p.detector.probe.target)
 	p.detector.probe = probe{}
 	p.health.improve()
-	if target != nil && k.Session != target.Session && from == target.Addr && target.live() {
+	if target != nil && packet.Session != target.Session && from == target.Addr && target.live() {
 		// Another process answers at that address: the one that was meant has ended, whatever its suspicion.
 		p.setState(now, target, Dead)
 	}
--- a/internal/peers/gossip.go
+++ b/internal/peers/gossip.go
@@ -12,7 +12,7 @@
 
 // add has a member's latest state told on.
 func (q *updateQueue) add(m *member) {
-	m.sends = 0
+	m.transmissions = 0
 	if !m.queued {
 		m.queued = true
 		*q = append(*q, m)
@@ -21,34 +21,34 @@
 
 // fill adds records to those of a packet while it has room: what was told least often goes first.
 func (q *updateQueue) fill(records []Member) []Member {
-	slices.SortStableFunc(*q, func(a, b *member) int { return cmp.Compare(a.sends, b.sends) })
+	slices.SortStableFunc(*q, func(a, b *member) int { return cmp.Compare(a.transmissions, b.transmissions) })
 	for _, m := range *q {
-		if len(records) >= mostRecords {
+		if len(records) >= maxPacketRecords {
 			break
 		}
 		records = append(records, m.Member)
-		m.sends++
+		m.transmissions++
 	}
 	return records
 }
 
-// dropTold removes what was told often enough.
-func (q *updateQueue) dropTold(enough int) {
+// dropDisseminated removes what was told often enough.
+func (q *updateQueue) dropDisseminated(limit int) {
 	*q = slices.DeleteFunc(*q, func(m *member) bool {
-		m.queued = m.sends < enough
+		m.queued = m.transmissions < limit
 		return !m.queued
 	})
 }
 
-// retransmits is how often a change is told on: enough to reach nearly all; Syncs reach the rest.
-func (p *Peers) retransmits() int {
-	return 4 + 3*int(math.Ceil(math.Log2(float64(len(p.members.list)+2))))/2
+// retransmitLimit is how often a change is told on: enough to reach nearly all; Syncs reach the rest.
+func (p *Peers) retransmitLimit() int {
+	return 4 + 3*int(math.Ceil(math.Log2(float64(len(p.members.others)+2))))/2
 }
 
 // send adds a packet, with as many updates as it has room for.
-func (p *Peers) send(to netip.AddrPort, k Packet) {
-	k.Session = p.self.Session
-	k.Members = p.updates.fill(k.Members)
-	p.updates.dropTold(p.retransmits())
-	p.out = append(p.out, Send{to, k})
+func (p *Peers) send(to netip.AddrPort, packet Packet) {
+	packet.Session = p.self.Session
+	packet.Members = p.updates.fill(packet.Members)
+	p.updates.dropDisseminated(p.retransmitLimit())
+	p.sends = append(p.sends, Send{to, packet})
 }
--- a/internal/peers/member.go
+++ b/internal/peers/member.go
@@ -38,20 +38,20 @@
 // member is what is kept of a member.
 type member struct {
 	Member
-	since      time.Time // of its state
-	deadAt     time.Time // of a suspect: it is dead then, unless it speaks up
-	sends      int       // how often its latest state was told on
-	queued     bool      // its latest state is still to be told on
-	notifiedAt time.Time // when it was last told what is held of it
+	stateSince        time.Time // of its state
+	suspicionDeadline time.Time // of a suspect: it is dead then, unless it speaks up
+	transmissions     int       // how often its latest state was told on
+	queued            bool      // its latest state is still to be told on
+	notifiedAt        time.Time // when it was last told what is held of it
 }
 
 // memberTable holds the members.
 type memberTable struct {
-	self      *member // this process, which only byName has beside the others
-	bySession map[uint64]*member
-	list      []*member // by session
-	byName    []*member // by name and session
-	alive     int       // how many of the others live
+	self       *member // this process, which only byName has beside the others
+	bySession  map[uint64]*member
+	others     []*member // by session
+	byName     []*member // by name and session
+	liveOthers int       // how many of the others live
 }
 
 func newMemberTable(self *member) memberTable {
@@ -63,25 +63,25 @@
 
 // insert adds a member that lives.
 func (t *memberTable) insert(m *member) {
-	at, _ := slices.BinarySearchFunc(t.list, m, compareSessions)
-	t.list = slices.Insert(t.list, at, m)
+	at, _ := slices.BinarySearchFunc(t.others, m, compareSessions)
+	t.others = slices.Insert(t.others, at, m)
 	t.insertByName(m)
 	t.bySession[m.Session] = m
-	t.alive++
+	t.liveOthers++
 }
 
 // forget removes the members that gone tells.
-func (t *memberTable) forget(gone func(m *member) bool) {
-	known := len(t.list)
-	t.list = slices.DeleteFunc(t.list, func(m *member) bool {
-		if !gone(m) {
+func (t *memberTable) forget(remove func(m *member) bool) {
+	known := len(t.others)
+	t.others = slices.DeleteFunc(t.others, func(m *member) bool {
+		if !remove(m) {
 			return false
 		}
 		delete(t.bySession, m.Session)
 		return true
 	})
-	if len(t.list) < known {
-		t.forgetByName()
+	if len(t.others) < known {
+		t.removeForgottenByName()
 	}
 }
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -34,59 +34,61 @@
 
 // Peers is one process's view of the members.
 type Peers struct {
-	cfg      Config
-	rng      *rand.Rand
-	self     *member
-	left     bool // it has told others that it goes
-	members  memberTable
-	updates  updateQueue
-	detector detector
-	health   localHealth
-	periodAt time.Time // the next period begins then
-	sync     syncTimes
-	out      []Send
-	events   []Event
-	changed  uint64
-	Counters Counters
+	cfg          Config
+	rng          *rand.Rand
+	self         *member
+	left         bool // it has told others that it goes
+	members      memberTable
+	updates      updateQueue
+	detector     detector
+	health       localHealth
+	nextPeriodAt time.Time // the next period begins then
+	sync         syncState
+	sends        []Send
+	events       []Event
+	changeCount  uint64
+	Counters     Counters
 }
 
 // New returns the view of a process that knows its seeds, and the members that the configuration names.
-func New(now time.Time, c Config) *Peers {
-	if c.MaxMembers <= 0 {
-		c.MaxMembers = mostMembers
+func New(now time.Time, config Config) *Peers {
+	if config.MaxMembers <= 0 {
+		config.MaxMembers = mostMembers
 	}
-	self := &member{Member: Member{Session: c.Session, Name: c.Name, Zone: c.Zone, Addr: c.Addr, EncodedAddr: addrBytes(c.Addr)}, since: now}
+	self := &member{Member: Member{Session: config.Session, Name: config.Name, Zone: config.Zone, Addr: config.Addr, EncodedAddr: addrBytes(config.Addr)}, stateSince: now}
 	p := &Peers{
-		cfg: c, rng: rand.New(rand.NewPCG(c.Seed, c.Session)), self: self, members: newMemberTable(self), detector: newDetector(),
+		cfg: config, rng: rand.New(rand.NewPCG(config.Seed, config.Session)), self: self, members: newMemberTable(self), detector: newDetector(),
 	}
 	p.cfg.Known = nil // the table holds them from here on
-	p.periodAt = now.Add(p.draw(c.Period))
-	p.sync.nextAt = now.Add(p.draw(syncFirst))
-	if len(c.Known) > 0 {
-		p.restore(now, c.Known)
+	p.nextPeriodAt = now.Add(p.randomDuration(config.Period))
+	p.sync.nextAt = now.Add(p.randomDuration(initialSyncInterval))
+	if len(config.Known) > 0 {
+		p.restore(now, config.Known)
 	} else {
 		p.join(now)
 	}
 	return p
 }
 
-// draw returns a random time from 0 to d.
-func (p *Peers) draw(d time.Duration) time.Duration { return time.Duration(p.rng.Int64N(int64(d) + 1)) }
+// randomDuration returns a random time from 0 to d.
+func (p *Peers) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(p.rng.Int64N(int64(limit) + 1))
+}
 
 // Take returns what is to be sent, and what changed, since the last call.
 func (p *Peers) Take() ([]Send, []Event) {
-	sends, events := p.out, p.events
-	p.out, p.events = nil, nil
+	sends, events := p.sends, p.events
+	p.sends, p.events = nil, nil
 	return sends, events
 }
 
 // Due tells when Tick is to be called next.
 func (p *Peers) Due() time.Time {
-	due := p.periodAt
-	if probe := &p.detector.probe; probe.stage != noProbe && probe.end.Before(due) {
-		due = probe.end
+	due := p.nextPeriodAt
+	if probe := &p.detector.probe; probe.stage != noProbe && probe.deadline.Before(due) {
+		due = probe.deadline
 	}
-	if p.sync.joinAt.Before(due) && p.alone() {
+	if p.sync.joinAt.Before(due) && p.needsJoin() {
 		due = p.sync.joinAt
 	}
 	return due
@@ -96,7 +98,7 @@
 func (p *Peers) Self() Member { return p.self.Member }
 
 // ChangeCount counts the changes of who lives: equal figures mean an unchanged list.
-func (p *Peers) ChangeCount() uint64 { return p.changed }
+func (p *Peers) ChangeCount() uint64 { return p.changeCount }
 
 // Members returns those that live, this process among them, by name and session; suspects are among them.
 func (p *Peers) Members() []Member {
@@ -104,7 +106,7 @@
 }
 
 // Count is how many members live, this one among them.
-func (p *Peers) Count() int { return 1 + p.members.alive }
+func (p *Peers) Count() int { return 1 + p.members.liveOthers }
 
 // AddrOf is the address of another member that lives and is not suspected.
 func (p *Peers) AddrOf(session uint64) (netip.AddrPort, bool) {
@@ -123,7 +125,7 @@
 // RandomMembers returns up to n random members other than this one that live and are not suspected.
 func (p *Peers) RandomMembers(n int) []Member {
 	var alive []Member
-	for _, m := range p.members.list {
+	for _, m := range p.members.others {
 		if m.State == Alive {
 			alive = append(alive, m.Member)
 		}
@@ -149,26 +151,26 @@
 // Tick does what is due; it may be called at any time.
 func (p *Peers) Tick(now time.Time) {
 	if p.left {
-		p.periodAt = now.Add(p.cfg.Period)
+		p.nextPeriodAt = now.Add(p.cfg.Period)
 		return
 	}
 	p.expireSuspects(now)
 	p.forgetDead(now)
-	p.detector.dropRelays(now)
-	p.checkProbe(now)
-	if p.alone() && !now.Before(p.sync.joinAt) {
+	p.detector.expireRelays(now)
+	p.checkDirectProbe(now)
+	if p.needsJoin() && !now.Before(p.sync.joinAt) {
 		p.join(now)
 	}
-	if !now.Before(p.periodAt) {
+	if !now.Before(p.nextPeriodAt) {
 		p.beginPeriod(now)
 	}
 }
 
 // beginPeriod ends the last period's probe and does what each period does.
 func (p *Peers) beginPeriod(now time.Time) {
-	p.periodAt = now.Add(p.cfg.Period)
+	p.nextPeriodAt = now.Add(p.cfg.Period)
 	p.failProbe(now)
-	p.probeNext(now)
+	p.startProbe(now)
 	p.pingSuspects()
 	if !now.Before(p.sync.nextAt) {
 		p.syncWithOthers(now)
@@ -176,22 +178,22 @@
 }
 
 // Handle takes a packet from an address.
-func (p *Peers) Handle(now time.Time, from netip.AddrPort, k *Packet) {
-	if k.Session == 0 || k.Session == p.self.Session || len(k.Members) > mostRecords {
+func (p *Peers) Handle(now time.Time, from netip.AddrPort, packet *Packet) {
+	if packet.Session == 0 || packet.Session == p.self.Session || len(packet.Members) > maxPacketRecords {
 		p.Counters.Dropped++
 		return
 	}
-	for i := range k.Members {
-		p.merge(now, &k.Members[i])
+	for i := range packet.Members {
+		p.merge(now, &packet.Members[i])
 	}
-	p.noteSender(now, k)
-	switch k.Kind {
+	p.noteSender(now, packet)
+	switch packet.Kind {
 	case Ping:
-		p.send(from, Packet{Kind: Ack, Seq: k.Seq, Target: k.Target})
+		p.send(from, Packet{Kind: Ack, Seq: packet.Seq, Target: packet.Target})
 	case Ack:
-		p.handleAck(now, from, k)
+		p.handleAck(now, from, packet)
 	case PingReq:
-		p.handlePingReq(now, from, k)
+		p.handlePingReq(now, from, packet)
 	case Sync:
 		p.sendMembers(from, SyncAck)
 	case SyncAck:
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -9,66 +9,66 @@
 	"pgregory.net/rapid"
 )
 
-// net joins views directly: what is sent arrives at once, unless drop says otherwise.
-type net struct {
-	now  time.Time
-	all  []*Peers
-	drop func(from, to int) bool
-	seen []Event
+// testNetwork joins views directly: what is sent arrives at once, unless drop says otherwise.
+type testNetwork struct {
+	now    time.Time
+	nodes  []*Peers
+	drop   func(from, to int) bool
+	events []Event
 }
 
 func addr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7946)
 }
 
-func newNet(n int) *net {
-	w := &net{now: time.Unix(1e9, 0)}
+func newTestNetwork(n int) *testNetwork {
+	w := &testNetwork{now: time.Unix(1e9, 0)}
 	for i := range n {
 		w.start(i, uint64(1000+i), fmt.Sprintf("p%d", i))
 	}
 	return w
 }
 
-func (w *net) start(i int, session uint64, name string) {
+func (w *testNetwork) start(i int, session uint64, name string) {
 	c := DefaultConfig()
 	c.Name, c.Addr, c.Session, c.Seeds, c.Seed = name, addr(i), session, []netip.AddrPort{addr(0), addr(1)}, 1
-	if i < len(w.all) {
-		w.all[i] = New(w.now, c)
+	if i < len(w.nodes) {
+		w.nodes[i] = New(w.now, c)
 		return
 	}
-	w.all = append(w.all, New(w.now, c))
+	w.nodes = append(w.nodes, New(w.now, c))
 }
 
-func (w *net) run(d time.Duration) {
+func (w *testNetwork) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(10 * time.Millisecond) {
-		for i, p := range w.all {
+		for i, p := range w.nodes {
 			if p != nil && !w.now.Before(p.Due()) {
 				p.Tick(w.now)
 			}
-			w.flush(i)
+			w.deliver(i)
 		}
 	}
 }
 
-func (w *net) flush(i int) {
-	if w.all[i] == nil {
+func (w *testNetwork) deliver(i int) {
+	if w.nodes[i] == nil {
 		return
 	}
-	sends, events := w.all[i].Take()
-	w.seen = append(w.seen, events...)
+	sends, events := w.nodes[i].Take()
+	w.events = append(w.events, events...)
 	for _, s := range sends {
-		for j := range w.all {
-			if addr(j) == s.To && w.all[j] != nil && (w.drop == nil || !w.drop(i, j)) {
-				w.all[j].Handle(w.now, addr(i), &s.Packet)
-				w.flush(j)
+		for j := range w.nodes {
+			if addr(j) == s.To && w.nodes[j] != nil && (w.drop == nil || !w.drop(i, j)) {
+				w.nodes[j].Handle(w.now, addr(i), &s.Packet)
+				w.deliver(j)
 			}
 		}
 	}
 }
 
-func (w *net) knows(t *testing.T, want int) {
+func (w *testNetwork) expectMemberCount(t *testing.T, want int) {
 	t.Helper()
-	for i, p := range w.all {
+	for i, p := range w.nodes {
 		if p != nil && len(p.Members()) != want {
 			t.Errorf("p%d knows %d members of %d", i, len(p.Members()), want)
 		}
@@ -77,26 +77,26 @@
 
 // 300 join within a second, and 70 % of them are killed at once: the rest agree on who is left.
 func TestMassKill(t *testing.T) {
-	w := newNet(300)
+	w := newTestNetwork(300)
 	w.run(8 * time.Second)
-	w.knows(t, 300)
-	for i := range w.all {
+	w.expectMemberCount(t, 300)
+	for i := range w.nodes {
 		if i%10 < 7 {
-			w.all[i] = nil
+			w.nodes[i] = nil
 		}
 	}
 	w.run(90 * time.Second)
-	w.knows(t, 90)
+	w.expectMemberCount(t, 90)
 }
 
 // A restart is another member of the same name; its former life does not outlast the next ping of it, and is no twin.
 func TestRestart(t *testing.T) {
-	w := newNet(8)
+	w := newTestNetwork(8)
 	w.run(5 * time.Second)
 	w.start(3, 77, "p3")
 	w.run(6 * time.Second)
-	w.knows(t, 8)
-	for _, e := range w.seen {
+	w.expectMemberCount(t, 8)
+	for _, e := range w.events {
 		if e.NameConflict {
 			t.Errorf("a restart passed for a twin: %+v", e)
 		}
@@ -104,43 +104,43 @@
 }
 
 // Two live processes of one name are told apart, and reported.
-func TestTwins(t *testing.T) {
-	w := newNet(5)
+func TestNameConflict(t *testing.T) {
+	w := newTestNetwork(5)
 	w.run(3 * time.Second)
 	w.start(5, 99, "p3")
 	w.run(3 * time.Second)
-	w.knows(t, 6)
-	twins := 0
-	for _, e := range w.seen {
+	w.expectMemberCount(t, 6)
+	conflicts := 0
+	for _, e := range w.events {
 		if e.NameConflict && e.Member.Session == 99 {
-			twins++
+			conflicts++
 		}
 	}
-	if twins < 4 {
-		t.Errorf("%d of 5 reported the twin", twins)
+	if conflicts < 4 {
+		t.Errorf("%d of 5 reported the twin", conflicts)
 	}
 }
 
 // Parts that took each other for dead know each other again once the way between them is whole.
-func TestPartsMeetAgain(t *testing.T) {
-	w := newNet(9)
+func TestPartitionHeals(t *testing.T) {
+	w := newTestNetwork(9)
 	w.run(4 * time.Second)
 	w.drop = func(from, to int) bool { return from%3 != to%3 }
 	w.run(40 * time.Second)
-	w.knows(t, 3)
+	w.expectMemberCount(t, 3)
 	w.drop = nil
 	w.run(40 * time.Second)
-	w.knows(t, 9)
+	w.expectMemberCount(t, 9)
 }
 
 // One that can send but not hear, or the reverse, does not have sound ones buried: they speak up.
-func TestDeafAccuser(t *testing.T) {
-	w := newNet(10)
+func TestMemberThatReceivesNothing(t *testing.T) {
+	w := newTestNetwork(10)
 	w.run(4 * time.Second)
 	w.drop = func(from, to int) bool { return to == 4 }
 	w.run(60 * time.Second)
-	for i, p := range w.all {
-		for j := range w.all {
+	for i, p := range w.nodes {
+		for j := range w.nodes {
 			if i != 4 && j != 4 && p.members.find(uint64(1000+j)) != nil && p.members.find(uint64(1000+j)).State == Dead {
 				t.Errorf("p%d has p%d for dead, since one that is deaf says so", i, j)
 			}
@@ -149,10 +149,10 @@
 }
 
 // A refutation that was told in vain, while all that this one sent was lost, is told again to whoever has not heard it.
-func TestLostRefutationIsToldAgain(t *testing.T) {
+func TestLostRefutationIsSentAgain(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p := New(now, Config{Name: "me", Addr: addr(0), Session: 500, Period: time.Second, Timeout: time.Second / 4, Seed: 1})
-	tells := func() bool {
+	sendsRefutation := func() bool {
 		p.Take()
 		p.Handle(now, addr(1), &Packet{Kind: Ping, Seq: 1, Session: 7, Target: 500})
 		sends, _ := p.Take()
@@ -165,22 +165,22 @@
 	}
 	dead := &Packet{Kind: Ack, Session: 7, Members: []Member{{Session: 500, Name: "me", State: Dead}}}
 	p.Handle(now, addr(1), dead)
-	if !tells() {
+	if !sendsRefutation() {
 		t.Fatal("it does not speak up")
 	}
-	for i := 0; tells(); i++ {
+	for i := 0; sendsRefutation(); i++ {
 		if i > 100 {
 			t.Fatal("it never ends telling")
 		}
 	}
 	p.Handle(now, addr(1), dead)
-	if !tells() {
+	if !sendsRefutation() {
 		t.Error("who has not heard it is not told again")
 	}
 }
 
 // What is learnt does not depend on order or repetition.
-func TestLearningIsAJoin(t *testing.T) {
+func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Member {
 			return Member{
@@ -209,11 +209,11 @@
 // A member keeps 1,024 processes, itself included, however many packets tell of them.
 func TestManyMembers(t *testing.T) {
 	const n = 1024
-	w := newNet(1)
+	w := newTestNetwork(1)
 	var k Packet
-	tell := func() {
-		w.all[0].Handle(w.now, addr(1), &k)
-		w.all[0].Take()
+	deliverSync := func() {
+		w.nodes[0].Handle(w.now, addr(1), &k)
+		w.nodes[0].Take()
 		k.Members = nil
 	}
 	for i := 1; i < n; i++ {
@@ -222,10 +222,10 @@
 			t.Fatal(err)
 		}
 		k.Kind, k.Session = Sync, 1001
-		if k.Members = append(k.Members, Member{Session: uint64(1000 + i), Name: fmt.Sprint("p", i), EncodedAddr: at}); len(k.Members) == mostRecords {
-			tell()
+		if k.Members = append(k.Members, Member{Session: uint64(1000 + i), Name: fmt.Sprint("p", i), EncodedAddr: at}); len(k.Members) == maxPacketRecords {
+			deliverSync()
 		}
 	}
-	tell()
-	w.knows(t, n)
+	deliverSync()
+	w.expectMemberCount(t, n)
 }
--- a/internal/peers/suspicion.go
+++ b/internal/peers/suspicion.go
@@ -9,22 +9,22 @@
 // (Lifeguard's local health multiplier.)
 type localHealth int
 
-func (h *localHealth) worsen()  { *h = min(*h+1, worstHealth) }
+func (h *localHealth) worsen()  { *h = min(*h+1, maxLocalHealth) }
 func (h *localHealth) improve() { *h = max(*h-1, 0) }
 
-// factor is by how much longer it waits than when it is sound.
-func (h *localHealth) factor() time.Duration { return time.Duration(1 + *h) }
+// multiplier is by how much longer it waits than when it is sound.
+func (h *localHealth) multiplier() time.Duration { return time.Duration(1 + *h) }
 
 // suspicionTimeout is how long a suspect has to speak up: gossip must reach it and its answer everybody.
 func (p *Peers) suspicionTimeout() time.Duration {
-	periods := max(3, math.Log2(float64(len(p.members.list)+2)))
-	return time.Duration(float64(p.cfg.Period) * periods * float64(p.health.factor()))
+	periods := max(3, math.Log2(float64(len(p.members.others)+2)))
+	return time.Duration(float64(p.cfg.Period) * periods * float64(p.health.multiplier()))
 }
 
 // expireSuspects takes suspects for dead that had their time.
 func (p *Peers) expireSuspects(now time.Time) {
-	for _, m := range p.members.list {
-		if m.State == Suspect && !now.Before(m.deadAt) {
+	for _, m := range p.members.others {
+		if m.State == Suspect && !now.Before(m.suspicionDeadline) {
 			p.setState(now, m, Dead)
 		}
 	}
@@ -33,7 +33,7 @@
 // forgetDead forgets those that are dead for long.
 func (p *Peers) forgetDead(now time.Time) {
 	p.members.forget(func(m *member) bool {
-		return !m.live() && now.Sub(m.since) > forgetAfter && !m.queued
+		return !m.live() && now.Sub(m.stateSince) > endedRetention && !m.queued
 	})
 }
 
@@ -41,10 +41,10 @@
 // Gossip alone may lose the refutation on links that lose datagrams.
 func (p *Peers) pingSuspects() {
 	pinged := 0
-	for _, m := range p.members.list {
+	for _, m := range p.members.others {
 		if m.State == Suspect && pinged < indirectProbes {
 			pinged++
-			p.out = append(p.out, Send{m.Addr, Packet{
+			p.sends = append(p.sends, Send{m.Addr, Packet{
 				Kind: Ping, Session: p.self.Session, Target: m.Session, Members: []Member{m.Member},
 			}})
 		}
@@ -53,9 +53,9 @@
 
 // noteSender takes a packet as a sign of life. Who is suspected, or taken for dead since a partition, is told so, and speaks up:
 // only it may raise its incarnation.
-func (p *Peers) noteSender(now time.Time, k *Packet) {
-	m := p.members.find(k.Session)
-	if m != nil && (m.State == Suspect || m.State == Dead) && k.Kind != Ack {
+func (p *Peers) noteSender(now time.Time, packet *Packet) {
+	m := p.members.find(packet.Session)
+	if m != nil && (m.State == Suspect || m.State == Dead) && packet.Kind != Ack {
 		p.notify(now, m)
 	}
 }
@@ -66,5 +66,5 @@
 		return
 	}
 	m.notifiedAt = now
-	p.out = append(p.out, Send{m.Addr, Packet{Kind: Ack, Session: p.self.Session, Members: []Member{m.Member}}})
+	p.sends = append(p.sends, Send{m.Addr, Packet{Kind: Ack, Session: p.self.Session, Members: []Member{m.Member}}})
 }
--- a/internal/peers/sync.go
+++ b/internal/peers/sync.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// syncTimes are when the list of members is to be compared with others'.
-type syncTimes struct {
-	nextAt time.Time // the next Sync
-	count  int       // Syncs so far
-	joinAt time.Time // the next attempt to join, of one that knows nobody
+// syncState are when the list of members is to be compared with others'.
+type syncState struct {
+	nextAt  time.Time // the next Sync
+	started int       // Syncs so far
+	joinAt  time.Time // the next attempt to join, of one that knows nobody
 }
 
-// alone tells whether no other member is known to live although there are seeds.
-func (p *Peers) alone() bool {
-	return p.members.alive == 0 && len(p.cfg.Seeds) > 0 && !p.left
+// needsJoin tells whether no other member is known to live although there are seeds.
+func (p *Peers) needsJoin() bool {
+	return p.members.liveOthers == 0 && len(p.cfg.Seeds) > 0 && !p.left
 }
 
 // join says to all seeds that this process is there.
 func (p *Peers) join(now time.Time) {
-	p.sync.joinAt = now.Add(joinEvery/2 + p.draw(joinEvery))
+	p.sync.joinAt = now.Add(joinInterval/2 + p.randomDuration(joinInterval))
 	for _, seed := range p.cfg.Seeds {
-		p.greetSeed(seed)
+		p.announceTo(seed)
 	}
 }
 
-// greetSeed sends a seed this process's own record; it answers with its list.
-func (p *Peers) greetSeed(seed netip.AddrPort) {
+// announceTo sends a seed this process's own record; it answers with its list.
+func (p *Peers) announceTo(seed netip.AddrPort) {
 	if seed != p.cfg.Addr {
 		p.send(seed, Packet{Kind: Sync, Members: []Member{p.self.Member}})
 	}
@@ -35,36 +35,36 @@
 // syncWithOthers compares lists with a member that is drawn, and with a seed.
 func (p *Peers) syncWithOthers(now time.Time) {
 	interval := p.syncInterval()
-	p.sync.nextAt = now.Add(interval/2 + p.draw(interval))
-	if drawn := p.RandomMembers(1); len(drawn) > 0 {
-		p.sendMembers(drawn[0].Addr, Sync)
+	p.sync.nextAt = now.Add(interval/2 + p.randomDuration(interval))
+	if random := p.RandomMembers(1); len(random) > 0 {
+		p.sendMembers(random[0].Addr, Sync)
 	}
 	p.syncWithSeed()
 }
 
 // syncInterval is the mean time until the next Sync.
 func (p *Peers) syncInterval() time.Duration {
-	p.sync.count++
-	if p.sync.count <= firstSyncs {
-		return syncFirst
+	p.sync.started++
+	if p.sync.started <= initialSyncs {
+		return initialSyncInterval
 	}
-	return max(syncEvery, syncPerMember*time.Duration(len(p.members.list)))
+	return max(steadySyncInterval, syncIntervalPerMember*time.Duration(len(p.members.others)))
 }
 
 // syncWithSeed speaks to a seed although members are known: two halves that took each other for dead would not find each other
 // again.
 func (p *Peers) syncWithSeed() {
 	if len(p.cfg.Seeds) > 0 {
-		p.greetSeed(p.cfg.Seeds[p.rng.IntN(len(p.cfg.Seeds))])
+		p.announceTo(p.cfg.Seeds[p.rng.IntN(len(p.cfg.Seeds))])
 	}
 }
 
 // sendMembers sends all that live, in as many packets as it takes.
-func (p *Peers) sendMembers(to netip.AddrPort, k Kind) {
+func (p *Peers) sendMembers(to netip.AddrPort, kind Kind) {
 	rest := p.Members()
 	for len(rest) > 0 {
-		count := min(len(rest), mostRecords)
-		p.out = append(p.out, Send{to, Packet{Kind: k, Session: p.self.Session, Members: rest[:count]}})
-		rest, k = rest[count:], SyncAck // only the first one asks for an answer
+		count := min(len(rest), maxPacketRecords)
+		p.sends = append(p.sends, Send{to, Packet{Kind: kind, Session: p.self.Session, Members: rest[:count]}})
+		rest, kind = rest[count:], SyncAck // only the first one asks for an answer
 	}
 }
--- a/internal/peers/tree.go
+++ b/internal/peers/tree.go
@@ -9,28 +9,28 @@
 	if root == 0 || root == p.self.Session {
 		return netip.AddrPort{}, false
 	}
-	place := p.members.countBelow(p.self.Session, root)
-	rootLives := p.IsLive(root)
-	if rootLives {
-		place++
+	index := p.members.countBelow(p.self.Session, root)
+	rootIsLive := p.IsLive(root)
+	if rootIsLive {
+		index++
 	}
-	if place == 0 {
+	if index == 0 {
 		return netip.AddrPort{}, false
 	}
-	parent := (place - 1) / fanout
-	if !rootLives {
-		return p.members.nthLive(parent, root), true
+	parentIndex := (index - 1) / fanout
+	if !rootIsLive {
+		return p.members.nthLive(parentIndex, root), true
 	}
-	if parent == 0 {
+	if parentIndex == 0 {
 		return p.members.find(root).Addr, true
 	}
-	return p.members.nthLive(parent-1, root), true
+	return p.members.nthLive(parentIndex-1, root), true
 }
 
 // countBelow returns how many members other than one live whose sessions are below a given one.
 func (t *memberTable) countBelow(session, except uint64) int {
 	count := 0
-	for _, m := range t.list {
+	for _, m := range t.others {
 		if m.Session >= session {
 			break
 		}
@@ -42,15 +42,15 @@
 }
 
 // nthLive returns the address of a member by its place, from 0, among those that live other than one, in the order of their sessions.
-func (t *memberTable) nthLive(place int, except uint64) netip.AddrPort {
-	for _, m := range t.list {
+func (t *memberTable) nthLive(index int, except uint64) netip.AddrPort {
+	for _, m := range t.others {
 		if !m.live() || m.Session == except {
 			continue
 		}
-		if place == 0 {
+		if index == 0 {
 			return m.Addr
 		}
-		place--
+		index--
 	}
 	return netip.AddrPort{}
 }
