--- a/internal/duty/discovery.go
+++ b/internal/duty/discovery.go
@@ -11,18 +11,22 @@
 	"ospreyspan/internal/routes"
 )
 
-// Discovery is the lease for asking discovery. Its owner watches discovery and announces the whole list whenever that has changed.
+// Discovery is the name of the lease for watching discovery. Its owner watches discovery and
+// announces the complete list of targets whenever the list has changed.
 const Discovery = "discovery"
 
-// Parts of the longest time that the rules allow without a question to discovery. Together they stay under 1, so that a process
-// without a confirmed announcement has asked before changes count as told to it.
+// Fractions of the longest time that a process may go without querying discovery. Their sum is
+// below 1, so that a process without a confirmed announcement has queried discovery itself before
+// it is taken to know of changes.
 const (
-	relyFraction     = 0.6  // for which a process relies on the owner's announcement after that was confirmed
-	fallbackFraction = 0.25 // over which the processes' own questions are spread after that
+	relyFraction     = 0.6  // how long a process relies on a confirmed announcement
+	fallbackFraction = 0.25 // spread of the processes' own queries after that
 )
 
-// RelyUntil returns until when a process need not ask discovery itself, zero for now. askWithin is the longest time that the rules
-// allow without a question; confirmed is the latest time as of which the owner's announcement was known to be up to date.
+// RelyUntil returns the time until which a process need not query discovery itself; the zero time
+// means that it must query now. The argument confirmed is the latest time at which the owner's
+// announcement was known to be up to date, and askWithin is the longest time that a process may go
+// without a query.
 func RelyUntil(confirmed time.Time, askWithin time.Duration) time.Time {
 	if confirmed.IsZero() || askWithin <= 0 {
 		return time.Time{}
@@ -30,19 +34,20 @@
 	return confirmed.Add(time.Duration(relyFraction * float64(askWithin)))
 }
 
-// FallbackSpread is the time over which the processes' own questions are spread after RelyUntil.
+// FallbackSpread returns the duration over which the processes' own queries to discovery are spread
+// once the time that RelyUntil returns has passed.
 func FallbackSpread(askWithin time.Duration) time.Duration {
 	return time.Duration(fallbackFraction * float64(askWithin))
 }
 
-// listMessage is the announcement of the owner of Discovery.
+// listMessage is the encoded form of an announcement by the owner of the Discovery lease.
 type listMessage struct {
 	Seq     int64       `cbor:"1,keyasint"`
-	Source  uint64      `cbor:"2,keyasint"` // hash of the address of discovery
+	Source  uint64      `cbor:"2,keyasint"` // hash of the address of discovery; see sourceHash
 	Targets []listEntry `cbor:"3,keyasint"`
 }
 
-// listEntry is one routes.Target.
+// listEntry is the encoded form of a routes.Target.
 type listEntry struct {
 	ID          string        `cbor:"1,keyasint"`
 	Addr        []byte        `cbor:"2,keyasint"`
@@ -54,13 +59,15 @@
 	StartUnixMS int64         `cbor:"8,keyasint,omitempty"`
 }
 
-// mostTargets is how many entries a message may have.
+// mostTargets is the maximum number of entries in a listMessage.
 const mostTargets = 10000
 
-// sourceHash stands for a discovery: processes that ask another one must not use its list.
+// sourceHash identifies a discovery service by its address: processes that use another service must
+// not accept its list.
 func sourceHash(discovery netip.AddrPort) uint64 { return xxhash.Sum64String(discovery.String()) }
 
-// EncodeList writes the whole list as the owner knows it from the discovery at an address.
+// EncodeList encodes the complete list of targets with version seq, as the owner received it from
+// the discovery service at the given address.
 func EncodeList(discovery netip.AddrPort, seq int64, targets []*routes.Target) ([]byte, error) {
 	message := listMessage{Seq: seq, Source: sourceHash(discovery)}
 	for _, t := range targets {
@@ -73,17 +80,20 @@
 	return cbor.Marshal(message)
 }
 
-// ReceivedList is what a process makes of the owner's announcement.
+// ReceivedList is the owner's announcement as it applies to the receiving process.
 type ReceivedList struct {
-	List *routes.List // to be merged
-	// Unknown counts the targets that the process does not know and may not use by the owner's address: it must ask itself.
+	List *routes.List // to be merged into the routing table
+	// Unknown counts the targets whose address this process does not know and may not take from the
+	// owner. If it is above 0, the process must query discovery itself.
 	Unknown int
 }
 
-// DecodeList reads the owner's announcement. A target that find knows keeps the address by which this process knows it: discovery
-// may name another one to each proxy. Unknown ones are taken only if same says that addresses are the same for all. known is the
-// version that this process has. A list of another discovery than this process's is an error, and so is one that is older than
-// known, too long, or malformed.
+// DecodeList decodes the owner's announcement. A target that find returns keeps the address by
+// which this process knows it, because discovery may give each proxy a different one; if sameAddrs
+// is true, addresses are the same for all processes, and the owner's address is used. Targets that
+// find does not return are included only if sameAddrs is true. The argument knownSeq is the version
+// of the list that this process has. DecodeList returns an error if the list comes from a discovery
+// service other than the given one, is older than knownSeq, has too many entries, or is malformed.
 func DecodeList(data []byte, discovery netip.AddrPort, knownSeq int64, sameAddrs bool, find func(id string) *routes.Target) (*ReceivedList, error) {
 	var message listMessage
 	if err := cbor.Unmarshal(data, &message); err != nil {
@@ -105,27 +115,29 @@
 	return received, nil
 }
 
-// check returns an error if a list is not one for this process.
+// check returns an error if the list comes from another discovery service, is older than knownSeq,
+// or has too many entries.
 func (m *listMessage) check(discovery netip.AddrPort, knownSeq int64) error {
 	switch {
 	case m.Source != sourceHash(discovery):
-		return fmt.Errorf("duty: list: of another discovery than %s", discovery)
+		return fmt.Errorf("duty: list: source %016x is not discovery at %s", m.Source, discovery)
 	case m.Seq < knownSeq:
-		return fmt.Errorf("duty: list: version %d, older than %d, which is known", m.Seq, knownSeq)
+		return fmt.Errorf("duty: list: version %d is older than the known version %d", m.Seq, knownSeq)
 	case len(m.Targets) > mostTargets:
-		return fmt.Errorf("duty: list: %d targets, more than %d", len(m.Targets), mostTargets)
+		return fmt.Errorf("duty: list: %d targets, at most %d allowed", len(m.Targets), mostTargets)
 	}
 	return nil
 }
 
-// add adds an entry; known is the target that this process has under its id, nil if there is none.
+// add adds an entry to the list. The argument known is the target that this process has under the
+// entry's ID, or nil if it has none.
 func (r *ReceivedList) add(entry *listEntry, known *routes.Target, sameAddrs bool) error {
 	if known == nil && !sameAddrs {
 		r.Unknown++
 		return nil
 	}
 	if known != nil && known.StartUnixMS != entry.StartUnixMS && !sameAddrs {
-		r.Unknown++ // it has started anew, perhaps elsewhere
+		r.Unknown++ // the target has restarted, possibly at another address
 	}
 	target := entry.target()
 	if known != nil {
@@ -133,14 +145,14 @@
 	}
 	if !target.Addr.IsValid() || sameAddrs {
 		if target.Addr.UnmarshalBinary(entry.Addr) != nil {
-			return fmt.Errorf("duty: list: target %s: its address can't be read", entry.ID)
+			return fmt.Errorf("duty: list: target %s: malformed address of %d bytes", entry.ID, len(entry.Addr))
 		}
 	}
 	r.List.Hosts = append(r.List.Hosts, target)
 	return nil
 }
 
-// target returns the target of an entry, without its address.
+// target returns the entry as a routes.Target without an address.
 func (e *listEntry) target() *routes.Target {
 	return &routes.Target{
 		ID: e.ID, Site: e.Site, Kind: e.Kind, Block: e.Block, Health: e.Health, Share: e.Share, StartUnixMS: e.StartUnixMS,
--- a/internal/duty/doc.go
+++ b/internal/duty/doc.go
@@ -1,4 +1,6 @@
-// Package duty has the work that one process does for the whole fleet while it holds the lease for it: asking discovery, pacing moves
-// and sharing probes. It has what the owner of the lease sends and what the others make of it. It is pure: events come with their
-// time, and there is no I/O.
+// Package duty implements the duties, tasks that one process performs for the whole fleet while it
+// holds the corresponding lease: watching discovery, pacing moves and probing targets. It encodes
+// the messages of a lease's owner and decodes them for the other processes.
+//
+// The package performs no I/O and reads no clock: callers pass in events together with their time.
 package duty
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// The announcement is the list. A process keeps the addresses that it knows, and asks for those that it does not.
+// A receiver keeps the addresses that it knows and counts the targets that it does not know. If
+// addresses are the same for all processes, it takes all targets with the owner's addresses.
 func TestEncodeList(t *testing.T) {
 	text, err := EncodeList(discoveryAddr, 9, testTargets())
 	if err != nil {
@@ -43,7 +44,8 @@
 	}
 }
 
-// A list that is older than what is known, of another discovery or damaged is refused.
+// A list that is older than the known version, from another discovery service, truncated or empty
+// is rejected.
 func TestDecodeListRejects(t *testing.T) {
 	text, _ := EncodeList(discoveryAddr, 9, testTargets())
 	none := func(string) *routes.Target { return nil }
@@ -53,7 +55,7 @@
 		known int64
 		want  string
 	}{
-		{text, "127.0.0.1:8500", 10, "older than 10"}, {text, "127.0.0.2:8500", 0, "of another discovery"},
+		{text, "127.0.0.1:8500", 10, "older than the known version 10"}, {text, "127.0.0.2:8500", 0, "is not discovery at 127.0.0.2:8500"},
 		{text[:20], "127.0.0.1:8500", 0, "duty: list"}, {nil, "127.0.0.1:8500", 0, "duty: list"},
 	} {
 		if _, err := DecodeList(tt.text, netip.MustParseAddrPort(tt.from), tt.known, true, none); err == nil || !strings.Contains(err.Error(), tt.want) {
@@ -62,18 +64,19 @@
 	}
 }
 
-// Whoever relies on an announcement has asked itself before the time after which changes count as told.
+// A process that relied on an announcement must have queried discovery itself before askWithin has
+// passed.
 func TestRelyUntilLeavesTimeToAsk(t *testing.T) {
 	confirmed, askWithin := time.Unix(1e9, 0), 10*time.Second
 	if end := RelyUntil(confirmed, askWithin).Add(FallbackSpread(askWithin)); end.Sub(confirmed) >= askWithin {
-		t.Errorf("asked only %v after the last announcement", end.Sub(confirmed))
+		t.Errorf("own queries end %v after the announcement was confirmed, want less than %v", end.Sub(confirmed), askWithin)
 	}
 	if !RelyUntil(time.Time{}, askWithin).IsZero() || !RelyUntil(confirmed, 0).IsZero() {
-		t.Error("it relies on an announcement that nobody confirmed")
+		t.Error("process relies on an unconfirmed announcement, or without a time limit")
 	}
 }
 
-// An announced list names 1,024 targets, and more.
+// An announcement with 1,024 targets is decoded completely and fits into what mesh can send.
 func TestListOfManyTargets(t *testing.T) {
 	const n = 1024
 	var all []*routes.Target
@@ -87,9 +90,9 @@
 	}
 	h, err := DecodeList(text, discoveryAddr, 8, true, func(string) *routes.Target { return nil })
 	if err != nil || len(h.List.Hosts) != n || *h.List.Hosts[n-1] != *all[n-1] {
-		t.Fatalf("%d bytes, %v", len(text), err)
+		t.Fatalf("announcement of %d bytes not decoded completely: %v", len(text), err)
 	}
-	if maxBytes := 900 * 256; len(text) > maxBytes { // what the mesh carries of an announcement
-		t.Errorf("%d bytes, the mesh carries %d", len(text), maxBytes)
+	if maxBytes := 900 * 256; len(text) > maxBytes { // largest announcement that mesh can send
+		t.Errorf("announcement of %d bytes, mesh sends at most %d", len(text), maxBytes)
 	}
 }
--- a/internal/duty/probes.go
+++ b/internal/duty/probes.go
@@ -13,33 +13,39 @@
 	"ospreyspan/internal/peers"
 )
 
-// Probes is the name by which operators have a process share probes and take parts of them.
+// Probes is the name by which operators assign the duty of probing targets to a process: the
+// process shares the results of probes and may own parts of the targets.
 const Probes = "probes"
 
-// ProbeParts is into how many parts the targets are divided; each part has a lease of its own, probes/0 and on.
+// ProbeParts is the number of parts into which the targets are divided. Each part has its own
+// lease, named probes/0, probes/1 and so on.
 const ProbeParts = 8
 
 const (
-	// maxReportAge is how old a report may be for it to pass for one's own probe, as for the decision module's scans.
+	// maxReportAge is the maximum age at which a report can replace a probe of one's own. It equals
+	// the maximum age of the reports that package balance uses when it samples targets.
 	maxReportAge = 200 * time.Millisecond
-	// maxCachedAge is how old a report may be that the owner sends: its way takes time too.
+	// maxCachedAge is the maximum age at which the owner sends a cached report. It is below
+	// maxReportAge because the response takes time to arrive.
 	maxCachedAge = 120 * time.Millisecond
-	// responseTimeout is how long an owner's response may take before the requester probes itself.
+	// responseTimeout is how long a requester waits for the owner before it acts on its own.
 	responseTimeout = 120 * time.Millisecond
 
-	maxWaiting       = 1024 // requests that wait for probes
-	maxCachedReports = 4096 // reports
-	maxTargetIDBytes = 128  // bytes
+	maxWaiting       = 1024 // requests that wait for the end of a probe
+	maxCachedReports = 4096
+	maxTargetIDBytes = 128
 	reportFields     = 7
 )
 
-// ProbePart is the lease for the probes of a target.
+// ProbePart returns the name of the lease for the part that a target belongs to.
 func ProbePart(target string) string {
 	return fmt.Sprintf("probes/%d", xxhash.Sum64String(target)%ProbeParts)
 }
 
-// ProbePartsOf returns the parts for which a process is first among the members by rendezvous hashing (Thaler and
-// Ravishankar, 1998): of those who live, each part has one who claims it, and a change of members moves only its parts.
+// ProbePartsOf returns the names of the leases that the process with the given session is to claim.
+// They are assigned by rendezvous hashing (Thaler and Ravishankar, 1998): exactly one of the
+// members claims each part, and if a member joins or leaves, only the parts that it gains or loses
+// move.
 func ProbePartsOf(session uint64, members []peers.Member) []string {
 	var parts []string
 	for i := range ProbeParts {
@@ -51,7 +57,8 @@
 	return parts
 }
 
-// preferredOwner returns the session of the member that is first for a part, 0 if there are no members.
+// preferredOwner returns the session of the member with the highest weight for a part, or 0 if
+// there are no members. Equal weights are decided by the higher session.
 func preferredOwner(part string, members []peers.Member) uint64 {
 	first, highest := uint64(0), uint64(0)
 	for i := range members {
@@ -63,32 +70,35 @@
 	return first
 }
 
-// rendezvousWeight is the weight of a member for a part: the hash of "part session".
+// rendezvousWeight returns the weight of a member for a part, which is the hash of the part's name,
+// a space and the session in decimal.
 func rendezvousWeight(part string, session uint64) uint64 {
 	var buffer [64]byte
 	key := append(append(buffer[:0], part...), ' ')
 	return xxhash.Sum64(strconv.AppendUint(key, session, 10))
 }
 
-// ProbeRequest asks the owner of a part for a target's report.
+// ProbeRequest is a request to the owner of a part for a target's report.
 type ProbeRequest struct {
 	Target string `cbor:"1,keyasint"`
 }
 
-// ProbeResponse carries a report and its age at the owner.
+// ProbeResponse is the owner's response to a ProbeRequest: a report and its age.
 type ProbeResponse struct {
 	Target string    `cbor:"1,keyasint"`
-	Failed bool      `cbor:"2,keyasint,omitempty"` // the owner's probe failed, which says nothing of probes from here
-	AgeUS  int64     `cbor:"3,keyasint"`           // microseconds
+	Failed bool      `cbor:"2,keyasint,omitempty"` // the owner's probe failed; others may succeed
+	AgeUS  int64     `cbor:"3,keyasint"`           // age when sent, in microseconds
 	Report []float64 `cbor:"4,keyasint"`           // see encodeReport
 }
 
-// encodeReport writes a report as a list; a figure that is absent is NaN.
+// encodeReport returns the values of a report as a list. A value that is not reported
+// must be NaN: decodeReport rejects negative values.
 func encodeReport(report balance.Report) []float64 {
 	return []float64{report.Load, report.CPU, report.Active, report.Waiting, report.Latency, report.Rate, report.Errors}
 }
 
-// decodeReport reads a report; ok is false for a malformed one.
+// decodeReport returns the report that encodeReport encoded. The result ok is false if it is
+// malformed.
 func decodeReport(values []float64) (report balance.Report, ok bool) {
 	if len(values) != reportFields {
 		return report, false
@@ -101,56 +111,60 @@
 	return balance.Report{Load: values[0], CPU: values[1], Active: values[2], Waiting: values[3], Latency: values[4], Rate: values[5], Errors: values[6]}, true
 }
 
-// Encode writes a request.
+// Encode returns the encoded request.
 func (r *ProbeRequest) Encode() ([]byte, error) { return cbor.Marshal(r) }
 
-// Encode writes a response.
+// Encode returns the encoded response.
 func (r *ProbeResponse) Encode() ([]byte, error) { return cbor.Marshal(r) }
 
-// DecodeProbeRequest reads a request. One without a target or with a name above 128 bytes is an error.
+// DecodeProbeRequest decodes a request. A request without a target, or with a target's name of more
+// than 128 bytes, is an error.
 func DecodeProbeRequest(data []byte) (*ProbeRequest, error) {
 	var request ProbeRequest
 	if err := cbor.Unmarshal(data, &request); err != nil || request.Target == "" || len(request.Target) > maxTargetIDBytes {
-		return nil, fmt.Errorf("duty: not a question for a report: %w", err)
+		return nil, fmt.Errorf("duty: invalid probe request (target name of %d bytes, allowed 1 to %d): %w", len(request.Target), maxTargetIDBytes, err)
 	}
 	return &request, nil
 }
 
-// DecodeProbeResponse reads a response. A negative age is an error.
+// DecodeProbeResponse decodes a response. A response with a negative age is an error.
 func DecodeProbeResponse(data []byte) (*ProbeResponse, error) {
 	var response ProbeResponse
 	if err := cbor.Unmarshal(data, &response); err != nil || response.AgeUS < 0 {
-		return nil, fmt.Errorf("duty: not a report: %w", err)
+		return nil, fmt.Errorf("duty: invalid probe response (age %d µs, at least 0 allowed): %w", response.AgeUS, err)
 	}
 	return &response, nil
 }
 
-// Requester is a process that waits for a report at the owner: its address and the number of its request.
+// Requester identifies a request that waits at the owner for the end of a probe.
 type Requester[A any] struct {
-	To  A
-	Seq uint64
+	To  A      // address of the process that made the request
+	Seq uint64 // sequence number of the request
 }
 
-// ProbeOwner is the owner's side: it probes a target once for all requests within a short time.
+// ProbeOwner is the owner's side of shared probing. It combines concurrent requests for a target
+// into one probe and serves later ones from a cache while the report is fresh.
 type ProbeOwner[A any] struct {
 	cache        map[string]cachedReport   // by target
 	waiting      map[string][]Requester[A] // by target
-	waitingCount int                       // of all that wait
+	waitingCount int                       // requests in waiting, for all targets
 }
 
-// cachedReport is a report and when its probe ended.
+// cachedReport is a report and the time at which its probe ended.
 type cachedReport struct {
 	probedAt time.Time
 	report   balance.Report
 }
 
-// NewProbeOwner returns an owner that has probed nothing.
+// NewProbeOwner returns a ProbeOwner with an empty cache.
 func NewProbeOwner[A any]() *ProbeOwner[A] {
 	return &ProbeOwner[A]{cache: make(map[string]cachedReport), waiting: make(map[string][]Requester[A])}
 }
 
-// Request takes a request. Either a response is there at once, or the requester waits, and probe says that a probe is to go out. One
-// above the bound is dropped: it will probe itself.
+// Request handles a request for a target's report. If a fresh report is cached, Request returns the
+// response. Otherwise response is nil and the requester waits for the end of a probe; the caller
+// must start one if probe is true. While 1,024 requests wait, further ones are dropped; their
+// senders probe the target themselves after a timeout.
 func (o *ProbeOwner[A]) Request(now time.Time, target string, from Requester[A]) (response *ProbeResponse, probe bool) {
 	if c, ok := o.cache[target]; ok && now.Sub(c.probedAt) <= maxCachedAge {
 		return &ProbeResponse{Target: target, AgeUS: now.Sub(c.probedAt).Microseconds(), Report: encodeReport(c.report)}, false
@@ -163,7 +177,8 @@
 	return nil, len(o.waiting[target]) == 1
 }
 
-// Complete takes the end of a probe, with its report if ok, and returns who waits for it and the response for them.
+// Complete handles the end of a probe; ok reports whether it succeeded, with the given report. It
+// returns the requesters that wait for the probe and the response to send to them.
 func (o *ProbeOwner[A]) Complete(now time.Time, target string, ok bool, report balance.Report) ([]Requester[A], *ProbeResponse) {
 	if ok {
 		if len(o.cache) >= maxCachedReports {
@@ -180,34 +195,37 @@
 	return requesters, &ProbeResponse{Target: target, Failed: !ok, Report: encodeReport(report)}
 }
 
-// ProbeClient is the requester's side.
+// ProbeClient is the requester's side of shared probing. It tracks the requests in progress.
 type ProbeClient struct {
 	pending map[string]pendingRequest // by target
-	lastSeq uint64                    // of the last request
+	lastSeq uint64                    // sequence number of the last request
 }
 
-// pendingRequest is a request without a response.
+// pendingRequest is a request that has not been answered.
 type pendingRequest struct {
 	seq    uint64
 	sentAt time.Time
 }
 
-// NewProbeClient returns a client without requests. They are numbered from first on, which must differ from life to life: a late
-// response to a request of a former one must not pass for a fresh report.
+// NewProbeClient returns a ProbeClient without requests. The sequence numbers of its requests
+// follow firstSeq, which must differ each time the process starts: otherwise a late response to a
+// request from before a restart could be taken for a fresh report.
 func NewProbeClient(firstSeq uint64) *ProbeClient {
 	return &ProbeClient{lastSeq: firstSeq, pending: make(map[string]pendingRequest)}
 }
 
-// Begin notes that a request goes out, and returns its number and until when its response is waited for.
+// Begin records that a request for a target's report is sent. It returns the request's sequence
+// number and the time until which to wait for the response.
 func (c *ProbeClient) Begin(now time.Time, target string) (seq uint64, deadline time.Time) {
 	c.lastSeq++
 	c.pending[target] = pendingRequest{c.lastSeq, now}
 	return c.lastSeq, now.Add(responseTimeout)
 }
 
-// HandleResponse takes a response; known is false if it is to no pending request. fresh says that its report passes for an own
-// probe's: its age is counted from before the request went out, whatever the way took. With known and not fresh the target is to be
-// probed here.
+// HandleResponse handles a response. The result known is false if no pending request matches it.
+// The result fresh reports whether the report is recent enough to replace a probe of one's own; its
+// age counts from the time the request was sent, so that network delay cannot make it look newer.
+// If known is true and fresh is false, the caller must probe the target itself.
 func (c *ProbeClient) HandleResponse(now time.Time, seq uint64, response *ProbeResponse) (report balance.Report, fresh, known bool) {
 	request, ok := c.pending[response.Target]
 	if !ok || request.seq != seq {
@@ -219,7 +237,8 @@
 	return report, ok && !response.Failed && age <= maxReportAge, true
 }
 
-// Expire tells whether a request still has no response, and gives it up; the target is then to be probed here.
+// Expire abandons a request after its deadline and reports whether it was still pending. If so, the
+// caller must probe the target itself.
 func (c *ProbeClient) Expire(target string, seq uint64) bool {
 	if request, ok := c.pending[target]; !ok || request.seq != seq {
 		return false
--- a/internal/peers/byname_test.go
+++ b/internal/peers/byname_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// referenceMembers and plainParent say the same as Members and Parent without any order that is kept.
+// referenceMembers and plainParent say the same as Members and Parent without any order that is
+// kept.
 func referenceMembers(p *Peers) []Member {
 	all := []Member{p.self.Member}
 	for _, m := range p.members.others {
@@ -50,7 +51,8 @@
 	return found
 }
 
-// Whatever is learnt, dies and is forgotten, the members, a parent and twins are as they are without an order that is kept.
+// Whatever is learnt, dies and is forgotten, the members, a parent and twins are as they are
+// without an order that is kept.
 func TestOrderedMembersMatchReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1e9, 0)
--- a/internal/peers/detector.go
+++ b/internal/peers/detector.go
@@ -6,48 +6,49 @@
 	"time"
 )
 
-// The stages of a probe.
+// Stages of a probe.
 const (
 	noProbe       = iota
-	directProbe   // the member was pinged
-	indirectProbe // others were asked to ping it
+	directProbe   // this process has pinged the member
+	indirectProbe // other members have been asked to ping the member
 )
 
-// indirectProbeTimeout is longer than any period, whose end decides on an indirect probe.
+// indirectProbeTimeout is longer than any period: an indirect probe has no timeout of its own, but
+// fails at the end of the period.
 const indirectProbeTimeout = time.Hour
 
-// probe is the ping of a member that is out.
+// probe is the probe in progress.
 type probe struct {
-	target   uint64 // session
-	sequence uint64
-	stage    uint8
-	deadline time.Time // of the stage
+	target   uint64    // session of the probed member
+	sequence uint64    // sequence number of the ping
+	stage    uint8     // noProbe, directProbe or indirectProbe
+	deadline time.Time // end of the stage
 }
 
-// relay is a ping that was made for another member.
+// relay is a ping that this process sent on behalf of another member.
 type relay struct {
 	requester       netip.AddrPort
-	requestSequence uint64 // of the other member's request
+	requestSequence uint64 // sequence number of the requester's PingReq
 	expiresAt       time.Time
 }
 
-// detector is the state of the search for failures.
+// detector is the state of the SWIM failure detector.
 type detector struct {
-	lastSequence uint64 // of the last ping
+	lastSequence uint64 // sequence number of the last ping
 	probe        probe
 	round        probeRound
-	relays       map[uint64]relay // by the sequence of the ping
+	relays       map[uint64]relay // by sequence number of the ping
 }
 
 func newDetector() detector { return detector{relays: make(map[uint64]relay)} }
 
-// nextSequence numbers a ping.
+// nextSequence returns a new sequence number for a ping.
 func (d *detector) nextSequence() uint64 {
 	d.lastSequence++
 	return d.lastSequence
 }
 
-// expireRelays forgets the pings for others that were not answered.
+// expireRelays removes the relays whose ping was not answered in time.
 func (d *detector) expireRelays(now time.Time) {
 	for sequence, r := range d.relays {
 		if now.After(r.expiresAt) {
@@ -56,11 +57,11 @@
 	}
 }
 
-// probeRound is the sessions that are still to be probed in this round. Each member is probed once in a round, so that a death is
-// seen by somebody within a bounded time.
+// probeRound holds the sessions that are still to be probed in the current round. Each member is
+// probed once per round, so that a failure is detected within a bounded time.
 type probeRound []uint64
 
-// next takes a session off the round; ok is false if none is left.
+// next removes a session from the round and returns it. The result ok is false if none is left.
 func (r *probeRound) next() (session uint64, ok bool) {
 	last := len(*r) - 1
 	if last < 0 {
@@ -71,7 +72,7 @@
 	return session, true
 }
 
-// insert adds a new member at a drawn place.
+// insert adds a session at a random position.
 func (r *probeRound) insert(session uint64, rng *rand.Rand) {
 	*r = append(*r, session)
 	if last := len(*r) - 1; last > 0 {
@@ -79,7 +80,7 @@
 	}
 }
 
-// fill begins a round of all that live, in a drawn order.
+// fill adds all live members in random order.
 func (r *probeRound) fill(members []*member, rng *rand.Rand) {
 	for _, m := range members {
 		if m.live() {
@@ -91,7 +92,8 @@
 
 func (r *probeRound) swap(i, j int) { (*r)[i], (*r)[j] = (*r)[j], (*r)[i] }
 
-// nextProbeTarget takes the next member that lives off the round, nil if none is left.
+// nextProbeTarget removes sessions from the round up to that of a live member and returns the
+// member, or nil if none is left.
 func (p *Peers) nextProbeTarget() *member {
 	for {
 		session, ok := p.detector.round.next()
@@ -104,7 +106,7 @@
 	}
 }
 
-// startProbe pings the next member of the round, and of the next round if this one is over.
+// startProbe pings the next member of the round. If the round is over, it starts a new one.
 func (p *Peers) startProbe(now time.Time) {
 	m := p.nextProbeTarget()
 	if m == nil {
@@ -112,7 +114,7 @@
 		m = p.nextProbeTarget()
 	}
 	if m == nil {
-		return // nobody else lives
+		return // no other member is live
 	}
 	sequence := p.detector.nextSequence()
 	p.detector.probe = probe{target: m.Session, sequence: sequence, stage: directProbe, deadline: now.Add(p.probeTimeout())}
@@ -120,12 +122,14 @@
 	p.send(m.Addr, Packet{Kind: Ping, Seq: sequence, Target: m.Session})
 }
 
-// probeTimeout is how long a direct probe waits for its answer.
+// probeTimeout returns how long a direct probe waits for an Ack: the configured timeout times the
+// local health multiplier, at most two thirds of the period.
 func (p *Peers) probeTimeout() time.Duration {
 	return min(p.cfg.Timeout*p.health.multiplier(), p.cfg.Period*2/3)
 }
 
-// checkDirectProbe has others ping in this one's place if the direct probe was not answered: the way between the two may be at fault.
+// checkDirectProbe starts an indirect probe if the direct probe has timed out. The target may be
+// unreachable from this process only, so other members are asked to ping it.
 func (p *Peers) checkDirectProbe(now time.Time) {
 	current := &p.detector.probe
 	if current.stage != directProbe || now.Before(current.deadline) {
@@ -148,7 +152,7 @@
 	}
 }
 
-// failProbe suspects the member whose probe nobody has answered within the period.
+// failProbe suspects the target of a probe that was not answered by the end of the period.
 func (p *Peers) failProbe(now time.Time) {
 	if p.detector.probe.stage == noProbe {
 		return
@@ -162,7 +166,7 @@
 	}
 }
 
-// handlePingReq pings a member in another one's place.
+// handlePingReq pings a member on behalf of the sender.
 func (p *Peers) handlePingReq(now time.Time, from netip.AddrPort, packet *Packet) {
 	target := p.members.find(packet.Target)
 	if target == nil || len(p.detector.relays) >= maxRelays {
@@ -173,7 +177,7 @@
 	p.send(target.Addr, Packet{Kind: Ping, Seq: sequence, Target: packet.Target})
 }
 
-// handleAck takes the answer to a ping: one that was made for another member, or this one's probe.
+// handleAck handles the answer to a relayed ping or to the current probe.
 func (p *Peers) handleAck(now time.Time, from netip.AddrPort, packet *Packet) {
 	if r, ok := p.detector.relays[packet.Seq]; ok {
 		delete(p.detector.relays, packet.Seq)
@@ -189,7 +193,8 @@
 	p.detector.probe = probe{}
 	p.health.improve()
 	if target != nil && packet.Session != target.Session && from == target.Addr && target.live() {
-		// Another process answers at that address: the one that was meant has ended, whatever its suspicion.
+		// Another process answers at the target's address: the target has ended, and the suspicion
+		// timeout need not be awaited.
 		p.setState(now, target, Dead)
 	}
 }
--- a/internal/peers/gossip.go
+++ b/internal/peers/gossip.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// updateQueue holds the members whose latest state is still to be told on.
+// updateQueue holds the members whose latest state is still to be disseminated by gossip.
 type updateQueue []*member
 
-// add has a member's latest state told on.
+// add queues a member's latest state for dissemination.
 func (q *updateQueue) add(m *member) {
 	m.transmissions = 0
 	if !m.queued {
@@ -19,7 +19,8 @@
 	}
 }
 
-// fill adds records to those of a packet while it has room: what was told least often goes first.
+// fill appends queued records to those of a packet, up to maxPacketRecords in total. Records that
+// were sent least often come first.
 func (q *updateQueue) fill(records []Member) []Member {
 	slices.SortStableFunc(*q, func(a, b *member) int { return cmp.Compare(a.transmissions, b.transmissions) })
 	for _, m := range *q {
@@ -32,7 +33,7 @@
 	return records
 }
 
-// dropDisseminated removes what was told often enough.
+// dropDisseminated removes the members whose latest state was sent at least limit times.
 func (q *updateQueue) dropDisseminated(limit int) {
 	*q = slices.DeleteFunc(*q, func(m *member) bool {
 		m.queued = m.transmissions < limit
@@ -40,12 +41,13 @@
 	})
 }
 
-// retransmitLimit is how often a change is told on: enough to reach nearly all; Syncs reach the rest.
+// retransmitLimit returns how often a change is sent: enough to reach nearly all members. Syncs
+// reach the rest.
 func (p *Peers) retransmitLimit() int {
 	return 4 + 3*int(math.Ceil(math.Log2(float64(len(p.members.others)+2))))/2
 }
 
-// send adds a packet, with as many updates as it has room for.
+// send queues a packet for sending, with as many queued updates as fit into it.
 func (p *Peers) send(to netip.AddrPort, packet Packet) {
 	packet.Session = p.self.Session
 	packet.Members = p.updates.fill(packet.Members)
--- a/internal/peers/member.go
+++ b/internal/peers/member.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// State is the state of a member in one process's view.
+// State is the state of a member as this process knows it.
 type State uint8
 
-// The states of a member. Of two records with the same incarnation the one with the larger state wins; Left is final.
+// The states of a member. Of two records with the same incarnation, the one with the greater state
+// takes precedence. Left is final.
 const (
 	Alive State = iota
 	Suspect
@@ -18,50 +19,52 @@
 	Dead
 )
 
-// String returns the state's name, as events and views show it.
+// String returns the name of the state, as shown to operators.
 func (s State) String() string { return [...]string{"alive", "suspect", "left", "dead"}[min(s, Dead)] }
 
-// Member is one life of a process.
+// Member is the record of a member. A member is one run of a process, from start to end: a process
+// that restarts becomes a new member with a new session.
 type Member struct {
 	Session     uint64         `cbor:"1,keyasint"`
 	Name        string         `cbor:"2,keyasint"`
 	Addr        netip.AddrPort `cbor:"-"`
-	EncodedAddr []byte         `cbor:"3,keyasint"` // Addr on the wire
+	EncodedAddr []byte         `cbor:"3,keyasint"` // Addr in binary form, as sent
 	Incarnation uint64         `cbor:"4,keyasint"`
 	State       State          `cbor:"5,keyasint"`
 	Zone        string         `cbor:"6,keyasint,omitempty"`
 }
 
-// live tells whether the member counts as running: a suspect does.
+// live reports whether the member counts as running. A suspected member does.
 func (m *Member) live() bool { return m.State <= Suspect }
 
-// member is what is kept of a member.
+// member is an entry of the member table.
 type member struct {
 	Member
-	stateSince        time.Time // of its state
-	suspicionDeadline time.Time // of a suspect: it is dead then, unless it speaks up
-	transmissions     int       // how often its latest state was told on
-	queued            bool      // its latest state is still to be told on
-	notifiedAt        time.Time // when it was last told what is held of it
+	stateSince        time.Time // time of the last change of State
+	suspicionDeadline time.Time // when a suspect is declared dead
+	transmissions     int       // how often its latest state was sent
+	queued            bool      // its latest state is in the update queue
+	notifiedAt        time.Time // when it was last sent its own record; see notify
 }
 
-// memberTable holds the members.
+// memberTable holds the known members.
 type memberTable struct {
-	self       *member // this process, which only byName has beside the others
+	self       *member // this process; in byName, but not in bySession or others
 	bySession  map[uint64]*member
-	others     []*member // by session
-	byName     []*member // by name and session
-	liveOthers int       // how many of the others live
+	others     []*member // all members but this process, ordered by session
+	byName     []*member // all members, ordered by name and session
+	liveOthers int       // number of live members in others
 }
 
 func newMemberTable(self *member) memberTable {
 	return memberTable{self: self, bySession: make(map[uint64]*member), byName: []*member{self}}
 }
 
-// find returns a member, nil if it is not known.
+// find returns the member with the given session, or nil if it is not known. It never returns this
+// process.
 func (t *memberTable) find(session uint64) *member { return t.bySession[session] }
 
-// insert adds a member that lives.
+// insert adds a live member.
 func (t *memberTable) insert(m *member) {
 	at, _ := slices.BinarySearchFunc(t.others, m, compareSessions)
 	t.others = slices.Insert(t.others, at, m)
@@ -70,7 +73,7 @@
 	t.liveOthers++
 }
 
-// forget removes the members that gone tells.
+// forget removes the members for which remove returns true.
 func (t *memberTable) forget(remove func(m *member) bool) {
 	known := len(t.others)
 	t.others = slices.DeleteFunc(t.others, func(m *member) bool {
--- a/internal/peers/merge.go
+++ b/internal/peers/merge.go
@@ -6,8 +6,10 @@
 	"time"
 )
 
-// merge takes what another process says of a member. The order in which things are told does not matter: of two records the
-// one with the higher incarnation holds, of equal ones the worse state; who has left does not come back.
+// merge updates the table with a record that another process sent. The result does not depend on
+// the order in which records arrive: of two records of a member, the one with the higher
+// incarnation takes precedence, and at equal incarnations the one with the greater state. A member
+// that has left does not return.
 func (p *Peers) merge(now time.Time, record *Member) {
 	if !isValidRecord(record) {
 		p.Counters.Dropped++
@@ -26,20 +28,22 @@
 	switch {
 	case m == nil && record.live() && len(p.members.others) < p.cfg.MaxMembers:
 		p.add(now, record, addr)
-	case m == nil: // one that is gone and was never known is no news
+	case m == nil: // not live, or the table is full
 	case m.supersededBy(record):
 		p.update(now, m, record)
 	case m.State == Dead && record.State == Alive:
-		p.notify(now, m) // others say that it lives: two that took each other for dead would never speak again
+		// Others see the member as alive. Without a notification, two members that declared each
+		// other dead would never communicate again.
+		p.notify(now, m)
 	}
 }
 
-// isValidRecord tells whether a record keeps the bounds.
+// isValidRecord reports whether the fields of a record are within their bounds.
 func isValidRecord(record *Member) bool {
 	return record.Session != 0 && record.State <= Dead && len(record.Name) <= maxNameBytes && len(record.Zone) <= maxNameBytes
 }
 
-// supersededBy tells whether another record of the member is newer.
+// supersededBy reports whether the given record of the member takes precedence over the known one.
 func (m *member) supersededBy(record *Member) bool {
 	if m.State == Left {
 		return false
@@ -47,7 +51,7 @@
 	return record.Incarnation > m.Incarnation || record.Incarnation == m.Incarnation && record.State > m.State
 }
 
-// update takes a newer record of a member.
+// update applies a record that takes precedence over the known one.
 func (p *Peers) update(now time.Time, m *member, record *Member) {
 	m.Incarnation = record.Incarnation
 	m.Zone = record.Zone
@@ -58,7 +62,7 @@
 	}
 }
 
-// add takes a member that was not known.
+// add inserts a member that was not known.
 func (p *Peers) add(now time.Time, record *Member, addr netip.AddrPort) {
 	m := &member{Member: *record, stateSince: now}
 	m.Addr, m.EncodedAddr = addr, slices.Clone(record.EncodedAddr)
@@ -72,8 +76,9 @@
 	p.events = append(p.events, Event{Member: m.Member, New: true, NameConflict: p.hasNameConflict(m)})
 }
 
-// hasNameConflict tells whether another live member has this one's name at another address. One at the same address is its former
-// life: two can't listen there at once.
+// hasNameConflict reports whether another live member has the same name at a different address, and
+// counts the conflict. A member of the same name at the same address is an earlier run of the
+// process, since two processes cannot listen at the same address at once.
 func (p *Peers) hasNameConflict(m *member) bool {
 	found := false
 	for _, other := range p.members.withName(m.Name) {
@@ -87,7 +92,8 @@
 	return found
 }
 
-// setState changes a member's state, tells it on and reports it.
+// setState sets a member's state, queues it for dissemination and, for other members, reports an
+// event.
 func (p *Peers) setState(now time.Time, m *member, state State) {
 	previous, wasLive := m.State, m.live()
 	m.State, m.stateSince = state, now
@@ -109,7 +115,7 @@
 	}
 }
 
-// noteLiveChange counts a member that came back to life, or ended.
+// noteLiveChange updates the counts after a member became live or ceased to be live.
 func (p *Peers) noteLiveChange(m *member) {
 	p.changeCount++
 	if m.live() {
@@ -119,13 +125,16 @@
 	}
 }
 
-// refute answers what others say of this process: only it may raise its incarnation.
+// refute handles a record about this process itself. If the record contradicts the own one, it
+// raises the own incarnation, which no other process may do, and queues the own record for
+// dissemination.
 func (p *Peers) refute(record *Member) {
 	if p.left || record.State == Alive && record.Incarnation == p.self.Incarnation {
 		return
 	}
 	if record.Incarnation < p.self.Incarnation {
-		p.updates.add(p.self) // refuted before, on a way that lost it: whoever still says so has not heard
+		// Already refuted, but the refutation was lost: the sender has not received it.
+		p.updates.add(p.self)
 		return
 	}
 	if record.Incarnation > maxIncarnation {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,10 +1,15 @@
-// Package peers keeps the list of the fleet's members: SWIM (Das, Gupta and Motivala, DSN 2002) with suspicion,
-// indirect probes and incarnations, and Lifeguard's local health (Dadgar, Phillips and Currey, 2018): a process whose
-// probes fail suspects its own network first. It is pure: events come with their time, what to send is taken off it, random choices
-// come from a seed.
+// Package peers maintains the list of the fleet's members by gossip. It implements SWIM (Das, Gupta
+// and Motivala, DSN 2002) with suspicion, indirect probes and incarnations, and the local health of
+// Lifeguard (Dadgar, Phillips and Currey, 2018): a process whose probes fail takes its own network
+// to be a possible cause and waits longer before it suspects others.
 //
-// A member is one life of a process, known by a session that is drawn at its start; its name is what operators call it. A
-// restart is another member of the same name, and two that live at once under one name are both seen, and reported.
+// The package performs no I/O and reads no clock: callers pass in packets and the time, collect the
+// packets to send with Peers.Take, and set the seed of all random choices.
+//
+// A member is one run of a process, identified by a session that is chosen at random when the
+// process starts. Its name is for operators. A process that restarts is a new member of the same
+// name. Two live members of the same name at different addresses are both listed, and reported as a
+// conflict.
 package peers
 
 import (
@@ -14,43 +19,44 @@
 	"time"
 )
 
-// Event is a change of one member.
+// Event is a change of a member that the caller may want to report.
 type Event struct {
 	Member       Member
-	Previous     State // before
-	New          bool  // it was not known before
-	NameConflict bool  // another one of its name lives
+	Previous     State // state before the change; unset if New
+	New          bool  // the member was not known before
+	NameConflict bool  // with New: another live member has the same name at a different address
 }
 
-// Counters count what a process's view did.
+// Counters holds the event counts of a Peers since its start.
 type Counters struct {
-	Pings, PingReqs uint64 // direct probes, and requests for indirect ones, that were sent
-	Suspected       uint64 // members that did not answer this process
-	Refuted         uint64 // suspicions of this process
-	Died            uint64 // members that were taken for dead
-	NameConflicts   uint64 // members that had the name of another live one
-	Dropped         uint64 // packets and records that broke the bounds
+	Pings, PingReqs uint64 // direct probes and requests for indirect probes sent
+	Suspected       uint64 // members suspected because they did not answer this process
+	Refuted         uint64 // suspicions of this process that it refuted
+	Died            uint64 // members declared dead
+	NameConflicts   uint64 // members found to have the name of another live member
+	Dropped         uint64 // packets and records dropped because they were invalid
 }
 
-// Peers is one process's view of the members.
+// Peers is one process's view of the members. It is not safe for concurrent use.
 type Peers struct {
 	cfg          Config
 	rng          *rand.Rand
 	self         *member
-	left         bool // it has told others that it goes
+	left         bool // Leave was called
 	members      memberTable
 	updates      updateQueue
 	detector     detector
 	health       localHealth
-	nextPeriodAt time.Time // the next period begins then
+	nextPeriodAt time.Time // start of the next period
 	sync         syncState
-	sends        []Send
-	events       []Event
-	changeCount  uint64
+	sends        []Send  // packets to be returned by Take
+	events       []Event // events to be returned by Take
+	changeCount  uint64  // see ChangeCount
 	Counters     Counters
 }
 
-// New returns the view of a process that knows its seeds, and the members that the configuration names.
+// New returns the view of a process that starts at the given time. If config.Known is empty, it
+// queues packets to the seeds in order to join; otherwise it starts with the known members.
 func New(now time.Time, config Config) *Peers {
 	if config.MaxMembers <= 0 {
 		config.MaxMembers = mostMembers
@@ -59,7 +65,7 @@
 	p := &Peers{
 		cfg: config, rng: rand.New(rand.NewPCG(config.Seed, config.Session)), self: self, members: newMemberTable(self), detector: newDetector(),
 	}
-	p.cfg.Known = nil // the table holds them from here on
+	p.cfg.Known = nil // from now on, the member table holds them
 	p.nextPeriodAt = now.Add(p.randomDuration(config.Period))
 	p.sync.nextAt = now.Add(p.randomDuration(initialSyncInterval))
 	if len(config.Known) > 0 {
@@ -70,19 +76,19 @@
 	return p
 }
 
-// randomDuration returns a random time from 0 to d.
+// randomDuration returns a random duration from 0 to limit, both included.
 func (p *Peers) randomDuration(limit time.Duration) time.Duration {
 	return time.Duration(p.rng.Int64N(int64(limit) + 1))
 }
 
-// Take returns what is to be sent, and what changed, since the last call.
+// Take returns the packets to send and the events since the last call.
 func (p *Peers) Take() ([]Send, []Event) {
 	sends, events := p.sends, p.events
 	p.sends, p.events = nil, nil
 	return sends, events
 }
 
-// Due tells when Tick is to be called next.
+// Due returns the time at which Tick must be called next.
 func (p *Peers) Due() time.Time {
 	due := p.nextPeriodAt
 	if probe := &p.detector.probe; probe.stage != noProbe && probe.deadline.Before(due) {
@@ -94,21 +100,24 @@
 	return due
 }
 
-// Self returns this process's own record.
+// Self returns the record of this process.
 func (p *Peers) Self() Member { return p.self.Member }
 
-// ChangeCount counts the changes of who lives: equal figures mean an unchanged list.
+// ChangeCount returns the number of changes of the set of live members. If it is unchanged, so is
+// the set.
 func (p *Peers) ChangeCount() uint64 { return p.changeCount }
 
-// Members returns those that live, this process among them, by name and session; suspects are among them.
+// Members returns the live members ordered by name and session. It includes this process and
+// suspected members.
 func (p *Peers) Members() []Member {
 	return p.members.liveMembers()
 }
 
-// Count is how many members live, this one among them.
+// Count returns the number of live members, this process included.
 func (p *Peers) Count() int { return 1 + p.members.liveOthers }
 
-// AddrOf is the address of another member that lives and is not suspected.
+// AddrOf returns the address of the member with the given session. The result is false if the
+// member is not known, is not alive, is suspected, or is this process.
 func (p *Peers) AddrOf(session uint64) (netip.AddrPort, bool) {
 	if m := p.members.find(session); m != nil && m.State == Alive {
 		return m.Addr, true
@@ -116,13 +125,15 @@
 	return netip.AddrPort{}, false
 }
 
-// IsLive tells whether a member that is known lives.
+// IsLive reports whether the member with the given session is known and live. A suspected member is
+// live. For this process's own session the result is false.
 func (p *Peers) IsLive(session uint64) bool {
 	m := p.members.find(session)
 	return m != nil && m.live()
 }
 
-// RandomMembers returns up to n random members other than this one that live and are not suspected.
+// RandomMembers returns up to n random members that are alive and not suspected, without this
+// process.
 func (p *Peers) RandomMembers(n int) []Member {
 	var alive []Member
 	for _, m := range p.members.others {
@@ -134,10 +145,11 @@
 	return alive[:min(n, len(alive))]
 }
 
-// SetSeeds replaces the addresses at which members are looked for.
+// SetSeeds replaces the addresses of the seeds.
 func (p *Peers) SetSeeds(seeds []netip.AddrPort) { p.cfg.Seeds = slices.Clone(seeds) }
 
-// Leave tells some members that this one leaves; nothing is sent after that but responses.
+// Leave notifies some random members that this process leaves. After that, only responses to other
+// members' packets are sent.
 func (p *Peers) Leave(now time.Time) {
 	p.self.Incarnation++
 	p.setState(now, p.self, Left)
@@ -148,14 +160,14 @@
 	}
 }
 
-// Tick does what is due; it may be called at any time.
+// Tick performs the periodic work that is due. It may be called at any time.
 func (p *Peers) Tick(now time.Time) {
 	if p.left {
 		p.nextPeriodAt = now.Add(p.cfg.Period)
 		return
 	}
 	p.expireSuspects(now)
-	p.forgetDead(now)
+	p.forgetEnded(now)
 	p.detector.expireRelays(now)
 	p.checkDirectProbe(now)
 	if p.needsJoin() && !now.Before(p.sync.joinAt) {
@@ -166,7 +178,7 @@
 	}
 }
 
-// beginPeriod ends the last period's probe and does what each period does.
+// beginPeriod ends the probe of the last period and performs the work of each period.
 func (p *Peers) beginPeriod(now time.Time) {
 	p.nextPeriodAt = now.Add(p.cfg.Period)
 	p.failProbe(now)
@@ -177,7 +189,7 @@
 	}
 }
 
-// Handle takes a packet from an address.
+// Handle processes a packet that was received from an address.
 func (p *Peers) Handle(now time.Time, from netip.AddrPort, packet *Packet) {
 	if packet.Session == 0 || packet.Session == p.self.Session || len(packet.Members) > maxPacketRecords {
 		p.Counters.Dropped++
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -89,7 +89,8 @@
 	w.expectMemberCount(t, 90)
 }
 
-// A restart is another member of the same name; its former life does not outlast the next ping of it, and is no twin.
+// A restart is another member of the same name; its former life does not outlast the next ping of
+// it, and is no twin.
 func TestRestart(t *testing.T) {
 	w := newTestNetwork(8)
 	w.run(5 * time.Second)
@@ -148,7 +149,8 @@
 	}
 }
 
-// A refutation that was told in vain, while all that this one sent was lost, is told again to whoever has not heard it.
+// A refutation that was told in vain, while all that this one sent was lost, is told again to
+// whoever has not heard it.
 func TestLostRefutationIsSentAgain(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p := New(now, Config{Name: "me", Addr: addr(0), Session: 500, Period: time.Second, Timeout: time.Second / 4, Seed: 1})
--- a/internal/peers/restore.go
+++ b/internal/peers/restore.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// restore takes members that were known before this life into the table. They are no updates: nothing of them is told to others, and
-// the Syncs by which a process that starts with an empty table joins and catches up are left out.
+// restore fills the table with members that were known before the process restarted. They are not
+// queued for dissemination, and the Syncs by which a process with an empty table joins and catches
+// up are skipped.
 func (p *Peers) restore(now time.Time, known []Member) {
-	offset := p.rng.IntN(len(known)) // where not all have room, each process keeps others
+	offset := p.rng.IntN(len(known)) // if not all fit, each process keeps different members
 	for i := range known {
 		record := known[(offset+i)%len(known)]
 		if record.Session == p.self.Session || p.members.find(record.Session) != nil {
@@ -27,7 +28,8 @@
 	p.sync.nextAt = now.Add(p.randomDuration(p.syncInterval()))
 }
 
-// appendUnsorted adds a member that lives, out of order; sort is to follow.
+// appendUnsorted adds a live member without keeping the order. The caller must call sort
+// afterwards.
 func (t *memberTable) appendUnsorted(m *member) {
 	t.others = append(t.others, m)
 	t.byName = append(t.byName, m)
@@ -35,7 +37,7 @@
 	t.liveOthers++
 }
 
-// sort restores the orders after append.
+// sort restores the order of the table after calls of appendUnsorted.
 func (t *memberTable) sort() {
 	slices.SortFunc(t.others, compareSessions)
 	slices.SortFunc(t.byName, compareNames)
--- a/internal/peers/suspicion.go
+++ b/internal/peers/suspicion.go
@@ -5,23 +5,25 @@
 	"time"
 )
 
-// localHealth is how far this process doubts itself: 0 is sound, and each step up to worstHealth makes it slower to accuse others.
-// (Lifeguard's local health multiplier.)
+// localHealth is Lifeguard's local health score: 0 is healthy, and each step up to maxLocalHealth
+// (8) makes this process wait longer before it suspects others or declares them dead.
 type localHealth int
 
 func (h *localHealth) worsen()  { *h = min(*h+1, maxLocalHealth) }
 func (h *localHealth) improve() { *h = max(*h-1, 0) }
 
-// multiplier is by how much longer it waits than when it is sound.
+// multiplier returns the factor by which timeouts are longer than in a healthy process.
 func (h *localHealth) multiplier() time.Duration { return time.Duration(1 + *h) }
 
-// suspicionTimeout is how long a suspect has to speak up: gossip must reach it and its answer everybody.
+// suspicionTimeout returns how long a suspected member has to refute the suspicion. It grows with
+// the number of members, since gossip must reach the suspect and its refutation must reach all
+// members.
 func (p *Peers) suspicionTimeout() time.Duration {
 	periods := max(3, math.Log2(float64(len(p.members.others)+2)))
 	return time.Duration(float64(p.cfg.Period) * periods * float64(p.health.multiplier()))
 }
 
-// expireSuspects takes suspects for dead that had their time.
+// expireSuspects declares suspects dead whose suspicion timeout has passed.
 func (p *Peers) expireSuspects(now time.Time) {
 	for _, m := range p.members.others {
 		if m.State == Suspect && !now.Before(m.suspicionDeadline) {
@@ -30,15 +32,16 @@
 	}
 }
 
-// forgetDead forgets those that are dead for long.
-func (p *Peers) forgetDead(now time.Time) {
+// forgetEnded removes members that have been dead or left for more than endedRetention (1 minute).
+func (p *Peers) forgetEnded(now time.Time) {
 	p.members.forget(func(m *member) bool {
 		return !m.live() && now.Sub(m.stateSince) > endedRetention && !m.queued
 	})
 }
 
-// pingSuspects tells those who are suspected so, and their answer carries what they have to say to it: Lifeguard's buddy system.
-// Gossip alone may lose the refutation on links that lose datagrams.
+// pingSuspects pings suspected members with a packet that tells them of the suspicion, so that
+// their answer carries the refutation (Lifeguard's buddy system). Gossip alone may lose the
+// refutation on links that lose datagrams.
 func (p *Peers) pingSuspects() {
 	pinged := 0
 	for _, m := range p.members.others {
@@ -51,8 +54,9 @@
 	}
 }
 
-// noteSender takes a packet as a sign of life. Who is suspected, or taken for dead since a partition, is told so, and speaks up:
-// only it may raise its incarnation.
+// noteSender handles a packet as a sign that its sender is running. A sender that is suspected, or
+// was declared dead during a partition, is notified so that it refutes this: only the member itself
+// may raise its incarnation.
 func (p *Peers) noteSender(now time.Time, packet *Packet) {
 	m := p.members.find(packet.Session)
 	if m != nil && (m.State == Suspect || m.State == Dead) && packet.Kind != Ack {
@@ -60,7 +64,7 @@
 	}
 }
 
-// notify tells a member what is held of it, once in a period at the most.
+// notify sends a member the record that this process has of it, at most once per period.
 func (p *Peers) notify(now time.Time, m *member) {
 	if now.Sub(m.notifiedAt) < p.cfg.Period {
 		return
--- a/internal/peers/sync.go
+++ b/internal/peers/sync.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// syncState are when the list of members is to be compared with others'.
+// syncState schedules the exchange of complete member lists.
 type syncState struct {
-	nextAt  time.Time // the next Sync
-	started int       // Syncs so far
-	joinAt  time.Time // the next attempt to join, of one that knows nobody
+	nextAt  time.Time // time of the next Sync
+	started int       // number of Sync intervals begun so far
+	joinAt  time.Time // time of the next attempt to join while no other member is known
 }
 
-// needsJoin tells whether no other member is known to live although there are seeds.
+// needsJoin reports whether no other live member is known although there are seeds.
 func (p *Peers) needsJoin() bool {
 	return p.members.liveOthers == 0 && len(p.cfg.Seeds) > 0 && !p.left
 }
 
-// join says to all seeds that this process is there.
+// join announces this process to all seeds.
 func (p *Peers) join(now time.Time) {
 	p.sync.joinAt = now.Add(joinInterval/2 + p.randomDuration(joinInterval))
 	for _, seed := range p.cfg.Seeds {
@@ -25,14 +25,14 @@
 	}
 }
 
-// announceTo sends a seed this process's own record; it answers with its list.
+// announceTo sends this process's record to a seed. The seed answers with its list of members.
 func (p *Peers) announceTo(seed netip.AddrPort) {
 	if seed != p.cfg.Addr {
 		p.send(seed, Packet{Kind: Sync, Members: []Member{p.self.Member}})
 	}
 }
 
-// syncWithOthers compares lists with a member that is drawn, and with a seed.
+// syncWithOthers exchanges lists with a random member and a random seed.
 func (p *Peers) syncWithOthers(now time.Time) {
 	interval := p.syncInterval()
 	p.sync.nextAt = now.Add(interval/2 + p.randomDuration(interval))
@@ -42,7 +42,7 @@
 	p.syncWithSeed()
 }
 
-// syncInterval is the mean time until the next Sync.
+// syncInterval counts a Sync and returns the mean time until the next one.
 func (p *Peers) syncInterval() time.Duration {
 	p.sync.started++
 	if p.sync.started <= initialSyncs {
@@ -51,20 +51,20 @@
 	return max(steadySyncInterval, syncIntervalPerMember*time.Duration(len(p.members.others)))
 }
 
-// syncWithSeed speaks to a seed although members are known: two halves that took each other for dead would not find each other
-// again.
+// syncWithSeed announces this process to a random seed even if other members are known. Otherwise
+// the two sides of a partition that declared each other dead would not find each other again.
 func (p *Peers) syncWithSeed() {
 	if len(p.cfg.Seeds) > 0 {
 		p.announceTo(p.cfg.Seeds[p.rng.IntN(len(p.cfg.Seeds))])
 	}
 }
 
-// sendMembers sends all that live, in as many packets as it takes.
+// sendMembers sends all live members in as many packets as necessary.
 func (p *Peers) sendMembers(to netip.AddrPort, kind Kind) {
 	rest := p.Members()
 	for len(rest) > 0 {
 		count := min(len(rest), maxPacketRecords)
 		p.sends = append(p.sends, Send{to, Packet{Kind: kind, Session: p.self.Session, Members: rest[:count]}})
-		rest, kind = rest[count:], SyncAck // only the first one asks for an answer
+		rest, kind = rest[count:], SyncAck // only the first packet asks for an answer
 	}
 }
--- a/internal/peers/tree.go
+++ b/internal/peers/tree.go
@@ -2,9 +2,10 @@
 
 import "net/netip"
 
-// Parent returns the address of this process's parent in the tree of the members that live: root, a session, is first, the others
-// follow in the order of their sessions, and each has up to fanout children, at least 1. ok is false for the first member, and where
-// root is 0.
+// Parent returns the address of this process's parent in a tree of the live members. The member
+// with session root is first, the others follow in the order of their sessions, and each member has
+// up to fanout children; fanout must be at least 1. The result ok is false if this process is the
+// first member or root is 0.
 func (p *Peers) Parent(root uint64, fanout int) (addr netip.AddrPort, ok bool) {
 	if root == 0 || root == p.self.Session {
 		return netip.AddrPort{}, false
@@ -27,7 +28,8 @@
 	return p.members.nthLive(parentIndex-1, root), true
 }
 
-// countBelow returns how many members other than one live whose sessions are below a given one.
+// countBelow returns the number of live members whose session is below the given one, without the
+// member with session except and without this process.
 func (t *memberTable) countBelow(session, except uint64) int {
 	count := 0
 	for _, m := range t.others {
@@ -41,7 +43,8 @@
 	return count
 }
 
-// nthLive returns the address of a member by its place, from 0, among those that live other than one, in the order of their sessions.
+// nthLive returns the address of the live member with the given index, from 0, in the order of
+// sessions. The member with session except and this process are not counted.
 func (t *memberTable) nthLive(index int, except uint64) netip.AddrPort {
 	for _, m := range t.others {
 		if !m.live() || m.Session == except {
