--- a/internal/peers/byname_test.go
+++ b/internal/peers/byname_test.go
@@ -25,6 +25,7 @@
 	return all
 }
 
+// referenceParent returns the same as Parent, but sorts the table on each call.
 func referenceParent(p *Peers, root uint64, fanout int) (netip.AddrPort, bool) {
 	all := referenceMembers(p)
 	slices.SortFunc(all, func(a, b Member) int {
@@ -43,6 +44,7 @@
 	return all[(i-1)/fanout].Addr, true
 }
 
+// referenceNameConflict returns the same as hasNameConflict, but searches the whole table.
 func referenceNameConflict(p *Peers, m *member) bool {
 	found := m.Name == p.self.Name && m.Addr != p.self.Addr
 	for _, o := range p.members.others {
@@ -74,24 +76,25 @@
 			p.Tick(now)
 			p.Take()
 			if got, want := p.Members(), referenceMembers(p); !slices.EqualFunc(got, want, func(a, b Member) bool { return a.Session == b.Session && a.State == b.State }) {
-				t.Fatalf("members %v, not %v", got, want)
+				t.Fatalf("Members() = %v, want %v", got, want)
 			}
 			root := uint64(rapid.IntRange(0, 100).Draw(t, "root"))
 			fanout := rapid.IntRange(1, 4).Draw(t, "children")
 			got, ok := p.Parent(root, fanout)
 			if want, there := referenceParent(p, root, fanout); got != want || ok != there {
-				t.Fatalf("the parent under root %d is %v %v, not %v %v", root, got, ok, want, there)
+				t.Fatalf("Parent with root %d = %v, %v, want %v, %v", root, got, ok, want, there)
 			}
 			for _, m := range p.members.others {
 				if got, want := p.hasNameConflict(m), referenceNameConflict(p, m); got != want {
-					t.Fatalf("%s is a twin: %v, not %v", m.Name, got, want)
+					t.Fatalf("name conflict of %s: got %v, want %v", m.Name, got, want)
 				}
 			}
 		}
 	})
 }
 
-// A table takes no more members than it has room for, whether it learns them or starts with them.
+// The member table never holds more than MaxMembers other members, whether they are learned by
+// gossip or restored at the start.
 func TestMemberTableIsBounded(t *testing.T) {
 	const maxMembers = 40
 	for _, known := range []int{0, 60} {
@@ -106,7 +109,7 @@
 			p.merge(now, &Member{Session: uint64(2000 + i), Name: "r", EncodedAddr: addrBytes(addr(i + 100))})
 		}
 		if got := len(p.Members()); got != 1+maxMembers {
-			t.Errorf("with %d at the start: %d members, not %d", known, got, 1+maxMembers)
+			t.Errorf("with %d members at the start: got %d members, want %d", known, got, 1+maxMembers)
 		}
 	}
 }
--- a/internal/peers/config.go
+++ b/internal/peers/config.go
@@ -30,7 +30,7 @@
 const (
 	indirectProbes      = 3                // members asked to ping on behalf of this process
 	maxPacketRecords    = 12               // member records in a packet
-	mostMembers         = 4096             // other members known at once; default of Config.MaxMembers
+	mostMembers         = 4096             // other members; default of Config.MaxMembers
 	maxNameBytes        = 64               // longest name of a member or zone
 	steadySyncInterval  = 10 * time.Second // mean time between two Syncs after the initial ones
 	initialSyncInterval = 2 * time.Second  // time between the initial Syncs
--- a/internal/peers/member.go
+++ b/internal/peers/member.go
@@ -91,6 +91,7 @@
 // compareSessions orders members by session.
 func compareSessions(a, b *member) int { return cmp.Compare(a.Session, b.Session) }
 
+// addrBytes returns the binary form of an address, as sent in Member.EncodedAddr.
 func addrBytes(a netip.AddrPort) []byte {
 	b, _ := a.MarshalBinary()
 	return b
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// testNetwork joins views directly: what is sent arrives at once, unless drop says otherwise.
+// testNetwork connects Peers directly: packets arrive at once unless drop returns true for them.
 type testNetwork struct {
 	now    time.Time
 	nodes  []*Peers
@@ -70,12 +70,13 @@
 	t.Helper()
 	for i, p := range w.nodes {
 		if p != nil && len(p.Members()) != want {
-			t.Errorf("p%d knows %d members of %d", i, len(p.Members()), want)
+			t.Errorf("p%d knows %d members, want %d", i, len(p.Members()), want)
 		}
 	}
 }
 
-// 300 join within a second, and 70 % of them are killed at once: the rest agree on who is left.
+// 300 processes start at once, and 70 % of them are killed at the same time later. The others must
+// agree on the remaining members.
 func TestMassKill(t *testing.T) {
 	w := newTestNetwork(300)
 	w.run(8 * time.Second)
@@ -99,12 +100,12 @@
 	w.expectMemberCount(t, 8)
 	for _, e := range w.events {
 		if e.NameConflict {
-			t.Errorf("a restart passed for a twin: %+v", e)
+			t.Errorf("restart reported as a name conflict: %+v", e)
 		}
 	}
 }
 
-// Two live processes of one name are told apart, and reported.
+// Two live processes of the same name are separate members, and the name conflict is reported.
 func TestNameConflict(t *testing.T) {
 	w := newTestNetwork(5)
 	w.run(3 * time.Second)
@@ -118,11 +119,12 @@
 		}
 	}
 	if conflicts < 4 {
-		t.Errorf("%d of 5 reported the twin", conflicts)
+		t.Errorf("%d of 5 members reported the name conflict, want at least 4", conflicts)
 	}
 }
 
-// Parts that took each other for dead know each other again once the way between them is whole.
+// The sides of a partition that declared each other dead know each other again after the partition
+// heals.
 func TestPartitionHeals(t *testing.T) {
 	w := newTestNetwork(9)
 	w.run(4 * time.Second)
@@ -134,7 +136,8 @@
 	w.expectMemberCount(t, 9)
 }
 
-// One that can send but not hear, or the reverse, does not have sound ones buried: they speak up.
+// A member that sends but receives nothing suspects healthy members. They refute this, so that no
+// other member takes them for dead.
 func TestMemberThatReceivesNothing(t *testing.T) {
 	w := newTestNetwork(10)
 	w.run(4 * time.Second)
@@ -143,7 +146,7 @@
 	for i, p := range w.nodes {
 		for j := range w.nodes {
 			if i != 4 && j != 4 && p.members.find(uint64(1000+j)) != nil && p.members.find(uint64(1000+j)).State == Dead {
-				t.Errorf("p%d has p%d for dead, since one that is deaf says so", i, j)
+				t.Errorf("p%d takes p%d for dead because of a member that receives nothing", i, j)
 			}
 		}
 	}
@@ -168,20 +171,20 @@
 	dead := &Packet{Kind: Ack, Session: 7, Members: []Member{{Session: 500, Name: "me", State: Dead}}}
 	p.Handle(now, addr(1), dead)
 	if !sendsRefutation() {
-		t.Fatal("it does not speak up")
+		t.Fatal("refutation not sent")
 	}
 	for i := 0; sendsRefutation(); i++ {
 		if i > 100 {
-			t.Fatal("it never ends telling")
+			t.Fatal("refutation sent in more than 100 packets")
 		}
 	}
 	p.Handle(now, addr(1), dead)
 	if !sendsRefutation() {
-		t.Error("who has not heard it is not told again")
+		t.Error("refutation not sent again after the refuted record was repeated")
 	}
 }
 
-// What is learnt does not depend on order or repetition.
+// The result of merging records depends neither on their order nor on repetition.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Member {
@@ -203,12 +206,12 @@
 		}
 		mixed := append(rapid.Permutation(records).Draw(t, "order"), records[0])
 		if a, b := view(records), view(mixed); a != b {
-			t.Fatalf("%v gives\n%s%v gives\n%s", records, a, mixed, b)
+			t.Fatalf("merging %v results in\n%smerging %v results in\n%s", records, a, mixed, b)
 		}
 	})
 }
 
-// A member keeps 1,024 processes, itself included, however many packets tell of them.
+// A process that receives the records of 1,023 other members in many packets knows 1,024 members.
 func TestManyMembers(t *testing.T) {
 	const n = 1024
 	w := newTestNetwork(1)
