--- a/internal/peers/byname_test.go
+++ b/internal/peers/byname_test.go
@@ -10,8 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// referenceMembers and plainParent say the same as Members and Parent without any order that is
-// kept.
+// referenceMembers returns the same as Members, but sorts the members on each call.
 func referenceMembers(p *Peers) []Member {
 	all := []Member{p.self.Member}
 	for _, m := range p.members.others {
@@ -25,7 +24,7 @@
 	return all
 }
 
-// referenceParent returns the same as Parent, but sorts the table on each call.
+// referenceParent returns the same as Parent, but sorts the members on each call.
 func referenceParent(p *Peers, root uint64, fanout int) (netip.AddrPort, bool) {
 	all := referenceMembers(p)
 	slices.SortFunc(all, func(a, b Member) int {
@@ -53,8 +52,8 @@
 	return found
 }
 
-// Whatever is learnt, dies and is forgotten, the members, a parent and twins are as they are
-// without an order that is kept.
+// Members are added, die and are removed in random order. Members, Parent and hasNameConflict use
+// orders that are maintained incrementally, and must agree with implementations that use none.
 func TestOrderedMembersMatchReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1e9, 0)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// 300 processes start at once, and 70 % of them are killed at the same time later. The others must
-// agree on the remaining members.
+// 300 processes join within a second, and 70 % of them are killed at the same time later. The others
+// must agree on the remaining members.
 func TestMassKill(t *testing.T) {
 	w := newTestNetwork(300)
 	w.run(8 * time.Second)
@@ -90,8 +90,8 @@
 	w.expectMemberCount(t, 90)
 }
 
-// A restart is another member of the same name; its former life does not outlast the next ping of
-// it, and is no twin.
+// A process that restarts is a new member of the same name. The member from before the restart is
+// declared dead at the next ping of its address, and no name conflict is reported.
 func TestRestart(t *testing.T) {
 	w := newTestNetwork(8)
 	w.run(5 * time.Second)
@@ -152,8 +152,8 @@
 	}
 }
 
-// A refutation that was told in vain, while all that this one sent was lost, is told again to
-// whoever has not heard it.
+// A refutation is sent a limited number of times, and all of these packets may be lost. If another
+// process repeats the refuted record later, the refutation must be sent again.
 func TestLostRefutationIsSentAgain(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	p := New(now, Config{Name: "me", Addr: addr(0), Session: 500, Period: time.Second, Timeout: time.Second / 4, Seed: 1})
