--- a/internal/duty/moves.go
+++ b/internal/duty/moves.go
@@ -24,8 +24,8 @@
 	nextAt time.Time // earliest time of the next move
 }
 
-// Schedule assigns a time to a move and returns the delay until then, from 0 to maxMoveWait (500
-// ms). The delay is 0 while moves are requested at less than Rate per second.
+// Schedule assigns a time to a move and returns the delay until then, from 0 to maxMoveWait
+// (500 ms). The delay is 0 while moves are requested at less than Rate per second.
 func (p *MovePacer) Schedule(now time.Time) time.Duration {
 	if p.nextAt.Before(now) {
 		p.nextAt = now
--- a/internal/duty/probes.go
+++ b/internal/duty/probes.go
@@ -91,8 +91,8 @@
 	Report []float64 `cbor:"4,keyasint"`           // see encodeReport
 }
 
-// encodeReport returns the values of a report as a list. A value that is not reported
-// must be NaN: decodeReport rejects negative values.
+// encodeReport returns the values of a report as a list. A value that is not reported must be
+// NaN: decodeReport rejects negative values.
 func encodeReport(report balance.Report) []float64 {
 	return []float64{report.Load, report.CPU, report.Active, report.Waiting, report.Latency, report.Rate, report.Errors}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// 300 processes join within a second, and 70 % of them are killed at the same time later. The others
-// must agree on the remaining members.
+// 300 processes join within a second, and 70 % of them are killed at the same time later. The
+// others must agree on the remaining members.
 func TestMassKill(t *testing.T) {
 	w := newTestNetwork(300)
 	w.run(8 * time.Second)
