--- a/internal/peers/config.go
+++ b/internal/peers/config.go
@@ -33,7 +33,7 @@
 	mostMembers         = 4096             // other members; default of Config.MaxMembers
 	maxNameBytes        = 64               // longest name of a member or zone
 	steadySyncInterval  = 10 * time.Second // mean time between two Syncs after the initial ones
-	initialSyncInterval = 2 * time.Second  // time between the initial Syncs
+	initialSyncInterval = 2 * time.Second  // mean time between the initial Syncs
 	// The mean time between two Syncs is at least this long per member, so that the bytes sent per
 	// second do not grow with the number of members.
 	syncIntervalPerMember = 100 * time.Millisecond
