--- a/internal/instance/probes.go
+++ b/internal/instance/probes.go
@@ -44,7 +44,7 @@
 // chooseParts chooses the parts to claim from the live members.
 func (p *probes) chooseParts() {
 	list := p.fleet.node.Members()
-	p.fleet.probeParts = duty.ProbePartsOf(p.fleet.node.Peers().Me().Session, list)
+	p.fleet.probeParts = duty.ProbePartsOf(p.fleet.node.Peers().Self().Session, list)
 	p.fleet.claimDuties()
 }
 
@@ -93,16 +93,16 @@
 	if _, holds := p.fleet.node.Holds(d.Lease); err != nil || !holds || duty.ProbePart(request.Target) != d.Lease || p.fleet.instance.engine.Table().Find(request.Target) == nil {
 		return // the requester times out and probes the target itself
 	}
-	answer, probe := p.owner.Request(now, request.Target, duty.Asker[netip.AddrPort]{To: from, Seq: d.Seq})
+	answer, probe := p.owner.Request(now, request.Target, duty.Requester[netip.AddrPort]{To: from, Seq: d.Seq})
 	if answer != nil {
-		p.sendResponse(d.Lease, duty.Asker[netip.AddrPort]{To: from, Seq: d.Seq}, answer)
+		p.sendResponse(d.Lease, duty.Requester[netip.AddrPort]{To: from, Seq: d.Seq}, answer)
 	}
 	if probe {
 		p.fleet.instance.engine.ProbeDirectly(request.Target)
 	}
 }
 
-func (p *probes) sendResponse(part string, to duty.Asker[netip.AddrPort], a *duty.ProbeResponse) {
+func (p *probes) sendResponse(part string, to duty.Requester[netip.AddrPort], a *duty.ProbeResponse) {
 	if text, err := a.Encode(); err == nil {
 		p.fleet.node.SendOwnerResponse(to.To, mesh.OwnerMessage{Lease: part, Seq: to.Seq, Data: text})
 	}
--- a/internal/mesh/flush.go
+++ b/internal/mesh/flush.go
@@ -103,7 +103,7 @@
 		kind = "member-new"
 	}
 	n.emit(Event{Kind: kind, Member: &e.Member})
-	if e.Twin {
+	if e.NameConflict {
 		n.emit(Event{Kind: "member-twin", Member: &e.Member})
 	}
 }
@@ -111,10 +111,10 @@
 // reportMembers calls Config.OnMembersChanged if the list of members has changed since the last
 // call.
 func (n *Node) reportMembers() {
-	if n.cfg.OnMembersChanged == nil || n.reportedMembersVersion == n.peers.Changed()+1 {
+	if n.cfg.OnMembersChanged == nil || n.reportedMembersVersion == n.peers.ChangeCount()+1 {
 		return
 	}
-	n.reportedMembersVersion = n.peers.Changed() + 1
+	n.reportedMembersVersion = n.peers.ChangeCount() + 1
 	n.cfg.OnMembersChanged(n.peers.Members())
 }
 
--- a/internal/mesh/node.go
+++ b/internal/mesh/node.go
@@ -92,7 +92,7 @@
 	p := peers.DefaultConfig()
 	p.Name, p.Zone, p.Addr = n.cfg.Name, n.cfg.Zone, n.addr
 	p.Session, p.Seeds, p.Seed = n.cfg.Session, n.cfg.Seeds, n.cfg.Seed
-	p.Known, p.MostMembers = n.cfg.Known, n.cfg.MaxMembers
+	p.Known, p.MaxMembers = n.cfg.Known, n.cfg.MaxMembers
 	return p
 }
 
--- a/internal/mesh/query.go
+++ b/internal/mesh/query.go
@@ -141,7 +141,7 @@
 	}
 	for i := range c.view.Members {
 		m := &c.view.Members[i]
-		_ = m.Addr.UnmarshalBinary(m.At) // an address that can't be decoded is left empty
+		_ = m.Addr.UnmarshalBinary(m.EncodedAddr) // an address that can't be decoded is left empty
 	}
 	return &c.view, nil
 }
--- a/internal/mesh/view.go
+++ b/internal/mesh/view.go
@@ -111,13 +111,13 @@
 
 // CounterValues returns the values of the counters, in a fixed order.
 func (n *Node) CounterValues() []CounterValue {
-	c, p := &n.Counters, &n.peers.Tally
+	c, p := &n.Counters, &n.peers.Counters
 	return []CounterValue{
 		{"datagrams-sent", c.Sent}, {"datagrams-received", c.Received}, {"bytes-sent", c.BytesSent}, {"bytes-received", c.BytesReceived},
 		{"dropped-foreign", c.Foreign}, {"dropped-damaged", c.Damaged}, {"dropped-long", c.Long}, {"unsent", c.Unsent},
 		{"asks", c.LeaseRequests}, {"looks", c.FloorsRequests}, {"words-taken", c.AnnouncementsAccepted}, {"words-stale-refused", c.AnnouncementsStale},
 		{"words-old", c.AnnouncementsOld}, {"words-early", c.AnnouncementsEarly}, {"pulls", c.Pulls}, {"pulls-lost", c.PullsLost},
-		{"members-suspected", p.Suspected}, {"members-died", p.Died}, {"suspicions-refuted", p.Refuted}, {"members-twins", p.Twins},
+		{"members-suspected", p.Suspected}, {"members-died", p.Died}, {"suspicions-refuted", p.Refuted}, {"members-twins", p.NameConflicts},
 	}
 }
 
