--- a/internal/lab/capacity/plan.go
+++ b/internal/lab/capacity/plan.go
@@ -371,10 +371,10 @@
 			Remedy: "a higher limit of the machine; the program has none of its own"},
 		{ID: "B2", What: "members that one process knows", Need: planProxies, Bound: 4096, Text: "mostMembers = 4096",
 			File: "internal/peers/config.go", Remedy: memberRemedy},
-		{ID: "B3", What: "sessions that the keepers remember, of all that claim", Need: planProxies, Bound: 2048, Text: "mostSessions = 2048",
+		{ID: "B3", What: "sessions that the keepers remember, of all that claim", Need: planProxies, Bound: 2048, Text: "maxSessions = 2048",
 			File: "internal/keeper/state.go", Remedy: "claims by few, as few own anything"},
 		{ID: "B4", What: "bytes of a word, for the whole list", Terms: []Term{{wordBytes, planServers, 1}}, Bound: 900 * 256,
-			Text: "mostFragments = 256", File: "internal/mesh/fragment.go", Remedy: listRemedy},
+			Text: "maxFragments = 256", File: "internal/mesh/fragment.go", Remedy: listRemedy},
 		{ID: "B5", What: "servers in a word", Need: planServers, Bound: 10_000, Text: "mostTargets = 10000", File: "internal/duty/discovery.go",
 			Remedy: listRemedy},
 		{ID: "B6", What: "processes that tell what they saw of servers", Need: planProxies, Bound: 1024, Text: "MostWriters: 1_024",
@@ -384,7 +384,7 @@
 			Remedy: discoveryRemedy},
 		{ID: "B9", What: "seconds until all watches are open, did discovery take a call of each process in 6.4 s as for 32 processes", Need: callPeriod, Bound: planChangeWithin,
 			Text: "ListLease = 6 * time.Second", File: "internal/routes/lease.go", Remedy: discoveryRemedy},
-		{ID: "B8", What: "duties, if each shard is one", Need: planShards, Bound: mostLeases, Text: "mostLeases = 256",
+		{ID: "B8", What: "duties, if each shard is one", Need: planShards, Bound: mostLeases, Text: "maxLeases = 256",
 			File: "internal/keeper/state.go", Remedy: "shards placed by ranges, leases by owner and not by shard"},
 	}
 }
--- a/internal/lab/throng_test.go
+++ b/internal/lab/throng_test.go
@@ -36,7 +36,7 @@
 
 // A hundred proxies share a discovery that bears five calls a second, so that most calls are refused for longer than a change may stay
 // unknown: nothing goes to a server that drains unheard of. Such servers answer probes with an error, as the platform's do; for those
-// that answer as before see TestDrainThatDiscoveryIsTooBusyToTell of the program.
+// that answer as before see TestDrainWhileDiscoveryRefusesCalls of the program.
 func TestThrongOfManyProxies(t *testing.T) {
 	slow(t)
 	days := FuzzDays{MakeUp: RandomThrong}
