--- a/internal/inifile/decode.go
+++ b/internal/inifile/decode.go
@@ -37,12 +37,12 @@
 		}
 		text := f.ini.Section(section).Key(key).String()
 		if err := set(v.Field(i), field.Tag, text); err != nil {
-			f.Complain(section, key, "%v", err)
+			f.AddProblem(section, key, "%v", err)
 		}
 	}
 	for _, key := range f.ini.Section(section).KeyStrings() {
 		if !known[key] {
-			f.Complain(section, key, "unknown key%s", nearest(key, known))
+			f.AddProblem(section, key, "unknown key%s", nearest(key, known))
 		}
 	}
 }
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -144,8 +144,8 @@
 	f.problems = append(f.problems, Problem{f.name, line, section, key, text})
 }
 
-// Complain takes down a mistake that the caller found in a key's value, or with an empty key in a section.
-func (f *File) Complain(section, key, format string, args ...any) {
+// AddProblem takes down a mistake that the caller found in a key's value, or with an empty key in a section.
+func (f *File) AddProblem(section, key, format string, args ...any) {
 	line := f.keys[[2]string{section, key}]
 	if line == 0 {
 		line = f.sections[section]
@@ -175,7 +175,7 @@
 	for _, s := range f.order {
 		if !f.taken[s] {
 			f.taken[s] = true
-			f.Complain(s, "", "unknown section")
+			f.AddProblem(s, "", "unknown section")
 		}
 	}
 	if len(f.problems) == 0 {
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	f.Decode("run", &sample{})
-	f.Complain("run", "rate", "and more")
+	f.AddProblem("run", "rate", "and more")
 	want := []string{
 		"b.ini:2: [run] rate: -1: less than 0",
 		"b.ini:2: [run] rate: and more",
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -354,28 +354,28 @@
 	}
 	switch {
 	case t.Kind == "":
-		f.Complain(section, "", "kind: missing")
+		f.AddProblem(section, "", "kind: missing")
 	default:
 		for _, key := range needs[t.Kind] {
 			if !f.HasKey(section, key) {
-				f.Complain(section, "", "%s: missing, and %s needs it", key, t.Kind)
+				f.AddProblem(section, "", "%s: missing, and %s needs it", key, t.Kind)
 			}
 		}
 	}
 	if t.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == t.Class }) {
-		f.Complain(section, "class", "no class %q", t.Class)
+		f.AddProblem(section, "class", "no class %q", t.Class)
 	}
 	if (t.Kind == "slow" || t.Kind == "costly") && f.HasKey(section, "size") && t.Size.From < 1 {
-		f.Complain(section, "size", "less than 1")
+		f.AddProblem(section, "size", "less than 1")
 	}
 	if t.Kind == "neighbour" && t.Size.To > 0.95 {
-		f.Complain(section, "size", "more than 0.95 of a machine")
+		f.AddProblem(section, "size", "more than 0.95 of a machine")
 	}
 	if (t.Kind == "failing" || t.Kind == "late-connects" || t.Kind == "leaving") && t.Size.To > 1 {
-		f.Complain(section, "size", "more than all")
+		f.AddProblem(section, "size", "more than all")
 	}
 	if t.Again > 0 && t.After.To <= 0 {
-		f.Complain(section, "again", "needs after: the time between")
+		f.AddProblem(section, "again", "needs after: the time between")
 	}
 	return t
 }
@@ -384,7 +384,7 @@
 func (s *Scenario) known(f *inifile.File, section string, sites []string) {
 	for _, site := range sites {
 		if !slices.Contains(s.Sites, site) {
-			f.Complain(section, "sites", "no site %q", site)
+			f.AddProblem(section, "sites", "no site %q", site)
 		}
 	}
 }
@@ -392,34 +392,34 @@
 // check looks at what no single key tells.
 func (s *Scenario) check(f *inifile.File) {
 	if len(s.Sites) == 0 {
-		f.Complain("run", "sites", "no site")
+		f.AddProblem("run", "sites", "no site")
 	}
 	share := 0.0
 	for _, k := range s.Kinds {
 		share += k.Share
 	}
 	if math.Abs(share-1) > 0.02 {
-		f.Complain("kind "+s.Kinds[0].Name, "share", "the kinds' shares add up to %.3f, not 1", share)
+		f.AddProblem("kind "+s.Kinds[0].Name, "share", "the kinds' shares add up to %.3f, not 1", share)
 	}
 	least, most := 0.0, 0.0
 	for _, c := range s.Classes {
 		least, most = least+c.Share.From, most+c.Share.To
 		if c.SetUp > c.GiveUp {
-			f.Complain("class "+c.Name, "set_up", "later than give_up")
+			f.AddProblem("class "+c.Name, "set_up", "later than give_up")
 		}
 		if c.Effect == "guarded" && c.Window <= 0 {
-			f.Complain("class "+c.Name, "window", "missing, and a guarded class needs it")
+			f.AddProblem("class "+c.Name, "window", "missing, and a guarded class needs it")
 		}
 	}
 	if least > 1.02 || most < 0.98 {
-		f.Complain("class "+s.Classes[0].Name, "share", "the classes' shares add up to %.3f..%.3f, without 1", least, most)
+		f.AddProblem("class "+s.Classes[0].Name, "share", "the classes' shares add up to %.3f..%.3f, without 1", least, most)
 	}
 	if s.Proxies.Sockets > 0 && s.Proxies.Sockets < 100 {
-		f.Complain("proxies", "sockets", "%d: fewer than 100, which a proxy keeps free for itself", s.Proxies.Sockets)
+		f.AddProblem("proxies", "sockets", "%d: fewer than 100, which a proxy keeps free for itself", s.Proxies.Sockets)
 	}
 	for _, c := range s.Classes {
 		if strings.ContainsAny(c.Name, " ,=") {
-			f.Complain("class "+c.Name, "", "a name with a space, a comma or an equals sign can't be sent")
+			f.AddProblem("class "+c.Name, "", "a name with a space, a comma or an equals sign can't be sent")
 		}
 	}
 }
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -104,29 +104,29 @@
 func complainWithoutFleet(f *inifile.File) {
 	for _, section := range needFleet {
 		if f.Has(section) {
-			f.Complain(section, "", "needs a section [fleet]")
+			f.AddProblem(section, "", "needs a section [fleet]")
 		}
 	}
 	for _, name := range f.Kind("limit") {
-		f.Complain("limit "+name, "", "needs a section [fleet]")
+		f.AddProblem("limit "+name, "", "needs a section [fleet]")
 	}
 }
 
 // checkFleet checks the section [fleet] and decodes its seeds.
 func (c *Config) checkFleet(f *inifile.File) {
 	if c.Fleet.Cluster == "" {
-		f.Complain("fleet", "cluster", "missing: a name that only this fleet has")
+		f.AddProblem("fleet", "cluster", "missing: a name that only this fleet has")
 	}
 	if !c.Fleet.Listen.IsValid() && !f.HasKey("fleet", "listen") {
-		f.Complain("fleet", "listen", "missing: the UDP address of this process")
+		f.AddProblem("fleet", "listen", "missing: the UDP address of this process")
 	}
 	if len(c.Fleet.Cluster) > mostNameBytes || len(c.Fleet.Zone) > mostNameBytes || len(c.Fleet.Name) > mostNameBytes {
-		f.Complain("fleet", "", "cluster, zone and name take at most %d bytes each", mostNameBytes)
+		f.AddProblem("fleet", "", "cluster, zone and name take at most %d bytes each", mostNameBytes)
 	}
 	for _, seed := range c.Fleet.Seeds {
 		var a addrPort
 		if err := a.UnmarshalText([]byte(seed)); err != nil {
-			f.Complain("fleet", "seeds", "%v", err)
+			f.AddProblem("fleet", "seeds", "%v", err)
 			continue
 		}
 		c.Seeds = append(c.Seeds, a.AddrPort)
@@ -135,37 +135,37 @@
 
 func (c *Config) checkVerdicts(f *inifile.File) {
 	if c.Verdicts.Forget <= c.Verdicts.Fresh {
-		f.Complain("verdicts", "forget", "%v is not above fresh, %v", c.Verdicts.Forget, c.Verdicts.Fresh)
+		f.AddProblem("verdicts", "forget", "%v is not above fresh, %v", c.Verdicts.Forget, c.Verdicts.Fresh)
 	}
 }
 
 func (c *Config) checkDuties(f *inifile.File) {
 	for _, d := range c.Duties.Take {
 		if !slices.Contains(duties, d) {
-			f.Complain("duties", "take", "%q is none of %s", d, strings.Join(duties, ", "))
+			f.AddProblem("duties", "take", "%q is none of %s", d, strings.Join(duties, ", "))
 		}
 	}
 	if slices.Contains(c.Duties.Take, duty.Moves) && c.Moves.PerSecond == 0 {
-		f.Complain("duties", "take", "moves need a pace: [moves] per_second")
+		f.AddProblem("duties", "take", "moves need a pace: [moves] per_second")
 	}
 	if len(c.Duties.Take) > 0 && len(c.Members) == 0 {
-		f.Complain("duties", "take", "duties need keepers: name them in [keepers] members")
+		f.AddProblem("duties", "take", "duties need keepers: name them in [keepers] members")
 	}
 }
 
 // decodeKeepers decodes the members of [keepers] and checks the section.
 func (c *Config) decodeKeepers(f *inifile.File) {
 	if n := len(c.Keepers.Members); f.HasKey("keepers", "members") && n != 3 && n != 5 {
-		f.Complain("keepers", "members", "%d of them; three survive the loss of one, five that of two, other numbers no more than that", n)
+		f.AddProblem("keepers", "members", "%d of them; three survive the loss of one, five that of two, other numbers no more than that", n)
 	}
 	for _, text := range c.Keepers.Members {
 		c.addKeeper(f, text)
 	}
 	if c.Self != 0 && c.Keepers.Dir == "" {
-		f.Complain("keepers", "dir", "missing: this process is keeper %d and needs a folder for its log", c.Self)
+		f.AddProblem("keepers", "dir", "missing: this process is keeper %d and needs a folder for its log", c.Self)
 	}
 	if err := c.Terms().Check(); err != nil {
-		f.Complain("keepers", "margin", "%v", err)
+		f.AddProblem("keepers", "margin", "%v", err)
 	}
 }
 
@@ -173,12 +173,12 @@
 func (c *Config) addKeeper(f *inifile.File, text string) {
 	keeper, ok := parseKeeper(text)
 	if !ok {
-		f.Complain("keepers", "members", "%q is not a number and an address, as in 1@127.0.0.1:7946", text)
+		f.AddProblem("keepers", "members", "%q is not a number and an address, as in 1@127.0.0.1:7946", text)
 		return
 	}
 	twice := func(k mesh.KeeperAddress) bool { return k.ID == keeper.ID || k.Addr == keeper.Addr }
 	if slices.ContainsFunc(c.Members, twice) {
-		f.Complain("keepers", "members", "%q: its number or its address stands there twice", text)
+		f.AddProblem("keepers", "members", "%q: its number or its address stands there twice", text)
 		return
 	}
 	c.Members = append(c.Members, keeper)
@@ -229,14 +229,14 @@
 	section := "limit " + l.Name
 	switch {
 	case !f.HasKey(section, "most"):
-		f.Complain(section, "", "most: missing, the connections that all proxies together may have")
+		f.AddProblem(section, "", "most: missing, the connections that all proxies together may have")
 	case len(l.Name) > mostLimitNameBytes || len(c.Limits) >= mostLimits:
-		f.Complain(section, "", "at most %d limits, with names of at most %d bytes", mostLimits, mostLimitNameBytes)
+		f.AddProblem(section, "", "at most %d limits, with names of at most %d bytes", mostLimits, mostLimitNameBytes)
 	case l.Check() != nil:
-		f.Complain(section, "most", "%v", l.Check())
+		f.AddProblem(section, "most", "%v", l.Check())
 	case l.Kind == limit.StrictKind && len(c.Members) == 0:
-		f.Complain(section, "kind", "strict, without keepers: they lease its slices; name them in [keepers] members")
+		f.AddProblem(section, "kind", "strict, without keepers: they lease its slices; name them in [keepers] members")
 	case l.Kind == limit.StrictKind && f.HasKey(section, "within"):
-		f.Complain(section, "within", "a strict limit is one of standing connections")
+		f.AddProblem(section, "within", "a strict limit is one of standing connections")
 	}
 }
