--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -153,8 +153,8 @@
 	f.add(line, section, key, fmt.Sprintf(format, args...))
 }
 
-// Has tells whether the file has a section.
-func (f *File) Has(section string) bool { return f.sections[section] != 0 }
+// HasSection tells whether the file has a section.
+func (f *File) HasSection(section string) bool { return f.sections[section] != 0 }
 
 // HasKey tells whether a section has a key.
 func (f *File) HasKey(section, key string) bool { return f.keys[[2]string{section, key}] != 0 }
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -89,7 +89,7 @@
 
 // decodeSections reads all sections but those of the limits.
 func (c *Config) decodeSections(f *inifile.File) {
-	c.Fleet.On, c.Verdicts.On, c.Retries.On = f.Has("fleet"), f.Has("verdicts"), f.Has("retries")
+	c.Fleet.On, c.Verdicts.On, c.Retries.On = f.HasSection("fleet"), f.HasSection("verdicts"), f.HasSection("retries")
 	f.Decode("soft", &c.Soft)
 	f.Decode("retries", &c.Retries)
 	f.Decode("fleet", &c.Fleet)
@@ -103,7 +103,7 @@
 
 func complainWithoutFleet(f *inifile.File) {
 	for _, section := range needFleet {
-		if f.Has(section) {
+		if f.HasSection(section) {
 			f.AddProblem(section, "", "needs a section [fleet]")
 		}
 	}
