--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -159,8 +159,8 @@
 // HasKey tells whether a section has a key.
 func (f *File) HasKey(section, key string) bool { return f.keys[[2]string{section, key}] != 0 }
 
-// Kind returns the sections that are written [kind name], in the file's order: their names, without the kind.
-func (f *File) Kind(kind string) []string {
+// SectionNames returns the sections that are written [kind name], in the file's order: their names, without the kind.
+func (f *File) SectionNames(kind string) []string {
 	var names []string
 	for _, s := range f.order {
 		if k, name, ok := strings.Cut(s, " "); ok && k == kind {
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -30,10 +30,10 @@
 		s.Count != 3 || !s.On || s.Kept != 7 {
 		t.Errorf("%+v", s)
 	}
-	if got := strings.Join(f.Kind("site"), "|"); got != "x|y y" {
+	if got := strings.Join(f.SectionNames("site"), "|"); got != "x|y y" {
 		t.Errorf("sites %q", got)
 	}
-	for _, name := range f.Kind("site") {
+	for _, name := range f.SectionNames("site") {
 		f.Decode("site "+name, &s)
 	}
 	f.Decode("not there", &s)
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -306,7 +306,7 @@
 	f.Decode("front", &s.Front)
 	f.Decode("rules", &s.Rules)
 	f.Decode("allow", &s.Allow)
-	for _, n := range f.Kind("kind") {
+	for _, n := range f.SectionNames("kind") {
 		k := kind{Share: 1, Cores: 1, Speed: fleet.Range{From: 1, To: 1}, ColdFrom: fleet.Range{From: 0.2, To: 0.2}, Cold: fleet.Spans{From: 15 * time.Second, To: 15 * time.Second}}
 		f.Decode("kind "+n, &k)
 		s.Kinds = append(s.Kinds, fleet.Kind{Name: n, Share: k.Share, Cores: k.Cores, Speed: k.Speed, ColdFrom: k.ColdFrom, Cold: k.Cold, Errors: k.Errors})
@@ -314,7 +314,7 @@
 	if len(s.Kinds) == 0 {
 		s.Kinds = defaultKinds()
 	}
-	for _, n := range f.Kind("class") {
+	for _, n := range f.SectionNames("class") {
 		c := defaultClass(n)
 		f.Decode("class "+n, &c)
 		s.Classes = append(s.Classes, c)
@@ -322,13 +322,13 @@
 	if len(s.Classes) == 0 {
 		s.Classes = defaultClasses()
 	}
-	for _, n := range f.Kind("wave") {
+	for _, n := range f.SectionNames("wave") {
 		w := Wave{Name: n, For: fleet.Spans{From: 10 * time.Second, To: 10 * time.Second}, Times: fleet.Range{From: 2, To: 2}}
 		f.Decode("wave "+n, &w)
 		s.known(f, "wave "+n, w.Sites)
 		s.Waves = append(s.Waves, w)
 	}
-	for _, n := range f.Kind("trouble") {
+	for _, n := range f.SectionNames("trouble") {
 		s.Troubles = append(s.Troubles, s.trouble(f, n))
 	}
 	s.check(f)
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -107,7 +107,7 @@
 			f.AddProblem(section, "", "needs a section [fleet]")
 		}
 	}
-	for _, name := range f.Kind("limit") {
+	for _, name := range f.SectionNames("limit") {
 		f.AddProblem("limit "+name, "", "needs a section [fleet]")
 	}
 }
@@ -212,7 +212,7 @@
 
 // decodeLimits reads the sections [limit NAME].
 func (c *Config) decodeLimits(f *inifile.File) {
-	for _, name := range f.Kind("limit") {
+	for _, name := range f.SectionNames("limit") {
 		s := limitSection{Kind: "soft", Slices: 16}
 		f.Decode("limit "+name, &s)
 		l := limit.Limit{Name: name, Most: s.Most, Within: s.Within, Slices: s.Slices, Tenant: s.Tenant, Class: s.Class}
