--- a/internal/fleet/text.go
+++ b/internal/fleet/text.go
@@ -13,7 +13,7 @@
 
 // UnmarshalText reads a Range.
 func (r *Range) UnmarshalText(text []byte) error {
-	return ends(string(text), inifile.Number, &r.From, &r.To)
+	return ends(string(text), inifile.ParseNumber, &r.From, &r.To)
 }
 
 // Bounds are the range's ends.
@@ -21,7 +21,7 @@
 
 // UnmarshalText reads Spans.
 func (s *Spans) UnmarshalText(text []byte) error {
-	return ends(string(text), inifile.Duration, &s.From, &s.To)
+	return ends(string(text), inifile.ParseDuration, &s.From, &s.To)
 }
 
 // Bounds are the ends in seconds.
--- a/internal/inifile/decode.go
+++ b/internal/inifile/decode.go
@@ -103,7 +103,7 @@
 	}
 	switch {
 	case v.Type() == durationType:
-		d, err := Duration(text)
+		d, err := ParseDuration(text)
 		if err != nil {
 			return err
 		}
@@ -136,7 +136,7 @@
 		v.SetInt(int64(n))
 		return within(float64(n), tag, text)
 	case v.Kind() == reflect.Float64:
-		n, err := Number(text)
+		n, err := ParseNumber(text)
 		if err != nil {
 			return err
 		}
@@ -187,8 +187,8 @@
 	return nil
 }
 
-// Number reads a finite number, which may be a percentage.
-func Number(text string) (float64, error) {
+// ParseNumber reads a finite number, which may be a percentage.
+func ParseNumber(text string) (float64, error) {
 	word, percent := strings.CutSuffix(text, "%")
 	n, err := strconv.ParseFloat(strings.TrimSpace(word), 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
@@ -200,8 +200,8 @@
 	return n, nil
 }
 
-// Duration reads a time with its unit, as in 1.5s, 200ms or 1m30s; 0 needs none.
-func Duration(text string) (time.Duration, error) {
+// ParseDuration reads a time with its unit, as in 1.5s, 200ms or 1m30s; 0 needs none.
+func ParseDuration(text string) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
 	if err == nil {
 		return d, nil
