--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -76,7 +76,7 @@
 	m := mesh.Config{
 		Cluster: s.conf.Fleet.Cluster, Name: name, Zone: s.conf.Fleet.Zone, Listen: s.conf.Fleet.Listen.AddrPort,
 		Advertise: s.conf.Fleet.Advertise.AddrPort,
-		Session:   session, Seeds: s.conf.Seeds, Keepers: s.conf.Members, Terms: s.conf.Terms(), Duties: s.conf.Duties.Take,
+		Session:   session, Seeds: s.conf.Seeds, Keepers: s.conf.KeeperAddresses, Terms: s.conf.Terms(), Duties: s.conf.Duties.Take,
 		Seed: uint64(c.Seed) ^ session, Tell: s.tell,
 	}
 	if s.conf.Self != 0 {
@@ -149,7 +149,7 @@
 	s.file = file
 	k := keeper.DefaultConfig()
 	k.ID, k.Terms, k.Seed = s.conf.Self, s.conf.Terms(), m.Seed
-	for _, at := range s.conf.Members {
+	for _, at := range s.conf.KeeperAddresses {
 		k.Voters = append(k.Voters, at.ID)
 	}
 	m.Keeper, m.Log, m.Disk = &k, restored, file
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -148,7 +148,7 @@
 	if slices.Contains(c.Duties.Take, duty.Moves) && c.Moves.PerSecond == 0 {
 		f.AddProblem("duties", "take", "moves need a pace: [moves] per_second")
 	}
-	if len(c.Duties.Take) > 0 && len(c.Members) == 0 {
+	if len(c.Duties.Take) > 0 && len(c.KeeperAddresses) == 0 {
 		f.AddProblem("duties", "take", "duties need keepers: name them in [keepers] members")
 	}
 }
@@ -177,11 +177,11 @@
 		return
 	}
 	twice := func(k mesh.KeeperAddress) bool { return k.ID == keeper.ID || k.Addr == keeper.Addr }
-	if slices.ContainsFunc(c.Members, twice) {
+	if slices.ContainsFunc(c.KeeperAddresses, twice) {
 		f.AddProblem("keepers", "members", "%q: its number or its address stands there twice", text)
 		return
 	}
-	c.Members = append(c.Members, keeper)
+	c.KeeperAddresses = append(c.KeeperAddresses, keeper)
 	if keeper.Addr == c.At() {
 		c.Self = keeper.ID
 	}
@@ -234,7 +234,7 @@
 		f.AddProblem(section, "", "at most %d limits, with names of at most %d bytes", mostLimits, mostLimitNameBytes)
 	case l.Check() != nil:
 		f.AddProblem(section, "most", "%v", l.Check())
-	case l.Kind == limit.StrictKind && len(c.Members) == 0:
+	case l.Kind == limit.StrictKind && len(c.KeeperAddresses) == 0:
 		f.AddProblem(section, "kind", "strict, without keepers: they lease its slices; name them in [keepers] members")
 	case l.Kind == limit.StrictKind && f.HasKey(section, "within"):
 		f.AddProblem(section, "within", "a strict limit is one of standing connections")
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -26,9 +26,9 @@
 	Retries   Retries
 	Log       Log
 
-	Members []mesh.KeeperAddress // of Keepers, decoded
-	Self    uint64               // the keeper that this process is; 0: none
-	Seeds   []netip.AddrPort     // of Fleet, decoded
+	KeeperAddresses []mesh.KeeperAddress // of Keepers, decoded
+	Self            uint64               // the keeper that this process is; 0: none
+	Seeds           []netip.AddrPort     // of Fleet, decoded
 }
 
 // Fleet says how to reach the other proxies, and by which addresses they reach this one.
