--- a/cmd/ospreyspan/command.go
+++ b/cmd/ospreyspan/command.go
@@ -235,7 +235,7 @@
 			if err != nil {
 				return err
 			}
-			if conf.Self == 0 {
+			if conf.KeeperID == 0 {
 				return wrong{fmt.Errorf("%s: [fleet] listen is none of [keepers] members", a.operator)}
 			}
 			id, err := drawSession()
@@ -245,7 +245,7 @@
 			if err := keeper.Create(conf.Keepers.Dir, id); err != nil {
 				return err
 			}
-			fmt.Fprintf(a.out, "keeper %d: log made in %s\n", conf.Self, conf.Keepers.Dir)
+			fmt.Fprintf(a.out, "keeper %d: log made in %s\n", conf.KeeperID, conf.Keepers.Dir)
 			return nil
 		}}
 	c.AddCommand(init)
--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -79,7 +79,7 @@
 		Session:   session, Seeds: s.conf.Seeds, Keepers: s.conf.KeeperAddresses, Terms: s.conf.Terms(), Duties: s.conf.Duties.Take,
 		Seed: uint64(c.Seed) ^ session, Tell: s.tell,
 	}
-	if s.conf.Self != 0 {
+	if s.conf.KeeperID != 0 {
 		if err := s.keep(&m, loop, logger); err != nil {
 			return nil, err
 		}
@@ -148,7 +148,7 @@
 	}
 	s.file = file
 	k := keeper.DefaultConfig()
-	k.ID, k.Terms, k.Seed = s.conf.Self, s.conf.Terms(), m.Seed
+	k.ID, k.Terms, k.Seed = s.conf.KeeperID, s.conf.Terms(), m.Seed
 	for _, at := range s.conf.KeeperAddresses {
 		k.Voters = append(k.Voters, at.ID)
 	}
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -161,8 +161,8 @@
 	for _, text := range c.Keepers.Members {
 		c.addKeeper(f, text)
 	}
-	if c.Self != 0 && c.Keepers.Dir == "" {
-		f.AddProblem("keepers", "dir", "missing: this process is keeper %d and needs a folder for its log", c.Self)
+	if c.KeeperID != 0 && c.Keepers.Dir == "" {
+		f.AddProblem("keepers", "dir", "missing: this process is keeper %d and needs a folder for its log", c.KeeperID)
 	}
 	if err := c.Terms().Check(); err != nil {
 		f.AddProblem("keepers", "margin", "%v", err)
@@ -183,7 +183,7 @@
 	}
 	c.KeeperAddresses = append(c.KeeperAddresses, keeper)
 	if keeper.Addr == c.At() {
-		c.Self = keeper.ID
+		c.KeeperID = keeper.ID
 	}
 }
 
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -27,7 +27,7 @@
 	Log       Log
 
 	KeeperAddresses []mesh.KeeperAddress // of Keepers, decoded
-	Self            uint64               // the keeper that this process is; 0: none
+	KeeperID        uint64               // the keeper that this process is; 0: none
 	Seeds           []netip.AddrPort     // of Fleet, decoded
 }
 
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !c.Fleet.On || c.Self != 1 || len(c.KeeperAddresses) != 3 || len(c.Seeds) != 2 || c.Duties.Take[0] != duty.Discovery {
+	if !c.Fleet.On || c.KeeperID != 1 || len(c.KeeperAddresses) != 3 || len(c.Seeds) != 2 || c.Duties.Take[0] != duty.Discovery {
 		t.Errorf("read as %+v", c)
 	}
 	if c, err = Parse("f.ini", nil); err != nil || c.Fleet.On {
