--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -182,7 +182,7 @@
 		return
 	}
 	c.KeeperAddresses = append(c.KeeperAddresses, keeper)
-	if keeper.Addr == c.At() {
+	if keeper.Addr == c.AdvertisedAddress() {
 		c.KeeperID = keeper.ID
 	}
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -97,8 +97,8 @@
 	Format string `ini:"format" one:"plain, json"`
 }
 
-// At is the address by which the others reach this process.
-func (c *Config) At() netip.AddrPort {
+// AdvertisedAddress is the address by which the others reach this process.
+func (c *Config) AdvertisedAddress() netip.AddrPort {
 	if c.Fleet.Advertise.IsValid() {
 		return c.Fleet.Advertise.AddrPort
 	}
