--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -196,7 +196,7 @@
 		logger.Printf("reload: the old operator's file stays:\n%v", err)
 		return
 	}
-	if conf.Fixed() != s.conf.Fixed() {
+	if conf.RestartSettings() != s.conf.RestartSettings() {
 		logger.Printf("reload: %s: all but seeds, duties and how much limits hold takes a new start", s.path)
 	}
 	s.conf.Seeds, s.conf.Duties = conf.Seeds, conf.Duties
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -110,8 +110,8 @@
 	return owner.Terms{Lease: c.Keepers.Lease, Margin: c.Keepers.Margin}
 }
 
-// Fixed returns what takes a new start, as one text: a reload compares it.
-func (c *Config) Fixed() string {
+// RestartSettings returns what takes a new start, as one text: a reload compares it.
+func (c *Config) RestartSettings() string {
 	return fmt.Sprintln(c.Fleet.On, c.Fleet.Cluster, c.Fleet.Listen, c.Fleet.Advertise, c.Fleet.Zone, c.Fleet.Name, c.Keepers, c.Log, c.Discovery, c.Moves, c.Verdicts, c.Soft, c.Retries, c.limited())
 }
 
