--- a/cmd/ospreyspan/command.go
+++ b/cmd/ospreyspan/command.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		return "", at, err
 	}
-	if !c.Fleet.On {
+	if !c.Fleet.Enabled {
 		return "", at, wrong{fmt.Errorf("%s: has no section [fleet]", a.operator)}
 	}
 	at = c.Fleet.Listen.AddrPort
--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -59,7 +59,7 @@
 
 // fleet returns what the proxy needs to take part, nil if it does not.
 func (s *sharing) fleet(c *config, loop *poll.Loop, logger *log.Logger) (*instance.Fleet, error) {
-	if s == nil || !s.conf.Fleet.On {
+	if s == nil || !s.conf.Fleet.Enabled {
 		return nil, nil
 	}
 	session, err := drawSession()
@@ -85,14 +85,14 @@
 		}
 	}
 	f := &instance.Fleet{Mesh: m, SameAddresses: s.conf.Discovery.SameAddresses, MovesPerSecond: s.conf.Moves.PerSecond}
-	if o := s.conf.Verdicts; o.On {
+	if o := s.conf.Verdicts; o.Enabled {
 		v := instance.DefaultVerdicts()
 		v.Judge = verdict.Config{Fresh: o.Fresh, Forget: o.Forget, Witnesses: o.Witnesses, Part: o.Part}
 		v.Evidence.Keep = o.Forget + v.Evidence.Width
 		v.OnChange = s.judged
 		f.Verdicts = &v
 	}
-	if o := s.conf.Retries; o.On {
+	if o := s.conf.Retries; o.Enabled {
 		f.Retries = &limit.Retries{Part: o.Part, Within: o.Within, Least: o.Least}
 	}
 	if len(s.conf.Limits) > 0 {
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -63,7 +63,7 @@
 func decode(f *inifile.File) (*Config, error) {
 	c := defaults()
 	c.decodeSections(f)
-	if !c.Fleet.On {
+	if !c.Fleet.Enabled {
 		complainWithoutFleet(f)
 		return c, f.Err()
 	}
@@ -89,7 +89,7 @@
 
 // decodeSections reads all sections but those of the limits.
 func (c *Config) decodeSections(f *inifile.File) {
-	c.Fleet.On, c.Verdicts.On, c.Retries.On = f.HasSection("fleet"), f.HasSection("verdicts"), f.HasSection("retries")
+	c.Fleet.Enabled, c.Verdicts.Enabled, c.Retries.Enabled = f.HasSection("fleet"), f.HasSection("verdicts"), f.HasSection("retries")
 	f.Decode("soft", &c.Soft)
 	f.Decode("retries", &c.Retries)
 	f.Decode("fleet", &c.Fleet)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -33,7 +33,7 @@
 
 // Fleet says how to reach the other proxies, and by which addresses they reach this one.
 type Fleet struct {
-	On      bool     `ini:"-"`       // the section is there
+	Enabled bool     `ini:"-"`       // the section is there
 	Cluster string   `ini:"cluster"` // datagrams of others are dropped
 	Listen  addrPort `ini:"listen"`  // UDP
 	// Advertise is the address by which the others reach this process, where that is another one than listen.
@@ -70,7 +70,7 @@
 
 // Verdicts says how targets are judged by what all proxies saw of them. All processes of a fleet need the same values.
 type Verdicts struct {
-	On        bool          `ini:"-"`                           // the section is there
+	Enabled   bool          `ini:"-"`                           // the section is there
 	Fresh     time.Duration `ini:"fresh" min:"1" max:"60"`      // evidence of at most this age condemns
 	Forget    time.Duration `ini:"forget" min:"2" max:"300"`    // until then a target that was condemned is tried by turns
 	Witnesses int           `ini:"witnesses" min:"2" max:"100"` // proxies that must agree to condemn a target
@@ -86,10 +86,10 @@
 
 // Retries is a budget for further attempts of all proxies together.
 type Retries struct {
-	On     bool          `ini:"-"`                          // the section is there
-	Part   float64       `ini:"part" above:"0" max:"10"`    // of first attempts
-	Within time.Duration `ini:"within" min:"1" max:"60"`    // in which both are counted
-	Least  int           `ini:"least" min:"0" max:"100000"` // further attempts within that time, whatever the part
+	Enabled bool          `ini:"-"`                          // the section is there
+	Part    float64       `ini:"part" above:"0" max:"10"`    // of first attempts
+	Within  time.Duration `ini:"within" min:"1" max:"60"`    // in which both are counted
+	Least   int           `ini:"least" min:"0" max:"100000"` // further attempts within that time, whatever the part
 }
 
 // Log is how the log is written.
@@ -112,7 +112,7 @@
 
 // RestartSettings returns what takes a new start, as one text: a reload compares it.
 func (c *Config) RestartSettings() string {
-	return fmt.Sprintln(c.Fleet.On, c.Fleet.Cluster, c.Fleet.Listen, c.Fleet.Advertise, c.Fleet.Zone, c.Fleet.Name, c.Keepers, c.Log, c.Discovery, c.Moves, c.Verdicts, c.Soft, c.Retries, c.limited())
+	return fmt.Sprintln(c.Fleet.Enabled, c.Fleet.Cluster, c.Fleet.Listen, c.Fleet.Advertise, c.Fleet.Zone, c.Fleet.Name, c.Keepers, c.Log, c.Discovery, c.Moves, c.Verdicts, c.Soft, c.Retries, c.limited())
 }
 
 // limited is what of the limits takes a new start: all but how much they hold.
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -25,10 +25,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !c.Fleet.On || c.KeeperID != 1 || len(c.KeeperAddresses) != 3 || len(c.Seeds) != 2 || c.Duties.Take[0] != duty.Discovery {
+	if !c.Fleet.Enabled || c.KeeperID != 1 || len(c.KeeperAddresses) != 3 || len(c.Seeds) != 2 || c.Duties.Take[0] != duty.Discovery {
 		t.Errorf("read as %+v", c)
 	}
-	if c, err = Parse("f.ini", nil); err != nil || c.Fleet.On {
+	if c, err = Parse("f.ini", nil); err != nil || c.Fleet.Enabled {
 		t.Errorf("an empty file: %+v, %v", c, err)
 	}
 }
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c, err := Parse("ospreyspan.ini", text); err != nil || !c.Fleet.On {
+	if c, err := Parse("ospreyspan.ini", text); err != nil || !c.Fleet.Enabled {
 		t.Errorf("%+v, %v", c, err)
 	}
 }
