--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -96,7 +96,7 @@
 		f.Retries = &limit.Retries{Part: o.Part, Within: o.Within, Least: o.Least}
 	}
 	if len(s.conf.Limits) > 0 {
-		o := s.conf.Soft
+		o := s.conf.SoftLimits
 		f.Limits = &instance.Limits{Soft: limit.Soft{Stale: o.Stale, Hold: o.Hold, Expect: o.Expect}, List: s.conf.Limits, OnChange: s.limited}
 		for _, l := range s.conf.Limits {
 			if err := named(c, l); err != nil {
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -79,18 +79,18 @@
 func defaults() *Config {
 	terms, verdicts, soft := owner.DefaultTerms(), verdict.DefaultConfig(), limit.DefaultSoft()
 	return &Config{
-		Keepers:  Keepers{Lease: terms.Lease, Margin: terms.Margin},
-		Verdicts: Verdicts{Fresh: verdicts.Fresh, Forget: verdicts.Forget, Witnesses: verdicts.Witnesses, Part: verdicts.Part},
-		Retries:  Retries{Part: 0.2, Within: 10 * time.Second, Least: 10},
-		Soft:     Soft{Stale: soft.Stale, Hold: soft.Hold},
-		Log:      Log{Format: "plain"},
+		Keepers:    Keepers{Lease: terms.Lease, Margin: terms.Margin},
+		Verdicts:   Verdicts{Fresh: verdicts.Fresh, Forget: verdicts.Forget, Witnesses: verdicts.Witnesses, Part: verdicts.Part},
+		Retries:    Retries{Part: 0.2, Within: 10 * time.Second, Least: 10},
+		SoftLimits: SoftLimits{Stale: soft.Stale, Hold: soft.Hold},
+		Log:        Log{Format: "plain"},
 	}
 }
 
 // decodeSections reads all sections but those of the limits.
 func (c *Config) decodeSections(f *inifile.File) {
 	c.Fleet.Enabled, c.Verdicts.Enabled, c.Retries.Enabled = f.HasSection("fleet"), f.HasSection("verdicts"), f.HasSection("retries")
-	f.Decode("soft", &c.Soft)
+	f.Decode("soft", &c.SoftLimits)
 	f.Decode("retries", &c.Retries)
 	f.Decode("fleet", &c.Fleet)
 	f.Decode("keepers", &c.Keepers)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -15,16 +15,16 @@
 
 // Config is what the file says, with defaults for what it does not.
 type Config struct {
-	Fleet     Fleet
-	Keepers   Keepers
-	Duties    Duties
-	Discovery Discovery
-	Moves     Moves
-	Verdicts  Verdicts
-	Limits    []limit.Limit
-	Soft      Soft
-	Retries   Retries
-	Log       Log
+	Fleet      Fleet
+	Keepers    Keepers
+	Duties     Duties
+	Discovery  Discovery
+	Moves      Moves
+	Verdicts   Verdicts
+	Limits     []limit.Limit
+	SoftLimits SoftLimits
+	Retries    Retries
+	Log        Log
 
 	KeeperAddresses []mesh.KeeperAddress // of Keepers, decoded
 	KeeperID        uint64               // the keeper that this process is; 0: none
@@ -77,8 +77,8 @@
 	Part      float64       `ini:"part" above:"0" max:"1"`      // of a zone's targets, and of all, that may be condemned at once
 }
 
-// Soft has the times of soft limits. All processes of a fleet need the same.
-type Soft struct {
+// SoftLimits has the times of soft limits. All processes of a fleet need the same.
+type SoftLimits struct {
 	Stale  time.Duration `ini:"stale" min:"1" max:"60"`    // what a process reported longer ago is not relied on
 	Hold   time.Duration `ini:"hold" min:"2" max:"600"`    // for so long a process that seems dead is counted, as it may only be cut off
 	Expect int           `ini:"expect" min:"0" max:"4096"` // processes that there should be
@@ -112,7 +112,7 @@
 
 // RestartSettings returns what takes a new start, as one text: a reload compares it.
 func (c *Config) RestartSettings() string {
-	return fmt.Sprintln(c.Fleet.Enabled, c.Fleet.Cluster, c.Fleet.Listen, c.Fleet.Advertise, c.Fleet.Zone, c.Fleet.Name, c.Keepers, c.Log, c.Discovery, c.Moves, c.Verdicts, c.Soft, c.Retries, c.limited())
+	return fmt.Sprintln(c.Fleet.Enabled, c.Fleet.Cluster, c.Fleet.Listen, c.Fleet.Advertise, c.Fleet.Zone, c.Fleet.Name, c.Keepers, c.Log, c.Discovery, c.Moves, c.Verdicts, c.SoftLimits, c.Retries, c.limited())
 }
 
 // limited is what of the limits takes a new start: all but how much they hold.
