--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -82,7 +82,7 @@
 		Keepers:    Keepers{Lease: terms.Lease, Margin: terms.Margin},
 		Verdicts:   Verdicts{Fresh: verdicts.Fresh, Forget: verdicts.Forget, Witnesses: verdicts.Witnesses, Part: verdicts.Part},
 		Retries:    Retries{Part: 0.2, Within: 10 * time.Second, Least: 10},
-		SoftLimits: SoftLimits{Stale: soft.Stale, Hold: soft.Hold},
+		SoftLimits: SoftLimits{StaleAfter: soft.Stale, HoldTime: soft.Hold},
 		Log:        Log{Format: "plain"},
 	}
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -79,9 +79,9 @@
 
 // SoftLimits has the times of soft limits. All processes of a fleet need the same.
 type SoftLimits struct {
-	Stale  time.Duration `ini:"stale" min:"1" max:"60"`    // what a process reported longer ago is not relied on
-	Hold   time.Duration `ini:"hold" min:"2" max:"600"`    // for so long a process that seems dead is counted, as it may only be cut off
-	Expect int           `ini:"expect" min:"0" max:"4096"` // processes that there should be
+	StaleAfter        time.Duration `ini:"stale" min:"1" max:"60"`    // what a process reported longer ago is not relied on
+	HoldTime          time.Duration `ini:"hold" min:"2" max:"600"`    // for so long a process that seems dead is counted, as it may only be cut off
+	ExpectedProcesses int           `ini:"expect" min:"0" max:"4096"` // processes that there should be
 }
 
 // Retries is a budget for further attempts of all proxies together.
