--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -87,8 +87,8 @@
 	f := &instance.Fleet{Mesh: m, SameAddresses: s.conf.Discovery.SameAddresses, MovesPerSecond: s.conf.Moves.PerSecond}
 	if o := s.conf.Verdicts; o.Enabled {
 		v := instance.DefaultVerdicts()
-		v.Judge = verdict.Config{Fresh: o.Fresh, Forget: o.Forget, Witnesses: o.Witnesses, Part: o.Part}
-		v.Evidence.Keep = o.Forget + v.Evidence.Width
+		v.Judge = verdict.Config{Fresh: o.MaxEvidenceAge, Forget: o.ForgetAfter, Witnesses: o.MinWitnesses, Part: o.MaxShare}
+		v.Evidence.Keep = o.ForgetAfter + v.Evidence.Width
 		v.OnChange = s.judged
 		f.Verdicts = &v
 	}
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -80,7 +80,7 @@
 	terms, verdicts, soft := owner.DefaultTerms(), verdict.DefaultConfig(), limit.DefaultSoft()
 	return &Config{
 		Keepers:    Keepers{Lease: terms.Lease, Margin: terms.Margin},
-		Verdicts:   Verdicts{Fresh: verdicts.Fresh, Forget: verdicts.Forget, Witnesses: verdicts.Witnesses, Part: verdicts.Part},
+		Verdicts:   Verdicts{MaxEvidenceAge: verdicts.Fresh, ForgetAfter: verdicts.Forget, MinWitnesses: verdicts.Witnesses, MaxShare: verdicts.Part},
 		Retries:    Retries{Part: 0.2, Within: 10 * time.Second, Least: 10},
 		SoftLimits: SoftLimits{StaleAfter: soft.Stale, HoldTime: soft.Hold},
 		Log:        Log{Format: "plain"},
@@ -134,8 +134,8 @@
 }
 
 func (c *Config) checkVerdicts(f *inifile.File) {
-	if c.Verdicts.Forget <= c.Verdicts.Fresh {
-		f.AddProblem("verdicts", "forget", "%v is not above fresh, %v", c.Verdicts.Forget, c.Verdicts.Fresh)
+	if c.Verdicts.ForgetAfter <= c.Verdicts.MaxEvidenceAge {
+		f.AddProblem("verdicts", "forget", "%v is not above fresh, %v", c.Verdicts.ForgetAfter, c.Verdicts.MaxEvidenceAge)
 	}
 }
 
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -70,11 +70,11 @@
 
 // Verdicts says how targets are judged by what all proxies saw of them. All processes of a fleet need the same values.
 type Verdicts struct {
-	Enabled   bool          `ini:"-"`                           // the section is there
-	Fresh     time.Duration `ini:"fresh" min:"1" max:"60"`      // evidence of at most this age condemns
-	Forget    time.Duration `ini:"forget" min:"2" max:"300"`    // until then a target that was condemned is tried by turns
-	Witnesses int           `ini:"witnesses" min:"2" max:"100"` // proxies that must agree to condemn a target
-	Part      float64       `ini:"part" above:"0" max:"1"`      // of a zone's targets, and of all, that may be condemned at once
+	Enabled        bool          `ini:"-"`                           // the section is there
+	MaxEvidenceAge time.Duration `ini:"fresh" min:"1" max:"60"`      // evidence of at most this age condemns
+	ForgetAfter    time.Duration `ini:"forget" min:"2" max:"300"`    // until then a target that was condemned is tried by turns
+	MinWitnesses   int           `ini:"witnesses" min:"2" max:"100"` // proxies that must agree to condemn a target
+	MaxShare       float64       `ini:"part" above:"0" max:"1"`      // of a zone's targets, and of all, that may be condemned at once
 }
 
 // SoftLimits has the times of soft limits. All processes of a fleet need the same.
