--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -93,7 +93,7 @@
 		f.Verdicts = &v
 	}
 	if o := s.conf.Retries; o.Enabled {
-		f.Retries = &limit.Retries{Part: o.Part, Within: o.Within, Least: o.Least}
+		f.Retries = &limit.Retries{Part: o.Ratio, Within: o.Window, Least: o.MinRetries}
 	}
 	if len(s.conf.Limits) > 0 {
 		o := s.conf.SoftLimits
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -81,7 +81,7 @@
 	return &Config{
 		Keepers:    Keepers{Lease: terms.Lease, Margin: terms.Margin},
 		Verdicts:   Verdicts{MaxEvidenceAge: verdicts.Fresh, ForgetAfter: verdicts.Forget, MinWitnesses: verdicts.Witnesses, MaxShare: verdicts.Part},
-		Retries:    Retries{Part: 0.2, Within: 10 * time.Second, Least: 10},
+		Retries:    Retries{Ratio: 0.2, Window: 10 * time.Second, MinRetries: 10},
 		SoftLimits: SoftLimits{StaleAfter: soft.Stale, HoldTime: soft.Hold},
 		Log:        Log{Format: "plain"},
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -86,10 +86,10 @@
 
 // Retries is a budget for further attempts of all proxies together.
 type Retries struct {
-	Enabled bool          `ini:"-"`                          // the section is there
-	Part    float64       `ini:"part" above:"0" max:"10"`    // of first attempts
-	Within  time.Duration `ini:"within" min:"1" max:"60"`    // in which both are counted
-	Least   int           `ini:"least" min:"0" max:"100000"` // further attempts within that time, whatever the part
+	Enabled    bool          `ini:"-"`                          // the section is there
+	Ratio      float64       `ini:"part" above:"0" max:"10"`    // of first attempts
+	Window     time.Duration `ini:"within" min:"1" max:"60"`    // in which both are counted
+	MinRetries int           `ini:"least" min:"0" max:"100000"` // further attempts within that time, whatever the part
 }
 
 // Log is how the log is written.
