--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -38,12 +38,12 @@
 			}
 			continue
 		}
-		deliver(balancers, w, &e)
+		dispatch(balancers, w, &e)
 	}
 }
 
-// deliver hands one event to its instance. A panic there is told to the simulator as an internal error.
-func deliver(balancers map[int]*balance.Balancer, w *wire.Writer, e *wire.Event) {
+// dispatch hands one event to its instance. A panic there is told to the simulator as an internal error.
+func dispatch(balancers map[int]*balance.Balancer, w *wire.Writer, e *wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			w.Fault(e.Relay, fmt.Sprint("panic: ", p))
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -6,17 +6,17 @@
 	"testing"
 )
 
-const settings = `{"Balancers":2,"Zone":"z","Classes":[{"Name":"c","Repeat":"free","TargetUs":500000,"Worth":1}],` +
+const validSettings = `{"Balancers":2,"Zone":"z","Classes":[{"Name":"c","Repeat":"free","TargetUs":500000,"Worth":1}],` +
 	`"Permissions":{"AttemptsCap":3,"Probing":true},"Report":{"Fields":["x0"]},` +
 	`"Domain":{"ReportX0":"load asked of the server over what it can do"}}`
 
 func TestRun(t *testing.T) {
 	in := "FRAME 5\nYOUR_TURN\n" +
-		"FRAME 10\nCONFIGURE 0 1 " + settings + "\nCATALOG 0 1\nROW b0 z k 0 SERVING 1 -\n" +
+		"FRAME 10\nCONFIGURE 0 1 " + validSettings + "\nCATALOG 0 1\nROW b0 z k 0 SERVING 1 -\n" +
 		"MEMBERS 0 stale_copy 1 0\nYOUR_TURN\n" +
 		"FRAME 20\nINGRESS 0 9 c 0 - 3000000 - - 0\nYOUR_TURN\n" +
 		"FRAME 30\nCHECKED 0 b0 pass 10 0.25\nYOUR_TURN\n" +
-		"FRAME 40\nRETIRE 0\nCONFIGURE 0 2 " + settings + "\nMEMBERS 0 stale_copy 1 0\nYOUR_TURN\n"
+		"FRAME 40\nRETIRE 0\nCONFIGURE 0 2 " + validSettings + "\nMEMBERS 0 stale_copy 1 0\nYOUR_TURN\n"
 	var out bytes.Buffer
 	if err := run(strings.NewReader(in), &out); err != nil {
 		t.Fatal(err)
@@ -36,9 +36,9 @@
 	}
 }
 
-func TestBadInputWritesNoHalfReply(t *testing.T) {
+func TestBadInputWritesNoPartialReply(t *testing.T) {
 	var out bytes.Buffer
-	err := run(strings.NewReader("FRAME 10\nCONFIGURE 0 1 "+settings+"\nNONSENSE\nYOUR_TURN\n"), &out)
+	err := run(strings.NewReader("FRAME 10\nCONFIGURE 0 1 "+validSettings+"\nNONSENSE\nYOUR_TURN\n"), &out)
 	if err == nil || !strings.Contains(err.Error(), "line 3") {
 		t.Errorf("error %v", err)
 	}
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestSettingsThatCannotWork(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	var out bytes.Buffer
 	in := "FRAME 10\nCONFIGURE 0 1 {\"Invariants\":{\"ColdFrom\":7}}\nYOUR_TURN\n"
 	if err := run(strings.NewReader(in), &out); err != nil {
--- a/cmd/simhost/rename_test.go
+++ b/cmd/simhost/rename_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// story is a short day on the wire with two classes, tenants, kinds and zones.
-func story() string {
+// inputBatches is a short day on the wire with two classes, tenants, kinds and zones.
+func inputBatches() string {
 	const options = `{"Balancers":2,"Zone":"zone-a","Dcs":["zone-a","zone-b"],"Kinds":["kind-a","kind-b"],` +
 		`"Classes":[{"Name":"class-a","Repeat":"free","TargetUs":500000,"Worth":5},` +
 		`{"Name":"class-b","Repeat":"guarded","DedupScope":"zone","TargetUs":300000,"WindowUs":900000,"Worth":1}],` +
@@ -46,7 +46,7 @@
 
 // The decisions may not branch on a name: the same day with other names brings the same actions.
 func TestNamesDoNotMatter(t *testing.T) {
-	reply := func(in string) string {
+	replies := func(in string) string {
 		var out bytes.Buffer
 		if err := run(strings.NewReader(in), &out); err != nil {
 			t.Fatal(err)
@@ -57,13 +57,13 @@
 		"class-a", "urgent", "class-b", "bulk", "tenant-a", "zz", "tenant-b", "aa", "kind-a", "m1", "kind-b", "k9",
 		"zone-a", "west", "zone-b", "east",
 	)
-	plain := reply(story())
-	if renamed := reply(names.Replace(story())); renamed != plain {
+	want := replies(inputBatches())
+	if got := replies(names.Replace(inputBatches())); got != want {
 		t.Error("other names of classes, tenants, kinds and zones brought other actions")
 	}
-	for _, what := range []string{"SEND 0", "SEND 1", "PROBE", "SAY_NO"} {
-		if !strings.Contains(plain, what) {
-			t.Errorf("the day has no %s: it shows too little", what)
+	for _, action := range []string{"SEND 0", "SEND 1", "PROBE", "SAY_NO"} {
+		if !strings.Contains(want, action) {
+			t.Errorf("the day has no %s: it shows too little", action)
 		}
 	}
 }
--- a/internal/inifile/decode.go
+++ b/internal/inifile/decode.go
@@ -21,9 +21,9 @@
 //
 // Types that implement encoding.TextUnmarshaler read themselves; one that has Bounds() (least, most float64) too is
 // checked against min, max and above.
-func (f *File) Decode(section string, into any) {
-	f.taken[section] = true
-	v := reflect.ValueOf(into).Elem()
+func (f *File) Decode(section string, target any) {
+	f.decoded[section] = true
+	v := reflect.ValueOf(target).Elem()
 	known := make(map[string]bool)
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
@@ -36,23 +36,23 @@
 			continue
 		}
 		text := f.ini.Section(section).Key(key).String()
-		if err := set(v.Field(i), field.Tag, text); err != nil {
+		if err := decodeValue(v.Field(i), field.Tag, text); err != nil {
 			f.AddProblem(section, key, "%v", err)
 		}
 	}
 	for _, key := range f.ini.Section(section).KeyStrings() {
 		if !known[key] {
-			f.AddProblem(section, key, "unknown key%s", nearest(key, known))
+			f.AddProblem(section, key, "unknown key%s", suggestKey(key, known))
 		}
 	}
 }
 
-// nearest suggests the key that was probably meant.
-func nearest(key string, known map[string]bool) string {
-	best, least := "", 3
+// suggestKey suggests the key that was probably meant.
+func suggestKey(key string, known map[string]bool) string {
+	best, bestDistance := "", 3
 	for k := range known {
-		if d := distance(key, k); d < least || d == least && k < best {
-			best, least = k, d
+		if d := editDistance(key, k); d < bestDistance || d == bestDistance && k < best {
+			best, bestDistance = k, d
 		}
 	}
 	if best == "" {
@@ -61,22 +61,22 @@
 	return fmt.Sprintf("; perhaps %s", best)
 }
 
-// distance is how many letters must change, come or go to make one word of the other.
-func distance(a, b string) int {
+// editDistance is how many letters must change, come or go to make one word of the other.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
 	}
 	for i := range len(a) {
-		last := row[0]
+		diagonal := row[0]
 		row[0] = i + 1
 		for j := range len(b) {
-			cost := last
+			cost := diagonal
 			if a[i] != b[j] {
 				cost++
 			}
-			last = row[j+1]
-			row[j+1] = min(cost, row[j]+1, last+1)
+			diagonal = row[j+1]
+			row[j+1] = min(cost, row[j]+1, diagonal+1)
 		}
 	}
 	return row[len(b)]
@@ -84,7 +84,7 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-func set(v reflect.Value, tag reflect.StructTag, text string) error {
+func decodeValue(v reflect.Value, tag reflect.StructTag, text string) error {
 	if text == "" && v.Kind() != reflect.String {
 		return fmt.Errorf("empty")
 	}
@@ -94,10 +94,10 @@
 		}
 		if b, ok := v.Addr().Interface().(interface{ Bounds() (least, most float64) }); ok {
 			least, most := b.Bounds()
-			if err := within(least, tag, text); err != nil {
+			if err := checkBounds(least, tag, text); err != nil {
 				return err
 			}
-			return within(most, tag, text)
+			return checkBounds(most, tag, text)
 		}
 		return nil
 	}
@@ -108,7 +108,7 @@
 			return err
 		}
 		v.SetInt(int64(d))
-		if err := within(d.Seconds(), tag, text); err != nil {
+		if err := checkBounds(d.Seconds(), tag, text); err != nil {
 			return err
 		}
 		if d < 0 && tag.Get("min") == "" {
@@ -116,9 +116,9 @@
 		}
 		return nil
 	case v.Kind() == reflect.String:
-		if one := tag.Get("one"); one != "" {
-			if words := strings.Split(one, ", "); !slices.Contains(words, text) {
-				return fmt.Errorf("%q is none of %s", text, one)
+		if allowed := tag.Get("one"); allowed != "" {
+			if values := strings.Split(allowed, ", "); !slices.Contains(values, text) {
+				return fmt.Errorf("%q is none of %s", text, allowed)
 			}
 		}
 		v.SetString(text)
@@ -134,54 +134,54 @@
 			return fmt.Errorf("%q is not a whole number", text)
 		}
 		v.SetInt(int64(n))
-		return within(float64(n), tag, text)
+		return checkBounds(float64(n), tag, text)
 	case v.Kind() == reflect.Float64:
 		n, err := ParseNumber(text)
 		if err != nil {
 			return err
 		}
 		v.SetFloat(n)
-		return within(n, tag, text)
+		return checkBounds(n, tag, text)
 	case v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.String:
-		var words []string
-		for word := range strings.SplitSeq(text, ",") {
-			word = strings.TrimSpace(word)
-			if word == "" {
+		var entries []string
+		for entry := range strings.SplitSeq(text, ",") {
+			entry = strings.TrimSpace(entry)
+			if entry == "" {
 				return fmt.Errorf("an empty entry in %q", text)
 			}
-			if slices.Contains(words, word) {
-				return fmt.Errorf("%q stands there twice", word)
+			if slices.Contains(entries, entry) {
+				return fmt.Errorf("%q stands there twice", entry)
 			}
-			words = append(words, word)
+			entries = append(entries, entry)
 		}
-		v.Set(reflect.ValueOf(words).Convert(v.Type()))
+		v.Set(reflect.ValueOf(entries).Convert(v.Type()))
 	default:
 		panic(fmt.Sprintf("inifile: a field of type %s", v.Type())) // the program's mistake, not the file's
 	}
 	return nil
 }
 
-// within checks a figure, of a time its seconds, against the bounds of its tag.
-func within(n float64, tag reflect.StructTag, text string) error {
+// checkBounds checks a figure, of a time its seconds, against the bounds of its tag.
+func checkBounds(n float64, tag reflect.StructTag, text string) error {
 	for _, b := range []struct {
-		name string
-		bad  func(bound float64) bool
-		say  string
+		tagKey      string
+		violated    func(bound float64) bool
+		description string
 	}{
 		{"min", func(bound float64) bool { return n < bound }, "less than"},
 		{"max", func(bound float64) bool { return n > bound }, "more than"},
 		{"above", func(bound float64) bool { return n <= bound }, "not above"},
 	} {
-		word := tag.Get(b.name)
-		if word == "" {
+		boundText := tag.Get(b.tagKey)
+		if boundText == "" {
 			continue
 		}
-		bound, err := strconv.ParseFloat(word, 64)
+		bound, err := strconv.ParseFloat(boundText, 64)
 		if err != nil {
-			panic(fmt.Sprintf("inifile: tag %s:%q", b.name, word))
+			panic(fmt.Sprintf("inifile: tag %s:%q", b.tagKey, boundText))
 		}
-		if b.bad(bound) {
-			return fmt.Errorf("%s: %s %s", text, b.say, word)
+		if b.violated(bound) {
+			return fmt.Errorf("%s: %s %s", text, b.description, boundText)
 		}
 	}
 	return nil
@@ -189,8 +189,8 @@
 
 // ParseNumber reads a finite number, which may be a percentage.
 func ParseNumber(text string) (float64, error) {
-	word, percent := strings.CutSuffix(text, "%")
-	n, err := strconv.ParseFloat(strings.TrimSpace(word), 64)
+	number, percent := strings.CutSuffix(text, "%")
+	n, err := strconv.ParseFloat(strings.TrimSpace(number), 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
 		return 0, fmt.Errorf("%q is not a number", text)
 	}
@@ -206,7 +206,7 @@
 	if err == nil {
 		return d, nil
 	}
-	if _, bare := strconv.ParseFloat(text, 64); bare == nil {
+	if _, numberErr := strconv.ParseFloat(text, 64); numberErr == nil {
 		return 0, fmt.Errorf("%s: a time needs a unit, as in %ss or %sms", text, text, text)
 	}
 	return 0, fmt.Errorf("%q is not a time, as in 1.5s or 200ms", text)
--- a/internal/inifile/encode.go
+++ b/internal/inifile/encode.go
@@ -11,25 +11,25 @@
 
 // Encode writes a section as Decode reads it. Fields that are as in like, a struct of the same type, are left out, and so
 // are empty words and lists; like may be nil.
-func Encode(b *strings.Builder, section string, from, like any) {
-	v := reflect.ValueOf(from)
-	begin := b.Len()
+func Encode(b *strings.Builder, section string, value, defaults any) {
+	v := reflect.ValueOf(value)
+	start := b.Len()
 	fmt.Fprintf(b, "[%s]\n", section)
-	head := b.Len()
+	headerEnd := b.Len()
 	for i := range v.NumField() {
 		key := v.Type().Field(i).Tag.Get("ini")
 		if key == "" {
 			continue
 		}
-		if like != nil && reflect.DeepEqual(v.Field(i).Interface(), reflect.ValueOf(like).Field(i).Interface()) {
+		if defaults != nil && reflect.DeepEqual(v.Field(i).Interface(), reflect.ValueOf(defaults).Field(i).Interface()) {
 			continue
 		}
-		if text := format(v.Field(i)); text != "" {
+		if text := formatValue(v.Field(i)); text != "" {
 			fmt.Fprintf(b, "%s = %s\n", key, text)
 		}
 	}
-	if b.Len() == head { // nothing to say
-		text := b.String()[:begin]
+	if b.Len() == headerEnd { // nothing to say
+		text := b.String()[:start]
 		b.Reset()
 		b.WriteString(text)
 		return
@@ -37,7 +37,7 @@
 	b.WriteByte('\n')
 }
 
-func format(v reflect.Value) string {
+func formatValue(v reflect.Value) string {
 	if m, ok := v.Interface().(encoding.TextMarshaler); ok {
 		text, err := m.MarshalText()
 		if err != nil {
@@ -57,11 +57,11 @@
 	case v.Kind() == reflect.Float64:
 		return strconv.FormatFloat(v.Float(), 'g', -1, 64)
 	case v.Kind() == reflect.Slice:
-		words := make([]string, v.Len())
-		for i := range words {
-			words[i] = v.Index(i).String()
+		entries := make([]string, v.Len())
+		for i := range entries {
+			entries[i] = v.Index(i).String()
 		}
-		return strings.Join(words, ", ")
+		return strings.Join(entries, ", ")
 	}
 	panic(fmt.Sprintf("inifile: a field of type %s", v.Type()))
 }
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -53,17 +53,17 @@
 
 // File is a parsed file.
 type File struct {
-	name     string
-	ini      *ini.File
-	sections map[string]int    // lines
-	keys     map[[2]string]int // by section and key
-	order    []string
-	taken    map[string]bool
-	problems Problems
+	name         string
+	ini          *ini.File
+	sectionLines map[string]int    // lines
+	keyLines     map[[2]string]int // by section and key
+	sectionOrder []string
+	decoded      map[string]bool
+	problems     Problems
 }
 
-// maxFile is the longest file that is read, in bytes.
-const maxFile = 4 << 20
+// maxFileBytes is the longest file that is read, in bytes.
+const maxFileBytes = 4 << 20
 
 // Read parses a file. A mistake in its form is an error here; all others are kept for Err.
 func Read(path string) (*File, error) {
@@ -76,11 +76,11 @@
 
 // Parse parses the text of a file with that name.
 func Parse(name string, text []byte) (*File, error) {
-	if len(text) > maxFile {
-		return nil, Problems{{File: name, Text: fmt.Sprintf("%d bytes; at most %d are read", len(text), maxFile)}}
+	if len(text) > maxFileBytes {
+		return nil, Problems{{File: name, Text: fmt.Sprintf("%d bytes; at most %d are read", len(text), maxFileBytes)}}
 	}
 	f := &File{
-		name: name, sections: make(map[string]int), keys: make(map[[2]string]int), taken: make(map[string]bool),
+		name: name, sectionLines: make(map[string]int), keyLines: make(map[[2]string]int), decoded: make(map[string]bool),
 	}
 	f.scan(text)
 	if len(f.problems) > 0 {
@@ -100,7 +100,7 @@
 // a key that stands there twice, a key before the first section, a line that is neither.
 func (f *File) scan(text []byte) {
 	lines := bufio.NewScanner(bytes.NewReader(text))
-	lines.Buffer(nil, maxFile+1)
+	lines.Buffer(nil, maxFileBytes+1)
 	section := ""
 	for n := 1; lines.Scan(); n++ {
 		line := strings.TrimSpace(strings.TrimPrefix(lines.Text(), "\ufeff"))
@@ -110,60 +110,60 @@
 		if line[0] == '[' {
 			end := strings.IndexByte(line, ']')
 			if end < 0 || strings.TrimSpace(line[1:end]) == "" {
-				f.add(n, "", "", "a section is written [name]")
+				f.addProblemAt(n, "", "", "a section is written [name]")
 				continue
 			}
 			section = strings.TrimSpace(line[1:end])
-			if first, twice := f.sections[section]; twice {
-				f.add(n, section, "", fmt.Sprintf("the section stands in line %d already", first))
+			if first, duplicate := f.sectionLines[section]; duplicate {
+				f.addProblemAt(n, section, "", fmt.Sprintf("the section stands in line %d already", first))
 				continue
 			}
-			f.sections[section] = n
-			f.order = append(f.order, section)
+			f.sectionLines[section] = n
+			f.sectionOrder = append(f.sectionOrder, section)
 			continue
 		}
 		key, _, ok := strings.Cut(line, "=")
 		key = strings.TrimSpace(key)
-		switch first, twice := f.keys[[2]string{section, key}]; {
+		switch first, duplicate := f.keyLines[[2]string{section, key}]; {
 		case !ok || key == "":
-			f.add(n, section, "", fmt.Sprintf("%.60q is neither [section] nor key = value", line))
+			f.addProblemAt(n, section, "", fmt.Sprintf("%.60q is neither [section] nor key = value", line))
 		case section == "":
-			f.add(n, "", key, "a key needs a section before it")
-		case twice:
-			f.add(n, section, key, fmt.Sprintf("the key stands in line %d already", first))
+			f.addProblemAt(n, "", key, "a key needs a section before it")
+		case duplicate:
+			f.addProblemAt(n, section, key, fmt.Sprintf("the key stands in line %d already", first))
 		default:
-			f.keys[[2]string{section, key}] = n
+			f.keyLines[[2]string{section, key}] = n
 		}
 	}
 	if err := lines.Err(); err != nil {
-		f.add(0, "", "", err.Error())
+		f.addProblemAt(0, "", "", err.Error())
 	}
 }
 
-func (f *File) add(line int, section, key, text string) {
+func (f *File) addProblemAt(line int, section, key, text string) {
 	f.problems = append(f.problems, Problem{f.name, line, section, key, text})
 }
 
 // AddProblem takes down a mistake that the caller found in a key's value, or with an empty key in a section.
 func (f *File) AddProblem(section, key, format string, args ...any) {
-	line := f.keys[[2]string{section, key}]
+	line := f.keyLines[[2]string{section, key}]
 	if line == 0 {
-		line = f.sections[section]
+		line = f.sectionLines[section]
 	}
-	f.add(line, section, key, fmt.Sprintf(format, args...))
+	f.addProblemAt(line, section, key, fmt.Sprintf(format, args...))
 }
 
 // HasSection tells whether the file has a section.
-func (f *File) HasSection(section string) bool { return f.sections[section] != 0 }
+func (f *File) HasSection(section string) bool { return f.sectionLines[section] != 0 }
 
 // HasKey tells whether a section has a key.
-func (f *File) HasKey(section, key string) bool { return f.keys[[2]string{section, key}] != 0 }
+func (f *File) HasKey(section, key string) bool { return f.keyLines[[2]string{section, key}] != 0 }
 
 // SectionNames returns the sections that are written [kind name], in the file's order: their names, without the kind.
-func (f *File) SectionNames(kind string) []string {
+func (f *File) SectionNames(prefix string) []string {
 	var names []string
-	for _, s := range f.order {
-		if k, name, ok := strings.Cut(s, " "); ok && k == kind {
+	for _, s := range f.sectionOrder {
+		if k, name, ok := strings.Cut(s, " "); ok && k == prefix {
 			names = append(names, strings.TrimSpace(name))
 		}
 	}
@@ -172,9 +172,9 @@
 
 // Err returns all mistakes so far, also each section that nothing has read; nil if there are none.
 func (f *File) Err() error {
-	for _, s := range f.order {
-		if !f.taken[s] {
-			f.taken[s] = true
+	for _, s := range f.sectionOrder {
+		if !f.decoded[s] {
+			f.decoded[s] = true
 			f.AddProblem(s, "", "unknown section")
 		}
 	}
@@ -187,20 +187,20 @@
 
 // Set changes a key, given as section.key=value; the section may have a space, as in "class status.share=0.3". What is
 // said of it then names the line of the section, or none.
-func (f *File) Set(pair string) error {
-	name, value, ok := strings.Cut(pair, "=")
+func (f *File) Set(assignment string) error {
+	name, value, ok := strings.Cut(assignment, "=")
 	dot := strings.LastIndexByte(name, '.')
 	if !ok || dot <= 0 || dot == len(name)-1 {
-		return fmt.Errorf("%q is not section.key=value", pair)
+		return fmt.Errorf("%q is not section.key=value", assignment)
 	}
 	section, key := strings.TrimSpace(name[:dot]), strings.TrimSpace(name[dot+1:])
 	f.ini.Section(section).Key(key).SetValue(strings.TrimSpace(value))
-	if f.sections[section] == 0 {
-		f.order = append(f.order, section)
-		f.sections[section] = -1
+	if f.sectionLines[section] == 0 {
+		f.sectionOrder = append(f.sectionOrder, section)
+		f.sectionLines[section] = -1
 	}
-	if f.keys[[2]string{section, key}] == 0 {
-		f.keys[[2]string{section, key}] = -1
+	if f.keyLines[[2]string{section, key}] == 0 {
+		f.keyLines[[2]string{section, key}] = -1
 	}
 	return nil
 }
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -43,7 +43,7 @@
 }
 
 // Each mistake is told with its line, and all of them at once.
-func TestMistakes(t *testing.T) {
+func TestProblems(t *testing.T) {
 	f, err := Parse("b.ini", []byte("[run]\nrate = -1\nshare = 1.5\nwait = 0s\nrest = 5\nkind = fast\nnames = a,,b\ncount = x\n"+
 		"on = perhaps\nraet = 1\n[rnu]\nrate = 1\n"))
 	if err != nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestForm(t *testing.T) {
+func TestMalformedFile(t *testing.T) {
 	for text, want := range map[string]string{
 		"[a]\n[b]\n[a]\n":    "c.ini:3: [a] the section stands in line 1 already",
 		"[a]\nx=1\nx=2\n":    "c.ini:3: [a] x: the key stands in line 2 already",
@@ -86,7 +86,7 @@
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	if _, err := Parse("big.ini", make([]byte, maxFile+1)); err == nil {
+	if _, err := Parse("big.ini", make([]byte, maxFileBytes+1)); err == nil {
 		t.Error("a file without end was read")
 	}
 }
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -18,16 +18,16 @@
 
 // Bounds on names and limits.
 const (
-	mostNameBytes      = 32 // of a cluster, a zone or a process
-	mostLimits         = 16
-	mostLimitNameBytes = 24
+	maxNameBytes      = 32 // of a cluster, a zone or a process
+	maxLimits         = 16
+	maxLimitNameBytes = 24
 )
 
-// duties are those that this program knows.
-var duties = []string{duty.Discovery, duty.Probes, duty.Moves}
+// knownDuties are those that this program knows.
+var knownDuties = []string{duty.Discovery, duty.Probes, duty.Moves}
 
-// needFleet are the sections that mean nothing without [fleet].
-var needFleet = []string{"keepers", "duties", "discovery", "moves", "verdicts", "soft", "retries"}
+// fleetSections are the sections that mean nothing without [fleet].
+var fleetSections = []string{"keepers", "duties", "discovery", "moves", "verdicts", "soft", "retries"}
 
 // addrPort is an address with its port, as in 127.0.0.1:7946.
 type addrPort struct{ netip.AddrPort }
@@ -64,7 +64,7 @@
 	c := defaults()
 	c.decodeSections(f)
 	if !c.Fleet.Enabled {
-		complainWithoutFleet(f)
+		rejectSectionsWithoutFleet(f)
 		return c, f.Err()
 	}
 	c.checkFleet(f)
@@ -101,8 +101,8 @@
 	f.Decode("log", &c.Log)
 }
 
-func complainWithoutFleet(f *inifile.File) {
-	for _, section := range needFleet {
+func rejectSectionsWithoutFleet(f *inifile.File) {
+	for _, section := range fleetSections {
 		if f.HasSection(section) {
 			f.AddProblem(section, "", "needs a section [fleet]")
 		}
@@ -120,8 +120,8 @@
 	if !c.Fleet.Listen.IsValid() && !f.HasKey("fleet", "listen") {
 		f.AddProblem("fleet", "listen", "missing: the UDP address of this process")
 	}
-	if len(c.Fleet.Cluster) > mostNameBytes || len(c.Fleet.Zone) > mostNameBytes || len(c.Fleet.Name) > mostNameBytes {
-		f.AddProblem("fleet", "", "cluster, zone and name take at most %d bytes each", mostNameBytes)
+	if len(c.Fleet.Cluster) > maxNameBytes || len(c.Fleet.Zone) > maxNameBytes || len(c.Fleet.Name) > maxNameBytes {
+		f.AddProblem("fleet", "", "cluster, zone and name take at most %d bytes each", maxNameBytes)
 	}
 	for _, seed := range c.Fleet.Seeds {
 		var a addrPort
@@ -141,8 +141,8 @@
 
 func (c *Config) checkDuties(f *inifile.File) {
 	for _, d := range c.Duties.Take {
-		if !slices.Contains(duties, d) {
-			f.AddProblem("duties", "take", "%q is none of %s", d, strings.Join(duties, ", "))
+		if !slices.Contains(knownDuties, d) {
+			f.AddProblem("duties", "take", "%q is none of %s", d, strings.Join(knownDuties, ", "))
 		}
 	}
 	if slices.Contains(c.Duties.Take, duty.Moves) && c.Moves.PerSecond == 0 {
@@ -176,8 +176,8 @@
 		f.AddProblem("keepers", "members", "%q is not a number and an address, as in 1@127.0.0.1:7946", text)
 		return
 	}
-	twice := func(k mesh.KeeperAddress) bool { return k.ID == keeper.ID || k.Addr == keeper.Addr }
-	if slices.ContainsFunc(c.KeeperAddresses, twice) {
+	conflicts := func(k mesh.KeeperAddress) bool { return k.ID == keeper.ID || k.Addr == keeper.Addr }
+	if slices.ContainsFunc(c.KeeperAddresses, conflicts) {
 		f.AddProblem("keepers", "members", "%q: its number or its address stands there twice", text)
 		return
 	}
@@ -202,12 +202,12 @@
 
 // limitSection is a section [limit NAME].
 type limitSection struct {
-	Kind   string        `ini:"kind" one:"soft, strict"`
-	Most   int           `ini:"most" min:"1" max:"1000000"`
-	Within time.Duration `ini:"within" max:"60"`
-	Slices int           `ini:"slices" min:"1" max:"64"`
-	Tenant string        `ini:"tenant"`
-	Class  string        `ini:"class"`
+	Kind           string        `ini:"kind" one:"soft, strict"`
+	MaxConnections int           `ini:"most" min:"1" max:"1000000"`
+	Window         time.Duration `ini:"within" max:"60"`
+	Slices         int           `ini:"slices" min:"1" max:"64"`
+	Tenant         string        `ini:"tenant"`
+	Class          string        `ini:"class"`
 }
 
 // decodeLimits reads the sections [limit NAME].
@@ -215,7 +215,7 @@
 	for _, name := range f.SectionNames("limit") {
 		s := limitSection{Kind: "soft", Slices: 16}
 		f.Decode("limit "+name, &s)
-		l := limit.Limit{Name: name, Most: s.Most, Within: s.Within, Slices: s.Slices, Tenant: s.Tenant, Class: s.Class}
+		l := limit.Limit{Name: name, Most: s.MaxConnections, Within: s.Window, Slices: s.Slices, Tenant: s.Tenant, Class: s.Class}
 		if s.Kind == "strict" {
 			l.Kind = limit.StrictKind
 		}
@@ -230,8 +230,8 @@
 	switch {
 	case !f.HasKey(section, "most"):
 		f.AddProblem(section, "", "most: missing, the connections that all proxies together may have")
-	case len(l.Name) > mostLimitNameBytes || len(c.Limits) >= mostLimits:
-		f.AddProblem(section, "", "at most %d limits, with names of at most %d bytes", mostLimits, mostLimitNameBytes)
+	case len(l.Name) > maxLimitNameBytes || len(c.Limits) >= maxLimits:
+		f.AddProblem(section, "", "at most %d limits, with names of at most %d bytes", maxLimits, maxLimitNameBytes)
 	case l.Check() != nil:
 		f.AddProblem(section, "most", "%v", l.Check())
 	case l.Kind == limit.StrictKind && len(c.KeeperAddresses) == 0:
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -112,11 +112,11 @@
 
 // RestartSettings returns what takes a new start, as one text: a reload compares it.
 func (c *Config) RestartSettings() string {
-	return fmt.Sprintln(c.Fleet.Enabled, c.Fleet.Cluster, c.Fleet.Listen, c.Fleet.Advertise, c.Fleet.Zone, c.Fleet.Name, c.Keepers, c.Log, c.Discovery, c.Moves, c.Verdicts, c.SoftLimits, c.Retries, c.limited())
+	return fmt.Sprintln(c.Fleet.Enabled, c.Fleet.Cluster, c.Fleet.Listen, c.Fleet.Advertise, c.Fleet.Zone, c.Fleet.Name, c.Keepers, c.Log, c.Discovery, c.Moves, c.Verdicts, c.SoftLimits, c.Retries, c.limitsWithoutMost())
 }
 
-// limited is what of the limits takes a new start: all but how much they hold.
-func (c *Config) limited() []limit.Limit {
+// limitsWithoutMost is what of the limits takes a new start: all but how much they hold.
+func (c *Config) limitsWithoutMost() []limit.Limit {
 	list := slices.Clone(c.Limits)
 	for i := range list {
 		list[i].Most = 0
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -8,7 +8,7 @@
 	"ospreyspan/internal/duty"
 )
 
-const whole = `
+const validFile = `
 [fleet]
 cluster = aebi
 listen = 127.0.0.1:7946
@@ -20,8 +20,8 @@
 take = discovery
 `
 
-func TestFile(t *testing.T) {
-	c, err := Parse("f.ini", []byte(whole))
+func TestParse(t *testing.T) {
+	c, err := Parse("f.ini", []byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 }
 
 // Each mistake names file, line and key, and all come at once.
-func TestMistakes(t *testing.T) {
+func TestProblems(t *testing.T) {
 	for _, tt := range [][3]string{
 		{"cluster = aebi", "", "f.ini:2: [fleet] cluster: missing"},
 		{"listen = 127.0.0.1:7946", "listen = here", `f.ini:4: [fleet] listen: "here" is not an address`},
@@ -67,8 +67,8 @@
 		{"seeds", "sseds", "unknown key; perhaps seeds"},
 		{"members = 1@127.0.0.1:7946, 2@127.0.0.2:7946, 3@127.0.0.3:7946", "", "duties need keepers"},
 	} {
-		text := strings.Replace(whole, tt[0], tt[1], 1)
-		if text == whole {
+		text := strings.Replace(validFile, tt[0], tt[1], 1)
+		if text == validFile {
 			t.Fatalf("%q is not in the file", tt[0])
 		}
 		if _, err := Parse("f.ini", []byte(text)); err == nil || !strings.Contains(err.Error(), tt[2]) {
