--- a/internal/inifile/decode.go
+++ b/internal/inifile/decode.go
@@ -11,16 +11,17 @@
 	"time"
 )
 
-// Decode reads a section into a struct, by its fields' tags; a field whose key is not there keeps its value, so that the
-// struct brings the defaults. A section that is missing is as one without keys. Mistakes are kept for Err.
+// Decode stores the keys of a section in the struct that target points to, as its field tags say.
+// A field whose key is absent keeps its value, so the caller sets the defaults beforehand. A missing
+// section is treated as one without keys. Problems are collected and returned by Err.
 //
-//	Rate  float64       `ini:"rate" min:"0"`        // numbers may be written as 12%
-//	Wait  time.Duration `ini:"wait" above:"0"`      // a time needs a unit; without a bound it is not below 0
+//	Rate  float64       `ini:"rate" min:"0"`   // a number may be written as a percentage, as in 12%
+//	Wait  time.Duration `ini:"wait" above:"0"` // needs a unit; must not be negative unless min is set
 //	Kind  string        `ini:"kind" one:"a, b"`
-//	Names []string      `ini:"names"`               // separated by commas
+//	Names []string      `ini:"names"`          // comma-separated
 //
-// Types that implement encoding.TextUnmarshaler read themselves; one that has Bounds() (least, most float64) too is
-// checked against min, max and above.
+// Types that implement encoding.TextUnmarshaler decode themselves. If such a type also has a method
+// Bounds() (least, most float64), both results are checked against min, max and above.
 func (f *File) Decode(section string, target any) {
 	f.decoded[section] = true
 	v := reflect.ValueOf(target).Elem()
@@ -47,7 +48,8 @@
 	}
 }
 
-// suggestKey suggests the key that was probably meant.
+// suggestKey returns a suggestion of the known key that is closest to a misspelt one, or an empty
+// string if no known key is within an edit distance of 2.
 func suggestKey(key string, known map[string]bool) string {
 	best, bestDistance := "", 3
 	for k := range known {
@@ -61,7 +63,7 @@
 	return fmt.Sprintf("; perhaps %s", best)
 }
 
-// editDistance is how many letters must change, come or go to make one word of the other.
+// editDistance returns the Levenshtein distance between a and b, counted in bytes.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
@@ -84,9 +86,10 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
+// decodeValue parses text, checks it against the tag and stores it in v.
 func decodeValue(v reflect.Value, tag reflect.StructTag, text string) error {
 	if text == "" && v.Kind() != reflect.String {
-		return fmt.Errorf("empty")
+		return fmt.Errorf("empty value")
 	}
 	if u, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		if err := u.UnmarshalText([]byte(text)); err != nil {
@@ -112,7 +115,7 @@
 			return err
 		}
 		if d < 0 && tag.Get("min") == "" {
-			return fmt.Errorf("%s: a time below 0", text)
+			return fmt.Errorf("%s: a time must not be negative", text)
 		}
 		return nil
 	case v.Kind() == reflect.String:
@@ -156,12 +159,13 @@
 		}
 		v.Set(reflect.ValueOf(entries).Convert(v.Type()))
 	default:
-		panic(fmt.Sprintf("inifile: a field of type %s", v.Type())) // the program's mistake, not the file's
+		panic(fmt.Sprintf("inifile: unsupported field type %s", v.Type())) // a fault of the program, not of the file
 	}
 	return nil
 }
 
-// checkBounds checks a figure, of a time its seconds, against the bounds of its tag.
+// checkBounds checks n against the bounds in the tag. A duration is given in seconds; text is the
+// value as written in the file.
 func checkBounds(n float64, tag reflect.StructTag, text string) error {
 	for _, b := range []struct {
 		tagKey      string
@@ -178,7 +182,7 @@
 		}
 		bound, err := strconv.ParseFloat(boundText, 64)
 		if err != nil {
-			panic(fmt.Sprintf("inifile: tag %s:%q", b.tagKey, boundText))
+			panic(fmt.Sprintf("inifile: bound in tag %s:%q is not a number", b.tagKey, boundText))
 		}
 		if b.violated(bound) {
 			return fmt.Errorf("%s: %s %s", text, b.description, boundText)
@@ -187,7 +191,7 @@
 	return nil
 }
 
-// ParseNumber reads a finite number, which may be a percentage.
+// ParseNumber parses a finite number, which may be written as a percentage.
 func ParseNumber(text string) (float64, error) {
 	number, percent := strings.CutSuffix(text, "%")
 	n, err := strconv.ParseFloat(strings.TrimSpace(number), 64)
@@ -200,7 +204,7 @@
 	return n, nil
 }
 
-// ParseDuration reads a time with its unit, as in 1.5s, 200ms or 1m30s; 0 needs none.
+// ParseDuration parses a duration with its unit, as in 1.5s, 200ms or 1m30s. Only 0 needs no unit.
 func ParseDuration(text string) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
 	if err == nil {
--- a/internal/inifile/encode.go
+++ b/internal/inifile/encode.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// Encode writes a section as Decode reads it. Fields that are as in like, a struct of the same type, are left out, and so
-// are empty words and lists; like may be nil.
+// Encode appends the struct value to b as a section that Decode can read. It omits fields that equal
+// those of defaults, a struct of the same type or nil, and fields whose text is empty, such as empty
+// strings and lists. If no field is left, it writes nothing.
 func Encode(b *strings.Builder, section string, value, defaults any) {
 	v := reflect.ValueOf(value)
 	start := b.Len()
@@ -28,7 +29,7 @@
 			fmt.Fprintf(b, "%s = %s\n", key, text)
 		}
 	}
-	if b.Len() == headerEnd { // nothing to say
+	if b.Len() == headerEnd { // no keys were written, so the header is removed
 		text := b.String()[:start]
 		b.Reset()
 		b.WriteString(text)
@@ -37,11 +38,12 @@
 	b.WriteByte('\n')
 }
 
+// formatValue returns the text of a field that decodeValue parses.
 func formatValue(v reflect.Value) string {
 	if m, ok := v.Interface().(encoding.TextMarshaler); ok {
 		text, err := m.MarshalText()
 		if err != nil {
-			panic(err) // the program's own value
+			panic(err) // the value comes from the program, not from a file
 		}
 		return string(text)
 	}
@@ -63,5 +65,5 @@
 		}
 		return strings.Join(entries, ", ")
 	}
-	panic(fmt.Sprintf("inifile: a field of type %s", v.Type()))
+	panic(fmt.Sprintf("inifile: unsupported field type %s", v.Type()))
 }
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -1,6 +1,7 @@
-// Package inifile reads INI files into structs and tells all that is wrong with them at once, each mistake with its file,
-// line, section and key. The format is gopkg.in/ini.v1's; this package adds positions, units, ranges and the refusal of
-// what nobody reads: a key that is misspelt must not be passed over in silence.
+// Package inifile decodes INI files into structs and reports all problems of a file at once, each
+// with its file, line, section and key. The format is that of gopkg.in/ini.v1. This package adds
+// positions, units and ranges, and rejects sections and keys that no struct declares, so that a
+// misspelt key is not silently ignored.
 package inifile
 
 import (
@@ -14,15 +15,16 @@
 	"gopkg.in/ini.v1"
 )
 
-// Problem is one mistake in a file.
+// Problem is one error in a file.
 type Problem struct {
 	File    string
-	Line    int // from 1; 0: the file as a whole
+	Line    int // counted from 1; 0 or below if the problem has no line in the file
 	Section string
 	Key     string
 	Text    string
 }
 
+// Error returns the position of the problem and its text.
 func (p Problem) Error() string {
 	var b strings.Builder
 	b.WriteString(p.File)
@@ -40,9 +42,10 @@
 	return b.String()
 }
 
-// Problems are all the mistakes of a file, in the order of its lines.
+// Problems holds all problems of a file, ordered by line.
 type Problems []Problem
 
+// Error returns the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i := range p {
@@ -51,21 +54,22 @@
 	return strings.Join(lines, "\n")
 }
 
-// File is a parsed file.
+// File is a parsed INI file together with the problems found in it so far.
 type File struct {
 	name         string
 	ini          *ini.File
-	sectionLines map[string]int    // lines
-	keyLines     map[[2]string]int // by section and key
-	sectionOrder []string
-	decoded      map[string]bool
+	sectionLines map[string]int    // line of each section header; -1 if added by Set
+	keyLines     map[[2]string]int // line of each section and key; -1 if added by Set
+	sectionOrder []string          // section names in the order of the file
+	decoded      map[string]bool   // sections passed to Decode or reported as unknown
 	problems     Problems
 }
 
-// maxFileBytes is the longest file that is read, in bytes.
+// maxFileBytes is the maximum size of a file.
 const maxFileBytes = 4 << 20
 
-// Read parses a file. A mistake in its form is an error here; all others are kept for Err.
+// Read reads and parses a file. It returns syntax errors at once; all other problems are collected
+// and returned by Err.
 func Read(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -74,17 +78,17 @@
 	return Parse(path, text)
 }
 
-// Parse parses the text of a file with that name.
+// Parse parses text as Read parses the contents of a file. The name is used in error messages only.
 func Parse(name string, text []byte) (*File, error) {
 	if len(text) > maxFileBytes {
-		return nil, Problems{{File: name, Text: fmt.Sprintf("%d bytes; at most %d are read", len(text), maxFileBytes)}}
+		return nil, Problems{{File: name, Text: fmt.Sprintf("file has %d bytes, the limit is %d", len(text), maxFileBytes)}}
 	}
 	f := &File{
 		name: name, sectionLines: make(map[string]int), keyLines: make(map[[2]string]int), decoded: make(map[string]bool),
 	}
 	f.scan(text)
 	if len(f.problems) > 0 {
-		return nil, f.problems // what follows from a line that can't be read would only confuse
+		return nil, f.problems // a malformed line would cause misleading follow-up errors
 	}
 	parsed, err := ini.LoadSources(ini.LoadOptions{
 		IgnoreContinuation: true, KeyValueDelimiters: "=", SpaceBeforeInlineComment: true,
@@ -96,8 +100,9 @@
 	return f, nil
 }
 
-// scan finds the lines of sections and keys, which the library does not keep, and what it would pass over: a section or
-// a key that stands there twice, a key before the first section, a line that is neither.
+// scan records the line numbers of sections and keys, which ini.v1 does not keep. It also reports what
+// ini.v1 accepts silently: duplicate sections and keys, keys before the first section, and lines that
+// are neither a section nor a key.
 func (f *File) scan(text []byte) {
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	lines.Buffer(nil, maxFileBytes+1)
@@ -110,12 +115,12 @@
 		if line[0] == '[' {
 			end := strings.IndexByte(line, ']')
 			if end < 0 || strings.TrimSpace(line[1:end]) == "" {
-				f.addProblemAt(n, "", "", "a section is written [name]")
+				f.addProblemAt(n, "", "", "malformed section header, want [name]")
 				continue
 			}
 			section = strings.TrimSpace(line[1:end])
 			if first, duplicate := f.sectionLines[section]; duplicate {
-				f.addProblemAt(n, section, "", fmt.Sprintf("the section stands in line %d already", first))
+				f.addProblemAt(n, section, "", fmt.Sprintf("duplicate section, first defined in line %d", first))
 				continue
 			}
 			f.sectionLines[section] = n
@@ -128,9 +133,9 @@
 		case !ok || key == "":
 			f.addProblemAt(n, section, "", fmt.Sprintf("%.60q is neither [section] nor key = value", line))
 		case section == "":
-			f.addProblemAt(n, "", key, "a key needs a section before it")
+			f.addProblemAt(n, "", key, "key before the first section")
 		case duplicate:
-			f.addProblemAt(n, section, key, fmt.Sprintf("the key stands in line %d already", first))
+			f.addProblemAt(n, section, key, fmt.Sprintf("duplicate key, first set in line %d", first))
 		default:
 			f.keyLines[[2]string{section, key}] = n
 		}
@@ -140,11 +145,13 @@
 	}
 }
 
+// addProblemAt records a problem at a line; 0 stands for the file as a whole.
 func (f *File) addProblemAt(line int, section, key, text string) {
 	f.problems = append(f.problems, Problem{f.name, line, section, key, text})
 }
 
-// AddProblem takes down a mistake that the caller found in a key's value, or with an empty key in a section.
+// AddProblem records a problem that the caller found in the value of a key or, if key is empty, in a
+// section. Its line is that of the key or, if the key is absent, of the section.
 func (f *File) AddProblem(section, key, format string, args ...any) {
 	line := f.keyLines[[2]string{section, key}]
 	if line == 0 {
@@ -153,13 +160,14 @@
 	f.addProblemAt(line, section, key, fmt.Sprintf(format, args...))
 }
 
-// HasSection tells whether the file has a section.
+// HasSection reports whether the file has a section.
 func (f *File) HasSection(section string) bool { return f.sectionLines[section] != 0 }
 
-// HasKey tells whether a section has a key.
+// HasKey reports whether a section has a key.
 func (f *File) HasKey(section, key string) bool { return f.keyLines[[2]string{section, key}] != 0 }
 
-// SectionNames returns the sections that are written [kind name], in the file's order: their names, without the kind.
+// SectionNames returns, in the order of the file, the name of each section that is written
+// [prefix name], without the prefix.
 func (f *File) SectionNames(prefix string) []string {
 	var names []string
 	for _, s := range f.sectionOrder {
@@ -170,7 +178,8 @@
 	return names
 }
 
-// Err returns all mistakes so far, also each section that nothing has read; nil if there are none.
+// Err returns all problems found so far, including one for each section that was never decoded, as
+// Problems. It returns nil if there are none.
 func (f *File) Err() error {
 	for _, s := range f.sectionOrder {
 		if !f.decoded[s] {
@@ -185,8 +194,8 @@
 	return f.problems
 }
 
-// Set changes a key, given as section.key=value; the section may have a space, as in "class status.share=0.3". What is
-// said of it then names the line of the section, or none.
+// Set overrides a key, given as section.key=value. The section may contain a space, as in
+// "class status.share=0.3". A problem with a key that the file lacks is reported without a line.
 func (f *File) Set(assignment string) error {
 	name, value, ok := strings.Cut(assignment, "=")
 	dot := strings.LastIndexByte(name, '.')
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -28,21 +28,21 @@
 	f.Decode("run", &s)
 	if s.Rate != 1.5 || s.Share != 0.12 || s.Wait != 90*time.Second || s.Kind != "slow" || strings.Join(s.Names, "") != "abc" ||
 		s.Count != 3 || !s.On || s.Kept != 7 {
-		t.Errorf("%+v", s)
+		t.Errorf("got %+v", s)
 	}
 	if got := strings.Join(f.SectionNames("site"), "|"); got != "x|y y" {
-		t.Errorf("sites %q", got)
+		t.Errorf("got site names %q, want \"x|y y\"", got)
 	}
 	for _, name := range f.SectionNames("site") {
 		f.Decode("site "+name, &s)
 	}
 	f.Decode("not there", &s)
 	if err := f.Err(); err != nil || s.Rate != 2 {
-		t.Errorf("%v, %+v", err, s)
+		t.Errorf("got error %v and %+v, want no error and Rate 2", err, s)
 	}
 }
 
-// Each mistake is told with its line, and all of them at once.
+// Problems are reported all at once, each with its line.
 func TestProblems(t *testing.T) {
 	f, err := Parse("b.ini", []byte("[run]\nrate = -1\nshare = 1.5\nwait = 0s\nrest = 5\nkind = fast\nnames = a,,b\ncount = x\n"+
 		"on = perhaps\nraet = 1\n[rnu]\nrate = 1\n"))
@@ -66,7 +66,7 @@
 	}
 	err = f.Err()
 	if err == nil {
-		t.Fatal("no mistake was found")
+		t.Fatal("got no error, want one for each problem")
 	}
 	if got := strings.Split(err.Error(), "\n"); strings.Join(got, "\n") != strings.Join(want, "\n") {
 		t.Errorf("got:\n%s\nwant:\n%s", err, strings.Join(want, "\n"))
@@ -75,23 +75,23 @@
 
 func TestMalformedFile(t *testing.T) {
 	for text, want := range map[string]string{
-		"[a]\n[b]\n[a]\n":    "c.ini:3: [a] the section stands in line 1 already",
-		"[a]\nx=1\nx=2\n":    "c.ini:3: [a] x: the key stands in line 2 already",
-		"x=1\n":              "c.ini:1: x: a key needs a section before it",
+		"[a]\n[b]\n[a]\n":    "c.ini:3: [a] duplicate section, first defined in line 1",
+		"[a]\nx=1\nx=2\n":    "c.ini:3: [a] x: duplicate key, first set in line 2",
+		"x=1\n":              "c.ini:1: x: key before the first section",
 		"[a]\nnothing\n":     `c.ini:2: [a] "nothing" is neither [section] nor key = value`,
-		"[a\n":               "c.ini:1: a section is written [name]",
-		"[a]\n= 3\n[]\ny=\n": "c.ini:2: [a] \"= 3\" is neither [section] nor key = value\nc.ini:3: a section is written [name]",
+		"[a\n":               "c.ini:1: malformed section header, want [name]",
+		"[a]\n= 3\n[]\ny=\n": "c.ini:2: [a] \"= 3\" is neither [section] nor key = value\nc.ini:3: malformed section header, want [name]",
 	} {
 		if _, err := Parse("c.ini", []byte(text)); err == nil || err.Error() != want {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got error %v, want %s", text, err, want)
 		}
 	}
 	if _, err := Parse("big.ini", make([]byte, maxFileBytes+1)); err == nil {
-		t.Error("a file without end was read")
+		t.Error("a file larger than maxFileBytes was accepted, want an error")
 	}
 }
 
-// Whatever the bytes, reading them ends with a value or an error that names the file.
+// FuzzParse checks that any input is either decoded or rejected with an error that names the file.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("[run]\nrate = 1\n"))
 	f.Add([]byte("[a]\nx = \"\"\"\nb\n"))
@@ -104,7 +104,7 @@
 			err = file.Err()
 		}
 		if err != nil && !strings.HasPrefix(err.Error(), "f.ini") {
-			t.Errorf("%v", err)
+			t.Errorf("got error %q, want one that starts with the file name", err)
 		}
 	})
 }
