--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost runs the balancers of many relays on the simulator's wire: one Balancer for each
-// instance, with nothing shared between them.
+// Command simhost connects package balance to the simulator: it reads events from standard input
+// and writes the resulting actions to standard output. It runs one Balancer for each simulated
+// relay; the relays share no state.
 package main
 
 import (
@@ -19,7 +20,7 @@
 	}
 }
 
-// run answers batches from in until it ends.
+// run reads batches of events from in and writes one reply for each to out, until in ends.
 func run(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), wire.NewWriter(out)
 	balancers := make(map[int]*balance.Balancer)
@@ -34,7 +35,7 @@
 		}
 		if e.Kind == wire.YourTurn {
 			if err := w.Finish(); err != nil {
-				return fmt.Errorf("reply: %w", err)
+				return fmt.Errorf("write reply: %w", err)
 			}
 			continue
 		}
@@ -42,7 +43,8 @@
 	}
 }
 
-// dispatch hands one event to its instance. A panic there is told to the simulator as an internal error.
+// dispatch passes one event to the balancer of its relay. A panic in the balancer is reported to
+// the simulator as an internal error.
 func dispatch(balancers map[int]*balance.Balancer, w *wire.Writer, e *wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -67,7 +69,7 @@
 	}
 	b := balancers[e.Relay]
 	if b == nil {
-		return // its start was answered with an internal error
+		return // the relay failed to start, which was reported as an internal error
 	}
 	switch e.Kind {
 	case wire.Members:
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -23,16 +23,16 @@
 	}
 	replies := strings.Split(out.String(), "FINISHED\n")
 	if len(replies) != 6 {
-		t.Fatalf("%d replies: %q", len(replies)-1, out.String())
+		t.Fatalf("got %d replies, want 5: %q", len(replies)-1, out.String())
 	}
 	if replies[0] != "" {
-		t.Errorf("an empty batch brought %q", replies[0])
+		t.Errorf("got reply %q to an empty batch, want no action", replies[0])
 	}
 	if !strings.Contains(replies[2], "PROBE 0 b0\n") {
-		t.Errorf("a request brought %q", replies[2])
+		t.Errorf("got reply %q to a request, want a probe of b0", replies[2])
 	}
 	if !strings.HasPrefix(replies[3], "SEND 0 9 b0 ") {
-		t.Errorf("its report brought %q", replies[3])
+		t.Errorf("got reply %q to the result of the probe, want the request to be sent to b0", replies[3])
 	}
 }
 
@@ -40,10 +40,10 @@
 	var out bytes.Buffer
 	err := run(strings.NewReader("FRAME 10\nCONFIGURE 0 1 "+validSettings+"\nNONSENSE\nYOUR_TURN\n"), &out)
 	if err == nil || !strings.Contains(err.Error(), "line 3") {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want one that names line 3", err)
 	}
 	if out.Len() != 0 {
-		t.Errorf("wrote %q", out.String())
+		t.Errorf("wrote %q, want nothing", out.String())
 	}
 }
 
@@ -54,6 +54,6 @@
 		t.Fatal(err)
 	}
 	if !strings.HasPrefix(out.String(), "INTERNAL_ERROR 0 ") {
-		t.Errorf("wrote %q", out.String())
+		t.Errorf("wrote %q, want an internal error of relay 0", out.String())
 	}
 }
--- a/cmd/simhost/rename_test.go
+++ b/cmd/simhost/rename_test.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-// inputBatches is a short day on the wire with two classes, tenants, kinds and zones.
+// inputBatches returns the input of a short run of two relays, with two classes, two tenants, two
+// kinds of backend and two zones.
 func inputBatches() string {
-	const options = `{"Balancers":2,"Zone":"zone-a","Dcs":["zone-a","zone-b"],"Kinds":["kind-a","kind-b"],` +
+	const config = `{"Balancers":2,"Zone":"zone-a","Dcs":["zone-a","zone-b"],"Kinds":["kind-a","kind-b"],` +
 		`"Classes":[{"Name":"class-a","Repeat":"free","TargetUs":500000,"Worth":5},` +
 		`{"Name":"class-b","Repeat":"guarded","DedupScope":"zone","TargetUs":300000,"WindowUs":900000,"Worth":1}],` +
 		`"Orgs":[{"Name":"tenant-a"},{"Name":"tenant-b"}],"Prices":{"CrossZone":0.05},` +
@@ -19,7 +20,7 @@
 	var b strings.Builder
 	b.WriteString("FRAME 1000000\n")
 	for i := range 2 {
-		fmt.Fprintf(&b, "CONFIGURE %d %d %s\n", i, 40+i, options)
+		fmt.Fprintf(&b, "CONFIGURE %d %d %s\n", i, 40+i, config)
 	}
 	b.WriteString("CATALOG 0 8\n")
 	for i := range 8 {
@@ -44,7 +45,7 @@
 	return b.String()
 }
 
-// The decisions may not branch on a name: the same day with other names brings the same actions.
+// Decisions must not depend on names: the same input with other names must give the same actions.
 func TestNamesDoNotMatter(t *testing.T) {
 	replies := func(in string) string {
 		var out bytes.Buffer
@@ -59,11 +60,11 @@
 	)
 	want := replies(inputBatches())
 	if got := replies(names.Replace(inputBatches())); got != want {
-		t.Error("other names of classes, tenants, kinds and zones brought other actions")
+		t.Error("renaming classes, tenants, kinds and zones changed the actions")
 	}
 	for _, action := range []string{"SEND 0", "SEND 1", "PROBE", "SAY_NO"} {
 		if !strings.Contains(want, action) {
-			t.Errorf("the day has no %s: it shows too little", action)
+			t.Errorf("the run has no %s: the comparison covers too little", action)
 		}
 	}
 }
--- a/internal/inifile/decode.go
+++ b/internal/inifile/decode.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Decode stores the keys of a section in the struct that target points to, as its field tags say.
-// A field whose key is absent keeps its value, so the caller sets the defaults beforehand. A missing
+// Decode stores the keys of a section in the struct that target points to, as its field tags say. A
+// field whose key is absent keeps its value, so the caller sets the defaults beforehand. A missing
 // section is treated as one without keys. Problems are collected and returned by Err.
 //
 //	Rate  float64       `ini:"rate" min:"0"`   // a number may be written as a percentage, as in 12%
--- a/internal/inifile/encode.go
+++ b/internal/inifile/encode.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Encode appends the struct value to b as a section that Decode can read. It omits fields that equal
-// those of defaults, a struct of the same type or nil, and fields whose text is empty, such as empty
-// strings and lists. If no field is left, it writes nothing.
+// Encode appends the struct value to b as a section that Decode can read. It omits fields that
+// equal those of defaults, a struct of the same type or nil, and fields whose text is empty, such
+// as empty strings and lists. If no field is left, it writes nothing.
 func Encode(b *strings.Builder, section string, value, defaults any) {
 	v := reflect.ValueOf(value)
 	start := b.Len()
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -100,9 +100,9 @@
 	return f, nil
 }
 
-// scan records the line numbers of sections and keys, which ini.v1 does not keep. It also reports what
-// ini.v1 accepts silently: duplicate sections and keys, keys before the first section, and lines that
-// are neither a section nor a key.
+// scan records the line numbers of sections and keys, which ini.v1 does not keep. It also reports
+// what ini.v1 accepts silently: duplicate sections and keys, keys before the first section, and
+// lines that are neither a section nor a key.
 func (f *File) scan(text []byte) {
 	lines := bufio.NewScanner(bytes.NewReader(text))
 	lines.Buffer(nil, maxFileBytes+1)
@@ -150,8 +150,8 @@
 	f.problems = append(f.problems, Problem{f.name, line, section, key, text})
 }
 
-// AddProblem records a problem that the caller found in the value of a key or, if key is empty, in a
-// section. Its line is that of the key or, if the key is absent, of the section.
+// AddProblem records a problem that the caller found in the value of a key or, if key is empty, in
+// a section. Its line is that of the key or, if the key is absent, of the section.
 func (f *File) AddProblem(section, key, format string, args ...any) {
 	line := f.keyLines[[2]string{section, key}]
 	if line == 0 {
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -7,15 +7,15 @@
 )
 
 type sample struct {
-	Rate  float64       `ini:"rate" min:"0"`
-	Share float64       `ini:"share" min:"0" max:"1"`
-	Wait  time.Duration `ini:"wait" above:"0"`
-	Rest  time.Duration `ini:"rest"`
-	Kind  string        `ini:"kind" one:"slow, silent"`
-	Names []string      `ini:"names"`
-	Count int           `ini:"count" min:"1"`
-	On    bool          `ini:"on"`
-	Kept  float64
+	Rate     float64       `ini:"rate" min:"0"`
+	Share    float64       `ini:"share" min:"0" max:"1"`
+	Wait     time.Duration `ini:"wait" above:"0"`
+	Rest     time.Duration `ini:"rest"`
+	Kind     string        `ini:"kind" one:"slow, silent"`
+	Names    []string      `ini:"names"`
+	Count    int           `ini:"count" min:"1"`
+	On       bool          `ini:"on"`
+	Untagged float64
 }
 
 func TestDecode(t *testing.T) {
@@ -24,10 +24,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := sample{Kept: 7}
+	s := sample{Untagged: 7}
 	f.Decode("run", &s)
 	if s.Rate != 1.5 || s.Share != 0.12 || s.Wait != 90*time.Second || s.Kind != "slow" || strings.Join(s.Names, "") != "abc" ||
-		s.Count != 3 || !s.On || s.Kept != 7 {
+		s.Count != 3 || !s.On || s.Untagged != 7 {
 		t.Errorf("got %+v", s)
 	}
 	if got := strings.Join(f.SectionNames("site"), "|"); got != "x|y y" {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,6 @@
-// Package operator reads the operator's own file: what is not of the platform and off unless it is named there. The file is
-// checked as a whole; every mistake is told at once with its file, line and key.
+// Package operator reads the operator's configuration file. It configures the features that are not
+// part of the platform's configuration; each is off unless the file names it. The file is checked
+// as a whole, and all problems are reported at once, each with its file, line and key.
 package operator
 
 import (
@@ -13,7 +14,7 @@
 	"ospreyspan/internal/shared/limit"
 )
 
-// Config is what the file says, with defaults for what it does not.
+// Config holds the contents of the file, with defaults for what the file leaves out.
 type Config struct {
 	Fleet      Fleet
 	Keepers    Keepers
@@ -26,78 +27,91 @@
 	Retries    Retries
 	Log        Log
 
-	KeeperAddresses []mesh.KeeperAddress // of Keepers, decoded
-	KeeperID        uint64               // the keeper that this process is; 0: none
-	Seeds           []netip.AddrPort     // of Fleet, decoded
+	KeeperAddresses []mesh.KeeperAddress // decoded from Keepers.Members
+	KeeperID        uint64               // ID of the keeper that this process runs; 0 if it runs none
+	Seeds           []netip.AddrPort     // decoded from Fleet.Seeds
 }
 
-// Fleet says how to reach the other proxies, and by which addresses they reach this one.
+// Fleet configures how this proxy reaches the other proxies of the fleet and how they reach it.
 type Fleet struct {
-	Enabled bool     `ini:"-"`       // the section is there
-	Cluster string   `ini:"cluster"` // datagrams of others are dropped
-	Listen  addrPort `ini:"listen"`  // UDP
-	// Advertise is the address by which the others reach this process, where that is another one than listen.
+	Enabled bool     `ini:"-"`       // the file has this section
+	Cluster string   `ini:"cluster"` // datagrams from other clusters are dropped
+	Listen  addrPort `ini:"listen"`  // UDP address
+	// Advertise is the UDP address at which the other proxies reach this process. It is needed only
+	// if that address differs from Listen.
 	Advertise addrPort `ini:"advertise"`
 	Zone      string   `ini:"zone"`
-	Seeds     []string `ini:"seeds"` // addresses of members to begin with
-	Name      string   `ini:"name"`  // empty: that of the proxy
+	Seeds     []string `ini:"seeds"` // addresses of members to contact first
+	Name      string   `ini:"name"`  // empty: the name of the proxy
 }
 
-// Keepers are the processes that agree on the owners of leases.
+// Keepers configures the processes that agree on the owners of leases.
 type Keepers struct {
-	Members []string      `ini:"members"`                  // id@address of each, three or five
-	Dir     string        `ini:"dir"`                      // for the log of a process that is one of them
+	Members []string      `ini:"members"`                  // ID@ADDRESS of each of the 3 or 5 keepers
+	Dir     string        `ini:"dir"`                      // directory of the keeper's log
 	Lease   time.Duration `ini:"lease" min:"0.2" max:"60"` // see owner.Terms
 	Margin  time.Duration `ini:"margin"`                   // see owner.Terms
 }
 
-// Duties are the leases that this process takes if they are free.
+// Duties lists the leases that this process takes if they are free.
 type Duties struct {
-	Take []string `ini:"take"` // of discovery, probes and moves
+	Take []string `ini:"take"` // any of discovery, probes and moves
 }
 
-// Discovery says how the owner of the lease "discovery" passes lists on.
+// Discovery configures how the owner of the lease "discovery" distributes the lists from discovery.
 type Discovery struct {
-	// SameAddresses says that a target has the same address for all proxies, so that one that a proxy has not heard of from
-	// discovery itself may be used as the owner names it.
+	// SameAddresses reports whether a target has the same address for all proxies. If so, a proxy
+	// may use the address given by the owner for a target that it has not received from discovery
+	// itself.
 	SameAddresses bool `ini:"same_addresses"`
 }
 
-// Moves says how the owner of the lease "moves" paces moves off servers that drain.
+// Moves configures the rate at which the owner of the lease "moves" lets connections move off
+// draining servers.
 type Moves struct {
-	PerSecond float64 `ini:"per_second" above:"0" max:"100000"` // of all proxies together
+	PerSecond float64 `ini:"per_second" above:"0" max:"100000"` // moves per second, over all proxies
 }
 
-// Verdicts says how targets are judged by what all proxies saw of them. All processes of a fleet need the same values.
+// Verdicts configures how the health of targets is derived from what all proxies observe. All
+// processes of a fleet need the same values.
 type Verdicts struct {
-	Enabled        bool          `ini:"-"`                           // the section is there
-	MaxEvidenceAge time.Duration `ini:"fresh" min:"1" max:"60"`      // evidence of at most this age condemns
-	ForgetAfter    time.Duration `ini:"forget" min:"2" max:"300"`    // until then a target that was condemned is tried by turns
-	MinWitnesses   int           `ini:"witnesses" min:"2" max:"100"` // proxies that must agree to condemn a target
-	MaxShare       float64       `ini:"part" above:"0" max:"1"`      // of a zone's targets, and of all, that may be condemned at once
+	Enabled bool `ini:"-"` // the file has this section
+	// MaxEvidenceAge is the age up to which evidence can mark a target unhealthy.
+	MaxEvidenceAge time.Duration `ini:"fresh" min:"1" max:"60"`
+	// ForgetAfter is the age of the evidence up to which the proxies take turns to try a target
+	// that was marked unhealthy. Must exceed MaxEvidenceAge.
+	ForgetAfter  time.Duration `ini:"forget" min:"2" max:"300"`
+	MinWitnesses int           `ini:"witnesses" min:"2" max:"100"` // proxies that must agree to mark a target unhealthy
+	// MaxShare is the share of a zone's targets, and of all targets, that may be unhealthy at once.
+	MaxShare float64 `ini:"part" above:"0" max:"1"`
 }
 
-// SoftLimits has the times of soft limits. All processes of a fleet need the same.
+// SoftLimits configures the soft limits. All processes of a fleet need the same values.
 type SoftLimits struct {
-	StaleAfter        time.Duration `ini:"stale" min:"1" max:"60"`    // what a process reported longer ago is not relied on
-	HoldTime          time.Duration `ini:"hold" min:"2" max:"600"`    // for so long a process that seems dead is counted, as it may only be cut off
-	ExpectedProcesses int           `ini:"expect" min:"0" max:"4096"` // processes that there should be
+	// StaleAfter is the age after which the usage reported by a process is no longer relied on.
+	StaleAfter time.Duration `ini:"stale" min:"1" max:"60"`
+	// HoldTime is how long a process that seems dead still counts, since it may only be
+	// unreachable.
+	HoldTime time.Duration `ini:"hold" min:"2" max:"600"`
+	// ExpectedProcesses is the number of processes that the fleet should have. Missing ones are
+	// counted as present until HoldTime after the start.
+	ExpectedProcesses int `ini:"expect" min:"0" max:"4096"`
 }
 
-// Retries is a budget for further attempts of all proxies together.
+// Retries configures the retry budget that all proxies share.
 type Retries struct {
-	Enabled    bool          `ini:"-"`                          // the section is there
-	Ratio      float64       `ini:"part" above:"0" max:"10"`    // of first attempts
-	Window     time.Duration `ini:"within" min:"1" max:"60"`    // in which both are counted
-	MinRetries int           `ini:"least" min:"0" max:"100000"` // further attempts within that time, whatever the part
+	Enabled    bool          `ini:"-"`                          // the file has this section
+	Ratio      float64       `ini:"part" above:"0" max:"10"`    // retries allowed per first attempt
+	Window     time.Duration `ini:"within" min:"1" max:"60"`    // in which attempts and retries are counted
+	MinRetries int           `ini:"least" min:"0" max:"100000"` // retries allowed per Window on top of Ratio
 }
 
-// Log is how the log is written.
+// Log configures the format of the log.
 type Log struct {
 	Format string `ini:"format" one:"plain, json"`
 }
 
-// AdvertisedAddress is the address by which the others reach this process.
+// AdvertisedAddress returns the address at which the other proxies reach this process.
 func (c *Config) AdvertisedAddress() netip.AddrPort {
 	if c.Fleet.Advertise.IsValid() {
 		return c.Fleet.Advertise.AddrPort
@@ -105,18 +119,21 @@
 	return c.Fleet.Listen.AddrPort
 }
 
-// Terms are the times of leases; all processes of a fleet must have the same.
+// Terms returns the durations that govern leases. They must be the same in all processes of a
+// fleet.
 func (c *Config) Terms() owner.Terms {
 	return owner.Terms{Lease: c.Keepers.Lease, Margin: c.Keepers.Margin}
 }
 
-// RestartSettings returns what takes a new start, as one text: a reload compares it.
+// RestartSettings returns the settings that take effect only after a restart, as one text. A reload
+// compares the texts of the old and the new configuration.
 func (c *Config) RestartSettings() string {
-	return fmt.Sprintln(c.Fleet.Enabled, c.Fleet.Cluster, c.Fleet.Listen, c.Fleet.Advertise, c.Fleet.Zone, c.Fleet.Name, c.Keepers, c.Log, c.Discovery, c.Moves, c.Verdicts, c.SoftLimits, c.Retries, c.limitsWithoutMost())
+	return fmt.Sprintln(c.Fleet.Enabled, c.Fleet.Cluster, c.Fleet.Listen, c.Fleet.Advertise, c.Fleet.Zone, c.Fleet.Name, c.Keepers, c.Log, c.Discovery, c.Moves, c.Verdicts, c.SoftLimits, c.Retries, c.limitsWithoutMaximum())
 }
 
-// limitsWithoutMost is what of the limits takes a new start: all but how much they hold.
-func (c *Config) limitsWithoutMost() []limit.Limit {
+// limitsWithoutMaximum returns the limits without their maximum, which is the only setting of a
+// limit that a reload can change.
+func (c *Config) limitsWithoutMaximum() []limit.Limit {
 	list := slices.Clone(c.Limits)
 	for i := range list {
 		list[i].Most = 0
