--- a/internal/inifile/decode.go
+++ b/internal/inifile/decode.go
@@ -15,8 +15,8 @@
 // field whose key is absent keeps its value, so the caller sets the defaults beforehand. A missing
 // section is treated as one without keys. Problems are collected and returned by Err.
 //
-//	Rate  float64       `ini:"rate" min:"0"`   // a number may be written as a percentage, as in 12%
-//	Wait  time.Duration `ini:"wait" above:"0"` // needs a unit; must not be negative unless min is set
+//	Rate  float64       `ini:"rate" min:"0"`   // a number may be written as 12%
+//	Wait  time.Duration `ini:"wait" above:"0"` // needs a unit; not negative unless min is set
 //	Kind  string        `ini:"kind" one:"a, b"`
 //	Names []string      `ini:"names"`          // comma-separated
 //
