--- a/cmd/ospreyspan/command.go
+++ b/cmd/ospreyspan/command.go
@@ -149,7 +149,7 @@
 	if err != nil {
 		return "", addr, err
 	}
-	if !config.Fleet.On {
+	if !config.Fleet.Enabled {
 		return "", addr, inputError{fmt.Errorf("%s: section [fleet] is missing", a.operatorFile)}
 	}
 	addr = config.Fleet.Listen.AddrPort
@@ -244,7 +244,7 @@
 			if err != nil {
 				return err
 			}
-			if config.Self == 0 {
+			if config.KeeperID == 0 {
 				return inputError{fmt.Errorf("%s: [fleet] listen: not the address of any keeper in [keepers] members", a.operatorFile)}
 			}
 			id, err := randomSessionID()
@@ -254,7 +254,7 @@
 			if err := keeper.Create(config.Keepers.Dir, id); err != nil {
 				return err
 			}
-			fmt.Fprintf(a.out, "keeper %d: log created in %s\n", config.Self, config.Keepers.Dir)
+			fmt.Fprintf(a.out, "keeper %d: log created in %s\n", config.KeeperID, config.Keepers.Dir)
 			return nil
 		}}
 	c.AddCommand(initCommand)
--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -65,7 +65,7 @@
 // fleetConfig returns the configuration for taking part in a fleet, or nil if this process does not
 // take part in one. It opens the keeper's log if this process is a keeper.
 func (f *operatorFeatures) fleetConfig(cfg *config, loop *poll.Loop, logger *log.Logger) (*instance.FleetConfig, error) {
-	if f == nil || !f.config.Fleet.On {
+	if f == nil || !f.config.Fleet.Enabled {
 		return nil, nil
 	}
 	session, err := randomSessionID()
@@ -82,28 +82,28 @@
 	meshConfig := mesh.Config{
 		Cluster: f.config.Fleet.Cluster, Name: name, Zone: f.config.Fleet.Zone, Listen: f.config.Fleet.Listen.AddrPort,
 		Advertise: f.config.Fleet.Advertise.AddrPort,
-		Session:   session, Seeds: f.config.Seeds, Keepers: f.config.Members, Terms: f.config.Terms(), Duties: f.config.Duties.Take,
+		Session:   session, Seeds: f.config.Seeds, Keepers: f.config.KeeperAddresses, Terms: f.config.Terms(), Duties: f.config.Duties.Take,
 		Seed: uint64(cfg.Seed) ^ session, OnEvent: f.logEvent,
 	}
-	if f.config.Self != 0 {
+	if f.config.KeeperID != 0 {
 		if err := f.openKeeper(&meshConfig, loop, logger); err != nil {
 			return nil, err
 		}
 	}
 	fleet := &instance.FleetConfig{Mesh: meshConfig, SameAddresses: f.config.Discovery.SameAddresses, MovesPerSecond: f.config.Moves.PerSecond}
-	if o := f.config.Verdicts; o.On {
+	if o := f.config.Verdicts; o.Enabled {
 		verdicts := instance.DefaultVerdictConfig()
-		verdicts.Judge = verdict.Config{Fresh: o.Fresh, Forget: o.Forget, Witnesses: o.Witnesses, Part: o.Part}
-		verdicts.Evidence.Keep = o.Forget + verdicts.Evidence.Width
+		verdicts.Judge = verdict.Config{Fresh: o.MaxEvidenceAge, Forget: o.ForgetAfter, Witnesses: o.MinWitnesses, Part: o.MaxShare}
+		verdicts.Evidence.Keep = o.ForgetAfter + verdicts.Evidence.Width
 		verdicts.OnChange = f.logVerdictChange
 		fleet.Verdicts = &verdicts
 	}
-	if o := f.config.Retries; o.On {
-		fleet.Retries = &limit.Retries{Part: o.Part, Within: o.Within, Least: o.Least}
+	if o := f.config.Retries; o.Enabled {
+		fleet.Retries = &limit.Retries{Part: o.Ratio, Within: o.Window, Least: o.MinRetries}
 	}
 	if len(f.config.Limits) > 0 {
-		o := f.config.Soft
-		fleet.Limits = &instance.LimitsConfig{Soft: limit.Soft{Stale: o.Stale, Hold: o.Hold, Expect: o.Expect}, List: f.config.Limits, OnChange: f.logLimitChange}
+		o := f.config.SoftLimits
+		fleet.Limits = &instance.LimitsConfig{Soft: limit.Soft{Stale: o.StaleAfter, Hold: o.HoldTime, Expect: o.ExpectedProcesses}, List: f.config.Limits, OnChange: f.logLimitChange}
 		for _, l := range f.config.Limits {
 			if err := checkLimitNames(cfg, l); err != nil {
 				return nil, fmt.Errorf("%s: [limit %s] %w", f.path, l.Name, err)
@@ -156,8 +156,8 @@
 	}
 	f.keeperLog = file
 	keeperConfig := keeper.DefaultConfig()
-	keeperConfig.ID, keeperConfig.Terms, keeperConfig.Seed = f.config.Self, f.config.Terms(), meshConfig.Seed
-	for _, member := range f.config.Members {
+	keeperConfig.ID, keeperConfig.Terms, keeperConfig.Seed = f.config.KeeperID, f.config.Terms(), meshConfig.Seed
+	for _, member := range f.config.KeeperAddresses {
 		keeperConfig.Voters = append(keeperConfig.Voters, member.ID)
 	}
 	meshConfig.Keeper, meshConfig.RestoredLog, meshConfig.Disk = &keeperConfig, restored, file
@@ -206,7 +206,7 @@
 		logger.Printf("reload: the old operator file stays in force:\n%v", err)
 		return
 	}
-	if config.Fixed() != f.config.Fixed() {
+	if config.RestartSettings() != f.config.RestartSettings() {
 		logger.Printf("reload: %s: changes to anything but seeds, duties and the values of limits take effect after a restart", f.path)
 	}
 	f.config.Seeds, f.config.Duties = config.Seeds, config.Duties
