--- a/internal/poll/timer.go
+++ b/internal/poll/timer.go
@@ -20,7 +20,7 @@
 func (l *Loop) Arm(t *Timer, at time.Time) {
 	due := at.Sub(l.start)
 	if t.pos > 0 {
-		l.timers[t.pos-1].due = due
+		l.timers[t.pos-1].dueSinceStart = due
 		heap.Fix(&l.timers, t.pos-1)
 		return
 	}
@@ -41,15 +41,15 @@
 // is stored beside the pointer: in a heap of tens of thousands of timers each comparison would
 // otherwise cause a cache miss.
 type armedTimer struct {
-	due   time.Duration
-	timer *Timer
+	dueSinceStart time.Duration
+	timer         *Timer
 }
 
 // timerHeap is a min-heap ordered by due time.
 type timerHeap []armedTimer
 
 func (h timerHeap) Len() int           { return len(h) }
-func (h timerHeap) Less(i, j int) bool { return h[i].due < h[j].due }
+func (h timerHeap) Less(i, j int) bool { return h[i].dueSinceStart < h[j].dueSinceStart }
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].timer.pos, h[j].timer.pos = i+1, j+1
@@ -77,12 +77,12 @@
 	if len(h) == 0 {
 		return -1
 	}
-	return min(max(h[0].due-now, 0), time.Hour)
+	return min(max(h[0].dueSinceStart-now, 0), time.Hour)
 }
 
 // fire calls all timers that are due, including those that the called functions arm for now.
 func (h *timerHeap) fire(now time.Duration) {
-	for len(*h) > 0 && (*h)[0].due <= now {
+	for len(*h) > 0 && (*h)[0].dueSinceStart <= now {
 		heap.Pop(h).(armedTimer).timer.Fire()
 	}
 }
