--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -298,7 +298,7 @@
 	if r.machine.Behind(now) > c.SetUp/3 {
 		r.behind = now
 	}
-	until := now.Add(o.Wait)
+	until := now.Add(o.MaxWait)
 	switch ready := now.Add(r.machine.Behind(now) + seconds(work/r.machine.speed*r.machine.slow)); {
 	case r.draining || r.c.Most > 0 && r.standing >= r.c.Most:
 		s.refuse("BUSY\r\n")
@@ -372,7 +372,7 @@
 	r.machine.AddLoad(now, s.load)
 	s.up = true
 	r.standing++
-	if g := s.open.Group; g != "" {
+	if g := s.open.AffinityGroup; g != "" {
 		if r.groups[g]++; r.groups[g] == 1 {
 			r.machine.AddLoad(now, r.c.Group*r.c.Usual)
 		}
@@ -444,7 +444,7 @@
 	if s.up {
 		r.standing--
 		r.machine.AddLoad(now, -s.load)
-		if g := s.open.Group; g != "" {
+		if g := s.open.AffinityGroup; g != "" {
 			if r.groups[g]--; r.groups[g] == 0 {
 				delete(r.groups, g)
 				r.machine.AddLoad(now, -r.c.Group*r.c.Usual)
--- a/internal/lab/requests.go
+++ b/internal/lab/requests.go
@@ -41,7 +41,7 @@
 		return
 	}
 	j.Requests++
-	r := &request{id: o.ID, proxy: c.Listener, life: c.Listener.Life(), wait: o.Wait, class: j.classes[o.Class]}
+	r := &request{id: o.ID, proxy: c.Listener, life: c.Listener.Life(), wait: o.MaxWait, class: j.classes[o.Class]}
 	w.req = r
 	j.requests[o.ID] = r
 }
--- a/internal/line/line.go
+++ b/internal/line/line.go
@@ -51,9 +51,9 @@
 	ID, Key       string
 	Class         string
 	Tenant        string // tenant of the client; empty: none named
-	Group         string
+	AffinityGroup string
 	CurrentTarget string        // egress target that already holds the connection; empty: none
-	Wait          time.Duration // how long the client waits, from when it sent the line
+	MaxWait       time.Duration // how long the client waits, from when it sent the line
 	Reconnect     bool          // the previous connection of the client was moved or broke
 	MidFlow       bool
 	beforeWait    string // the line up to the value of d
@@ -113,7 +113,7 @@
 			}
 			o.Tenant = string(value)
 		case "g":
-			o.Group = string(value)
+			o.AffinityGroup = string(value)
 		case "at":
 			o.CurrentTarget = string(value)
 		case "again":
@@ -123,7 +123,7 @@
 			if !ok || o.beforeWait != "" {
 				return o, ErrSyntax
 			}
-			o.Wait = wait
+			o.MaxWait = wait
 			o.beforeWait, o.afterWait = s[:at+len("d=")], s[at+len(pair):]
 		}
 		at += len(pair) + 1
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -13,7 +13,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o.ID != "9b1f" || o.Key != "7f3a" || o.Class != "chat" || o.Tenant != "acme" || o.Group != "5c0f" || o.Wait != 2*time.Second || !o.Reconnect {
+	if o.ID != "9b1f" || o.Key != "7f3a" || o.Class != "chat" || o.Tenant != "acme" || o.AffinityGroup != "5c0f" || o.MaxWait != 2*time.Second || !o.Reconnect {
 		t.Errorf("parsed as %+v", o)
 	}
 	// A proxy changes only the value of d, at any position in the line.
@@ -113,10 +113,10 @@
 			return
 		}
 		reparsed, err := ParseOpen(TrimLineEnd(o.Append(nil, 250*time.Millisecond)))
-		if err != nil || reparsed.Wait != 250*time.Millisecond {
+		if err != nil || reparsed.MaxWait != 250*time.Millisecond {
 			t.Fatalf("%q is parsed after forwarding as %+v, error %v", text, reparsed, err)
 		}
-		reparsed.Wait, o.Wait = 0, 0
+		reparsed.MaxWait, o.MaxWait = 0, 0
 		if reparsed != o {
 			t.Fatalf("%q: parsed as %+v, after forwarding as %+v", text, o, reparsed)
 		}
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -161,8 +161,8 @@
 	// The client's time-out began when it sent the line, which may have waited in the kernel for
 	// this turn of the loop.
 	offer := ClientRequest{
-		ID: open.ID, Class: open.Class, Tenant: open.Tenant, Key: open.Key, AffinityGroup: open.Group, Again: open.Reconnect,
-		Wait: max(open.Wait-s.link.sock.Idle(), 0),
+		ID: open.ID, Class: open.Class, Tenant: open.Tenant, Key: open.Key, AffinityGroup: open.AffinityGroup, Again: open.Reconnect,
+		Wait: max(open.MaxWait-s.link.sock.Idle(), 0),
 	}
 	if open.CurrentTarget != "" {
 		s.exchange, err = f.engine.Adopt(s, offer, open.CurrentTarget)
