--- a/balance/balance.go
+++ b/balance/balance.go
@@ -35,7 +35,7 @@
 
 // subscribe subscribes to discovery, and sets a timer to do so again if no list has come by then.
 func (b *Balancer) subscribe() {
-	b.host.Watch()
+	b.host.WatchDiscovery()
 	b.host.After(b.withJitter(max(b.cfg.Rules.MaxDiscoveryGap, probeInterval)), timerWatch)
 }
 
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -19,7 +19,7 @@
 func (printer) Cancel(id balance.RequestID, attempt int)          { fmt.Println("cancel", id) }
 func (printer) Move(id balance.RequestID)                         { fmt.Println("move", id) }
 func (printer) Probe(backend string)                              { fmt.Println("probe", backend) }
-func (printer) Watch()                                            { fmt.Println("watch") }
+func (printer) WatchDiscovery()                                   { fmt.Println("watch") }
 func (printer) After(d time.Duration, token uint64)               {} // a real host sets a timer
 
 // A relay passes each event, with its time, to its Balancer, and carries out the actions that the
--- a/balance/interface.go
+++ b/balance/interface.go
@@ -80,7 +80,7 @@
 	MaxRetryAfter   time.Duration // longest delay that a refusal may advise; 0: none is advised
 	MayProbe        bool          // Host.Probe may be called
 	MayCancel       bool          // Host.Cancel may be called
-	Subscribe       bool          // discovery sends lists only after a call of Host.Watch
+	Subscribe       bool          // discovery sends lists only after Host.WatchDiscovery was called
 	DetachedTimeout time.Duration // a connection without packets is kept this long; 0: not at all
 	GroupAffinity   bool          // a backend bears a cost once for all its connections of a group
 }
@@ -182,8 +182,8 @@
 	Move(id RequestID)
 	// Probe asks a backend for a load report; Balancer.Probed takes the result.
 	Probe(backend string)
-	// Watch subscribes to discovery; Balancer.DiscoveryUpdate takes the lists.
-	Watch()
+	// WatchDiscovery subscribes to discovery; Balancer.DiscoveryUpdate takes the lists.
+	WatchDiscovery()
 	// After schedules a call of Balancer.Timer with the token.
 	After(d time.Duration, token uint64)
 }
--- a/balance/script_test.go
+++ b/balance/script_test.go
@@ -48,7 +48,7 @@
 }
 func (s *recordingHost) Move(id RequestID)    { s.record(action{kind: "move", id: id}) }
 func (s *recordingHost) Probe(backend string) { s.record(action{kind: "probe", backend: backend}) }
-func (s *recordingHost) Watch()               { s.record(action{kind: "watch"}) }
+func (s *recordingHost) WatchDiscovery()      { s.record(action{kind: "watch"}) }
 func (s *recordingHost) After(d time.Duration, token uint64) {
 	s.record(action{kind: "after", d: d, token: token})
 }
--- a/internal/lab/decisions.go
+++ b/internal/lab/decisions.go
@@ -91,7 +91,7 @@
 func (d *Decider) Cancel(balance.RequestID, int)                        {}
 func (d *Decider) Move(balance.RequestID)                               {}
 func (d *Decider) Probe(id string)                                      { d.probes = append(d.probes, id) }
-func (d *Decider) Watch()                                               {}
+func (d *Decider) WatchDiscovery()                                      {}
 func (d *Decider) After(time.Duration, uint64)                          {}
 
 // Decision is what a request costs with so many relays.
--- a/internal/proxy/batch.go
+++ b/internal/proxy/batch.go
@@ -234,7 +234,7 @@
 }
 func (h *host) Move(id balance.RequestID) { h.add(action{kind: acMove, id: id}) }
 func (h *host) Probe(backend string)      { h.add(action{kind: acProbe, target: backend}) }
-func (h *host) Watch()                    { h.add(action{kind: acWatch}) }
+func (h *host) WatchDiscovery()           { h.add(action{kind: acWatch}) }
 func (h *host) After(d time.Duration, token uint64) {
 	h.add(action{kind: acAfter, duration: d, token: token})
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -215,7 +215,7 @@
 	h.Move(7)
 	h.Cancel(8, 2)
 	h.Probe("b1")
-	h.Watch()
+	h.WatchDiscovery()
 	h.After(500*time.Millisecond, 77)
 	w.InternalError(4, "panic: x\ny")
 	if out.Len() != 0 {
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -104,7 +104,7 @@
 	h.w.end()
 }
 
-func (h host) Watch() {
+func (h host) WatchDiscovery() {
 	h.w.begin("TAIL", h.relay)
 	h.w.number(1)
 	h.w.end()
