--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -83,7 +83,7 @@
 			b.ConnectionMeasured(e.Now, e.Request.ID, e.Metric, e.MetricValue)
 		}
 	case wire.Finished:
-		b.Finished(e.Now, e.Request.ID, e.Attempt, e.Settled, e.Outcome, e.Report)
+		b.Finished(e.Now, e.Request.ID, e.Attempt, e.ClientSettled, e.Outcome, e.Report)
 	case wire.ClientGone:
 		b.ClientGone(e.Now, e.Request.ID)
 	case wire.Handover:
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -39,23 +39,23 @@
 
 // Event is one message from the simulator. Which fields are set depends on its kind.
 type Event struct {
-	Kind        Kind
-	Relay       int // number of the instance that the event is for
-	Now         time.Time
-	Seed        uint64
-	Config      balance.Config
-	List        balance.ListKind
-	Backends    []balance.Backend // shared by all events that refer to the same catalogue: read-only
-	Request     balance.Request
-	Attempt     int
-	Settled     bool // the client needs no further answer
-	Backend     string
-	Outcome     balance.Outcome
-	Report      balance.Report
-	Metric      balance.Metric
-	MetricKnown bool // Metric is valid; false: the message has a metric that this package does not know
-	MetricValue float64
-	Token       uint64
+	Kind          Kind
+	Relay         int // number of the instance that the event is for
+	Now           time.Time
+	Seed          uint64
+	Config        balance.Config
+	List          balance.ListKind
+	Backends      []balance.Backend // shared by all events that refer to the same catalogue: read-only
+	Request       balance.Request
+	Attempt       int
+	ClientSettled bool // the client needs no further answer
+	Backend       string
+	Outcome       balance.Outcome
+	Report        balance.Report
+	Metric        balance.Metric
+	MetricKnown   bool // Metric is valid; false: the message has a metric that this package does not know
+	MetricValue   float64
+	Token         uint64
 }
 
 // messages maps the name of each message to its kind and its minimum number of values.
@@ -253,7 +253,7 @@
 		e.MetricValue = r.float(r.values[5])
 	case Finished:
 		e.Request.ID = r.unsigned(1)
-		e.Settled = r.optionalSigned(2) != 0
+		e.ClientSettled = r.optionalSigned(2) != 0
 		e.Backend = r.backendID(3)
 		e.Outcome = lookUp(r, outcomes, 4)
 		e.Attempt = int(r.signed(5))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -102,11 +102,11 @@
 		{"HEARTBEAT 3 9 0 b1 2 80", func(e Event) bool { return e.MetricKnown && e.Metric == balance.MetricDelay }},
 		{"HEARTBEAT 3 9 0 b1 7 80", func(e Event) bool { return !e.MetricKnown }},
 		{"FINISHED 3 9 1 b1 pass 0 18500 -", func(e Event) bool {
-			return e.Kind == Finished && e.Settled && e.Outcome == balance.OK && e.Attempt == 0 &&
+			return e.Kind == Finished && e.ClientSettled && e.Outcome == balance.OK && e.Attempt == 0 &&
 				math.IsNaN(e.Report.Load)
 		}},
 		{"FINISHED 3 9 0 b1 too_slow 2 18500 0.5,7,1,0.25", func(e Event) bool {
-			return !e.Settled && e.Outcome == balance.TimedOut && e.Attempt == 2 && e.Report.Load == 0.5 &&
+			return !e.ClientSettled && e.Outcome == balance.TimedOut && e.Attempt == 2 && e.Report.Load == 0.5 &&
 				e.Report.Active == 7 && e.Report.Errors == 0.25 && math.IsNaN(e.Report.CPU)
 		}},
 		{"TIMED_OUT_CLIENT 3 9", func(e Event) bool { return e.Kind == ClientGone && e.Request.ID == 9 }},
