--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -42,7 +42,7 @@
 // StopTimeout returns the time from SIGTERM to SIGKILL by the platform's rule.
 func StopTimeout(set *settings.Settings) time.Duration {
 	longest := time.Duration(0)
-	for _, w := range set.MaxWaits {
+	for _, w := range set.MaxWaitByClass {
 		longest = max(longest, min(w, maxCountedWait))
 	}
 	return longest + killDelay
--- a/internal/proxy/engine.go
+++ b/internal/proxy/engine.go
@@ -167,9 +167,9 @@
 
 // Accept creates the exchange for a client's request.
 func (e *Engine) Accept(c Client, o ClientRequest) (*Exchange, error) {
-	if class, ok := e.settings.Classes[o.Class]; ok && e.settings.MaxWaits[class] > 0 {
+	if class, ok := e.settings.Classes[o.Class]; ok && e.settings.MaxWaitByClass[class] > 0 {
 		// the class limits the wait that a client may ask for
-		o.Wait = min(o.Wait, e.settings.MaxWaits[class])
+		o.Wait = min(o.Wait, e.settings.MaxWaitByClass[class])
 	}
 	x, err := e.addExchange(c, o)
 	if err != nil {
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -391,7 +391,7 @@
 	waits := b.dialClient()
 	waits.write(t, "OPEN w k c=c,d=30000\r\n")
 	b.settle()
-	b.frontend.settings.MaxWaits = []time.Duration{1400 * time.Millisecond} // SIGKILL after 2.1 s
+	b.frontend.settings.MaxWaitByClass = []time.Duration{1400 * time.Millisecond} // SIGKILL after 2.1 s
 	begin, done := b.now(), false
 	b.frontend.Drain(func() { done = true })
 	most, before := 0, 0
@@ -506,7 +506,7 @@
 	b := newTestBed(t, 1, false)
 	client, _ := b.establish("a")
 	// With these settings SIGKILL comes after 0.8 s: all clients would be moved at once.
-	b.frontend.settings.MaxWaits = []time.Duration{100 * time.Millisecond}
+	b.frontend.settings.MaxWaitByClass = []time.Duration{100 * time.Millisecond}
 	begin := b.now()
 	b.frontend.Drain(func() {})
 	b.waitFor("MOVE", func() bool { return len(client.received) > 0 })
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -243,7 +243,7 @@
 	p.state, p.connReused = probeIdle, true
 	p.addIdle()
 	p.frontend.loop.Disarm(&p.timer)
-	if idle := p.frontend.settings.ConnIdle; idle > 0 {
+	if idle := p.frontend.settings.ConnIdleTimeout; idle > 0 {
 		p.frontend.loop.After(&p.timer, idle)
 	}
 	p.frontend.engine.Probed(p.id, o, rep)
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -121,7 +121,7 @@
 	down.listener.Close()
 	b.watchAt(addr)
 	b.waitFor("failures", func() bool { return b.counters.WatchesFailed >= 3 })
-	b.frontend.settings.MaxWaits = []time.Duration{3 * time.Second}
+	b.frontend.settings.MaxWaitByClass = []time.Duration{3 * time.Second}
 	b.frontend.Drain(func() {})
 	free := d.listener.Addr()
 	d.listener.Close()
--- a/internal/proxy/standing.go
+++ b/internal/proxy/standing.go
@@ -111,10 +111,10 @@
 // again.
 func (h *hop) reportDelay(took time.Duration) {
 	f, p := h.session.frontend, h.target
-	if !f.settings.ReportsDelay || f.settings.MessageTarget <= 0 {
+	if !f.settings.ReportsDelay || f.settings.MessageLatencyTarget <= 0 {
 		return
 	}
-	now, slow := f.loop.Now(), took > f.settings.MessageTarget/delayNoteDivisor
+	now, slow := f.loop.Now(), took > f.settings.MessageLatencyTarget/delayNoteDivisor
 	if slow && now.Sub(p.lastDelayNote) < delayNoteInterval || !slow && !p.slow {
 		return
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -59,15 +59,15 @@
 	Classes      map[string]int // index in Config.Classes by class name
 	Tenants      map[string]int // index in Config.Tenants by tenant name
 	ReportFields []string       // names of the values of a load report, in the order in which the simulator sends them
-	// The fields from MaxWaits to ReportsLoad are used only by a proxy that serves sockets.
-	MaxWaits      []time.Duration // by class index: longest time that a client of the class waits
-	DialTimeout   time.Duration   // a connection that is not established by then has failed
-	DrainGrace    time.Duration   // grace period for new work to a server after its drain was announced
-	ConnIdle      time.Duration   // idle connections are closed after this time; 0: never
-	MessageTarget time.Duration   // lowest message latency target of all classes; 0: no class has one
-	ReportsDelay  bool            // slow messages are reported to the module
-	ReportsLoad   bool            // the load of connections is reported to the module
-	x0IsLoad      bool            // value x0 of a report is the load divided by the capacity
+	// The fields from MaxWaitByClass to ReportsLoad are used only by a proxy that serves sockets.
+	MaxWaitByClass       []time.Duration // by class index: longest time that a client of the class waits
+	DialTimeout          time.Duration   // a connection that is not established by then has failed
+	DrainGrace           time.Duration   // grace period for new work to a server after its drain was announced
+	ConnIdleTimeout      time.Duration   // idle connections are closed after this time; 0: never
+	MessageLatencyTarget time.Duration   // lowest message latency target of all classes; 0: no class has one
+	ReportsDelay         bool            // slow messages are reported to the module
+	ReportsLoad          bool            // the load of connections is reported to the module
+	x0IsLoad             bool            // value x0 of a report is the load divided by the capacity
 }
 
 // ClearReport sets every value of a report to NaN, which means absent.
@@ -138,7 +138,7 @@
 	}
 	r := &Settings{
 		Classes: make(map[string]int), Tenants: make(map[string]int), ReportFields: s.Report.Fields,
-		DialTimeout: microseconds(s.Permissions.DialTimeoutUs), ConnIdle: microseconds(s.Permissions.ConnIdleUs), DrainGrace: microseconds(s.Invariants.DrainGraceUs),
+		DialTimeout: microseconds(s.Permissions.DialTimeoutUs), ConnIdleTimeout: microseconds(s.Permissions.ConnIdleUs), DrainGrace: microseconds(s.Invariants.DrainGraceUs),
 		ReportsDelay: s.Domain.TellsDelay, ReportsLoad: s.Domain.TellsLoad,
 		x0IsLoad: strings.HasPrefix(s.Domain.ReportX0, "load"),
 	}
@@ -155,10 +155,10 @@
 			SetupTarget: microseconds(c.TargetUs), Worth: c.Worth,
 			Idempotency: repeat, DedupScope: scope, DedupWindow: microseconds(c.WindowUs),
 		}
-		r.MaxWaits = append(r.MaxWaits, microseconds(c.HardLimitUs))
+		r.MaxWaitByClass = append(r.MaxWaitByClass, microseconds(c.HardLimitUs))
 		if i < len(s.Domain.MessageAimUs) {
-			if target := microseconds(s.Domain.MessageAimUs[i]); target > 0 && (r.MessageTarget == 0 || target < r.MessageTarget) {
-				r.MessageTarget = target
+			if target := microseconds(s.Domain.MessageAimUs[i]); target > 0 && (r.MessageLatencyTarget == 0 || target < r.MessageLatencyTarget) {
+				r.MessageLatencyTarget = target
 			}
 			class.MessageTarget = microseconds(s.Domain.MessageAimUs[i])
 		}
@@ -191,7 +191,7 @@
 		return errors.New("Permissions.DialTimeoutUs: missing or not above 0")
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Classes)) {
-		if s.MaxWaits[s.Classes[name]] <= 0 {
+		if s.MaxWaitByClass[s.Classes[name]] <= 0 {
 			//lint:ignore ST1005 the message starts with the field name
 			return fmt.Errorf("Classes: HardLimitUs of class %q: missing or not above 0", name)
 		}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -32,7 +32,7 @@
 	}
 	const last = n - 1
 	if s.Config.Relays != n || len(s.Config.Classes) != n || len(s.Config.Tenants) != n || s.Classes["c1023"] != last ||
-		s.MaxWaits[last] != n*time.Millisecond || s.Config.Tenants[s.Tenants["t1023"]].ConnectionQuota != n {
+		s.MaxWaitByClass[last] != n*time.Millisecond || s.Config.Tenants[s.Tenants["t1023"]].ConnectionQuota != n {
 		t.Errorf("decoded %d processes, %d classes, %d tenants, want %d of each with the values of the last one",
 			s.Config.Relays, len(s.Config.Classes), len(s.Config.Tenants), n)
 	}
