--- a/internal/proxy/standing.go
+++ b/internal/proxy/standing.go
@@ -55,7 +55,7 @@
 		first, rest = line.Next(rest)
 		switch word, value := line.ParseWord(line.TrimLineEnd(first)); word {
 		case line.Load:
-			if level, ok := line.ParseNumber(value); ok && s.frontend.settings.ReportsLoad {
+			if level, ok := line.ParseNumber(value); ok && s.frontend.settings.WantsLoadMetric {
 				s.exchange.Load(level)
 			}
 		case line.Bye:
@@ -111,7 +111,7 @@
 // again.
 func (h *hop) reportDelay(took time.Duration) {
 	f, p := h.session.frontend, h.target
-	if !f.settings.ReportsDelay || f.settings.MessageLatencyTarget <= 0 {
+	if !f.settings.WantsDelayMetric || f.settings.MessageLatencyTarget <= 0 {
 		return
 	}
 	now, slow := f.loop.Now(), took > f.settings.MessageLatencyTarget/delayNoteDivisor
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -65,8 +65,8 @@
 	DrainGrace           time.Duration   // grace period for new work to a server after its drain was announced
 	ConnIdleTimeout      time.Duration   // idle connections are closed after this time; 0: never
 	MessageLatencyTarget time.Duration   // lowest message latency target of all classes; 0: no class has one
-	ReportsDelay         bool            // slow messages are reported to the module
-	ReportsLoad          bool            // the load of connections is reported to the module
+	WantsDelayMetric     bool            // slow messages are reported to the module
+	WantsLoadMetric      bool            // the load of connections is reported to the module
 	x0IsLoad             bool            // value x0 of a report is the load divided by the capacity
 }
 
@@ -139,7 +139,7 @@
 	r := &Settings{
 		Classes: make(map[string]int), Tenants: make(map[string]int), ReportFields: s.Report.Fields,
 		DialTimeout: microseconds(s.Permissions.DialTimeoutUs), ConnIdleTimeout: microseconds(s.Permissions.ConnIdleUs), DrainGrace: microseconds(s.Invariants.DrainGraceUs),
-		ReportsDelay: s.Domain.TellsDelay, ReportsLoad: s.Domain.TellsLoad,
+		WantsDelayMetric: s.Domain.TellsDelay, WantsLoadMetric: s.Domain.TellsLoad,
 		x0IsLoad: strings.HasPrefix(s.Domain.ReportX0, "load"),
 	}
 	for i, c := range s.Classes {
