--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -259,10 +259,10 @@
 	return fromLeader || voted
 }
 
-// RequestLeases proposes a lease request. Its response goes to from once the entry is durable on a
+// HandleLeaseRequest proposes a lease request. Its response goes to from once the entry is durable on a
 // majority. It returns ErrNotLeader, an ErrInvalidRequest for a malformed request, or the error of
 // the proposal.
-func (k *Core) RequestLeases(now time.Time, from netip.AddrPort, r *owner.LeaseRequest) error {
+func (k *Core) HandleLeaseRequest(now time.Time, from netip.AddrPort, r *owner.LeaseRequest) error {
 	if err := CheckRequest(r); err != nil {
 		return err
 	}
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -289,7 +289,7 @@
 	}
 	w.keepers[stopped] = nil
 	for seq := range uint64(100) {
-		if err := w.leader().RequestLeases(w.now, netip.AddrPort{}, claimCommand(7, seq+1, 0).Request); err != nil {
+		if err := w.leader().HandleLeaseRequest(w.now, netip.AddrPort{}, claimCommand(7, seq+1, 0).Request); err != nil {
 			t.Fatal(err)
 		}
 		w.run(10 * time.Millisecond)
@@ -327,7 +327,7 @@
 	behind, wiped := (lead+1)%3, (lead+2)%3
 	old := w.keepers[behind]
 	w.keepers[behind] = nil
-	if err := w.leader().RequestLeases(w.now, netip.AddrPort{}, claimCommand(7, 1, 0).Request); err != nil {
+	if err := w.leader().HandleLeaseRequest(w.now, netip.AddrPort{}, claimCommand(7, 1, 0).Request); err != nil {
 		t.Fatal(err)
 	}
 	w.run(time.Second)
@@ -364,7 +364,7 @@
 	w := newTestCluster(t, 3, nil)
 	w.run(2 * time.Second)
 	k := w.leader()
-	_ = k.RequestLeases(w.now, netip.AddrPort{}, claimCommand(7, 1, 0).Request)
+	_ = k.HandleLeaseRequest(w.now, netip.AddrPort{}, claimCommand(7, 1, 0).Request)
 	k.Take()
 	k.Synced(w.now, errors.New("no space left"))
 	if o := k.Take(); o.Stopped == nil || len(o.Messages) > 0 || k.Leading() || k.Leader() != 0 {
--- a/internal/mesh/keeperclient.go
+++ b/internal/mesh/keeperclient.go
@@ -139,7 +139,7 @@
 		n.send(k.Addr, &envelope{LeaseRequest: request})
 		return
 	}
-	if err := n.keeperCore.RequestLeases(n.loop.Now(), n.Addr(), request); errors.Is(err, keeper.ErrNotLeader) {
+	if err := n.keeperCore.HandleLeaseRequest(n.loop.Now(), n.Addr(), request); errors.Is(err, keeper.ErrNotLeader) {
 		n.tryAnotherKeeper()
 	}
 }
--- a/internal/mesh/keeperlink.go
+++ b/internal/mesh/keeperlink.go
@@ -83,7 +83,7 @@
 	if n.keeperCore == nil {
 		return
 	}
-	if err := n.keeperCore.RequestLeases(now, from, request); errors.Is(err, keeper.ErrNotLeader) {
+	if err := n.keeperCore.HandleLeaseRequest(now, from, request); errors.Is(err, keeper.ErrNotLeader) {
 		n.sendRedirect(from)
 	}
 }
