--- a/internal/keeper/config.go
+++ b/internal/keeper/config.go
@@ -14,7 +14,7 @@
 	// Voters are the ids of the keepers of a new fleet, ID included. Later voters that the log
 	// holds take precedence.
 	Voters []uint64
-	Terms  owner.Terms
+	Terms  owner.LeaseTerms
 	// HeartbeatInterval is the time between two heartbeats of a leader. Above 0.
 	HeartbeatInterval time.Duration
 	// ElectionTimeout is the minimum time without a heartbeat after which a follower starts an
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -145,7 +145,7 @@
 	loop := poll.NewOn(k, func() { p.instance.Drain() })
 	m := mesh.Config{
 		Cluster: clusterName, Name: p.name, Zone: p.zoneName(), Listen: p.address(), Session: p.session, Keepers: c.keepers,
-		Terms: owner.Terms{Lease: c.config.Lease, Margin: c.config.Lease / marginPart}, Seed: c.config.Seed ^ p.session, MaxMembers: c.config.MostMembers,
+		Terms: owner.LeaseTerms{Lease: c.config.Lease, Margin: c.config.Lease / marginPart}, Seed: c.config.Seed ^ p.session, MaxMembers: c.config.MostMembers,
 		Duties: []string{duty.Discovery, duty.Probes, duty.Moves}, OnEvent: func(e mesh.Event) { c.verdicts.see(p, e) },
 	}
 	if p.lives == 1 {
--- a/internal/lab/owners/run.go
+++ b/internal/lab/owners/run.go
@@ -59,7 +59,7 @@
 var duties = []string{"discovery", "moves", "probes/0"}
 
 // terms are shorter than those that serve, so that a run sees more hand-overs.
-var terms = owner.Terms{Lease: 1200 * time.Millisecond, Margin: 60 * time.Millisecond}
+var terms = owner.LeaseTerms{Lease: 1200 * time.Millisecond, Margin: 60 * time.Millisecond}
 
 type run struct {
 	o          Options
@@ -73,7 +73,7 @@
 	over       bool    // no faults any more
 	cuts       []*vnet.Partition
 	lost       map[int]bool // keepers whose disk was lost
-	terms      owner.Terms
+	terms      owner.LeaseTerms
 	quietWords bool // members say no words
 	guest      Guest
 }
--- a/internal/lab/owners/scale.go
+++ b/internal/lab/owners/scale.go
@@ -32,7 +32,7 @@
 // other, and tells what that took.
 func Measure(seed uint64, n int, lease time.Duration, deaths, kills int) (*Scale, error) {
 	r := &run{o: Options{Members: n, Keepers: 3, NoFaults: true}, lost: make(map[int]bool)}
-	r.terms = owner.Terms{Lease: lease, Margin: lease / 20}
+	r.terms = owner.LeaseTerms{Lease: lease, Margin: lease / 20}
 	r.world = vnet.New(seed, func(from, to *vnet.Host) vnet.Link {
 		return vnet.Link{Delay: time.Millisecond, Jitter: 4 * time.Millisecond}
 	})
--- a/internal/mesh/config.go
+++ b/internal/mesh/config.go
@@ -40,7 +40,7 @@
 	Keeper      *keeper.Config      // of the keeper in this process; nil: this process is no keeper
 	RestoredLog *keeper.RestoredLog // required with Keeper
 	Disk        Disk                // required with Keeper
-	Terms       owner.Terms
+	Terms       owner.LeaseTerms
 	Duties      []string // leases that this process acquires when they are free
 	Seed        uint64   // of the random number generator
 	Flaws       owner.Flaws
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -106,8 +106,8 @@
 }
 
 // Terms are the times of leases; all processes of a fleet must have the same.
-func (c *Config) Terms() owner.Terms {
-	return owner.Terms{Lease: c.Keepers.Lease, Margin: c.Keepers.Margin}
+func (c *Config) Terms() owner.LeaseTerms {
+	return owner.LeaseTerms{Lease: c.Keepers.Lease, Margin: c.Keepers.Margin}
 }
 
 // Fixed returns what takes a new start, as one text: a reload compares it.
--- a/internal/owner/client.go
+++ b/internal/owner/client.go
@@ -16,7 +16,7 @@
 // LeaseClient manages the leases of a process: it decides what to request and whether a lease is
 // held now.
 type LeaseClient struct {
-	terms          Terms
+	terms          LeaseTerms
 	session        uint64
 	name           string
 	flaws          Flaws
@@ -45,7 +45,7 @@
 
 // NewLeaseClient returns a client that wants no leases. session must differ from the session of
 // every other run of every process.
-func NewLeaseClient(t Terms, session uint64, name string, f Flaws) *LeaseClient {
+func NewLeaseClient(t LeaseTerms, session uint64, name string, f Flaws) *LeaseClient {
 	return &LeaseClient{terms: t, session: session, name: name, flaws: f}
 }
 
--- a/internal/owner/lease.go
+++ b/internal/owner/lease.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Terms are the durations that lease clients and keepers must agree on.
-type Terms struct {
+// LeaseTerms are the durations that lease clients and keepers must agree on.
+type LeaseTerms struct {
 	// Lease is the duration of a grant, counted by the holder from before it sent its request.
 	// Above 0.
 	Lease time.Duration
@@ -19,10 +19,12 @@
 
 // DefaultTerms returns Terms for proxies on one network: an owner that has died is replaced within
 // about 3 s.
-func DefaultTerms() Terms { return Terms{Lease: 2 * time.Second, Margin: 100 * time.Millisecond} }
+func DefaultTerms() LeaseTerms {
+	return LeaseTerms{Lease: 2 * time.Second, Margin: 100 * time.Millisecond}
+}
 
 // Check returns an error that names the value that is out of range.
-func (t Terms) Check() error {
+func (t LeaseTerms) Check() error {
 	switch {
 	case t.Lease <= 0:
 		return fmt.Errorf("lease: %v is not above 0", t.Lease)
@@ -34,15 +36,15 @@
 
 // HolderTimeout returns how long a holder may rely on a grant, counted from before it sent its
 // request.
-func (t Terms) HolderTimeout() time.Duration { return t.Lease - t.Margin }
+func (t LeaseTerms) HolderTimeout() time.Duration { return t.Lease - t.Margin }
 
 // KeeperTimeout returns how long after a grant or renewal the keepers grant the lease to no other
 // client.
-func (t Terms) KeeperTimeout() time.Duration { return t.Lease + t.Margin }
+func (t LeaseTerms) KeeperTimeout() time.Duration { return t.Lease + t.Margin }
 
 // MaxClockDrift returns the largest relative error of a clock's rate for which two holders never
 // overlap by their own clocks.
-func (t Terms) MaxClockDrift() float64 { return float64(t.Margin) / float64(t.Lease) }
+func (t LeaseTerms) MaxClockDrift() float64 { return float64(t.Margin) / float64(t.Lease) }
 
 // MaxLeases limits the leases of one request.
 const MaxLeases = 24
