--- a/internal/duty/discovery.go
+++ b/internal/duty/discovery.go
@@ -83,9 +83,9 @@
 // ReceivedList is the owner's announcement as it applies to the receiving process.
 type ReceivedList struct {
 	List *routes.List // to be merged into the routing table
-	// Unknown counts the targets whose address this process does not know and may not take from the
+	// UnknownAddrs counts the targets whose address this process does not know and may not take from the
 	// owner. If it is above 0, the process must query discovery itself.
-	Unknown int
+	UnknownAddrs int
 }
 
 // DecodeList decodes the owner's announcement. A target that find returns keeps the address by
@@ -133,11 +133,11 @@
 // entry's ID, or nil if it has none.
 func (r *ReceivedList) add(entry *listEntry, known *routes.Target, sameAddrs bool) error {
 	if known == nil && !sameAddrs {
-		r.Unknown++
+		r.UnknownAddrs++
 		return nil
 	}
 	if known != nil && known.StartUnixMS != entry.StartUnixMS && !sameAddrs {
-		r.Unknown++ // the target has restarted, possibly at another address
+		r.UnknownAddrs++ // the target has restarted, possibly at another address
 	}
 	target := entry.target()
 	if known != nil {
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -34,11 +34,11 @@
 		return nil
 	}
 	h, err := DecodeList(text, discoveryAddr, 8, false, find)
-	if err != nil || h.Unknown != 1 || len(h.List.Hosts) != 1 || h.List.Hosts[0].Addr != mine.Addr {
+	if err != nil || h.UnknownAddrs != 1 || len(h.List.Hosts) != 1 || h.List.Hosts[0].Addr != mine.Addr {
 		t.Fatalf("%+v, %v", h, err)
 	}
 	h, err = DecodeList(text, discoveryAddr, 8, true, find)
-	if err != nil || h.Unknown != 0 || len(h.List.Hosts) != 2 || h.List.Hosts[1].Health != routes.Draining ||
+	if err != nil || h.UnknownAddrs != 0 || len(h.List.Hosts) != 2 || h.List.Hosts[1].Health != routes.Draining ||
 		h.List.Hosts[0].Addr != testTargets()[0].Addr || !h.List.Whole || h.List.Seq != 9 {
 		t.Fatalf("%+v, %v", h, err)
 	}
--- a/internal/duty/moves.go
+++ b/internal/duty/moves.go
@@ -46,15 +46,15 @@
 	WaitUS int64 `cbor:"1,keyasint"`
 }
 
-// EncodeMove encodes the owner's response, the delay of a move.
-func EncodeMove(wait time.Duration) ([]byte, error) {
+// EncodeMoveDelay encodes the owner's response, the delay of a move.
+func EncodeMoveDelay(wait time.Duration) ([]byte, error) {
 	return cbor.Marshal(moveResponse{wait.Microseconds()})
 }
 
-// DecodeMove decodes the owner's response and returns the remaining delay of the move, at least 0.
+// DecodeMoveDelay decodes the owner's response and returns the remaining delay of the move, at least 0.
 // The argument elapsed is the time since the request was sent. A delay below 0 or above maxMoveWait
 // (500 ms) is an error.
-func DecodeMove(data []byte, elapsed time.Duration) (time.Duration, error) {
+func DecodeMoveDelay(data []byte, elapsed time.Duration) (time.Duration, error) {
 	var response moveResponse
 	if err := cbor.Unmarshal(data, &response); err != nil {
 		return 0, fmt.Errorf("duty: move: %w", err)
--- a/internal/duty/moves_test.go
+++ b/internal/duty/moves_test.go
@@ -30,16 +30,16 @@
 // The decoded delay is reduced by the time that the response took. A delay out of range is an
 // error.
 func TestDecodeMove(t *testing.T) {
-	text, _ := EncodeMove(400 * time.Millisecond)
-	if d, err := DecodeMove(text, 300*time.Millisecond); err != nil || d != 100*time.Millisecond {
+	text, _ := EncodeMoveDelay(400 * time.Millisecond)
+	if d, err := DecodeMoveDelay(text, 300*time.Millisecond); err != nil || d != 100*time.Millisecond {
 		t.Error(d, err)
 	}
-	if d, err := DecodeMove(text, 2*time.Second); err != nil || d != 0 {
+	if d, err := DecodeMoveDelay(text, 2*time.Second); err != nil || d != 0 {
 		t.Error(d, err)
 	}
 	for _, bad := range []time.Duration{-time.Second, time.Hour} {
-		text, _ := EncodeMove(bad)
-		if _, err := DecodeMove(text, 0); err == nil {
+		text, _ := EncodeMoveDelay(bad)
+		if _, err := DecodeMoveDelay(text, 0); err == nil {
 			t.Errorf("delay of %v accepted", bad)
 		}
 	}
--- a/internal/duty/probes.go
+++ b/internal/duty/probes.go
@@ -214,9 +214,9 @@
 	return &ProbeClient{lastSeq: firstSeq, pending: make(map[string]pendingRequest)}
 }
 
-// Begin records that a request for a target's report is sent. It returns the request's sequence
+// BeginRequest records that a request for a target's report is sent. It returns the request's sequence
 // number and the time until which to wait for the response.
-func (c *ProbeClient) Begin(now time.Time, target string) (seq uint64, deadline time.Time) {
+func (c *ProbeClient) BeginRequest(now time.Time, target string) (seq uint64, deadline time.Time) {
 	c.lastSeq++
 	c.pending[target] = pendingRequest{c.lastSeq, now}
 	return c.lastSeq, now.Add(responseTimeout)
--- a/internal/duty/probes_test.go
+++ b/internal/duty/probes_test.go
@@ -46,7 +46,7 @@
 		fresh, known bool
 	}{{50 * time.Millisecond, true, true}, {150 * time.Millisecond, false, true}} {
 		c := NewProbeClient(7)
-		seq, late := c.Begin(now, "s")
+		seq, late := c.BeginRequest(now, "s")
 		rep, fresh, known := c.HandleResponse(now.Add(tt.after), seq, a)
 		if fresh != tt.fresh || known != tt.known || fresh && rep.Load != 0.5 {
 			t.Errorf("after %v: %+v, fresh %v, known %v", tt.after, rep, fresh, known)
@@ -56,13 +56,13 @@
 		}
 	}
 	c := NewProbeClient(7)
-	old, _ := c.Begin(now, "s")
-	seq, _ := c.Begin(now.Add(time.Second), "s")
+	old, _ := c.BeginRequest(now, "s")
+	seq, _ := c.BeginRequest(now.Add(time.Second), "s")
 	if _, _, known := c.HandleResponse(now.Add(time.Second), old, a); known || !c.Expire("s", seq) || c.Expire("s", seq) {
 		t.Error("response to a superseded request accepted, or request expired twice or not at all")
 	}
 	for _, bad := range [][]float64{nil, {1}, {-1, 0, 0, 0, 0, 0, 0}, {math.Inf(1), 0, 0, 0, 0, 0, 0}} {
-		seq, _ := c.Begin(now, "s")
+		seq, _ := c.BeginRequest(now, "s")
 		if _, fresh, known := c.HandleResponse(now, seq, &ProbeResponse{Target: "s", Report: bad}); fresh || !known {
 			t.Errorf("malformed report %v accepted as fresh", bad)
 		}
--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -305,7 +305,7 @@
 		return
 	}
 	f.instance.engine.ApplyPeerList(decoded.List)
-	if decoded.Unknown > 0 {
+	if decoded.UnknownAddrs > 0 {
 		f.instance.engine.Watch().RefetchSoon()
 	}
 }
--- a/internal/instance/moves.go
+++ b/internal/instance/moves.go
@@ -83,7 +83,7 @@
 	now := m.fleet.loop.Now()
 	if !d.IsResponse {
 		if _, ok := m.fleet.node.Holds(duty.Moves); ok {
-			if text, err := duty.EncodeMove(m.pacer.Schedule(now)); err == nil {
+			if text, err := duty.EncodeMoveDelay(m.pacer.Schedule(now)); err == nil {
 				m.fleet.node.SendOwnerResponse(from, mesh.OwnerMessage{Lease: duty.Moves, Seq: d.Seq, Data: text})
 			}
 		}
@@ -93,7 +93,7 @@
 	if p == nil {
 		return
 	}
-	if wait, err := duty.DecodeMove(d.Data, now.Sub(p.askedAt)); err == nil {
+	if wait, err := duty.DecodeMoveDelay(d.Data, now.Sub(p.askedAt)); err == nil {
 		m.fleet.loop.After(&p.timer, wait)
 	}
 }
--- a/internal/instance/probes.go
+++ b/internal/instance/probes.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return false
 	}
-	seq, late := p.client.Begin(p.fleet.loop.Now(), targetID)
+	seq, late := p.client.BeginRequest(p.fleet.loop.Now(), targetID)
 	p.fleet.node.SendOwnerRequest(at, mesh.OwnerMessage{Lease: part, Seq: seq, Data: text})
 	t := &poll.Timer{}
 	t.Fire = func() {
