--- a/cmd/ospreyspan/config.go
+++ b/cmd/ospreyspan/config.go
@@ -15,14 +15,14 @@
 // config is the configuration that the platform gives the program: the JSON file that EDGE_CONFIG
 // names, with the overrides from the environment.
 type config struct {
-	Name      string          `json:"name"`
-	Listen    netip.AddrPort  `json:"listen"`
-	Discovery netip.AddrPort  `json:"discovery"`
-	Seed      seed            `json:"seed"`
-	Limits    limits          `json:"limits"`
-	Known     routes.List     `json:"known"`
-	Settings  json.RawMessage `json:"settings"`
-	settings  *settings.Settings
+	Name       string          `json:"name"`
+	Listen     netip.AddrPort  `json:"listen"`
+	Discovery  netip.AddrPort  `json:"discovery"`
+	RandomSeed seed            `json:"seed"`
+	Limits     limits          `json:"limits"`
+	Known      routes.List     `json:"known"`
+	Settings   json.RawMessage `json:"settings"`
+	settings   *settings.Settings
 }
 
 // limits are the resources that the process may use.
--- a/cmd/ospreyspan/config_test.go
+++ b/cmd/ospreyspan/config_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n7" || c.Listen.String() != "127.0.0.9:1" || c.Discovery.String() != "127.0.0.1:18500" ||
-		c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 1024 || len(c.settings.Classes) != 2 ||
+		c.RandomSeed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 1024 || len(c.settings.Classes) != 2 ||
 		!c.settings.Config.Subscribe {
 		t.Errorf("parsed as %+v", c)
 	}
--- a/cmd/ospreyspan/main.go
+++ b/cmd/ospreyspan/main.go
@@ -16,8 +16,8 @@
 
 func main() { os.Exit(execute(os.Args[1:], os.Getenv, os.Stdout, os.Stderr)) }
 
-// systemCalls are the system calls that the event loop uses. Tests replace them to inject failures.
-var systemCalls = poll.LinuxCalls()
+// loopSystemCalls are the system calls that the event loop uses. Tests replace them to inject failures.
+var loopSystemCalls = poll.LinuxCalls()
 
 // run serves until a planned stop has been completed. operatorFile is the path of the operator
 // file; it is empty if there is none. Log lines and counters are written to out.
@@ -56,7 +56,7 @@
 		}
 	}
 	err = retryTransient(func() (err error) {
-		configReloader.loop, err = poll.NewWithCalls(systemCalls, wake)
+		configReloader.loop, err = poll.NewWithCalls(loopSystemCalls, wake)
 		return err
 	})
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 	defer features.close()
 	proxy, err = instance.New(loop, instance.Config{
-		Fleet: fleet, Name: cfg.Name, Listen: cfg.Listen, Discovery: cfg.Discovery, Seed: uint64(cfg.Seed), MaxDescriptors: cfg.Limits.Sockets,
+		Fleet: fleet, Name: cfg.Name, Listen: cfg.Listen, Discovery: cfg.Discovery, Seed: uint64(cfg.RandomSeed), MaxDescriptors: cfg.Limits.Sockets,
 		KnownList: &cfg.Known, Settings: cfg.settings, Log: logger, Retry: retryTransient,
 	})
 	if err != nil {
--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -83,7 +83,7 @@
 		Cluster: f.config.Fleet.Cluster, Name: name, Zone: f.config.Fleet.Zone, Listen: f.config.Fleet.Listen.AddrPort,
 		Advertise: f.config.Fleet.Advertise.AddrPort,
 		Session:   session, Seeds: f.config.Seeds, Keepers: f.config.Members, Terms: f.config.Terms(), Duties: f.config.Duties.Take,
-		Seed: uint64(cfg.Seed) ^ session, OnEvent: f.logEvent,
+		Seed: uint64(cfg.RandomSeed) ^ session, OnEvent: f.logEvent,
 	}
 	if f.config.Self != 0 {
 		if err := f.openKeeper(&meshConfig, loop, logger); err != nil {
--- a/cmd/ospreyspan/signals_test.go
+++ b/cmd/ospreyspan/signals_test.go
@@ -28,7 +28,7 @@
 			if err := json.Unmarshal([]byte(text), &plan); err != nil {
 				panic(err)
 			}
-			systemCalls = callfaults.Wrap(systemCalls, plan)
+			loopSystemCalls = callfaults.Wrap(loopSystemCalls, plan)
 		}
 		os.Exit(execute(nil, os.Getenv, os.Stdout, os.Stderr))
 	}
--- a/internal/duty/discovery.go
+++ b/internal/duty/discovery.go
@@ -27,11 +27,11 @@
 // means that it must query now. The argument confirmed is the latest time at which the owner's
 // announcement was known to be up to date, and askWithin is the longest time that a process may go
 // without a query.
-func RelyUntil(confirmed time.Time, askWithin time.Duration) time.Time {
-	if confirmed.IsZero() || askWithin <= 0 {
+func RelyUntil(listConfirmedAt time.Time, askWithin time.Duration) time.Time {
+	if listConfirmedAt.IsZero() || askWithin <= 0 {
 		return time.Time{}
 	}
-	return confirmed.Add(time.Duration(relyFraction * float64(askWithin)))
+	return listConfirmedAt.Add(time.Duration(relyFraction * float64(askWithin)))
 }
 
 // FallbackSpread returns the duration over which the processes' own queries to discovery are spread
