--- a/cmd/ospreyspan/config.go
+++ b/cmd/ospreyspan/config.go
@@ -28,7 +28,7 @@
 // limits are the resources that the process may use.
 type limits struct {
 	MemoryMB int64 `json:"memory_mb"` // 0: not limited
-	Sockets  int   `json:"sockets"`   // most open descriptors; 0: no limit is known
+	Sockets  int   `json:"sockets"`   // most open descriptors of any kind; 0: no limit is known
 }
 
 // seed is a 64-bit random seed, written in hexadecimal in the configuration.
--- a/cmd/ospreyspan/drains_test.go
+++ b/cmd/ospreyspan/drains_test.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// maxAnnouncementDelay is the time after which a change in discovery counts as known to the proxy,
-	// whether or not it has arrived.
+	// maxAnnouncementDelay is the time after which a change in discovery counts as known to the
+	// proxy, whether or not it has arrived.
 	maxAnnouncementDelay = 6 * time.Second
 	// drainGrace is the time, by the settings, within which the proxy must stop sending to a server
 	// once its drain counts as known.
--- a/cmd/ospreyspan/main.go
+++ b/cmd/ospreyspan/main.go
@@ -16,7 +16,8 @@
 
 func main() { os.Exit(execute(os.Args[1:], os.Getenv, os.Stdout, os.Stderr)) }
 
-// loopSystemCalls are the system calls that the event loop uses. Tests replace them to inject failures.
+// loopSystemCalls are the system calls that the event loop uses. Tests replace them to inject
+// failures.
 var loopSystemCalls = poll.LinuxCalls()
 
 // run serves until a planned stop has been completed. operatorFile is the path of the operator
--- a/internal/duty/discovery.go
+++ b/internal/duty/discovery.go
@@ -23,8 +23,9 @@
 	fallbackFraction = 0.25 // spread of the processes' own queries after that
 )
 
-// RelyUntil returns the time until which a process need not query discovery itself; the zero time
-// means that it must query now. The argument confirmed is the latest time at which the owner's
+// RelyUntil returns the time until which a process relies on the list that the owner of the
+// Discovery lease, another process, has announced, and need not query discovery itself; the zero
+// time means that it must query now. The argument listConfirmedAt is the latest time at which that
 // announcement was known to be up to date, and askWithin is the longest time that a process may go
 // without a query.
 func RelyUntil(listConfirmedAt time.Time, askWithin time.Duration) time.Time {
@@ -83,8 +84,8 @@
 // ReceivedList is the owner's announcement as it applies to the receiving process.
 type ReceivedList struct {
 	List *routes.List // to be merged into the routing table
-	// UnknownAddrs counts the targets whose address this process does not know and may not take from the
-	// owner. If it is above 0, the process must query discovery itself.
+	// UnknownAddrs counts the targets whose address this process does not know and may not take
+	// from the owner. If it is above 0, the process must query discovery itself.
 	UnknownAddrs int
 }
 
--- a/internal/duty/moves.go
+++ b/internal/duty/moves.go
@@ -51,9 +51,9 @@
 	return cbor.Marshal(moveResponse{wait.Microseconds()})
 }
 
-// DecodeMoveDelay decodes the owner's response and returns the remaining delay of the move, at least 0.
-// The argument elapsed is the time since the request was sent. A delay below 0 or above maxMoveWait
-// (500 ms) is an error.
+// DecodeMoveDelay decodes the owner's response and returns the remaining delay of the move, at
+// least 0. The argument elapsed is the time since the request was sent. A delay below 0 or above
+// maxMoveWait (500 ms) is an error.
 func DecodeMoveDelay(data []byte, elapsed time.Duration) (time.Duration, error) {
 	var response moveResponse
 	if err := cbor.Unmarshal(data, &response); err != nil {
--- a/internal/duty/probes.go
+++ b/internal/duty/probes.go
@@ -83,10 +83,11 @@
 	Target string `cbor:"1,keyasint"`
 }
 
-// ProbeResponse is the owner's response to a ProbeRequest: a report and its age.
+// ProbeResponse is the owner's response to a ProbeRequest: a report and its age. If Failed is set,
+// the requester probes the target itself: its own probe may succeed.
 type ProbeResponse struct {
 	Target string    `cbor:"1,keyasint"`
-	Failed bool      `cbor:"2,keyasint,omitempty"` // the owner's probe failed; others may succeed
+	Failed bool      `cbor:"2,keyasint,omitempty"` // the owner's own probe failed; Report is not to be used
 	AgeUS  int64     `cbor:"3,keyasint"`           // age when sent, in microseconds
 	Report []float64 `cbor:"4,keyasint"`           // see encodeReport
 }
@@ -214,8 +215,8 @@
 	return &ProbeClient{lastSeq: firstSeq, pending: make(map[string]pendingRequest)}
 }
 
-// BeginRequest records that a request for a target's report is sent. It returns the request's sequence
-// number and the time until which to wait for the response.
+// BeginRequest records that a request for a target's report is sent. It returns the request's
+// sequence number and the time until which to wait for the response.
 func (c *ProbeClient) BeginRequest(now time.Time, target string) (seq uint64, deadline time.Time) {
 	c.lastSeq++
 	c.pending[target] = pendingRequest{c.lastSeq, now}
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -47,11 +47,14 @@
 	requests     pendingRequests
 	renewals     renewalTimers // valid while leading
 	leading      bool
-	electionAt   time.Time // when it starts the next election, unless it leads
-	heartbeatAt  time.Time // when the leader sends the next heartbeats
-	transfers    snapshotTransfers
-	stopped      error // nil while the keeper runs
-	Count        Counters
+	// electionAt is when the keeper starts the next election. Messages of the leader and a vote for
+	// another keeper postpone it. It has no effect while the keeper leads or has not met all
+	// others.
+	electionAt  time.Time
+	heartbeatAt time.Time // when the leader sends the next heartbeats
+	transfers   snapshotTransfers
+	stopped     error // nil while the keeper runs
+	Count       Counters
 }
 
 // Counters counts the events of a Core: elections started, entries applied, snapshots created or
@@ -259,9 +262,9 @@
 	return fromLeader || voted
 }
 
-// HandleLeaseRequest proposes a lease request. Its response goes to from once the entry is durable on a
-// majority. It returns ErrNotLeader, an ErrInvalidRequest for a malformed request, or the error of
-// the proposal.
+// HandleLeaseRequest proposes a lease request that a client sent to this keeper. Its response goes
+// to from once the entry is durable on a majority. HandleLeaseRequest returns ErrNotLeader, an
+// ErrInvalidRequest for a malformed request, or the error of the proposal.
 func (k *Core) HandleLeaseRequest(now time.Time, from netip.AddrPort, r *owner.LeaseRequest) error {
 	if err := CheckRequest(r); err != nil {
 		return err
@@ -270,7 +273,7 @@
 }
 
 // RequestFloors proposes a request for the latest token of each lease. Its response goes to from.
-// The errors are those of RequestLeases.
+// The errors are those of HandleLeaseRequest.
 func (k *Core) RequestFloors(now time.Time, from netip.AddrPort, r *FloorsRequest) error {
 	if r.Session == 0 {
 		return ErrInvalidRequest
--- a/internal/keeper/file.go
+++ b/internal/keeper/file.go
@@ -25,7 +25,7 @@
 	file            logFile
 	system          fileSystem
 	durable         []byte // contents known to be on disk
-	contentsUnknown bool   // a write failed: the file may hold anything in place of durable or after it
+	contentsUnknown bool   // a write failed: the file may hold more or other data than durable
 	jobs            chan writeJob
 	post            func(func()) // runs a function on the goroutine that drives the keeper
 	closing         chan struct{}
--- a/internal/keeper/handshake.go
+++ b/internal/keeper/handshake.go
@@ -20,7 +20,7 @@
 	unsaved  []uint64          // ids of the keepers in disks that are not on disk yet
 	done     bool              // all other keepers have been met, and that is on disk
 	saving   bool              // the record that sets done is being written
-	replies  []uint64          // ids of the keepers whose hellos are answered once their disks are on disk
+	replies  []uint64          // keepers whose hellos are answered once their disks are on disk
 	nextAt   time.Time         // when the next hellos are sent
 }
 
--- a/internal/keeper/log.go
+++ b/internal/keeper/log.go
@@ -89,11 +89,13 @@
 	// ValidBytes is the length of the valid records. What follows is torn and is to be truncated.
 	ValidBytes int
 
-	hard         *pb.HardState
-	snapshot     *pb.Snapshot
-	entries      []*pb.Entry       // entries after the snapshot
-	disks        map[uint64]uint64 // disk identity by keeper id, see handshake
-	participates bool              // see Core.Participates
+	hard     *pb.HardState
+	snapshot *pb.Snapshot
+	entries  []*pb.Entry       // entries after the snapshot
+	disks    map[uint64]uint64 // disk identity by keeper id, see handshake
+	// participates: the log records that the keeper has met all others, so that it votes and
+	// acknowledges entries at once; see Core.Participates.
+	participates bool
 }
 
 // InitialRecord returns the first record of the log of a new disk. The identity must be above 0 and
@@ -222,7 +224,8 @@
 	if err := proto.Unmarshal(data, e); err != nil {
 		return err
 	}
-	first := max(o.snapshot.GetMetadata().GetIndex(), 1) + 1 // a new log begins after index 1, see storage
+	// A new log begins after index 1, see storage.
+	first := max(o.snapshot.GetMetadata().GetIndex(), 1) + 1
 	if len(o.entries) > 0 {
 		first = o.entries[0].GetIndex()
 	}
--- a/internal/line/line.go
+++ b/internal/line/line.go
@@ -50,14 +50,14 @@
 type Open struct {
 	ID, Key       string
 	Class         string
-	Tenant        string // tenant of the client; empty: none named
-	AffinityGroup string
+	Tenant        string        // tenant of the client; empty: none named
+	AffinityGroup string        // connections of one group share work on a target; empty: none
 	CurrentTarget string        // egress target that already holds the connection; empty: none
-	MaxWait       time.Duration // how long the client waits, from when it sent the line
+	MaxWait       time.Duration // how long the client waits at most, from when it sent the line
 	Reconnect     bool          // the previous connection of the client was moved or broke
-	MidFlow       bool
-	beforeWait    string // the line up to the value of d
-	afterWait     string // the line from the end of the value of d
+	MidFlow       bool          // always false: no key of the line says it
+	beforeWait    string        // the line up to the value of d
+	afterWait     string        // the line from the end of the value of d
 }
 
 // maxWait is longer than any client waits. A larger value is rejected as an error; a very large one
@@ -143,19 +143,21 @@
 	return append(dst, "\r\n"...)
 }
 
-// Word is the first word of a line from an egress target.
+// Word is the first word of a line that an egress target sends to a proxy.
 type Word uint8
 
-// The words that a proxy handles. Unknown stands for all others.
+// The words that a proxy handles. Egress targets send these lines to a proxy, which forwards some
+// of them to the client. Lines of the proxy's own that begin with ERR, BUSY, MOVE or PONG go to the
+// client and are not meant here. Unknown stands for all other words.
 const (
 	Unknown Word = iota
-	Up
-	Bye
-	Move
-	Err
-	Busy
-	Load
-	Pong
+	Up           // the target accepts the request: the connection is established
+	Bye          // the target has served the request in full and ends the connection
+	Move         // the target gives up the request or the connection, to be opened elsewhere
+	Err          // the target answers a request or a probe with an error
+	Busy         // the target refuses the request without having processed it
+	Load         // the target states the load of an established connection
+	Pong         // the target answers a probe, with a load report
 )
 
 // ParseWord splits a line, without its line end, into its first word and the rest.
--- a/internal/mesh/config.go
+++ b/internal/mesh/config.go
@@ -56,7 +56,7 @@
 	OnOwnerMessage func(from netip.AddrPort, m *OwnerMessage)
 	// OnSharedMessage is called with messages of other processes on topics that have no owner.
 	OnSharedMessage func(from netip.AddrPort, m *SharedMessage)
-	// SharedView returns the state of the topics that have no owner, for a View.
+	// SharedView returns the state of each item of the topics that have no owner, for a View.
 	SharedView func() []SharedView
 	// OnMembersChanged is called with the live members whenever they change.
 	OnMembersChanged func([]peers.Member)
@@ -81,7 +81,7 @@
 	Kind    string // stable identifier of the kind of change
 	Lease   string
 	Token   uint64
-	Version uint64 // of the announcement
+	Version uint64 // of the accepted announcement that the event reports; 0: it reports none
 	Member  *peers.Member
 	Err     error
 }
@@ -95,9 +95,9 @@
 	Foreign, Damaged, Long, Unsent uint64
 	// Requests sent to keepers.
 	LeaseRequests, FloorsRequests uint64
-	// Announcements received: accepted, refused because they come from a former owner, dropped
-	// because they are not newer than the known one, and refused because the floors were not known
-	// yet.
+	// Announcements received. Accepted: taken over. Stale: refused because they come from a former
+	// owner; responses that the fence refuses count as well. Old: dropped because they are not
+	// newer than the known one. Early: refused because the floors were not known yet.
 	AnnouncementsAccepted, AnnouncementsStale, AnnouncementsOld, AnnouncementsEarly uint64
 	// Pull requests sent, and those that got no response.
 	Pulls, PullsLost uint64
--- a/internal/mesh/pull.go
+++ b/internal/mesh/pull.go
@@ -8,7 +8,7 @@
 
 const (
 	meanPullInterval        = 500 * time.Millisecond // mean time between two pulls
-	pullFanout              = 16                     // limit of members that regularly pull from one
+	pullFanout              = 16                     // most members that regularly pull from one
 	maxAnnouncementsPerPull = 16                     // per pull request, and ages per response
 )
 
--- a/internal/mesh/view.go
+++ b/internal/mesh/view.go
@@ -17,11 +17,11 @@
 	Shared   []SharedView
 }
 
-// SharedView is the displayed state of one item of a topic that has no owner, such as a verdict on
-// a target or a limit.
+// SharedView is the displayed state of one item of a topic that has no owner: of one limit, or of
+// the verdict on one target. It is the state as the displaying process knows it.
 type SharedView struct {
 	Topic string `cbor:"1,keyasint"`
-	Name  string `cbor:"2,keyasint"`
+	Name  string `cbor:"2,keyasint"` // of the item: of the limit, or the id of the target
 	State string `cbor:"3,keyasint"`
 	AgeMS int64  `cbor:"4,keyasint"` // age of the underlying data; below 0: unknown
 	Text  string `cbor:"5,keyasint"`
--- a/internal/mesh/wire.go
+++ b/internal/mesh/wire.go
@@ -69,8 +69,8 @@
 type floorsFragment struct {
 	Session uint64            `cbor:"1,keyasint"` // of the request
 	Seq     uint64            `cbor:"2,keyasint"` // of the request
-	Index   int               `cbor:"3,keyasint"`
-	Count   int               `cbor:"4,keyasint"`
+	Index   int               `cbor:"3,keyasint"` // index of the fragment, from 0
+	Count   int               `cbor:"4,keyasint"` // number of fragments of the response
 	Tokens  map[string]uint64 `cbor:"5,keyasint"` // latest token by lease
 }
 
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -47,8 +47,8 @@
 type Keepers struct {
 	Members []string      `ini:"members"`                  // id@address of each, three or five
 	Dir     string        `ini:"dir"`                      // for the log of a process that is one of them
-	Lease   time.Duration `ini:"lease" min:"0.2" max:"60"` // see owner.Terms
-	Margin  time.Duration `ini:"margin"`                   // see owner.Terms
+	Lease   time.Duration `ini:"lease" min:"0.2" max:"60"` // see owner.LeaseTerms
+	Margin  time.Duration `ini:"margin"`                   // see owner.LeaseTerms
 }
 
 // Duties are the leases that this process takes if they are free.
--- a/internal/owner/client.go
+++ b/internal/owner/client.go
@@ -8,7 +8,7 @@
 // Intervals of a client, as divisors of the lease duration.
 const (
 	renewDivisor      = 3 // a lease is renewed after a third of its duration
-	firstRetryDivisor = 8 // a request without a response is first repeated after an eighth of the duration
+	firstRetryDivisor = 8 // a request without a response is first repeated after an eighth of it
 	maxRetryDivisor   = 2 // the retry interval doubles up to half of the duration
 	maxDoublings      = 8 // of the retry interval; keeps the shift from overflowing
 )
@@ -26,7 +26,7 @@
 	firstSentAt    time.Time     // when pending was first sent
 	nextSendAt     time.Time     // when to send pending again, or the next request
 	attempts       int           // number of requests sent since the last response
-	idleInterval   time.Duration // between the requests of a client that holds no lease; 0: the renewal interval applies
+	idleInterval   time.Duration // see SetIdleInterval
 	lastResponseAt time.Time     // when the last response of the keepers was received
 }
 
@@ -163,8 +163,8 @@
 	return r
 }
 
-// HandleResponse handles a response of a keeper and reports whether it was accepted. A response to
-// any request but the pending one is ignored.
+// HandleResponse handles a response of a keeper. It returns true if the response answers the
+// pending request, whether or not a lease was granted. A response to any other request is ignored.
 func (c *LeaseClient) HandleResponse(now time.Time, r *LeaseResponse) bool {
 	if c.pending == nil || r.Session != c.session || r.Seq != c.pending.Seq {
 		return false
@@ -208,5 +208,6 @@
 // the first request after the lease becomes free gets it.
 func (c *LeaseClient) SetIdleInterval(d time.Duration) { c.idleInterval = d }
 
-// RequestNow makes the next request due at once, for example after a redirect to another keeper.
+// RequestNow makes the next request due now, for example after a redirect to another keeper. It
+// sends nothing: the next call of NextRequest returns the request, if there is one to send.
 func (c *LeaseClient) RequestNow(now time.Time) { c.nextSendAt = now }
--- a/internal/owner/fence.go
+++ b/internal/owner/fence.go
@@ -5,7 +5,7 @@
 // Closed.
 type Fence struct {
 	highestTokens map[string]uint64 // highest token seen, by lease name
-	closed        bool              // the floors are not known yet
+	closed        bool              // Open was not called yet: every effect is refused
 	flaws         Flaws
 }
 
--- a/internal/owner/lease.go
+++ b/internal/owner/lease.go
@@ -17,8 +17,8 @@
 	Margin time.Duration
 }
 
-// DefaultTerms returns Terms for proxies on one network: an owner that has died is replaced within
-// about 3 s.
+// DefaultTerms returns LeaseTerms for proxies on one network: an owner that has died is replaced
+// within about 3 s.
 func DefaultTerms() LeaseTerms {
 	return LeaseTerms{Lease: 2 * time.Second, Margin: 100 * time.Millisecond}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -29,12 +29,12 @@
 
 // Counters holds the event counts of a Peers since its start.
 type Counters struct {
-	Pings, PingReqs uint64 // direct probes and requests for indirect probes sent
+	Pings, PingReqs uint64 // sent by this process: direct probes, requests for indirect probes
 	Suspected       uint64 // members suspected because they did not answer this process
-	Refuted         uint64 // suspicions of this process that it refuted
+	Refuted         uint64 // false records of this process, held by others, that it refuted
 	Died            uint64 // members declared dead
 	NameConflicts   uint64 // members found to have the name of another live member
-	Dropped         uint64 // packets and records dropped because they were invalid
+	Dropped         uint64 // invalid packets and records that it received and dropped
 }
 
 // Peers is one process's view of the members. It is not safe for concurrent use.
@@ -113,7 +113,7 @@
 	return p.members.liveMembers()
 }
 
-// Count returns the number of live members, this process included.
+// Count returns the number of live members. It includes this process and suspected members.
 func (p *Peers) Count() int { return 1 + p.members.liveOthers }
 
 // AddrOf returns the address of the member with the given session. The result is false if the
@@ -125,8 +125,8 @@
 	return netip.AddrPort{}, false
 }
 
-// IsLive reports whether the member with the given session is known and live. A suspected member is
-// live. For this process's own session the result is false.
+// IsLive reports whether another member with the given session is known and live. A suspected
+// member is live. For this process's own session the result is false.
 func (p *Peers) IsLive(session uint64) bool {
 	m := p.members.find(session)
 	return m != nil && m.live()
--- a/internal/poll/epoll.go
+++ b/internal/poll/epoll.go
@@ -50,7 +50,8 @@
 
 func (k *epoll) Wake() {
 	one := [8]byte{1}
-	_, _ = unix.Write(k.wakefd, one[:]) // EAGAIN means that the counter is full, which also wakes the loop
+	// EAGAIN means that the counter is full, which also wakes the loop.
+	_, _ = unix.Write(k.wakefd, one[:])
 }
 
 // timeoutMillis converts a maximum wait to the whole milliseconds of epoll_wait; -1 means no limit.
@@ -131,9 +132,11 @@
 	if err != nil {
 		return -1, fmt.Errorf("%w: %w", ErrNoSocket, err)
 	}
-	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // a failure costs only latency
+	// A failure costs only latency.
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	err = k.calls.Connect(fd, sockaddr(to))
-	if err != nil && !errors.Is(err, unix.EINPROGRESS) && !errors.Is(err, unix.EINTR) { // EINTR: the connection attempt continues
+	// EINTR: the connection attempt continues.
+	if err != nil && !errors.Is(err, unix.EINPROGRESS) && !errors.Is(err, unix.EINTR) {
 		k.CloseFD(fd)
 		return -1, classifyConnectError(err)
 	}
@@ -205,7 +208,8 @@
 	return k.calls.OpenFile("/dev/null", unix.O_RDONLY|unix.O_CLOEXEC, 0)
 }
 
-func (k *epoll) CloseFD(fd int) { _ = k.calls.Close(fd) } // Linux frees the descriptor even if close returns an error
+// CloseFD ignores an error: Linux frees the descriptor even if close returns one.
+func (k *epoll) CloseFD(fd int) { _ = k.calls.Close(fd) }
 
 func eventMask(want Interest) uint32 {
 	var events uint32
@@ -234,7 +238,8 @@
 		switch err {
 		case nil:
 			return n, nil
-		case unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM: // the shortage is temporary, and the socket stays ready
+		// A shortage is temporary, and the socket stays ready.
+		case unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM:
 			return 0, ErrAgain
 		case unix.EINTR:
 		default:
--- a/internal/poll/listener.go
+++ b/internal/poll/listener.go
@@ -15,7 +15,7 @@
 	reserve       int // descriptor; -1: none
 	accept        func(s *Socket, last bool) Handler
 	retry         Timer     // resumes accepting after pause
-	shortageSince time.Time // start of the current shortage of files or memory on the machine; zero: none
+	shortageSince time.Time // start of the machine's shortage of files or memory; zero: none
 }
 
 // receiveBuffer limits, in bytes, the data that the kernel buffers for a connection that is not
--- a/internal/poll/loop.go
+++ b/internal/poll/loop.go
@@ -41,7 +41,7 @@
 	wake         func()    // called on the loop after Wake or Post
 	openCount    int       // open sockets
 	urgent       []*Socket // their handlers are called first in a turn
-	staleWatches []*Socket // sockets whose current interest the kernel does not have, see updateWatch
+	staleWatches []*Socket // their want is to be registered again with the kernel, see updateWatch
 
 	mu     sync.Mutex
 	posted []func() // functions from other goroutines, to be called on the loop
--- a/internal/poll/poll_test.go
+++ b/internal/poll/poll_test.go
@@ -204,7 +204,8 @@
 	var remoteC int
 	var c *readRecorder
 	swap := func(from *readRecorder) Handler {
-		return handlerFunc(func(Ready) { // the first call closes both sockets and opens another one in their place
+		// The first call closes both sockets and opens another one in their place.
+		return handlerFunc(func(Ready) {
 			a.sock.Close()
 			b.sock.Close()
 			if c == nil {
--- a/internal/poll/socket.go
+++ b/internal/poll/socket.go
@@ -15,8 +15,8 @@
 	want       Interest
 	handler    Handler
 	urgent     bool // see SetUrgent
-	watched    bool // the kernel watches the descriptor
-	watchStale bool // the kernel watches for something other than want, see Loop.updateWatch
+	watched    bool // Kernel.Watch has succeeded once; the interest may be stale, see watchStale
+	watchStale bool // the kernel does not have want, see Loop.updateWatch; in Loop.staleWatches
 }
 
 // Dial starts a connection. The connection is established, or has failed, once the socket is ready
--- a/internal/poll/syscalls.go
+++ b/internal/poll/syscalls.go
@@ -19,8 +19,9 @@
 	EpollWait    func(epfd int, events []unix.EpollEvent, milliseconds int) (int, error)
 	Read         func(fd int, p []byte) (int, error)
 	Send         func(fd int, p []byte) (int, error)
-	OpenFile     func(path string, flags int, mode uint32) (int, error)
-	Close        func(fd int) error
+	// OpenFile opens /dev/null as the reserve descriptor of a Listener.
+	OpenFile func(path string, flags int, mode uint32) (int, error)
+	Close    func(fd int) error
 	// WallTime returns the wall clock time, which may be stepped.
 	WallTime func() time.Time
 }
--- a/internal/poll/timer.go
+++ b/internal/poll/timer.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// armedTimer is the heap entry of an armed timer. The due time, relative to the start of the loop,
-// is stored beside the pointer: in a heap of tens of thousands of timers each comparison would
+// armedTimer is the heap entry of an armed timer. The due time, as a duration since Loop.start, is
+// stored beside the pointer: in a heap of tens of thousands of timers each comparison would
 // otherwise cause a cache miss.
 type armedTimer struct {
 	dueSinceStart time.Duration
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -391,7 +391,8 @@
 	waits := b.dialClient()
 	waits.write(t, "OPEN w k c=c,d=30000\r\n")
 	b.settle()
-	b.frontend.settings.MaxWaitByClass = []time.Duration{1400 * time.Millisecond} // SIGKILL after 2.1 s
+	// SIGKILL after 2.1 s.
+	b.frontend.settings.MaxWaitByClass = []time.Duration{1400 * time.Millisecond}
 	begin, done := b.now(), false
 	b.frontend.Drain(func() { done = true })
 	most, before := 0, 0
--- a/internal/proxy/standing.go
+++ b/internal/proxy/standing.go
@@ -17,8 +17,8 @@
 	// delayNoteInterval is the least time between two notes to the module about slow messages at a
 	// target.
 	delayNoteInterval = time.Second
-	// delayNoteDivisor: a message is slow if it takes longer than settings.MessageTarget (the
-	// shortest target for a message) divided by it.
+	// delayNoteDivisor: a message is slow if it takes longer than settings.MessageLatencyTarget
+	// (the shortest target for a message) divided by it.
 	delayNoteDivisor = 3
 )
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -55,18 +55,20 @@
 
 // Settings is the decoded settings object.
 type Settings struct {
-	Config       balance.Config
-	Classes      map[string]int // index in Config.Classes by class name
-	Tenants      map[string]int // index in Config.Tenants by tenant name
-	ReportFields []string       // names of the values of a load report, in the order in which the simulator sends them
-	// The fields from MaxWaitByClass to ReportsLoad are used only by a proxy that serves sockets.
-	MaxWaitByClass       []time.Duration // by class index: longest time that a client of the class waits
+	Config  balance.Config
+	Classes map[string]int // index in Config.Classes by class name
+	Tenants map[string]int // index in Config.Tenants by tenant name
+	// ReportFields are the names of the values of a load report, in the order in which the
+	// simulator sends them.
+	ReportFields []string
+	// Only a proxy that serves sockets uses the fields from MaxWaitByClass to WantsLoadMetric.
+	MaxWaitByClass       []time.Duration // by class index: longest wait of a client
 	DialTimeout          time.Duration   // a connection that is not established by then has failed
-	DrainGrace           time.Duration   // grace period for new work to a server after its drain was announced
-	ConnIdleTimeout      time.Duration   // idle connections are closed after this time; 0: never
-	MessageLatencyTarget time.Duration   // lowest message latency target of all classes; 0: no class has one
-	WantsDelayMetric     bool            // slow messages are reported to the module
-	WantsLoadMetric      bool            // the load of connections is reported to the module
+	DrainGrace           time.Duration   // for new work to a server after its drain was announced
+	ConnIdleTimeout      time.Duration   // until an idle connection for probes is closed; 0: never
+	MessageLatencyTarget time.Duration   // lowest of all classes; 0: no class has a target
+	WantsDelayMetric     bool            // the module is told the delay of slow messages
+	WantsLoadMetric      bool            // the module is told the load of connections
 	x0IsLoad             bool            // value x0 of a report is the load divided by the capacity
 }
 
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -68,7 +68,8 @@
 // Add adds the counters of another proxy, or of an earlier run of the same one.
 func (c *Counters) Add(o *Counters) {
 	dst, src := reflect.ValueOf(c).Elem(), reflect.ValueOf(o).Elem()
-	for i := range dst.NumField() { // all fields are ints; reflection also covers fields added later
+	// All fields are ints; reflection also covers fields added later.
+	for i := range dst.NumField() {
 		dst.Field(i).SetInt(dst.Field(i).Int() + src.Field(i).Int())
 	}
 }
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -45,7 +45,7 @@
 	Seed          uint64
 	Config        balance.Config
 	List          balance.ListKind
-	Backends      []balance.Backend // shared by all events that refer to the same catalogue: read-only
+	Backends      []balance.Backend // shared by all events of the same catalogue: read-only
 	Request       balance.Request
 	Attempt       int
 	ClientSettled bool // the client needs no further answer
@@ -53,7 +53,7 @@
 	Outcome       balance.Outcome
 	Report        balance.Report
 	Metric        balance.Metric
-	MetricKnown   bool // Metric is valid; false: the message has a metric that this package does not know
+	MetricKnown   bool // Metric is valid; false: this package does not know the metric
 	MetricValue   float64
 	Token         uint64
 }
@@ -96,7 +96,7 @@
 	catalogues   [maxCatalogues][]balance.Backend
 	catalogueSet [maxCatalogues]bool
 	instances    map[int]*settings.Settings // settings of each running instance
-	backendIDs   map[string]string          // backend IDs read so far, so that equal IDs share one string
+	backendIDs   map[string]string          // backend IDs read so far: equal IDs share one string
 	values       [][]byte                   // values of the current line
 	err          error                      // first invalid value of the current line
 }
