--- a/internal/duty/discovery.go
+++ b/internal/duty/discovery.go
@@ -23,15 +23,16 @@
 	fallbackFraction = 0.25 // spread of the processes' own queries after that
 )
 
-// RelyUntil returns the time until which a process need not query discovery itself; the zero time
-// means that it must query now. The argument confirmed is the latest time at which the owner's
+// RelyUntil returns the time until which a process relies on the list that the owner of the
+// Discovery lease, another process, has announced, and need not query discovery itself; the zero
+// time means that it must query now. The argument listConfirmedAt is the latest time at which that
 // announcement was known to be up to date, and askWithin is the longest time that a process may go
 // without a query.
-func RelyUntil(confirmed time.Time, askWithin time.Duration) time.Time {
-	if confirmed.IsZero() || askWithin <= 0 {
+func RelyUntil(listConfirmedAt time.Time, askWithin time.Duration) time.Time {
+	if listConfirmedAt.IsZero() || askWithin <= 0 {
 		return time.Time{}
 	}
-	return confirmed.Add(time.Duration(relyFraction * float64(askWithin)))
+	return listConfirmedAt.Add(time.Duration(relyFraction * float64(askWithin)))
 }
 
 // FallbackSpread returns the duration over which the processes' own queries to discovery are spread
@@ -83,9 +84,9 @@
 // ReceivedList is the owner's announcement as it applies to the receiving process.
 type ReceivedList struct {
 	List *routes.List // to be merged into the routing table
-	// Unknown counts the targets whose address this process does not know and may not take from the
-	// owner. If it is above 0, the process must query discovery itself.
-	Unknown int
+	// UnknownAddrs counts the targets whose address this process does not know and may not take
+	// from the owner. If it is above 0, the process must query discovery itself.
+	UnknownAddrs int
 }
 
 // DecodeList decodes the owner's announcement. A target that find returns keeps the address by
@@ -133,11 +134,11 @@
 // entry's ID, or nil if it has none.
 func (r *ReceivedList) add(entry *listEntry, known *routes.Target, sameAddrs bool) error {
 	if known == nil && !sameAddrs {
-		r.Unknown++
+		r.UnknownAddrs++
 		return nil
 	}
 	if known != nil && known.StartUnixMS != entry.StartUnixMS && !sameAddrs {
-		r.Unknown++ // the target has restarted, possibly at another address
+		r.UnknownAddrs++ // the target has restarted, possibly at another address
 	}
 	target := entry.target()
 	if known != nil {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -49,8 +49,8 @@
 type Keepers struct {
 	Members []string      `ini:"members"`                  // ID@ADDRESS of each of the 3 or 5 keepers
 	Dir     string        `ini:"dir"`                      // directory of the keeper's log
-	Lease   time.Duration `ini:"lease" min:"0.2" max:"60"` // see owner.Terms
-	Margin  time.Duration `ini:"margin"`                   // see owner.Terms
+	Lease   time.Duration `ini:"lease" min:"0.2" max:"60"` // see owner.LeaseTerms
+	Margin  time.Duration `ini:"margin"`                   // see owner.LeaseTerms
 }
 
 // Duties lists the leases that this process takes if they are free.
@@ -121,8 +121,8 @@
 
 // Terms returns the durations that govern leases. They must be the same in all processes of a
 // fleet.
-func (c *Config) Terms() owner.Terms {
-	return owner.Terms{Lease: c.Keepers.Lease, Margin: c.Keepers.Margin}
+func (c *Config) Terms() owner.LeaseTerms {
+	return owner.LeaseTerms{Lease: c.Keepers.Lease, Margin: c.Keepers.Margin}
 }
 
 // RestartSettings returns the settings that take effect only after a restart, as one text. A reload
--- a/internal/proxy/standing.go
+++ b/internal/proxy/standing.go
@@ -17,8 +17,8 @@
 	// delayNoteInterval is the least time between two notes to the module about slow messages at a
 	// target.
 	delayNoteInterval = time.Second
-	// delayNoteDivisor: a message is slow if it takes longer than settings.MessageTarget (the
-	// shortest target for a message) divided by it.
+	// delayNoteDivisor: a message is slow if it takes longer than settings.MessageLatencyTarget
+	// (the shortest target for a message) divided by it.
 	delayNoteDivisor = 3
 )
 
@@ -55,7 +55,7 @@
 		first, rest = line.Next(rest)
 		switch word, value := line.ParseWord(line.TrimLineEnd(first)); word {
 		case line.Load:
-			if level, ok := line.ParseNumber(value); ok && s.frontend.settings.ReportsLoad {
+			if level, ok := line.ParseNumber(value); ok && s.frontend.settings.WantsLoadMetric {
 				s.exchange.Load(level)
 			}
 		case line.Bye:
@@ -111,10 +111,10 @@
 // again.
 func (h *hop) reportDelay(took time.Duration) {
 	f, p := h.session.frontend, h.target
-	if !f.settings.ReportsDelay || f.settings.MessageTarget <= 0 {
+	if !f.settings.WantsDelayMetric || f.settings.MessageLatencyTarget <= 0 {
 		return
 	}
-	now, slow := f.loop.Now(), took > f.settings.MessageTarget/delayNoteDivisor
+	now, slow := f.loop.Now(), took > f.settings.MessageLatencyTarget/delayNoteDivisor
 	if slow && now.Sub(p.lastDelayNote) < delayNoteInterval || !slow && !p.slow {
 		return
 	}
