--- a/internal/shared/carrier/carrier.go
+++ b/internal/shared/carrier/carrier.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// Matter names the evidence among what processes tell each other.
-	Matter = "evidence"
+	// Topic names the evidence among what processes tell each other.
+	Topic = "evidence"
 	// LookEvery is the time between two calls of Look, AskEvery about that between two questions.
 	LookEvery = 200 * time.Millisecond
 	AskEvery  = 500 * time.Millisecond
@@ -44,7 +44,7 @@
 
 // Take takes what another process says; what is of another matter, or can't be read, changes nothing.
 func (c *Carrier) Take(now time.Time, from netip.AddrPort, s *mesh.Shared) {
-	if s.Matter != Matter || c.node == nil {
+	if s.Matter != Topic || c.node == nil {
 		return
 	}
 	m, err := evidence.Decode(s.Data)
@@ -66,7 +66,7 @@
 
 func (c *Carrier) send(to netip.AddrPort, m *evidence.Message) {
 	if text, err := m.Encode(); err == nil {
-		c.node.Share(to, Matter, text)
+		c.node.Share(to, Topic, text)
 	}
 }
 
