--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -244,7 +244,7 @@
 // tick publishes this process's new evidence and evaluates that of the others.
 func (f *fleet) tick() {
 	now := f.loop.Now()
-	f.loop.After(&f.tickTimer, carrier.LookEvery)
+	f.loop.After(&f.tickTimer, carrier.TickInterval)
 	if f.limits != nil {
 		f.limits.tick(now)
 	}
--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -32,7 +32,7 @@
 }
 
 const (
-	tickInterval = carrier.LookEvery
+	tickInterval = carrier.TickInterval
 	// trialInterval is the length of a turn, in which some of the processes try a target that has a
 	// verdict.
 	trialInterval = time.Second
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -217,7 +217,7 @@
 	now := m.loop.Now()
 	m.try(now)
 	m.clients(now)
-	if now.Sub(m.looked) >= carrier.LookEvery {
+	if now.Sub(m.looked) >= carrier.TickInterval {
 		m.looked = now
 		m.look(now)
 	}
--- a/internal/shared/carrier/carrier.go
+++ b/internal/shared/carrier/carrier.go
@@ -15,9 +15,9 @@
 const (
 	// Topic names the evidence among what processes tell each other.
 	Topic = "evidence"
-	// LookEvery is the time between two calls of Look, AskEvery about that between two questions.
-	LookEvery = 200 * time.Millisecond
-	AskEvery  = 500 * time.Millisecond
+	// TickInterval is the time between two calls of Look, AskEvery about that between two questions.
+	TickInterval  = 200 * time.Millisecond
+	QueryInterval = 500 * time.Millisecond
 	// hotFan is to how many members trouble is told at once; each that had not heard of it tells as many.
 	hotFan = 3
 )
@@ -33,7 +33,7 @@
 // New returns a carrier with a store of its own; Bind comes before all else.
 func New(now time.Time, me evidence.Writer, c evidence.Config, f evidence.Flaws) *Carrier {
 	s := evidence.New(now, me, c, f)
-	return &Carrier{store: s, gossip: evidence.NewGossip(s, AskEvery)}
+	return &Carrier{store: s, gossip: evidence.NewGossip(s, QueryInterval)}
 }
 
 // Bind tells by which node it speaks.
