--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -228,7 +228,7 @@
 	me := evidence.Writer{Session: m.Session, Name: cmp.Or(m.Name, c.Name), Zone: m.Zone}
 	f.carrier = carrier.New(f.loop.Now(), me, evidenceConfig, evidence.Flaws{})
 	f.tickTimer.Fire = f.tick
-	m.Shared = func(from netip.AddrPort, s *mesh.Shared) { f.carrier.Take(f.loop.Now(), from, s) }
+	m.Shared = func(from netip.AddrPort, s *mesh.Shared) { f.carrier.Receive(f.loop.Now(), from, s) }
 	m.SharedView = f.sharedView
 	if v != nil {
 		f.verdicts = newVerdicts(f, *v)
@@ -251,7 +251,7 @@
 	if f.retries != nil {
 		f.retries.tick(now)
 	}
-	f.carrier.Look(now)
+	f.carrier.Tick(now)
 	if f.verdicts != nil {
 		f.verdicts.tick(now)
 	}
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -175,7 +175,7 @@
 	m.gate.Expect = 5
 	m.slices = limit.NewSlices(&strictL, c.Session)
 	c.Zone = m.zone
-	c.Shared = func(from netip.AddrPort, s *mesh.Shared) { m.carrier.Take(loop.Now(), from, s) }
+	c.Shared = func(from netip.AddrPort, s *mesh.Shared) { m.carrier.Receive(loop.Now(), from, s) }
 	m.timer = poll.Timer{Fire: m.act}
 	loop.After(&m.timer, tick)
 }
@@ -328,7 +328,7 @@
 func (m *member) look(now time.Time) {
 	store := m.carrier.Store()
 	m.tellUse(now)
-	m.carrier.Look(now)
+	m.carrier.Tick(now)
 	list := make([]verdict.Target, targets)
 	for t := range list {
 		list[t] = verdict.Target{ID: id(t), Zone: zones[t%len(zones)]}
--- a/internal/shared/carrier/carrier.go
+++ b/internal/shared/carrier/carrier.go
@@ -42,8 +42,8 @@
 // Store is the evidence.
 func (c *Carrier) Store() *evidence.Store { return c.store }
 
-// Take takes what another process says; what is of another matter, or can't be read, changes nothing.
-func (c *Carrier) Take(now time.Time, from netip.AddrPort, s *mesh.Shared) {
+// Receive takes what another process says; what is of another matter, or can't be read, changes nothing.
+func (c *Carrier) Receive(now time.Time, from netip.AddrPort, s *mesh.Shared) {
 	if s.Matter != Topic || c.node == nil {
 		return
 	}
@@ -70,8 +70,8 @@
 	}
 }
 
-// Look tells others what is new, asks one of them if it is time, and drops what is old.
-func (c *Carrier) Look(now time.Time) {
+// Tick tells others what is new, asks one of them if it is time, and drops what is old.
+func (c *Carrier) Tick(now time.Time) {
 	if hot := c.gossip.Hot(now); hot != nil {
 		for _, m := range c.node.RandomMembers(hotFan) {
 			c.send(m.Addr, hot)
