--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -69,7 +69,7 @@
 		case proxy.FromHop:
 			c.OK = 1
 		case proxy.FromProbe:
-			c.Seen = 1
+			c.ProbeOK = 1
 		default:
 			return // a connection that its client closed is no evidence
 		}
--- a/internal/shared/evidence/evidence.go
+++ b/internal/shared/evidence/evidence.go
@@ -19,11 +19,11 @@
 
 // Counts are outcomes of one window.
 type Counts struct {
-	OK     uint32 `cbor:"1,keyasint,omitempty"`
-	Fail   uint32 `cbor:"2,keyasint,omitempty"` // answered with an error, refused or broken
-	Silent uint32 `cbor:"3,keyasint,omitempty"` // no connection came up, or a probe had no answer
-	Slow   uint32 `cbor:"4,keyasint,omitempty"` // a hop without its answer in time
-	Seen   uint32 `cbor:"5,keyasint,omitempty"` // a probe that was answered: there is somebody, whatever he does with requests
+	OK      uint32 `cbor:"1,keyasint,omitempty"`
+	Fail    uint32 `cbor:"2,keyasint,omitempty"` // answered with an error, refused or broken
+	Silent  uint32 `cbor:"3,keyasint,omitempty"` // no connection came up, or a probe had no answer
+	Slow    uint32 `cbor:"4,keyasint,omitempty"` // a hop without its answer in time
+	ProbeOK uint32 `cbor:"5,keyasint,omitempty"` // a probe that was answered: there is somebody, whatever he does with requests
 }
 
 // Bad is how many were not OK.
@@ -31,11 +31,11 @@
 
 // join takes the larger of each count: a cell has one writer, whose counts only grow.
 func (c Counts) join(o Counts) Counts {
-	return Counts{max(c.OK, o.OK), max(c.Fail, o.Fail), max(c.Silent, o.Silent), max(c.Slow, o.Slow), max(c.Seen, o.Seen)}
+	return Counts{max(c.OK, o.OK), max(c.Fail, o.Fail), max(c.Silent, o.Silent), max(c.Slow, o.Slow), max(c.ProbeOK, o.ProbeOK)}
 }
 
 func (c Counts) add(o Counts) Counts {
-	return Counts{c.OK + o.OK, c.Fail + o.Fail, c.Silent + o.Silent, c.Slow + o.Slow, c.Seen + o.Seen}
+	return Counts{c.OK + o.OK, c.Fail + o.Fail, c.Silent + o.Silent, c.Slow + o.Slow, c.ProbeOK + o.ProbeOK}
 }
 
 // Key names a cell.
@@ -164,7 +164,7 @@
 // sum counts a target in the window's sums: once as one that did well, once as one that did badly.
 func (s *Store) sum(n uint32, c, seen Counts) {
 	first := Counts{}
-	if seen.OK+seen.Seen == 0 && c.OK+c.Seen > 0 {
+	if seen.OK+seen.ProbeOK == 0 && c.OK+c.ProbeOK > 0 {
 		first.OK = 1
 	}
 	if seen.Bad() == 0 && c.Bad() > 0 {
@@ -183,7 +183,7 @@
 	n := 0
 	for _, w := range s.writers {
 		for _, c := range w.cells[target] {
-			if c.counts.OK+c.counts.Seen > 0 && !w.start.IsZero() && s.age(now, w, c.n) < s.cfg.Width {
+			if c.counts.OK+c.counts.ProbeOK > 0 && !w.start.IsZero() && s.age(now, w, c.n) < s.cfg.Width {
 				n++
 				break
 			}
@@ -279,7 +279,7 @@
 func (s *Store) Use(now time.Time, key string, use, want int) {
 	n := s.windowAt(now)
 	c := s.get(s.me, key, n)
-	s.put(s.me, key, n, Counts{OK: max(c.OK, uint32(use)), Seen: max(c.Seen, uint32(want))})
+	s.put(s.me, key, n, Counts{OK: max(c.OK, uint32(use)), ProbeOK: max(c.ProbeOK, uint32(want))})
 }
 
 // Uses calls f for the latest use of a limit by each process of which an age is known, this one included, by session.
@@ -288,7 +288,7 @@
 		if list := w.cells[key]; len(list) > 0 && !w.start.IsZero() {
 			last := list[len(list)-1]
 			// The use is as of some time in that window.
-			f(w.Writer, int(last.counts.OK), int(last.counts.Seen), s.age(now, w, last.n)+s.cfg.Width)
+			f(w.Writer, int(last.counts.OK), int(last.counts.ProbeOK), s.age(now, w, last.n)+s.cfg.Width)
 		}
 	}
 }
--- a/internal/shared/evidence/evidence_test.go
+++ b/internal/shared/evidence/evidence_test.go
@@ -81,7 +81,7 @@
 		switch rapid.IntRange(0, 3).Draw(t, "what") {
 		case 0:
 			target := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "target")
-			stores[i].Saw(now, target, rapid.SampledFrom([]Counts{{OK: 1}, {Fail: 1}, {Silent: 1}, {Seen: 1}}).Draw(t, "counts"))
+			stores[i].Saw(now, target, rapid.SampledFrom([]Counts{{OK: 1}, {Fail: 1}, {Silent: 1}, {ProbeOK: 1}}).Draw(t, "counts"))
 		case 1:
 			if j := (i + 1) % n; rapid.Bool().Draw(t, "question arrives") {
 				answer(j, i, gossips[i].Ask(now, uint64(j+1)))
--- a/internal/shared/verdict/verdict.go
+++ b/internal/shared/verdict/verdict.go
@@ -89,7 +89,7 @@
 // against silence only: a target may answer them and fail every request.
 func (o *opinion) settle() {
 	o.failed = o.bad.Fail > 0 && o.bad.Fail >= o.good.OK
-	o.silent = o.bad.Silent+o.bad.Slow > 0 && o.bad.Bad() >= o.good.OK+o.good.Seen
+	o.silent = o.bad.Silent+o.bad.Slow > 0 && o.bad.Bad() >= o.good.OK+o.good.ProbeOK
 }
 
 func (o *opinion) accuses() bool { return o.failed || o.silent }
@@ -132,7 +132,7 @@
 		if x.OK > 0 {
 			o.goodAge = min(o.goodAge, x.Age)
 		}
-		if x.Seen > 0 {
+		if x.ProbeOK > 0 {
 			o.seenAge = min(o.seenAge, x.Age)
 		}
 		if x.Bad() > 0 {
@@ -143,7 +143,7 @@
 		}
 		if x.Age <= c.Fresh || f.NoAge {
 			o.good.OK += x.OK
-			o.good.Seen += x.Seen
+			o.good.ProbeOK += x.ProbeOK
 			o.bad.Fail += x.Fail
 			o.bad.Silent += x.Silent
 			o.bad.Slow += x.Slow
--- a/internal/shared/verdict/verdict_test.go
+++ b/internal/shared/verdict/verdict_test.go
@@ -58,7 +58,7 @@
 
 var (
 	ok     = evidence.Counts{OK: 1}
-	seen   = evidence.Counts{Seen: 1}
+	seen   = evidence.Counts{ProbeOK: 1}
 	fails  = evidence.Counts{Fail: 1}
 	silent = evidence.Counts{Silent: 1}
 	slow   = evidence.Counts{Slow: 1}
