--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -88,7 +88,7 @@
 	if o := s.conf.Verdicts; o.On {
 		v := instance.DefaultVerdicts()
 		v.Judge = verdict.Config{Fresh: o.Fresh, Forget: o.Forget, Witnesses: o.Witnesses, Part: o.Part}
-		v.Evidence.Keep = o.Forget + v.Evidence.Width
+		v.Evidence.Retention = o.Forget + v.Evidence.WindowLength
 		v.OnChange = s.judged
 		f.Verdicts = &v
 	}
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -165,9 +165,9 @@
 	m.refused = make(map[string]int)
 	m.roster = limit.Roster{}
 	conf := evidence.DefaultConfig()
-	conf.Width, conf.Keep = 250*time.Millisecond, 10*time.Second
+	conf.WindowLength, conf.Retention = 250*time.Millisecond, 10*time.Second
 	if g.o.Plant == "no-age" {
-		conf.Keep = time.Hour
+		conf.Retention = time.Hour
 	}
 	me := evidence.Writer{Session: c.Session, Name: m.name, Zone: m.zone}
 	m.carrier = carrier.New(loop.Now(), me, conf, evidence.Flaws{MergeAdds: g.o.Plant == "merge-adds"})
--- a/internal/shared/evidence/evidence.go
+++ b/internal/shared/evidence/evidence.go
@@ -54,16 +54,16 @@
 
 // Config has the figures on which all processes must agree.
 type Config struct {
-	Width time.Duration // of a window. Above 0
-	Keep  time.Duration // older cells are dropped
-	Drift float64       // largest error of a clock's rate against another's
+	WindowLength time.Duration // of a window. Above 0
+	Retention    time.Duration // older cells are dropped
+	ClockDrift   float64       // largest error of a clock's rate against another's
 	// Most cells and writers that are held; further ones are dropped and counted.
-	MostCells, MostWriters int
+	MaxCells, MaxWriters int
 }
 
 // DefaultConfig has the figures that serve: 1,000 members, each with a cell for a hundred targets.
 func DefaultConfig() Config {
-	return Config{Width: 500 * time.Millisecond, Keep: 30 * time.Second, Drift: 0.02, MostCells: 100_000, MostWriters: 1_024}
+	return Config{WindowLength: 500 * time.Millisecond, Retention: 30 * time.Second, ClockDrift: 0.02, MaxCells: 100_000, MaxWriters: 1_024}
 }
 
 // Flaws are mistakes to be planted in tests. The zero value has none.
@@ -136,7 +136,7 @@
 	if ok {
 		return s.writers[i]
 	}
-	if len(s.writers) >= s.cfg.MostWriters {
+	if len(s.writers) >= s.cfg.MaxWriters {
 		return nil
 	}
 	n := &writer{Writer: w, cells: make(map[string][]window)}
@@ -146,7 +146,7 @@
 
 // windowAt is the number of the own window now.
 func (s *Store) windowAt(now time.Time) uint32 {
-	return uint32(max(now.Sub(s.me.start), 0) / s.cfg.Width)
+	return uint32(max(now.Sub(s.me.start), 0) / s.cfg.WindowLength)
 }
 
 // Saw takes an outcome of this process's own, with counts of one.
@@ -183,7 +183,7 @@
 	n := 0
 	for _, w := range s.writers {
 		for _, c := range w.cells[target] {
-			if c.counts.OK+c.counts.ProbeOK > 0 && !w.start.IsZero() && s.age(now, w, c.n) < s.cfg.Width {
+			if c.counts.OK+c.counts.ProbeOK > 0 && !w.start.IsZero() && s.age(now, w, c.n) < s.cfg.WindowLength {
 				n++
 				break
 			}
@@ -211,7 +211,7 @@
 	if ok && list[i].counts == c {
 		return false
 	}
-	if !ok && s.cells >= s.cfg.MostCells {
+	if !ok && s.cells >= s.cfg.MaxCells {
 		s.Dropped++
 		return false
 	}
@@ -288,7 +288,7 @@
 		if list := w.cells[key]; len(list) > 0 && !w.start.IsZero() {
 			last := list[len(list)-1]
 			// The use is as of some time in that window.
-			f(w.Writer, int(last.counts.OK), int(last.counts.ProbeOK), s.age(now, w, last.n)+s.cfg.Width)
+			f(w.Writer, int(last.counts.OK), int(last.counts.ProbeOK), s.age(now, w, last.n)+s.cfg.WindowLength)
 		}
 	}
 }
@@ -346,7 +346,7 @@
 
 // started is when a writer started, as far as it is certain now.
 func (s *Store) started(now time.Time, w *writer) time.Time {
-	return w.start.Add(-time.Duration(float64(max(now.Sub(w.when), 0)) * s.cfg.Drift))
+	return w.start.Add(-time.Duration(float64(max(now.Sub(w.when), 0)) * s.cfg.ClockDrift))
 }
 
 // Run is for how long a writer has run at the most, and how long ago it had said so itself, at the most: that is what others may
@@ -358,14 +358,14 @@
 	}
 	w := s.writers[i]
 	if w != s.me {
-		old = time.Duration(float64(max(now.Sub(w.said), 0)) * (1 + s.cfg.Drift))
+		old = time.Duration(float64(max(now.Sub(w.said), 0)) * (1 + s.cfg.ClockDrift))
 	}
 	return now.Sub(s.started(now, w)), old, true
 }
 
 // age of a cell is the time since its window's end, at the least 0; it is never under the true one.
 func (s *Store) age(now time.Time, w *writer, n uint32) time.Duration {
-	return max(now.Sub(s.started(now, w).Add(time.Duration(n+1)*s.cfg.Width)), 0)
+	return max(now.Sub(s.started(now, w).Add(time.Duration(n+1)*s.cfg.WindowLength)), 0)
 }
 
 // Sighting is a cell with what is known of its writer and its age.
@@ -409,11 +409,11 @@
 		if w.start.IsZero() && w.when.IsZero() {
 			w.when = now // an age may still come
 		}
-		unknown := w.start.IsZero() && now.Sub(w.when) > s.cfg.Keep
+		unknown := w.start.IsZero() && now.Sub(w.when) > s.cfg.Retention
 		for t, list := range w.cells { // in no order: each is dropped for itself
 			left := list[:0]
 			for _, c := range list {
-				if !unknown && (w.start.IsZero() || s.age(now, w, c.n) <= s.cfg.Keep) {
+				if !unknown && (w.start.IsZero() || s.age(now, w, c.n) <= s.cfg.Retention) {
 					left = append(left, c)
 				} else if t != "" && c.counts.Bad() > 0 {
 					w.bad--
--- a/internal/shared/evidence/evidence_test.go
+++ b/internal/shared/evidence/evidence_test.go
@@ -167,7 +167,7 @@
 			}
 			found = true
 			// The window ends at most a width after what was seen in it.
-			if true_ := arrived.Sub(begin) - a.cfg.Width; x.Age < true_ {
+			if true_ := arrived.Sub(begin) - a.cfg.WindowLength; x.Age < true_ {
 				t.Fatalf("it looks %v old and is %v", x.Age, true_)
 			}
 		})
@@ -304,7 +304,7 @@
 // A store is bounded, whatever its peers claim, and what is old goes.
 func TestBounded(t *testing.T) {
 	c := DefaultConfig()
-	c.MostCells, c.MostWriters = 50, 3
+	c.MaxCells, c.MaxWriters = 50, 3
 	s := New(t0, Writer{1, "p1", "z"}, c, Flaws{})
 	for w := range uint64(10) {
 		for n := range uint32(40) {
@@ -315,7 +315,7 @@
 		t.Errorf("%d cells of %d writers, %d dropped", s.Cells(), len(s.writers), s.Dropped)
 	}
 	s.Expire(t0)
-	s.Expire(t0.Add(c.Keep + time.Second))
+	s.Expire(t0.Add(c.Retention + time.Second))
 	if s.Cells() != 0 || s.Disputed() {
 		t.Errorf("%d cells stay", s.Cells())
 	}
--- a/internal/shared/evidence/use_test.go
+++ b/internal/shared/evidence/use_test.go
@@ -28,7 +28,7 @@
 				return
 			}
 			seen = true
-			if use != 10+i || want != i || age < 0 || age > 2*b.cfg.Width {
+			if use != 10+i || want != i || age < 0 || age > 2*b.cfg.WindowLength {
 				t.Errorf("step %d: use %d, want %d, age %v", i, use, want, age)
 			}
 		})
