--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -224,7 +224,7 @@
 	l.fleet.carrier.Store().Uses(now, lim.key, func(w evidence.Writer, use, want int, age time.Duration) {
 		known[w.Session] = limit.Member{Session: w.Session, Use: use, Want: want, Age: age}
 	})
-	me := limit.Member{Session: l.fleet.carrier.Store().Me().Session, Use: lim.currentUse(now), Want: lim.gate.Wanted(now.Sub(l.startedAt))}
+	me := limit.Member{Session: l.fleet.carrier.Store().Self().Session, Use: lim.currentUse(now), Want: lim.gate.Wanted(now.Sub(l.startedAt))}
 	lim.available = lim.gate.Look(now.Sub(l.startedAt), me, l.roster.Members(now, me.Session, known))
 }
 
--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -109,7 +109,7 @@
 			v.targets = append(v.targets, verdict.Target{ID: t.ID, Zone: t.Site})
 		}
 	}
-	list := verdict.Judge(now, v.store, v.store.Me().Zone, v.targets, v.config.Judge, verdict.Flaws{})
+	list := verdict.Judge(now, v.store, v.store.Self().Zone, v.targets, v.config.Judge, verdict.Flaws{})
 	previous := v.findings
 	v.findings = make(map[string]verdict.Finding, len(list))
 	trial, members := now.Sub(v.lastTrial) >= trialInterval, v.fleet.node.Peers().Count()
@@ -122,13 +122,13 @@
 			v.notifyChange(VerdictChange{finding, was})
 		}
 		turn := now.UnixMilli() / trialInterval.Milliseconds()
-		mine := verdict.Turn(v.store.Me().Session, finding.Target, turn, verdict.Triers)
+		mine := verdict.Turn(v.store.Self().Session, finding.Target, turn, verdict.Triers)
 		until := now.Add(2 * tickInterval)
 		if finding.Verdict == verdict.Returning && mine && !finding.Tried {
 			until = time.Time{}
 		}
 		v.fleet.instance.engine.AvoidUntil(finding.Target, until)
-		if trial && finding.Verdict != verdict.Failing && verdict.Turn(v.store.Me().Session, finding.Target, turn, members/probersPerTrial) {
+		if trial && finding.Verdict != verdict.Failing && verdict.Turn(v.store.Self().Session, finding.Target, turn, members/probersPerTrial) {
 			v.lastTrial = now
 			v.fleet.instance.Count.Trials++
 			v.fleet.instance.engine.ProbeDirectly(finding.Target)
--- a/internal/lab/shared/judge.go
+++ b/internal/lab/shared/judge.go
@@ -186,7 +186,7 @@
 		by := make(map[uint64]*member)
 		for _, k := range j.g.order {
 			if o := j.g.members[k]; o.node != nil && o != m {
-				by[o.carrier.Store().Me().Session] = o
+				by[o.carrier.Store().Self().Session] = o
 			}
 		}
 		m.carrier.Store().Each(m.loop.Now(), 2*time.Second, func(x evidence.Sighting) {
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -230,7 +230,7 @@
 		return
 	}
 	t := g.rng.IntN(targets)
-	if x, ok := m.found[id(t)]; ok && (x.Condemned() || x.Tried || !verdict.Turn(m.carrier.Store().Me().Session, id(t), now.Unix(), verdict.Triers)) {
+	if x, ok := m.found[id(t)]; ok && (x.Condemned() || x.Tried || !verdict.Turn(m.carrier.Store().Self().Session, id(t), now.Unix(), verdict.Triers)) {
 		return
 	}
 	f := g.truth[t]
@@ -357,7 +357,7 @@
 	store.Uses(now, softKey, func(w evidence.Writer, use, want int, age time.Duration) {
 		known[w.Session] = limit.Member{Session: w.Session, Use: use, Want: want, Age: age}
 	})
-	me := limit.Member{Session: store.Me().Session, Use: len(m.open[softL.Name]), Want: known[store.Me().Session].Want}
+	me := limit.Member{Session: store.Self().Session, Use: len(m.open[softL.Name]), Want: known[store.Self().Session].Want}
 	m.gate.Look(now.Sub(m.began), me, m.roster.Members(now, me.Session, known))
 	// Slices are duties like others.
 	held := func(i int) bool { _, ok := m.node.Holds(m.slices.Duty(i)); return ok }
--- a/internal/shared/carrier/carrier.go
+++ b/internal/shared/carrier/carrier.go
@@ -90,7 +90,7 @@
 	for i := range members {
 		sessions[i] = members[i].Session
 	}
-	partners := evidence.Partners(c.store.Me().Session, sessions)
+	partners := evidence.Partners(c.store.Self().Session, sessions)
 	if len(partners) == 0 {
 		return
 	}
--- a/internal/shared/evidence/evidence.go
+++ b/internal/shared/evidence/evidence.go
@@ -115,8 +115,8 @@
 	return s
 }
 
-// Me is the process whose store it is.
-func (s *Store) Me() Writer { return s.me.Writer }
+// Self is the process whose store it is.
+func (s *Store) Self() Writer { return s.me.Writer }
 
 // Seq is the number of the last change.
 func (s *Store) Seq() uint64 { return s.seq }
--- a/internal/shared/evidence/evidence_test.go
+++ b/internal/shared/evidence/evidence_test.go
@@ -122,7 +122,7 @@
 	// And it is what happened: of its own outcomes nobody holds more than the one who saw them.
 	for _, s := range stores {
 		for _, w := range stores {
-			i, ok := s.find(w.Me().Session)
+			i, ok := s.find(w.Self().Session)
 			if !ok {
 				continue
 			}
@@ -130,7 +130,7 @@
 				for _, c := range list {
 					if own := w.get(w.me, target, c.n); own != c.counts {
 						if fail {
-							t.Fatalf("%s: %v is held of %d's %v", target, c.counts, w.Me().Session, own)
+							t.Fatalf("%s: %v is held of %d's %v", target, c.counts, w.Self().Session, own)
 						}
 						return false
 					}
@@ -282,7 +282,7 @@
 		}
 		w.Saw(own, "x", Counts{Fail: 1})
 		ask := func(g *Gossip, of *Store, at time.Time) {
-			for _, m := range of.Answer(at, g.Ask(now, of.Me().Session)) {
+			for _, m := range of.Answer(at, g.Ask(now, of.Self().Session)) {
 				g.Take(m)
 			}
 		}
--- a/internal/shared/verdict/verdict_test.go
+++ b/internal/shared/verdict/verdict_test.go
@@ -42,7 +42,7 @@
 	for i := range targets {
 		list = append(list, Target{fmt.Sprint("s", i), []string{"a", "b"}[i%2]})
 	}
-	return Judge(t0.Add(at), f.view, f.view.Me().Zone, list, DefaultConfig(), fl)
+	return Judge(t0.Add(at), f.view, f.view.Self().Zone, list, DefaultConfig(), fl)
 }
 
 func (f *fleet) want(what string, got []Finding, want string) {
