--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -91,7 +91,7 @@
 	if c.Bad() > 0 {
 		v.fleet.instance.Count.Sightings++
 	}
-	v.store.Saw(v.fleet.loop.Now(), target, c)
+	v.store.Record(v.fleet.loop.Now(), target, c)
 }
 
 // tick evaluates the verdicts if there is evidence against a target or a verdict to revise.
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -247,7 +247,7 @@
 	case f.kind == verdict.Silent:
 		c = evidence.Counts{Silent: 1}
 	}
-	m.carrier.Store().Saw(now, id(t), c)
+	m.carrier.Store().Record(now, id(t), c)
 	if c.Bad() > 0 {
 		g.judge.saw(t, m.name)
 		if f.kind != verdict.Sound {
--- a/internal/shared/evidence/evidence.go
+++ b/internal/shared/evidence/evidence.go
@@ -149,8 +149,8 @@
 	return uint32(max(now.Sub(s.me.start), 0) / s.cfg.WindowLength)
 }
 
-// Saw takes an outcome of this process's own, with counts of one.
-func (s *Store) Saw(now time.Time, target string, c Counts) {
+// Record takes an outcome of this process's own, with counts of one.
+func (s *Store) Record(now time.Time, target string, c Counts) {
 	n := s.windowAt(now)
 	seen := s.get(s.me, target, n)
 	if c.Bad() == 0 && s.bad[target] > 0 && s.defenders(now, target) >= enough {
--- a/internal/shared/evidence/evidence_test.go
+++ b/internal/shared/evidence/evidence_test.go
@@ -81,7 +81,7 @@
 		switch rapid.IntRange(0, 3).Draw(t, "what") {
 		case 0:
 			target := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "target")
-			stores[i].Saw(now, target, rapid.SampledFrom([]Counts{{OK: 1}, {Fail: 1}, {Silent: 1}, {ProbeOK: 1}}).Draw(t, "counts"))
+			stores[i].Record(now, target, rapid.SampledFrom([]Counts{{OK: 1}, {Fail: 1}, {Silent: 1}, {ProbeOK: 1}}).Draw(t, "counts"))
 		case 1:
 			if j := (i + 1) % n; rapid.Bool().Draw(t, "question arrives") {
 				answer(j, i, gossips[i].Ask(now, uint64(j+1)))
@@ -152,7 +152,7 @@
 		b := New(t0.Add(skew), Writer{2, "b", "z"}, DefaultConfig(), Flaws{})
 		g := NewGossip(b, time.Second)
 		begin := t0.Add(ms("begin", 5000))
-		a.Saw(begin, "x", Counts{Fail: 1})
+		a.Record(begin, "x", Counts{Fail: 1})
 		asked := begin.Add(ms("asked", 5000))
 		q := g.Ask(asked.Add(skew), 1)
 		answered := asked.Add(ms("way", 8000))
@@ -180,7 +180,7 @@
 // What came unasked counts only once an answer has told how long its writer has run, and a late answer can't make it younger.
 func TestUnaskedNewsNeedsAnAge(t *testing.T) {
 	a, b := store(1, Flaws{}), store(2, Flaws{})
-	a.Saw(t0.Add(time.Second), "x", Counts{Fail: 1})
+	a.Record(t0.Add(time.Second), "x", Counts{Fail: 1})
 	b.Merge(time.Time{}, a.Hot(t0.Add(time.Second), 0))
 	n := 0
 	count := func(at time.Time) int {
@@ -217,7 +217,7 @@
 	now, cells := t0, 0
 	step := func(lose bool) (told int) {
 		now = now.Add(time.Second)
-		a.Saw(now, "x", Counts{Fail: 1})
+		a.Record(now, "x", Counts{Fail: 1})
 		cells = 2 * int(now.Sub(t0)/time.Second) // the target's and the sum
 		for _, m := range a.Answer(now, g.Ask(now, 1)) {
 			for _, r := range m.Rows {
@@ -247,7 +247,7 @@
 // vouches for look as young as it was then.
 func TestAnswerToAFormerLife(t *testing.T) {
 	a := store(1, Flaws{})
-	a.Saw(t0.Add(time.Second), "x", Counts{Fail: 1})
+	a.Record(t0.Add(time.Second), "x", Counts{Fail: 1})
 	former := NewGossip(store(2, Flaws{}), time.Second)
 	late := a.Answer(t0.Add(time.Second), former.Ask(t0.Add(time.Second), 1))[0]
 	b := store(3, Flaws{})
@@ -280,7 +280,7 @@
 		if i >= 10 {
 			own = now.Add(jump)
 		}
-		w.Saw(own, "x", Counts{Fail: 1})
+		w.Record(own, "x", Counts{Fail: 1})
 		ask := func(g *Gossip, of *Store, at time.Time) {
 			for _, m := range of.Answer(at, g.Ask(now, of.Self().Session)) {
 				g.Take(m)
@@ -337,17 +337,17 @@
 // An outcome allocates nothing once its cell is there, and costs well under a microsecond.
 func BenchmarkSaw(b *testing.B) {
 	s := store(1, Flaws{})
-	s.Saw(t0, "a", Counts{OK: 1})
+	s.Record(t0, "a", Counts{OK: 1})
 	b.ReportAllocs()
 	for b.Loop() {
-		s.Saw(t0, "a", Counts{OK: 1})
+		s.Record(t0, "a", Counts{OK: 1})
 	}
 }
 
 func TestSawAllocatesNothing(t *testing.T) {
 	s := store(1, Flaws{})
-	s.Saw(t0, "a", Counts{OK: 1})
-	if n := testing.AllocsPerRun(100, func() { s.Saw(t0, "a", Counts{OK: 1}) }); n > 0 {
+	s.Record(t0, "a", Counts{OK: 1})
+	if n := testing.AllocsPerRun(100, func() { s.Record(t0, "a", Counts{OK: 1}) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
@@ -359,7 +359,7 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		s.Use(t0, key, i&255, 3)
-		s.Saw(t0, "a", Counts{OK: 1})
+		s.Record(t0, "a", Counts{OK: 1})
 	}
 }
 
--- a/internal/shared/verdict/verdict_test.go
+++ b/internal/shared/verdict/verdict_test.go
@@ -31,7 +31,7 @@
 	for _, m := range f.view.Answer(t0.Add(at), &evidence.Message{Ask: true, Seq: 1}) {
 		s.Merge(t0.Add(at), m) // a good word is only told of targets that are known to be disputed
 	}
-	s.Saw(t0.Add(at), target, c)
+	s.Record(t0.Add(at), target, c)
 	for _, m := range s.Answer(t0.Add(at), &evidence.Message{Ask: true, Seq: 1}) {
 		f.view.Merge(t0.Add(at), m)
 	}
@@ -73,7 +73,7 @@
 		f.saw(s, "p", "a", "s0", fails)
 	}
 	again := evidence.New(t0, evidence.Writer{Session: 99, Name: "p", Zone: "a"}, evidence.DefaultConfig(), evidence.Flaws{})
-	again.Saw(t0.Add(s), "s0", fails)
+	again.Record(t0.Add(s), "s0", fails)
 	f.view.Merge(t0.Add(s), again.Answer(t0.Add(s), &evidence.Message{Ask: true})[0])
 	f.want("one", f.judge(s, 6, Flaws{}), "")
 	f.want("one, where one is enough", f.judge(s, 6, Flaws{OneWitness: true}), "s0 failing;")
