--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -167,7 +167,7 @@
 
 // publishUse publishes this process's use of a limit to the other processes.
 func (l *limits) publishUse(now time.Time, lim *limitState) {
-	l.fleet.carrier.Store().Use(now, lim.key, lim.currentUse(now), lim.gate.Wanted(now.Sub(l.startedAt)))
+	l.fleet.carrier.Store().RecordUse(now, lim.key, lim.currentUse(now), lim.gate.Wanted(now.Sub(l.startedAt)))
 }
 
 // capacity returns the sum of the sizes of the slices that this process holds.
@@ -221,7 +221,7 @@
 func (l *limits) tickSoft(now time.Time, lim *limitState) {
 	l.publishUse(now, lim)
 	known := make(map[uint64]limit.Member)
-	l.fleet.carrier.Store().Uses(now, lim.key, func(w evidence.Writer, use, want int, age time.Duration) {
+	l.fleet.carrier.Store().EachUse(now, lim.key, func(w evidence.Writer, use, want int, age time.Duration) {
 		known[w.Session] = limit.Member{Session: w.Session, Use: use, Want: want, Age: age}
 	})
 	me := limit.Member{Session: l.fleet.carrier.Store().Self().Session, Use: lim.currentUse(now), Want: lim.gate.Wanted(now.Sub(l.startedAt))}
@@ -262,7 +262,7 @@
 		}
 		age, use, heard := time.Duration(0), 0, 0
 		if lim.slices == nil {
-			l.fleet.carrier.Store().Uses(now, lim.key, func(_ evidence.Writer, u, _ int, a time.Duration) {
+			l.fleet.carrier.Store().EachUse(now, lim.key, func(_ evidence.Writer, u, _ int, a time.Duration) {
 				if a <= l.config.Soft.Stale {
 					age, use, heard = max(age, a), use+u, heard+1
 				}
--- a/internal/instance/retries.go
+++ b/internal/instance/retries.go
@@ -60,11 +60,11 @@
 	store := r.fleet.carrier.Store()
 	if now.Sub(r.publishedAt) >= publishInterval { // a budget over seconds needs no more frequent updates
 		r.publishedAt = now
-		store.Use(now, firstKey, len(r.firstHops), 0)
-		store.Use(now, furtherKey, len(r.furtherHops), 0)
+		store.RecordUse(now, firstKey, len(r.firstHops), 0)
+		store.RecordUse(now, furtherKey, len(r.furtherHops), 0)
 	}
 	sum := func(key string) (n int) {
-		store.Uses(now, key, func(_ evidence.Writer, use, _ int, age time.Duration) {
+		store.EachUse(now, key, func(_ evidence.Writer, use, _ int, age time.Duration) {
 			if age <= r.staleAfter {
 				n += use
 			}
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -321,7 +321,7 @@
 }
 
 func (m *member) tellUse(now time.Time) {
-	m.carrier.Store().Use(now, softKey, len(m.open[softL.Name]), m.gate.Wanted(now.Sub(m.began)))
+	m.carrier.Store().RecordUse(now, softKey, len(m.open[softL.Name]), m.gate.Wanted(now.Sub(m.began)))
 }
 
 // look does what a process does every now and then.
@@ -354,7 +354,7 @@
 	}
 	m.roster.Look(now, soft.Hold, living)
 	known := make(map[uint64]limit.Member)
-	store.Uses(now, softKey, func(w evidence.Writer, use, want int, age time.Duration) {
+	store.EachUse(now, softKey, func(w evidence.Writer, use, want int, age time.Duration) {
 		known[w.Session] = limit.Member{Session: w.Session, Use: use, Want: want, Age: age}
 	})
 	me := limit.Member{Session: store.Self().Session, Use: len(m.open[softL.Name]), Want: known[store.Self().Session].Want}
--- a/internal/shared/evidence/evidence.go
+++ b/internal/shared/evidence/evidence.go
@@ -275,15 +275,15 @@
 // LimitKey is the name of the cells of a limit.
 func LimitKey(limit string) string { return LimitPrefix + limit }
 
-// Use takes this process's use of a limit now, by its LimitKey, and what was wanted of late.
-func (s *Store) Use(now time.Time, key string, use, want int) {
+// RecordUse takes this process's use of a limit now, by its LimitKey, and what was wanted of late.
+func (s *Store) RecordUse(now time.Time, key string, use, want int) {
 	n := s.windowAt(now)
 	c := s.get(s.me, key, n)
 	s.put(s.me, key, n, Counts{OK: max(c.OK, uint32(use)), ProbeOK: max(c.ProbeOK, uint32(want))})
 }
 
-// Uses calls f for the latest use of a limit by each process of which an age is known, this one included, by session.
-func (s *Store) Uses(now time.Time, key string, f func(w Writer, use, want int, age time.Duration)) {
+// EachUse calls f for the latest use of a limit by each process of which an age is known, this one included, by session.
+func (s *Store) EachUse(now time.Time, key string, f func(w Writer, use, want int, age time.Duration)) {
 	for _, w := range s.writers {
 		if list := w.cells[key]; len(list) > 0 && !w.start.IsZero() {
 			last := list[len(list)-1]
--- a/internal/shared/evidence/evidence_test.go
+++ b/internal/shared/evidence/evidence_test.go
@@ -358,7 +358,7 @@
 	s := store(1, Flaws{})
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		s.Use(t0, key, i&255, 3)
+		s.RecordUse(t0, key, i&255, 3)
 		s.Record(t0, "a", Counts{OK: 1})
 	}
 }
--- a/internal/shared/evidence/use_test.go
+++ b/internal/shared/evidence/use_test.go
@@ -11,7 +11,7 @@
 	g := NewGossip(b, time.Second)
 	for i := range 8 {
 		now := t0.Add(time.Duration(i) * 600 * time.Millisecond)
-		a.Use(now, LimitKey("l"), 10+i, i)
+		a.RecordUse(now, LimitKey("l"), 10+i, i)
 		for _, m := range a.Answer(now, g.Ask(now, 1)) {
 			text, err := m.Encode()
 			if err != nil {
@@ -23,7 +23,7 @@
 			g.Take(m)
 		}
 		seen := false
-		b.Uses(now, LimitKey("l"), func(w Writer, use, want int, age time.Duration) {
+		b.EachUse(now, LimitKey("l"), func(w Writer, use, want int, age time.Duration) {
 			if w.Session != 1 {
 				return
 			}
