--- a/internal/lab/shared/judge.go
+++ b/internal/lab/shared/judge.go
@@ -195,7 +195,7 @@
 				return
 			}
 			// What its writer has dropped as old may still be held by one that is stopped.
-			if own := o.carrier.Store().Own(x.Target, x.Window); own != (evidence.Counts{}) && own.OK < x.OK || own != (evidence.Counts{}) && own.Bad() < x.Bad() {
+			if own := o.carrier.Store().OwnCounts(x.Target, x.Window); own != (evidence.Counts{}) && own.OK < x.OK || own != (evidence.Counts{}) && own.Bad() < x.Bad() {
 				j.fail("%s holds %v of what %s saw of %q in a window, who saw %v", m.name, x.Counts, o.name, x.Target, own)
 			}
 		})
--- a/internal/shared/evidence/evidence.go
+++ b/internal/shared/evidence/evidence.go
@@ -201,8 +201,8 @@
 	return Counts{}
 }
 
-// Own is what this process itself saw of a target in a window.
-func (s *Store) Own(target string, n uint32) Counts { return s.get(s.me, target, n) }
+// OwnCounts is what this process itself saw of a target in a window.
+func (s *Store) OwnCounts(target string, n uint32) Counts { return s.get(s.me, target, n) }
 
 // put sets a cell and tells whether that is a change.
 func (s *Store) put(w *writer, target string, n uint32, c Counts) bool {
