--- a/internal/shared/evidence/evidence.go
+++ b/internal/shared/evidence/evidence.go
@@ -293,9 +293,9 @@
 	}
 }
 
-// Take merges a cell that another process passed on, and tells whether it was news. What is held of this process by others
+// MergeCell merges a cell that another process passed on, and tells whether it was news. What is held of this process by others
 // changes nothing: it knows best.
-func (s *Store) Take(by Writer, target string, n uint32, c Counts) bool {
+func (s *Store) MergeCell(by Writer, target string, n uint32, c Counts) bool {
 	if by.Session == s.me.Session {
 		return false
 	}
--- a/internal/shared/evidence/evidence_test.go
+++ b/internal/shared/evidence/evidence_test.go
@@ -308,7 +308,7 @@
 	s := New(t0, Writer{1, "p1", "z"}, c, Flaws{})
 	for w := range uint64(10) {
 		for n := range uint32(40) {
-			s.Take(Writer{w + 2, "x", "z"}, "a", n, Counts{Fail: 1})
+			s.MergeCell(Writer{w + 2, "x", "z"}, "a", n, Counts{Fail: 1})
 		}
 	}
 	if s.Cells() > 50 || len(s.writers) > 3 || s.Dropped == 0 {
@@ -368,7 +368,7 @@
 	const n = 1024
 	s := New(t0, Writer{1, "p1", "z"}, DefaultConfig(), Flaws{})
 	for w := uint64(2); w <= n; w++ {
-		s.Take(Writer{w, "x", "z"}, "a", 0, Counts{Fail: 1})
+		s.MergeCell(Writer{w, "x", "z"}, "a", 0, Counts{Fail: 1})
 	}
 	if len(s.writers) != n || s.Dropped != 0 {
 		t.Errorf("%d writers of %d, %d cells dropped", len(s.writers), n, s.Dropped)
--- a/internal/shared/evidence/message.go
+++ b/internal/shared/evidence/message.go
@@ -196,7 +196,7 @@
 			s.Learn(asked, by, time.Duration(r.RunMS)*time.Millisecond, time.Duration(r.OldMS)*time.Millisecond)
 		}
 		for _, c := range r.Cells {
-			news = s.Take(by, c.Target, c.Window, c.Counts) || news
+			news = s.MergeCell(by, c.Target, c.Window, c.Counts) || news
 		}
 	}
 	return news
