--- a/internal/shared/evidence/evidence.go
+++ b/internal/shared/evidence/evidence.go
@@ -311,12 +311,12 @@
 	return s.put(w, target, n, old.join(c))
 }
 
-// Learn takes word that a writer had run for at most age when a question was answered that this process sent at asked. Of
+// LearnStart takes word that a writer had run for at most age when a question was answered that this process sent at asked. Of
 // several words the one that makes it start latest holds; it fades by what clocks may drift meanwhile, and gives way to
 // later words after a while: a clock that was set ahead makes a writer seem to have started earlier, for good. old is how long ago
 // the word had left the writer itself, at the most: two that vouch to each other for what it said before its clock was set must
 // not keep that alive, so that only words count then that left it since.
-func (s *Store) Learn(asked time.Time, by Writer, age, old time.Duration) {
+func (s *Store) LearnStart(asked time.Time, by Writer, age, old time.Duration) {
 	w := s.writer(by)
 	said := asked.Add(-max(old, 0))
 	if w == nil || w == s.me || age < 0 || said.Before(w.floor) {
@@ -349,9 +349,9 @@
 	return w.start.Add(-time.Duration(float64(max(now.Sub(w.when), 0)) * s.cfg.ClockDrift))
 }
 
-// Run is for how long a writer has run at the most, and how long ago it had said so itself, at the most: that is what others may
+// Uptime is for how long a writer has run at the most, and how long ago it had said so itself, at the most: that is what others may
 // Learn; ok is false if it is not known.
-func (s *Store) Run(now time.Time, session uint64) (age, old time.Duration, ok bool) {
+func (s *Store) Uptime(now time.Time, session uint64) (age, old time.Duration, ok bool) {
 	i, ok := s.find(session)
 	if !ok || s.writers[i].start.IsZero() {
 		return 0, 0, false
--- a/internal/shared/evidence/evidence_test.go
+++ b/internal/shared/evidence/evidence_test.go
@@ -205,7 +205,7 @@
 	q = g.Ask(t0.Add(3*time.Second), 1)
 	m := a.Answer(t0.Add(23*time.Second), q)[0]
 	g.Take(m)
-	if run, _, _ := b.Run(t0.Add(3*time.Second), 1); run > 4*time.Second {
+	if run, _, _ := b.Uptime(t0.Add(3*time.Second), 1); run > 4*time.Second {
 		t.Errorf("the writer has run for %v", run)
 	}
 }
@@ -254,7 +254,7 @@
 	g := NewGossip(b, time.Second)
 	g.Ask(t0.Add(20*time.Second), 1)
 	g.Take(late)
-	if run, _, ok := b.Run(t0.Add(20*time.Second), 1); ok && run < 20*time.Second {
+	if run, _, ok := b.Uptime(t0.Add(20*time.Second), 1); ok && run < 20*time.Second {
 		t.Errorf("the writer seems to have run for %v, and has for 20 s", run)
 	}
 }
@@ -294,7 +294,7 @@
 		ask(gy, x, now)
 		for name, s := range map[string]*Store{"x": x, "y": y} {
 			// All of the last two windows was seen a second ago at the most.
-			if run, _, ok := s.Run(now, 1); i >= 10+2*20 && ok && run < now.Sub(t0)+jump-time.Second {
+			if run, _, ok := s.Uptime(now, 1); i >= 10+2*20 && ok && run < now.Sub(t0)+jump-time.Second {
 				t.Fatalf("%v: %s holds that the writer has run for %v, by whose clock it is %v; age %v", now.Sub(t0), name, run, own.Sub(t0), age(s, now))
 			}
 		}
--- a/internal/shared/evidence/message.go
+++ b/internal/shared/evidence/message.go
@@ -36,7 +36,7 @@
 
 // runs tells for how long the row's writer has run, if that is known: rounded up, since older does no harm and younger does.
 func (s *Store) runs(now time.Time, r *Row) bool {
-	run, old, ok := s.Run(now, r.Session)
+	run, old, ok := s.Uptime(now, r.Session)
 	if !ok {
 		return false
 	}
@@ -193,7 +193,7 @@
 	for _, r := range m.Rows {
 		by := Writer{r.Session, r.Name, r.Zone}
 		if !asked.IsZero() && r.RunMS >= 0 {
-			s.Learn(asked, by, time.Duration(r.RunMS)*time.Millisecond, time.Duration(r.OldMS)*time.Millisecond)
+			s.LearnStart(asked, by, time.Duration(r.RunMS)*time.Millisecond, time.Duration(r.OldMS)*time.Millisecond)
 		}
 		for _, c := range r.Cells {
 			news = s.MergeCell(by, c.Target, c.Window, c.Counts) || news
