--- a/internal/lab/shared/judge.go
+++ b/internal/lab/shared/judge.go
@@ -189,7 +189,7 @@
 				by[o.carrier.Store().Self().Session] = o
 			}
 		}
-		m.carrier.Store().Each(m.loop.Now(), 2*time.Second, func(x evidence.Sighting) {
+		m.carrier.Store().Each(m.loop.Now(), 2*time.Second, func(x evidence.Observation) {
 			o := by[x.Session]
 			if o == nil {
 				return
--- a/internal/shared/evidence/evidence.go
+++ b/internal/shared/evidence/evidence.go
@@ -368,8 +368,8 @@
 	return max(now.Sub(s.started(now, w).Add(time.Duration(n+1)*s.cfg.WindowLength)), 0)
 }
 
-// Sighting is a cell with what is known of its writer and its age.
-type Sighting struct {
+// Observation is a cell with what is known of its writer and its age.
+type Observation struct {
 	Writer
 	Target string
 	Window uint32
@@ -379,7 +379,7 @@
 
 // Each calls f for each cell of which an age is known and which is no older than within, in the order of writers' sessions; of
 // one writer in the order of targets, then windows.
-func (s *Store) Each(now time.Time, within time.Duration, f func(Sighting)) {
+func (s *Store) Each(now time.Time, within time.Duration, f func(Observation)) {
 	var targets []string
 	for _, w := range s.writers {
 		if w.start.IsZero() {
@@ -395,7 +395,7 @@
 		for _, t := range targets {
 			for _, c := range w.cells[t] {
 				if age := s.age(now, w, c.n); age <= within {
-					f(Sighting{w.Writer, t, c.n, c.counts, age})
+					f(Observation{w.Writer, t, c.n, c.counts, age})
 				}
 			}
 		}
--- a/internal/shared/evidence/evidence_test.go
+++ b/internal/shared/evidence/evidence_test.go
@@ -161,7 +161,7 @@
 		arrived := answered.Add(ms("back", 30000))
 		g.Take(m)
 		found := false
-		b.Each(arrived.Add(skew), time.Hour, func(x Sighting) {
+		b.Each(arrived.Add(skew), time.Hour, func(x Observation) {
 			if x.Target != "x" {
 				return
 			}
@@ -185,7 +185,7 @@
 	n := 0
 	count := func(at time.Time) int {
 		n = 0
-		b.Each(at, 10*time.Second, func(x Sighting) {
+		b.Each(at, 10*time.Second, func(x Observation) {
 			if x.Target == "x" {
 				n++
 			}
@@ -267,7 +267,7 @@
 	gx, gy := NewGossip(x, time.Second), NewGossip(y, time.Second)
 	age := func(s *Store, now time.Time) (age time.Duration) {
 		age = time.Hour
-		s.Each(now, time.Hour, func(c Sighting) {
+		s.Each(now, time.Hour, func(c Observation) {
 			if c.Session == 1 && c.Target == "x" {
 				age = min(age, c.Age)
 			}
--- a/internal/shared/verdict/verdict.go
+++ b/internal/shared/verdict/verdict.go
@@ -117,7 +117,7 @@
 		within = time.Hour
 	}
 	views := make(map[string][]*opinion)
-	s.Each(now, within, func(x evidence.Sighting) {
+	s.Each(now, within, func(x evidence.Observation) {
 		if x.Target == "" {
 			return
 		}
@@ -161,7 +161,7 @@
 // did well with, and with three or more.
 func discounted(now time.Time, s *evidence.Store, c Config) map[string]bool {
 	good, bad := make(map[string]uint32), make(map[string]uint32)
-	s.Each(now, c.Forget, func(x evidence.Sighting) {
+	s.Each(now, c.Forget, func(x evidence.Observation) {
 		if x.Target == "" {
 			good[x.Name] += x.OK
 			bad[x.Name] += x.Fail
