--- a/internal/shared/carrier/carrier.go
+++ b/internal/shared/carrier/carrier.go
@@ -58,7 +58,7 @@
 		return
 	}
 	c.gossip.Take(m)
-	if m.Seq == 0 && len(c.store.Unaged()) > 0 {
+	if m.Seq == 0 && len(c.store.WritersOfUnknownAge()) > 0 {
 		// Whoever told it knows how old that is, or will before long; else it would not count here until the next question.
 		c.send(from, c.gossip.Ask(now, s.Session))
 	}
@@ -72,7 +72,7 @@
 
 // Tick tells others what is new, asks one of them if it is time, and drops what is old.
 func (c *Carrier) Tick(now time.Time) {
-	if hot := c.gossip.Hot(now); hot != nil {
+	if hot := c.gossip.UrgentUpdate(now); hot != nil {
 		for _, m := range c.node.RandomMembers(hotFan) {
 			c.send(m.Addr, hot)
 		}
--- a/internal/shared/evidence/evidence_test.go
+++ b/internal/shared/evidence/evidence_test.go
@@ -95,7 +95,7 @@
 				}
 			}
 		case 3:
-			if hot := gossips[i].Hot(now); hot != nil {
+			if hot := gossips[i].UrgentUpdate(now); hot != nil {
 				air = append(air, sent{(i + 1) % n, hot})
 			}
 		}
@@ -181,7 +181,7 @@
 func TestUnaskedNewsNeedsAnAge(t *testing.T) {
 	a, b := store(1, Flaws{}), store(2, Flaws{})
 	a.Record(t0.Add(time.Second), "x", Counts{Fail: 1})
-	b.Merge(time.Time{}, a.Hot(t0.Add(time.Second), 0))
+	b.Merge(time.Time{}, a.UrgentUpdate(t0.Add(time.Second), 0))
 	n := 0
 	count := func(at time.Time) int {
 		n = 0
--- a/internal/shared/evidence/gossip.go
+++ b/internal/shared/evidence/gossip.go
@@ -54,7 +54,7 @@
 		}
 	}
 	g.asked[g.seq] = asked{of: peer, at: now}
-	return &Message{Ask: true, Seq: g.seq, Since: g.upto[peer], Who: g.store.Unaged()}
+	return &Message{Ask: true, Seq: g.seq, Since: g.upto[peer], Who: g.store.WritersOfUnknownAge()}
 }
 
 // Take merges a message that is no question. An answer to a question that is not out counts as unasked.
@@ -102,9 +102,9 @@
 // Forget drops what is kept of a peer that is gone.
 func (g *Gossip) Forget(peer uint64) { delete(g.upto, peer) }
 
-// Hot returns bad news that came since the last call, to be passed on at once; nil: there is none.
-func (g *Gossip) Hot(now time.Time) *Message {
-	m := g.store.Hot(now, g.told)
+// UrgentUpdate returns bad news that came since the last call, to be passed on at once; nil: there is none.
+func (g *Gossip) UrgentUpdate(now time.Time) *Message {
+	m := g.store.UrgentUpdate(now, g.told)
 	g.told = g.store.Seq()
 	return m
 }
--- a/internal/shared/evidence/message.go
+++ b/internal/shared/evidence/message.go
@@ -134,8 +134,8 @@
 	return out
 }
 
-// Unaged names writers with trouble of whose cells no age is known, at most a few.
-func (s *Store) Unaged() []uint64 {
+// WritersOfUnknownAge names writers with trouble of whose cells no age is known, at most a few.
+func (s *Store) WritersOfUnknownAge() []uint64 {
 	var ids []uint64
 	for _, w := range s.writers {
 		if w.start.IsZero() && w.bad > 0 && len(ids) < perMessage {
@@ -145,8 +145,8 @@
 	return ids
 }
 
-// Hot returns what changed after a number and is bad, to be told unasked, in one message; nil: nothing.
-func (s *Store) Hot(now time.Time, since uint64) *Message {
+// UrgentUpdate returns what changed after a number and is bad, to be told unasked, in one message; nil: nothing.
+func (s *Store) UrgentUpdate(now time.Time, since uint64) *Message {
 	all := slices.DeleteFunc(s.changes(since), func(c change) bool { return c.t != "" && c.c.Bad() == 0 || strings.HasPrefix(c.t, LimitPrefix) })
 	if !slices.ContainsFunc(all, func(c change) bool { return c.t != "" }) {
 		return nil
