--- a/internal/shared/carrier/carrier.go
+++ b/internal/shared/carrier/carrier.go
@@ -57,10 +57,10 @@
 		}
 		return
 	}
-	c.gossip.Take(m)
+	c.gossip.Receive(m)
 	if m.Seq == 0 && len(c.store.WritersOfUnknownAge()) > 0 {
 		// Whoever told it knows how old that is, or will before long; else it would not count here until the next question.
-		c.send(from, c.gossip.Ask(now, s.Session))
+		c.send(from, c.gossip.Query(now, s.Session))
 	}
 }
 
@@ -97,5 +97,5 @@
 	c.turn++
 	of := partners[c.turn%len(partners)]
 	i := slices.IndexFunc(members, func(m peers.Member) bool { return m.Session == of })
-	c.send(members[i].Addr, c.gossip.Ask(now, of))
+	c.send(members[i].Addr, c.gossip.Query(now, of))
 }
--- a/internal/shared/evidence/evidence_test.go
+++ b/internal/shared/evidence/evidence_test.go
@@ -84,12 +84,12 @@
 			stores[i].Record(now, target, rapid.SampledFrom([]Counts{{OK: 1}, {Fail: 1}, {Silent: 1}, {ProbeOK: 1}}).Draw(t, "counts"))
 		case 1:
 			if j := (i + 1) % n; rapid.Bool().Draw(t, "question arrives") {
-				answer(j, i, gossips[i].Ask(now, uint64(j+1)))
+				answer(j, i, gossips[i].Query(now, uint64(j+1)))
 			}
 		case 2: // one of those under way arrives, and may again
 			if len(air) > 0 {
 				k := rapid.IntRange(0, len(air)-1).Draw(t, "message")
-				gossips[air[k].to].Take(air[k].m)
+				gossips[air[k].to].Receive(air[k].m)
 				if rapid.Bool().Draw(t, "once") {
 					air = slices.Delete(air, k, k+1)
 				}
@@ -104,9 +104,9 @@
 	for range 4 * n {
 		for i := range n {
 			j := (i + 1) % n
-			answer(j, i, gossips[i].Ask(now, uint64(j+1)))
+			answer(j, i, gossips[i].Query(now, uint64(j+1)))
 			for _, x := range air {
-				gossips[x.to].Take(x.m)
+				gossips[x.to].Receive(x.m)
 			}
 			air = nil
 		}
@@ -154,12 +154,12 @@
 		begin := t0.Add(ms("begin", 5000))
 		a.Record(begin, "x", Counts{Fail: 1})
 		asked := begin.Add(ms("asked", 5000))
-		q := g.Ask(asked.Add(skew), 1)
+		q := g.Query(asked.Add(skew), 1)
 		answered := asked.Add(ms("way", 8000))
 		text, _ := a.Answer(answered, q)[0].Encode()
 		m, _ := Decode(text)
 		arrived := answered.Add(ms("back", 30000))
-		g.Take(m)
+		g.Receive(m)
 		found := false
 		b.Each(arrived.Add(skew), time.Hour, func(x Observation) {
 			if x.Target != "x" {
@@ -196,15 +196,15 @@
 		t.Error("a cell of unknown age counts")
 	}
 	g := NewGossip(b, time.Second)
-	q := g.Ask(t0.Add(2*time.Second), 1)
-	g.Take(a.Answer(t0.Add(2*time.Second), q)[0])
+	q := g.Query(t0.Add(2*time.Second), 1)
+	g.Receive(a.Answer(t0.Add(2*time.Second), q)[0])
 	if count(t0.Add(2*time.Second)) != 1 {
 		t.Error("the cell does not count although its age is known")
 	}
 	// An answer that took 20 s to come says that the writer may have started 20 s earlier: that changes nothing.
-	q = g.Ask(t0.Add(3*time.Second), 1)
+	q = g.Query(t0.Add(3*time.Second), 1)
 	m := a.Answer(t0.Add(23*time.Second), q)[0]
-	g.Take(m)
+	g.Receive(m)
 	if run, _, _ := b.Uptime(t0.Add(3*time.Second), 1); run > 4*time.Second {
 		t.Errorf("the writer has run for %v", run)
 	}
@@ -219,12 +219,12 @@
 		now = now.Add(time.Second)
 		a.Record(now, "x", Counts{Fail: 1})
 		cells = 2 * int(now.Sub(t0)/time.Second) // the target's and the sum
-		for _, m := range a.Answer(now, g.Ask(now, 1)) {
+		for _, m := range a.Answer(now, g.Query(now, 1)) {
 			for _, r := range m.Rows {
 				told += len(r.Cells)
 			}
 			if !lose {
-				g.Take(m)
+				g.Receive(m)
 			}
 		}
 		return told
@@ -249,11 +249,11 @@
 	a := store(1, Flaws{})
 	a.Record(t0.Add(time.Second), "x", Counts{Fail: 1})
 	former := NewGossip(store(2, Flaws{}), time.Second)
-	late := a.Answer(t0.Add(time.Second), former.Ask(t0.Add(time.Second), 1))[0]
+	late := a.Answer(t0.Add(time.Second), former.Query(t0.Add(time.Second), 1))[0]
 	b := store(3, Flaws{})
 	g := NewGossip(b, time.Second)
-	g.Ask(t0.Add(20*time.Second), 1)
-	g.Take(late)
+	g.Query(t0.Add(20*time.Second), 1)
+	g.Receive(late)
 	if run, _, ok := b.Uptime(t0.Add(20*time.Second), 1); ok && run < 20*time.Second {
 		t.Errorf("the writer seems to have run for %v, and has for 20 s", run)
 	}
@@ -282,8 +282,8 @@
 		}
 		w.Record(own, "x", Counts{Fail: 1})
 		ask := func(g *Gossip, of *Store, at time.Time) {
-			for _, m := range of.Answer(at, g.Ask(now, of.Self().Session)) {
-				g.Take(m)
+			for _, m := range of.Answer(at, g.Query(now, of.Self().Session)) {
+				g.Receive(m)
 			}
 		}
 		ask(gx, w, own)
--- a/internal/shared/evidence/gossip.go
+++ b/internal/shared/evidence/gossip.go
@@ -40,8 +40,8 @@
 	return !now.Before(g.next), g.next
 }
 
-// Ask returns a question to a peer.
-func (g *Gossip) Ask(now time.Time, peer uint64) *Message {
+// Query returns a question to a peer.
+func (g *Gossip) Query(now time.Time, peer uint64) *Message {
 	g.next = now.Add(g.every)
 	g.seq++
 	for n, a := range g.asked { // whichever order
@@ -57,8 +57,8 @@
 	return &Message{Ask: true, Seq: g.seq, Since: g.upto[peer], Who: g.store.WritersOfUnknownAge()}
 }
 
-// Take merges a message that is no question. An answer to a question that is not out counts as unasked.
-func (g *Gossip) Take(m *Message) {
+// Receive merges a message that is no question. An answer to a question that is not out counts as unasked.
+func (g *Gossip) Receive(m *Message) {
 	a, out := g.asked[m.Seq]
 	if !out {
 		a = asked{}
--- a/internal/shared/evidence/use_test.go
+++ b/internal/shared/evidence/use_test.go
@@ -12,7 +12,7 @@
 	for i := range 8 {
 		now := t0.Add(time.Duration(i) * 600 * time.Millisecond)
 		a.RecordUse(now, LimitKey("l"), 10+i, i)
-		for _, m := range a.Answer(now, g.Ask(now, 1)) {
+		for _, m := range a.Answer(now, g.Query(now, 1)) {
 			text, err := m.Encode()
 			if err != nil {
 				t.Fatal(err)
@@ -20,7 +20,7 @@
 			if m, err = Decode(text); err != nil {
 				t.Fatal(err)
 			}
-			g.Take(m)
+			g.Receive(m)
 		}
 		seen := false
 		b.EachUse(now, LimitKey("l"), func(w Writer, use, want int, age time.Duration) {
