--- a/internal/shared/carrier/carrier.go
+++ b/internal/shared/carrier/carrier.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return
 	}
-	if m.Ask {
+	if m.IsQuery {
 		for _, part := range c.store.Answer(now, m) {
 			c.send(from, part)
 		}
--- a/internal/shared/evidence/evidence_test.go
+++ b/internal/shared/evidence/evidence_test.go
@@ -323,7 +323,7 @@
 
 // Bytes that are no message are refused, and nothing in them sizes what is made of them.
 func FuzzDecode(f *testing.F) {
-	m := &Message{Seq: 3, Rows: []Row{{Session: 1, Name: "p", RunMS: 5, Cells: []Cell{{"a", 2, Counts{Fail: 1}}}}}}
+	m := &Message{Seq: 3, Rows: []Row{{Session: 1, Name: "p", UptimeMS: 5, Cells: []Cell{{"a", 2, Counts{Fail: 1}}}}}}
 	text, _ := m.Encode()
 	f.Add(text)
 	f.Add([]byte{0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
--- a/internal/shared/evidence/gossip.go
+++ b/internal/shared/evidence/gossip.go
@@ -54,7 +54,7 @@
 		}
 	}
 	g.asked[g.seq] = asked{of: peer, at: now}
-	return &Message{Ask: true, Seq: g.seq, Since: g.upto[peer], Who: g.store.WritersOfUnknownAge()}
+	return &Message{IsQuery: true, Seq: g.seq, Since: g.upto[peer], UnknownAge: g.store.WritersOfUnknownAge()}
 }
 
 // Receive merges a message that is no question. An answer to a question that is not out counts as unasked.
@@ -71,7 +71,7 @@
 			a.parts = make(map[uint64]uint64)
 		}
 		if len(a.parts) < 2*mostParts {
-			a.parts[m.From] = max(a.parts[m.From], m.Upto)
+			a.parts[m.From] = max(a.parts[m.From], m.UpTo)
 		}
 		a.answered = true
 		g.asked[m.Seq] = a
--- a/internal/shared/evidence/message.go
+++ b/internal/shared/evidence/message.go
@@ -12,26 +12,26 @@
 
 // Message is a part of what one process tells another of the evidence.
 type Message struct {
-	// Ask asks for what changed after Since, by the answerer's numbers; 0: for all.
-	Ask   bool   `cbor:"1,keyasint,omitempty"`
-	Since uint64 `cbor:"2,keyasint,omitempty"`
+	// IsQuery asks for what changed after Since, by the answerer's numbers; 0: for all.
+	IsQuery bool   `cbor:"1,keyasint,omitempty"`
+	Since   uint64 `cbor:"2,keyasint,omitempty"`
 	// Seq of an answer is that of its question. A message that is no answer has 0 and vouches for no writer's age.
 	Seq  uint64 `cbor:"3,keyasint,omitempty"`
 	From uint64 `cbor:"6,keyasint,omitempty"` // an answer tells all changes after From...
-	Upto uint64 `cbor:"4,keyasint,omitempty"` // ...up to this one, by the answerer's numbers
+	UpTo uint64 `cbor:"4,keyasint,omitempty"` // ...up to this one, by the answerer's numbers
 	Rows []Row  `cbor:"5,keyasint,omitempty"`
-	// Who names writers of whose cells the asker knows no age; an answer vouches for them, whether or not it has cells of theirs.
-	Who []uint64 `cbor:"7,keyasint,omitempty"`
+	// UnknownAge names writers of whose cells the asker knows no age; an answer vouches for them, whether or not it has cells of theirs.
+	UnknownAge []uint64 `cbor:"7,keyasint,omitempty"`
 }
 
 // Row is cells of one writer.
 type Row struct {
-	Session uint64 `cbor:"1,keyasint"`
-	Name    string `cbor:"2,keyasint"`
-	Zone    string `cbor:"3,keyasint,omitempty"`
-	RunMS   int64  `cbor:"4,keyasint,omitempty"` // how long it has run at the most, in an answer; below 0: not known
-	Cells   []Cell `cbor:"5,keyasint,omitempty"`
-	OldMS   int64  `cbor:"6,keyasint,omitempty"` // how long ago the writer itself said so, at the most; 0: it says it now
+	Session     uint64 `cbor:"1,keyasint"`
+	Name        string `cbor:"2,keyasint"`
+	Zone        string `cbor:"3,keyasint,omitempty"`
+	UptimeMS    int64  `cbor:"4,keyasint,omitempty"` // how long it has run at the most, in an answer; below 0: not known
+	Cells       []Cell `cbor:"5,keyasint,omitempty"`
+	UptimeAgeMS int64  `cbor:"6,keyasint,omitempty"` // how long ago the writer itself said so, at the most; 0: it says it now
 }
 
 // runs tells for how long the row's writer has run, if that is known: rounded up, since older does no harm and younger does.
@@ -40,9 +40,9 @@
 	if !ok {
 		return false
 	}
-	r.RunMS = run.Milliseconds() + 1
+	r.UptimeMS = run.Milliseconds() + 1
 	if r.Session != s.me.Session {
-		r.OldMS = old.Milliseconds() + 1
+		r.UptimeAgeMS = old.Milliseconds() + 1
 	}
 	return true
 }
@@ -119,9 +119,9 @@
 		since = 0 // it counts by another life of this process
 	}
 	out := s.parts(now, since, s.changes(since), q.Seq)
-	if len(q.Who) > 0 {
-		first := &Message{Seq: q.Seq, From: since, Upto: since}
-		for _, id := range q.Who[:min(len(q.Who), perMessage)] {
+	if len(q.UnknownAge) > 0 {
+		first := &Message{Seq: q.Seq, From: since, UpTo: since}
+		for _, id := range q.UnknownAge[:min(len(q.UnknownAge), perMessage)] {
 			if i, ok := s.find(id); ok {
 				r := Row{Session: id, Name: s.writers[i].Name, Zone: s.writers[i].Zone}
 				if s.runs(now, &r) {
@@ -156,7 +156,7 @@
 	}
 	m := s.parts(now, 0, all, 0)[0]
 	for i := range m.Rows {
-		m.Rows[i].RunMS, m.Rows[i].OldMS = -1, 0
+		m.Rows[i].UptimeMS, m.Rows[i].UptimeAgeMS = -1, 0
 	}
 	return m
 }
@@ -169,19 +169,19 @@
 			i := slices.IndexFunc(m.Rows, func(r Row) bool { return r.Session == c.w.Session })
 			if i < 0 {
 				i = len(m.Rows)
-				r := Row{Session: c.w.Session, Name: c.w.Name, Zone: c.w.Zone, RunMS: -1}
+				r := Row{Session: c.w.Session, Name: c.w.Name, Zone: c.w.Zone, UptimeMS: -1}
 				s.runs(now, &r)
 				m.Rows = append(m.Rows, r)
 			}
 			m.Rows[i].Cells = append(m.Rows[i].Cells, Cell{c.t, c.n, c.c})
-			m.Upto = c.seq
+			m.UpTo = c.seq
 		}
-		since = m.Upto
+		since = m.UpTo
 		all = all[min(perMessage, len(all)):]
 		out = append(out, m)
 	}
 	if len(out) == 0 {
-		out = append(out, &Message{Seq: seq, From: since, Upto: s.seq})
+		out = append(out, &Message{Seq: seq, From: since, UpTo: s.seq})
 	}
 	return out
 }
@@ -192,8 +192,8 @@
 	news := false
 	for _, r := range m.Rows {
 		by := Writer{r.Session, r.Name, r.Zone}
-		if !asked.IsZero() && r.RunMS >= 0 {
-			s.LearnStart(asked, by, time.Duration(r.RunMS)*time.Millisecond, time.Duration(r.OldMS)*time.Millisecond)
+		if !asked.IsZero() && r.UptimeMS >= 0 {
+			s.LearnStart(asked, by, time.Duration(r.UptimeMS)*time.Millisecond, time.Duration(r.UptimeAgeMS)*time.Millisecond)
 		}
 		for _, c := range r.Cells {
 			news = s.MergeCell(by, c.Target, c.Window, c.Counts) || news
--- a/internal/shared/verdict/verdict_test.go
+++ b/internal/shared/verdict/verdict_test.go
@@ -28,11 +28,11 @@
 		s = evidence.New(t0, evidence.Writer{Session: uint64(len(f.by) + 2), Name: name, Zone: zone}, evidence.DefaultConfig(), evidence.Flaws{})
 		f.by[name] = s
 	}
-	for _, m := range f.view.Answer(t0.Add(at), &evidence.Message{Ask: true, Seq: 1}) {
+	for _, m := range f.view.Answer(t0.Add(at), &evidence.Message{IsQuery: true, Seq: 1}) {
 		s.Merge(t0.Add(at), m) // a good word is only told of targets that are known to be disputed
 	}
 	s.Record(t0.Add(at), target, c)
-	for _, m := range s.Answer(t0.Add(at), &evidence.Message{Ask: true, Seq: 1}) {
+	for _, m := range s.Answer(t0.Add(at), &evidence.Message{IsQuery: true, Seq: 1}) {
 		f.view.Merge(t0.Add(at), m)
 	}
 }
@@ -74,7 +74,7 @@
 	}
 	again := evidence.New(t0, evidence.Writer{Session: 99, Name: "p", Zone: "a"}, evidence.DefaultConfig(), evidence.Flaws{})
 	again.Record(t0.Add(s), "s0", fails)
-	f.view.Merge(t0.Add(s), again.Answer(t0.Add(s), &evidence.Message{Ask: true})[0])
+	f.view.Merge(t0.Add(s), again.Answer(t0.Add(s), &evidence.Message{IsQuery: true})[0])
 	f.want("one", f.judge(s, 6, Flaws{}), "")
 	f.want("one, where one is enough", f.judge(s, 6, Flaws{OneWitness: true}), "s0 failing;")
 	f.saw(s, "q", "a", "s0", fails)
