--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -124,7 +124,7 @@
 	if c.Refusing {
 		what = "fleet: limit refuses"
 	}
-	s.log.Info().Str("limit", c.Limit.Name).Stringer("kind", c.Limit.Kind).Int("most", c.Limit.Most).Int("use", c.InUse).Int("room", c.Available).Msg(what)
+	s.log.Info().Str("limit", c.Limit.Name).Stringer("kind", c.Limit.Kind).Int("most", c.Limit.Max).Int("use", c.InUse).Int("room", c.Available).Msg(what)
 }
 
 func drawSession() (uint64, error) {
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -90,7 +90,7 @@
 	for _, to := range list {
 		for _, lim := range l.states {
 			if lim.Name == to.Name && lim.Kind == to.Kind && lim.Slices == to.Slices && to.Check() == nil {
-				lim.Most = to.Most
+				lim.Max = to.Max
 			}
 		}
 	}
@@ -156,10 +156,10 @@
 // currentUse returns the number of connections, or of recent admissions, that count under the limit
 // in this process now.
 func (lim *limitState) currentUse(now time.Time) int {
-	if lim.Within == 0 {
+	if lim.Period == 0 {
 		return lim.inUse
 	}
-	for len(lim.admittedAt) > 0 && now.Sub(lim.admittedAt[0]) > lim.Within {
+	for len(lim.admittedAt) > 0 && now.Sub(lim.admittedAt[0]) > lim.Period {
 		lim.admittedAt = lim.admittedAt[1:]
 	}
 	return len(lim.admittedAt)
@@ -256,7 +256,7 @@
 	now := l.fleet.loop.Now()
 	var all []mesh.SharedView
 	for _, lim := range l.states {
-		state, text := "takes", fmt.Sprintf("%v limit of %d for all proxies, %d used here", lim.Kind, lim.Most, lim.currentUse(now))
+		state, text := "takes", fmt.Sprintf("%v limit of %d for all proxies, %d used here", lim.Kind, lim.Max, lim.currentUse(now))
 		if lim.refusing {
 			state = "refuses"
 		}
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -150,9 +150,9 @@
 		text += "[verdicts]\n"
 	}
 	if l := s.limit(); l != nil {
-		text += fmt.Sprintf("[limit %s]\nkind = %v\nmost = %d\nslices = %d\n", l.Name, l.Kind, l.Most, l.Slices)
-		if l.Within > 0 {
-			text += fmt.Sprintf("within = %v\n", l.Within)
+		text += fmt.Sprintf("[limit %s]\nkind = %v\nmost = %d\nslices = %d\n", l.Name, l.Kind, l.Max, l.Slices)
+		if l.Period > 0 {
+			text += fmt.Sprintf("within = %v\n", l.Period)
 		}
 	}
 	path := filepath.Join(r.dir, p.name+".ini")
--- a/internal/lab/shared/judge.go
+++ b/internal/lab/shared/judge.go
@@ -63,8 +63,8 @@
 		"sound targets condemned for over 2 s: %d; soft limit: admitted %d, refused %d, of them with room left %d, in use %.2f of it, "+
 		"most over by %d, largest part of the bound %.2f; strict limit: admitted %d, refused %d, of them with room left %d, in use %.2f of it, "+
 		"most in use %d of %d, over by %d, with connections of stopped processes %d, moved when slices ended %d",
-		c.Faults, c.Poisoned, c.Wasted, c.Verdicts, c.AgeOfBound, c.FalseLong, c.Admitted[0], c.Refused[0], c.RefusedWithRoom[0], c.part(0, softL.Most),
-		c.MostExcess, c.ExcessOfBound, c.Admitted[1], c.Refused[1], c.RefusedWithRoom[1], c.part(1, strictL.Most), c.MostStrict, strictL.Most, max(c.MostStrict-strictL.Most, 0), c.MostStrictHeld, c.Yielded)
+		c.Faults, c.Poisoned, c.Wasted, c.Verdicts, c.AgeOfBound, c.FalseLong, c.Admitted[0], c.Refused[0], c.RefusedWithRoom[0], c.part(0, softL.Max),
+		c.MostExcess, c.ExcessOfBound, c.Admitted[1], c.Refused[1], c.RefusedWithRoom[1], c.part(1, strictL.Max), c.MostStrict, strictL.Max, max(c.MostStrict-strictL.Max, 0), c.MostStrictHeld, c.Yielded)
 }
 
 // part is how much of a limit was in use in the mean.
@@ -216,7 +216,7 @@
 		j.g.count.Used[k] += j.use(name)
 		j.g.count.Looks[k]++
 	}
-	excess := j.use(softL.Name) - softL.Most
+	excess := j.use(softL.Name) - softL.Max
 	if excess <= 0 {
 		j.peak = 0
 	}
@@ -226,7 +226,7 @@
 		j.g.count.MostExcess = max(j.g.count.MostExcess, excess)
 		j.g.count.ExcessOfBound = max(j.g.count.ExcessOfBound, float64(excess)/float64(max(bound, 1)))
 		if excess > bound {
-			j.fail("soft limit: %d over %d; the bound is %d", excess, softL.Most, bound)
+			j.fail("soft limit: %d over %d; the bound is %d", excess, softL.Max, bound)
 		}
 	}
 	// What slices allow by their holders' own clocks never exceeds the limit; who can't look at his clock may hold more until he can.
@@ -242,7 +242,7 @@
 	}
 	j.g.count.MostStrict = max(j.g.count.MostStrict, allowed)
 	j.g.count.MostStrictHeld = max(j.g.count.MostStrictHeld, held)
-	if allowed > strictL.Most {
-		j.fail("strict limit: %d in use of %d", allowed, strictL.Most)
+	if allowed > strictL.Max {
+		j.fail("strict limit: %d in use of %d", allowed, strictL.Max)
 	}
 }
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -41,8 +41,8 @@
 	judging = verdict.Config{Fresh: 3 * time.Second, Forget: 8 * time.Second, Witnesses: 2, Part: 0.34}
 	soft    = limit.Soft{Stale: 3 * time.Second, Hold: 25 * time.Second}
 	softKey = evidence.LimitKey("soft")
-	softL   = limit.Limit{Name: "soft", Most: 90}
-	strictL = limit.Limit{Name: "strict", Kind: limit.StrictKind, Most: 26, Slices: 12}
+	softL   = limit.Limit{Name: "soft", Max: 90}
+	strictL = limit.Limit{Name: "strict", Kind: limit.StrictKind, Max: 26, Slices: 12}
 )
 
 // Play plays one seed.
@@ -296,9 +296,9 @@
 
 func mostOf(name string) int {
 	if name == softL.Name {
-		return softL.Most
+		return softL.Max
 	}
-	return strictL.Most
+	return strictL.Max
 }
 
 // yield moves clients of which the slices are gone: it does not wait for anything.
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -67,7 +67,7 @@
 	if s.slices == 0 {
 		s.slices = min(most, 2*s.s.Proxies.Count, limit.MostSlices)
 	}
-	l := &limit.Limit{Name: "all", Most: most, Slices: s.slices, Within: s.s.Proxies.LimitWithin}
+	l := &limit.Limit{Name: "all", Max: most, Slices: s.slices, Period: s.s.Proxies.LimitWithin}
 	if s.s.Proxies.LimitKind == "strict" {
 		l.Kind = limit.StrictKind
 	}
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -215,7 +215,7 @@
 	for _, name := range f.Kind("limit") {
 		s := limitSection{Kind: "soft", Slices: 16}
 		f.Decode("limit "+name, &s)
-		l := limit.Limit{Name: name, Most: s.Most, Within: s.Within, Slices: s.Slices, Tenant: s.Tenant, Class: s.Class}
+		l := limit.Limit{Name: name, Max: s.Most, Period: s.Within, Slices: s.Slices, Tenant: s.Tenant, Class: s.Class}
 		if s.Kind == "strict" {
 			l.Kind = limit.StrictKind
 		}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -119,7 +119,7 @@
 func (c *Config) limited() []limit.Limit {
 	list := slices.Clone(c.Limits)
 	for i := range list {
-		list[i].Most = 0
+		list[i].Max = 0
 	}
 	return list
 }
--- a/internal/shared/limit/limit.go
+++ b/internal/shared/limit/limit.go
@@ -33,8 +33,8 @@
 type Limit struct {
 	Name   string
 	Kind   Kind
-	Most   int           // connections that stand, or in Within
-	Within time.Duration // 0: those that stand; else new ones in any such time
+	Max    int           // connections that stand, or in Within
+	Period time.Duration // 0: those that stand; else new ones in any such time
 	Slices int           // of a strict one; Most/Slices each, the first ones one more
 	Tenant string        // whose; empty: everybody's
 	Class  string        // of which class; empty: of all
@@ -46,14 +46,14 @@
 // Check tells what is out of its range.
 func (l *Limit) Check() error {
 	switch {
-	case l.Most < 1:
-		return fmt.Errorf("most: %d is not above 0", l.Most)
-	case l.Within < 0:
-		return fmt.Errorf("within: %v is below 0", l.Within)
+	case l.Max < 1:
+		return fmt.Errorf("most: %d is not above 0", l.Max)
+	case l.Period < 0:
+		return fmt.Errorf("within: %v is below 0", l.Period)
 	case l.Kind == StrictKind && (l.Slices < 1 || l.Slices > MostSlices):
 		return fmt.Errorf("slices: %d is not from 1 to %d", l.Slices, MostSlices)
-	case l.Kind == StrictKind && l.Most < l.Slices:
-		return fmt.Errorf("most: %d is below the number of slices, %d", l.Most, l.Slices)
+	case l.Kind == StrictKind && l.Max < l.Slices:
+		return fmt.Errorf("most: %d is below the number of slices, %d", l.Max, l.Slices)
 	}
 	return nil
 }
@@ -99,7 +99,7 @@
 		missing = max(s.Expect-n, 0)
 	}
 	n += missing
-	even := (l.Most + n - 1) / n // rounded up: what is reckoned for those that say nothing
+	even := (l.Max + n - 1) / n // rounded up: what is reckoned for those that say nothing
 	used, want := me.Use, weight(me)
 	if !f.ForgetLost {
 		used += missing * even
@@ -114,7 +114,7 @@
 			used += max(m.Use, even)
 		}
 	}
-	free = max(l.Most-used, 0)
+	free = max(l.Max-used, 0)
 	exact := float64(free) * weight(me) / want
 	part = int(exact)
 	// What is left of a whole is drawn, by whom and when: of many with a small part each, some have one.
@@ -187,7 +187,7 @@
 // were at most Most; what it did not know of were admissions of others since they were last heard, no longer ago than Stale, and
 // those that it did not hear were reckoned with their part or more, which is all that they may take themselves while they don't
 // hear this one.
-func Bound(l *Limit, parts, admitted int) int { return (max(parts, 1)-1)*l.Most + admitted }
+func Bound(l *Limit, parts, admitted int) int { return (max(parts, 1)-1)*l.Max + admitted }
 
 // Slices decides which slices of a strict limit a process wants. What it is told of slices is what the keepers last said.
 type Slices struct {
@@ -205,11 +205,11 @@
 }
 
 // Unit is how much a slice holds at the least.
-func (s *Slices) Unit() int { return s.limit.Most / s.limit.Slices }
+func (s *Slices) Unit() int { return s.limit.Max / s.limit.Slices }
 
 // Size is how much a slice holds: what does not divide evenly is in the first ones.
 func (s *Slices) Size(i int) int {
-	if i < s.limit.Most%s.limit.Slices {
+	if i < s.limit.Max%s.limit.Slices {
 		return s.Unit() + 1
 	}
 	return s.Unit()
--- a/internal/shared/limit/limit_test.go
+++ b/internal/shared/limit/limit_test.go
@@ -14,24 +14,24 @@
 func TestPartsOfWhatIsFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Soft{Stale: time.Second, Hold: 10 * time.Second}
-		l := &Limit{Most: rapid.IntRange(1, 400).Draw(t, "most")}
+		l := &Limit{Max: rapid.IntRange(1, 400).Draw(t, "most")}
 		n := rapid.IntRange(1, 30).Draw(t, "members")
 		all := make([]Member, n)
 		used := 0
 		for i := range all {
-			all[i] = Member{Session: uint64(i + 1), Use: rapid.IntRange(0, 2*l.Most/n).Draw(t, "use"), Want: rapid.IntRange(0, 20).Draw(t, "want")}
+			all[i] = Member{Session: uint64(i + 1), Use: rapid.IntRange(0, 2*l.Max/n).Draw(t, "use"), Want: rapid.IntRange(0, 20).Draw(t, "want")}
 			used += all[i].Use
 		}
 		sum := 0
 		for i, me := range all {
 			others := slices.Delete(slices.Clone(all), i, i+1)
 			free, part := s.Room(l, time.Hour, me, others, Flaws{})
-			if free != max(l.Most-used, 0) {
-				t.Fatalf("%d is free, not %d", free, max(l.Most-used, 0))
+			if free != max(l.Max-used, 0) {
+				t.Fatalf("%d is free, not %d", free, max(l.Max-used, 0))
 			}
 			sum += part
 		}
-		if free := max(l.Most-used, 0); sum > free+n {
+		if free := max(l.Max-used, 0); sum > free+n {
 			t.Fatalf("parts of %d add up to %d", free, sum)
 		}
 	})
@@ -42,12 +42,12 @@
 func TestPartsThatDoNotHearEachOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Soft{Stale: time.Second, Hold: time.Minute}
-		l := &Limit{Most: rapid.IntRange(10, 300).Draw(t, "most")}
+		l := &Limit{Max: rapid.IntRange(10, 300).Draw(t, "most")}
 		n := rapid.IntRange(2, 12).Draw(t, "members")
 		use, before, side := make([]int, n), make([]int, n), make([]bool, n)
 		total := 0
 		for i := range n {
-			use[i] = rapid.IntRange(0, l.Most/n).Draw(t, "use")
+			use[i] = rapid.IntRange(0, l.Max/n).Draw(t, "use")
 			before[i], side[i] = use[i], rapid.Bool().Draw(t, "side")
 			total += use[i]
 		}
@@ -68,8 +68,8 @@
 				total++
 			}
 		}
-		if total > l.Most {
-			t.Fatalf("%d stand under a limit of %d, of members on two sides", total, l.Most)
+		if total > l.Max {
+			t.Fatalf("%d stand under a limit of %d, of members on two sides", total, l.Max)
 		}
 	})
 }
@@ -78,7 +78,7 @@
 // with as lost, and one that was lost is after Hold.
 func TestStartAndLoss(t *testing.T) {
 	s := Soft{Stale: time.Second, Hold: 10 * time.Second, Expect: 300}
-	l := &Limit{Most: 600}
+	l := &Limit{Max: 600}
 	if free, _ := s.Room(l, time.Second, Member{Session: 1}, nil, Flaws{}); free > 2 {
 		t.Errorf("one of 300 that knows nobody finds %d of 600 free", free)
 	}
@@ -111,14 +111,14 @@
 
 // Slices add up to the limit; those that are needed are wanted, others' are given up for others, spare ones are given back.
 func TestSlices(t *testing.T) {
-	l := &Limit{Name: "x", Kind: StrictKind, Most: 26, Slices: 12}
+	l := &Limit{Name: "x", Kind: StrictKind, Max: 26, Slices: 12}
 	s := NewSlices(l, 5)
 	sum := 0
 	for i := range l.Slices {
 		sum += s.Size(i)
 	}
-	if sum != l.Most {
-		t.Errorf("slices add up to %d of %d", sum, l.Most)
+	if sum != l.Max {
+		t.Errorf("slices add up to %d of %d", sum, l.Max)
 	}
 	mine := map[int]bool{}
 	held := func(i int) bool { return mine[i] }
@@ -147,10 +147,10 @@
 func TestCheck(t *testing.T) {
 	for want, l := range map[string]Limit{
 		"most: 0 is not above 0":                   {},
-		"within: -1s is below 0":                   {Most: 1, Within: -time.Second},
-		"slices: 65 is not from 1 to 64":           {Most: 100, Kind: StrictKind, Slices: 65},
-		"most: 3 is below the number of slices, 4": {Most: 3, Kind: StrictKind, Slices: 4},
-		"": {Most: 4, Kind: StrictKind, Slices: 4},
+		"within: -1s is below 0":                   {Max: 1, Period: -time.Second},
+		"slices: 65 is not from 1 to 64":           {Max: 100, Kind: StrictKind, Slices: 65},
+		"most: 3 is below the number of slices, 4": {Max: 3, Kind: StrictKind, Slices: 4},
+		"": {Max: 4, Kind: StrictKind, Slices: 4},
 	} {
 		got := ""
 		if err := l.Check(); err != nil {
