--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -65,7 +65,7 @@
 		return nil
 	}
 	if s.slices == 0 {
-		s.slices = min(most, 2*s.s.Proxies.Count, limit.MostSlices)
+		s.slices = min(most, 2*s.s.Proxies.Count, limit.MaxSlices)
 	}
 	l := &limit.Limit{Name: "all", Max: most, Slices: s.slices, Period: s.s.Proxies.LimitWithin}
 	if s.s.Proxies.LimitKind == "strict" {
--- a/internal/shared/limit/limit.go
+++ b/internal/shared/limit/limit.go
@@ -40,8 +40,8 @@
 	Class  string        // of which class; empty: of all
 }
 
-// MostSlices is how many slices a limit may have: each is a duty of the keepers.
-const MostSlices = 64
+// MaxSlices is how many slices a limit may have: each is a duty of the keepers.
+const MaxSlices = 64
 
 // Check tells what is out of its range.
 func (l *Limit) Check() error {
@@ -50,8 +50,8 @@
 		return fmt.Errorf("most: %d is not above 0", l.Max)
 	case l.Period < 0:
 		return fmt.Errorf("within: %v is below 0", l.Period)
-	case l.Kind == StrictKind && (l.Slices < 1 || l.Slices > MostSlices):
-		return fmt.Errorf("slices: %d is not from 1 to %d", l.Slices, MostSlices)
+	case l.Kind == StrictKind && (l.Slices < 1 || l.Slices > MaxSlices):
+		return fmt.Errorf("slices: %d is not from 1 to %d", l.Slices, MaxSlices)
 	case l.Kind == StrictKind && l.Max < l.Slices:
 		return fmt.Errorf("most: %d is below the number of slices, %d", l.Max, l.Slices)
 	}
