--- a/internal/shared/limit/limit.go
+++ b/internal/shared/limit/limit.go
@@ -64,11 +64,11 @@
 	Use     int           // of the limit, at the most, as of Age ago
 	Want    int           // that came of late, let in or not
 	Age     time.Duration // at the least the true one; Unheard where nothing is known
-	Gone    time.Duration // since it was held to be dead; 0: it lives
+	DeadFor time.Duration // since it was held to be dead; 0: it lives
 }
 
-// Unheard is the age of what was never heard.
-const Unheard = time.Duration(math.MaxInt64)
+// UnknownAge is the age of what was never heard.
+const UnknownAge = time.Duration(math.MaxInt64)
 
 // Soft has the figures of soft limits on which all processes must agree.
 type Soft struct {
@@ -90,7 +90,7 @@
 func (s Soft) Room(l *Limit, run time.Duration, me Member, others []Member, f Flaws) (free, part int) {
 	n := 1
 	for _, m := range others {
-		if m.Gone <= s.Hold {
+		if m.DeadFor <= s.Hold {
 			n++
 		}
 	}
@@ -106,8 +106,8 @@
 	}
 	for _, m := range others {
 		switch {
-		case m.Gone > s.Hold:
-		case m.Age <= s.Stale && m.Gone == 0:
+		case m.DeadFor > s.Hold:
+		case m.Age <= s.Stale && m.DeadFor == 0:
 			used += m.Use
 			want += weight(m)
 		case !f.ForgetLost:
--- a/internal/shared/limit/roster.go
+++ b/internal/shared/limit/roster.go
@@ -66,9 +66,9 @@
 		}
 		m, ok := known[l.Session]
 		if !ok {
-			m = Member{Session: l.Session, Age: Unheard}
+			m = Member{Session: l.Session, Age: UnknownAge}
 		}
-		m.Gone = gone
+		m.DeadFor = gone
 		list = append(list, m)
 	})
 	return list
