--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -54,7 +54,7 @@
 
 func newLimits(f *fleet, c Limits, proxyConfig Config) *limits {
 	l := &limits{fleet: f, config: c, startedAt: f.loop.Now()}
-	l.config.Soft.Expect = max(c.Soft.Expect, proxyConfig.Settings.Config.Relays)
+	l.config.Soft.ExpectedMembers = max(c.Soft.ExpectedMembers, proxyConfig.Settings.Config.Relays)
 	for _, lim := range c.List {
 		state := &limitState{Limit: lim, key: evidence.LimitKey(lim.Name), class: settingsIndex(lim.Class, proxyConfig.Settings.Classes), tenant: settingsIndex(lim.Tenant, proxyConfig.Settings.Tenants)}
 		state.gate = limit.Gate{Soft: l.config.Soft, Limit: &state.Limit}
@@ -200,7 +200,7 @@
 	for _, m := range l.fleet.node.Members() {
 		living = append(living, limit.Living{Session: m.Session, Name: m.Name})
 	}
-	l.roster.Look(now, l.config.Soft.Hold, living)
+	l.roster.Look(now, l.config.Soft.DeadHold, living)
 	l.sliceDuties = l.sliceDuties[:0]
 	for _, lim := range l.states {
 		if lim.slices == nil {
@@ -263,12 +263,12 @@
 		age, use, heard := time.Duration(0), 0, 0
 		if lim.slices == nil {
 			l.fleet.carrier.Store().EachUse(now, lim.key, func(_ evidence.Writer, u, _ int, a time.Duration) {
-				if a <= l.config.Soft.Stale {
+				if a <= l.config.Soft.StaleAfter {
 					age, use, heard = max(age, a), use+u, heard+1
 				}
 			})
 			text += fmt.Sprintf(", %d processes heard use %d, room for %d; exceeded at most by the admissions within %v, and by the whole limit for each further partition that is cut off for over %v",
-				heard, use, lim.available, l.config.Soft.Stale, l.config.Soft.Hold)
+				heard, use, lim.available, l.config.Soft.StaleAfter, l.config.Soft.DeadHold)
 		} else {
 			text += fmt.Sprintf(", slices held here for %d; exceeded by 0", l.capacity(now, lim))
 		}
--- a/internal/lab/shared/judge.go
+++ b/internal/lab/shared/judge.go
@@ -208,7 +208,7 @@
 	if now/tick%10 == 0 {
 		j.merged()
 	}
-	within := soft.Stale*102/100 + 500*time.Millisecond // a look, a window and what clocks differ
+	within := soft.StaleAfter*102/100 + 500*time.Millisecond // a look, a window and what clocks differ
 	for len(j.admissions) > 0 && now-j.admissions[0] > within {
 		j.admissions = j.admissions[1:]
 	}
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -39,7 +39,7 @@
 // figures of the run: shorter than those that serve, so that a run sees more.
 var (
 	judging = verdict.Config{Fresh: 3 * time.Second, Forget: 8 * time.Second, Witnesses: 2, Part: 0.34}
-	soft    = limit.Soft{Stale: 3 * time.Second, Hold: 25 * time.Second}
+	soft    = limit.Soft{StaleAfter: 3 * time.Second, DeadHold: 25 * time.Second}
 	softKey = evidence.LimitKey("soft")
 	softL   = limit.Limit{Name: "soft", Max: 90}
 	strictL = limit.Limit{Name: "strict", Kind: limit.StrictKind, Max: 26, Slices: 12}
@@ -172,7 +172,7 @@
 	me := evidence.Writer{Session: c.Session, Name: m.name, Zone: m.zone}
 	m.carrier = carrier.New(loop.Now(), me, conf, evidence.Flaws{MergeAdds: g.o.Plant == "merge-adds"})
 	m.gate = limit.Gate{Soft: soft, Limit: &softL, Flaws: limit.Flaws{ForgetLost: g.o.Plant == "forget-lost"}}
-	m.gate.Expect = 5
+	m.gate.ExpectedMembers = 5
 	m.slices = limit.NewSlices(&strictL, c.Session)
 	c.Zone = m.zone
 	c.Shared = func(from netip.AddrPort, s *mesh.Shared) { m.carrier.Receive(loop.Now(), from, s) }
@@ -352,7 +352,7 @@
 	for _, p := range m.node.Members() {
 		living = append(living, limit.Living{Session: p.Session, Name: p.Name})
 	}
-	m.roster.Look(now, soft.Hold, living)
+	m.roster.Look(now, soft.DeadHold, living)
 	known := make(map[uint64]limit.Member)
 	store.EachUse(now, softKey, func(w evidence.Writer, use, want int, age time.Duration) {
 		known[w.Session] = limit.Member{Session: w.Session, Use: use, Want: want, Age: age}
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -82,7 +82,7 @@
 		Keepers:  Keepers{Lease: terms.Lease, Margin: terms.Margin},
 		Verdicts: Verdicts{Fresh: verdicts.Fresh, Forget: verdicts.Forget, Witnesses: verdicts.Witnesses, Part: verdicts.Part},
 		Retries:  Retries{Part: 0.2, Within: 10 * time.Second, Least: 10},
-		Soft:     Soft{Stale: soft.Stale, Hold: soft.Hold},
+		Soft:     Soft{Stale: soft.StaleAfter, Hold: soft.DeadHold},
 		Log:      Log{Format: "plain"},
 	}
 }
--- a/internal/shared/limit/limit.go
+++ b/internal/shared/limit/limit.go
@@ -72,13 +72,13 @@
 
 // Soft has the figures of soft limits on which all processes must agree.
 type Soft struct {
-	Stale  time.Duration // what is older says nothing: that process is reckoned with its part, or with what it had if that is more
-	Hold   time.Duration // for so long a process that was held to be dead is reckoned with, as it may only be cut off
-	Expect int           // processes that there should be; until Hold after the start missing ones are reckoned with
+	StaleAfter      time.Duration // what is older says nothing: that process is reckoned with its part, or with what it had if that is more
+	DeadHold        time.Duration // for so long a process that was held to be dead is reckoned with, as it may only be cut off
+	ExpectedMembers int           // processes that there should be; until Hold after the start missing ones are reckoned with
 }
 
 // DefaultSoft has the figures that serve.
-func DefaultSoft() Soft { return Soft{Stale: 4 * time.Second, Hold: 15 * time.Second} }
+func DefaultSoft() Soft { return Soft{StaleAfter: 4 * time.Second, DeadHold: 15 * time.Second} }
 
 // Flaws are mistakes to be planted in tests. The zero value has none.
 type Flaws struct {
@@ -90,13 +90,13 @@
 func (s Soft) Room(l *Limit, run time.Duration, me Member, others []Member, f Flaws) (free, part int) {
 	n := 1
 	for _, m := range others {
-		if m.DeadFor <= s.Hold {
+		if m.DeadFor <= s.DeadHold {
 			n++
 		}
 	}
 	missing := 0
-	if run < s.Hold {
-		missing = max(s.Expect-n, 0)
+	if run < s.DeadHold {
+		missing = max(s.ExpectedMembers-n, 0)
 	}
 	n += missing
 	even := (l.Max + n - 1) / n // rounded up: what is reckoned for those that say nothing
@@ -106,8 +106,8 @@
 	}
 	for _, m := range others {
 		switch {
-		case m.DeadFor > s.Hold:
-		case m.Age <= s.Stale && m.DeadFor == 0:
+		case m.DeadFor > s.DeadHold:
+		case m.Age <= s.StaleAfter && m.DeadFor == 0:
 			used += m.Use
 			want += weight(m)
 		case !f.ForgetLost:
@@ -118,7 +118,7 @@
 	exact := float64(free) * weight(me) / want
 	part = int(exact)
 	// What is left of a whole is drawn, by whom and when: of many with a small part each, some have one.
-	span := uint64(run / max(s.Stale, 1))
+	span := uint64(run / max(s.StaleAfter, 1))
 	if text := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, me.Session), span); float64(xxhash.Sum64(text)>>11)/(1<<53) < exact-float64(part) {
 		part++
 	}
@@ -151,7 +151,7 @@
 // more often than Stale.
 func (g *Gate) Look(run time.Duration, me Member, others []Member) (free int) {
 	free, part := g.Room(g.Limit, run, me, others, g.Flaws)
-	if !g.ready || run-g.began >= g.Stale {
+	if !g.ready || run-g.began >= g.StaleAfter {
 		g.ready, g.began, g.left = true, run, part
 	}
 	g.left = min(g.left, free)
--- a/internal/shared/limit/limit_test.go
+++ b/internal/shared/limit/limit_test.go
@@ -13,7 +13,7 @@
 // Where all see the same, what they may take in one span is no more than what is free, but for the draws of what does not divide.
 func TestPartsOfWhatIsFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Soft{Stale: time.Second, Hold: 10 * time.Second}
+		s := Soft{StaleAfter: time.Second, DeadHold: 10 * time.Second}
 		l := &Limit{Max: rapid.IntRange(1, 400).Draw(t, "most")}
 		n := rapid.IntRange(1, 30).Draw(t, "members")
 		all := make([]Member, n)
@@ -41,7 +41,7 @@
 // together, however they are cut and whatever they had.
 func TestPartsThatDoNotHearEachOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Soft{Stale: time.Second, Hold: time.Minute}
+		s := Soft{StaleAfter: time.Second, DeadHold: time.Minute}
 		l := &Limit{Max: rapid.IntRange(10, 300).Draw(t, "most")}
 		n := rapid.IntRange(2, 12).Draw(t, "members")
 		use, before, side := make([]int, n), make([]int, n), make([]bool, n)
@@ -77,7 +77,7 @@
 // A fleet that has just started reckons with those that it has not met; one that restarted under its name is no longer reckoned
 // with as lost, and one that was lost is after Hold.
 func TestStartAndLoss(t *testing.T) {
-	s := Soft{Stale: time.Second, Hold: 10 * time.Second, Expect: 300}
+	s := Soft{StaleAfter: time.Second, DeadHold: 10 * time.Second, ExpectedMembers: 300}
 	l := &Limit{Max: 600}
 	if free, _ := s.Room(l, time.Second, Member{Session: 1}, nil, Flaws{}); free > 2 {
 		t.Errorf("one of 300 that knows nobody finds %d of 600 free", free)
@@ -86,8 +86,8 @@
 		t.Errorf("one that nobody has joined finds %d of 600 free", free)
 	}
 	var r Roster
-	r.Look(now, s.Hold, []Living{{1, "a"}, {2, "b"}, {3, "c"}})
-	r.Look(now.Add(time.Second), s.Hold, []Living{{1, "a"}})
+	r.Look(now, s.DeadHold, []Living{{1, "a"}, {2, "b"}, {3, "c"}})
+	r.Look(now.Add(time.Second), s.DeadHold, []Living{{1, "a"}})
 	gone := func(at time.Duration) (list []uint64) {
 		r.Each(now.Add(at), func(l Living, g time.Duration) {
 			if g > 0 {
@@ -99,11 +99,11 @@
 	if got := gone(2 * time.Second); !slices.Equal(got, []uint64{2, 3}) {
 		t.Errorf("gone: %v", got)
 	}
-	r.Look(now.Add(3*time.Second), s.Hold, []Living{{1, "a"}, {4, "b"}})
+	r.Look(now.Add(3*time.Second), s.DeadHold, []Living{{1, "a"}, {4, "b"}})
 	if got := gone(3 * time.Second); !slices.Equal(got, []uint64{3}) {
 		t.Errorf("b is back under its name, and gone are %v", got)
 	}
-	r.Look(now.Add(12*time.Second), s.Hold, []Living{{1, "a"}, {4, "b"}})
+	r.Look(now.Add(12*time.Second), s.DeadHold, []Living{{1, "a"}, {4, "b"}})
 	if got := gone(12 * time.Second); len(got) != 0 {
 		t.Errorf("after Hold, gone are %v", got)
 	}
