--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -97,7 +97,7 @@
 	}
 	if len(s.conf.Limits) > 0 {
 		o := s.conf.Soft
-		f.Limits = &instance.Limits{Soft: limit.Soft{StaleAfter: o.Stale, DeadHold: o.Hold, ExpectedMembers: o.Expect}, List: s.conf.Limits, OnChange: s.limited}
+		f.Limits = &instance.Limits{Soft: limit.SoftConfig{StaleAfter: o.Stale, DeadHold: o.Hold, ExpectedMembers: o.Expect}, List: s.conf.Limits, OnChange: s.limited}
 		for _, l := range s.conf.Limits {
 			if err := named(c, l); err != nil {
 				return nil, fmt.Errorf("%s: [limit %s] %w", s.path, l.Name, err)
--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -237,7 +237,7 @@
 		f.limits = newLimits(f, *l, c)
 	}
 	if c.Fleet.Retries != nil {
-		f.retries = newRetries(f, *c.Fleet.Retries, limit.DefaultSoft().StaleAfter)
+		f.retries = newRetries(f, *c.Fleet.Retries, limit.DefaultSoftConfig().StaleAfter)
 	}
 }
 
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -14,7 +14,7 @@
 // Limits configures the limits on what all proxies of a fleet together may take. All proxies must
 // have the same ones.
 type Limits struct {
-	Soft     limit.Soft
+	Soft     limit.SoftConfig
 	List     []limit.Limit
 	OnChange func(LimitChange) // called when a limit begins or ceases to refuse; may be nil
 }
@@ -57,7 +57,7 @@
 	l.config.Soft.ExpectedMembers = max(c.Soft.ExpectedMembers, proxyConfig.Settings.Config.Relays)
 	for _, lim := range c.List {
 		state := &limitState{Limit: lim, key: evidence.LimitKey(lim.Name), class: settingsIndex(lim.Class, proxyConfig.Settings.Classes), tenant: settingsIndex(lim.Tenant, proxyConfig.Settings.Tenants)}
-		state.gate = limit.Gate{Soft: l.config.Soft, Limit: &state.Limit}
+		state.gate = limit.Gate{SoftConfig: l.config.Soft, Limit: &state.Limit}
 		if lim.Kind == limit.StrictKind {
 			state.slices = limit.NewSlices(&state.Limit, proxyConfig.Fleet.Mesh.Session)
 		}
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -39,7 +39,7 @@
 // figures of the run: shorter than those that serve, so that a run sees more.
 var (
 	judging = verdict.Config{Fresh: 3 * time.Second, Forget: 8 * time.Second, Witnesses: 2, Part: 0.34}
-	soft    = limit.Soft{StaleAfter: 3 * time.Second, DeadHold: 25 * time.Second}
+	soft    = limit.SoftConfig{StaleAfter: 3 * time.Second, DeadHold: 25 * time.Second}
 	softKey = evidence.LimitKey("soft")
 	softL   = limit.Limit{Name: "soft", Max: 90}
 	strictL = limit.Limit{Name: "strict", Kind: limit.StrictKind, Max: 26, Slices: 12}
@@ -171,7 +171,7 @@
 	}
 	me := evidence.Writer{Session: c.Session, Name: m.name, Zone: m.zone}
 	m.carrier = carrier.New(loop.Now(), me, conf, evidence.Flaws{MergeAdds: g.o.Plant == "merge-adds"})
-	m.gate = limit.Gate{Soft: soft, Limit: &softL, Flaws: limit.Flaws{ForgetLost: g.o.Plant == "forget-lost"}}
+	m.gate = limit.Gate{SoftConfig: soft, Limit: &softL, Flaws: limit.Flaws{ForgetLost: g.o.Plant == "forget-lost"}}
 	m.gate.ExpectedMembers = 5
 	m.slices = limit.NewSlices(&strictL, c.Session)
 	c.Zone = m.zone
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -53,7 +53,7 @@
 		f.Retries = &limit.Retries{Part: part, Within: 10 * time.Second, Least: 10}
 	}
 	if l := s.limit(); l != nil {
-		f.Limits = &instance.Limits{Soft: limit.DefaultSoft(), List: []limit.Limit{*l}}
+		f.Limits = &instance.Limits{Soft: limit.DefaultSoftConfig(), List: []limit.Limit{*l}}
 	}
 	return f, nil
 }
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -77,7 +77,7 @@
 
 // defaults returns what an empty file says.
 func defaults() *Config {
-	terms, verdicts, soft := owner.DefaultTerms(), verdict.DefaultConfig(), limit.DefaultSoft()
+	terms, verdicts, soft := owner.DefaultTerms(), verdict.DefaultConfig(), limit.DefaultSoftConfig()
 	return &Config{
 		Keepers:  Keepers{Lease: terms.Lease, Margin: terms.Margin},
 		Verdicts: Verdicts{Fresh: verdicts.Fresh, Forget: verdicts.Forget, Witnesses: verdicts.Witnesses, Part: verdicts.Part},
--- a/internal/shared/limit/limit.go
+++ b/internal/shared/limit/limit.go
@@ -70,15 +70,17 @@
 // UnknownAge is the age of what was never heard.
 const UnknownAge = time.Duration(math.MaxInt64)
 
-// Soft has the figures of soft limits on which all processes must agree.
-type Soft struct {
+// SoftConfig has the figures of soft limits on which all processes must agree.
+type SoftConfig struct {
 	StaleAfter      time.Duration // what is older says nothing: that process is reckoned with its part, or with what it had if that is more
 	DeadHold        time.Duration // for so long a process that was held to be dead is reckoned with, as it may only be cut off
 	ExpectedMembers int           // processes that there should be; until Hold after the start missing ones are reckoned with
 }
 
-// DefaultSoft has the figures that serve.
-func DefaultSoft() Soft { return Soft{StaleAfter: 4 * time.Second, DeadHold: 15 * time.Second} }
+// DefaultSoftConfig has the figures that serve.
+func DefaultSoftConfig() SoftConfig {
+	return SoftConfig{StaleAfter: 4 * time.Second, DeadHold: 15 * time.Second}
+}
 
 // Flaws are mistakes to be planted in tests. The zero value has none.
 type Flaws struct {
@@ -87,7 +89,7 @@
 
 // Room is how much of a limit this process knows to be free, and its part of that by what it and the others want: what it may take
 // before it has heard anew from them. run is for how long it has run; others are all other members that live, or died within Hold.
-func (s Soft) Room(l *Limit, run time.Duration, me Member, others []Member, f Flaws) (free, part int) {
+func (s SoftConfig) Room(l *Limit, run time.Duration, me Member, others []Member, f Flaws) (free, part int) {
 	n := 1
 	for _, m := range others {
 		if m.DeadFor <= s.DeadHold {
@@ -130,7 +132,7 @@
 
 // Gate lets in what a soft limit leaves to this process.
 type Gate struct {
-	Soft
+	SoftConfig
 	Limit *Limit
 	Flaws Flaws
 	left  int
--- a/internal/shared/limit/limit_test.go
+++ b/internal/shared/limit/limit_test.go
@@ -13,7 +13,7 @@
 // Where all see the same, what they may take in one span is no more than what is free, but for the draws of what does not divide.
 func TestPartsOfWhatIsFree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Soft{StaleAfter: time.Second, DeadHold: 10 * time.Second}
+		s := SoftConfig{StaleAfter: time.Second, DeadHold: 10 * time.Second}
 		l := &Limit{Max: rapid.IntRange(1, 400).Draw(t, "most")}
 		n := rapid.IntRange(1, 30).Draw(t, "members")
 		all := make([]Member, n)
@@ -41,7 +41,7 @@
 // together, however they are cut and whatever they had.
 func TestPartsThatDoNotHearEachOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Soft{StaleAfter: time.Second, DeadHold: time.Minute}
+		s := SoftConfig{StaleAfter: time.Second, DeadHold: time.Minute}
 		l := &Limit{Max: rapid.IntRange(10, 300).Draw(t, "most")}
 		n := rapid.IntRange(2, 12).Draw(t, "members")
 		use, before, side := make([]int, n), make([]int, n), make([]bool, n)
@@ -77,7 +77,7 @@
 // A fleet that has just started reckons with those that it has not met; one that restarted under its name is no longer reckoned
 // with as lost, and one that was lost is after Hold.
 func TestStartAndLoss(t *testing.T) {
-	s := Soft{StaleAfter: time.Second, DeadHold: 10 * time.Second, ExpectedMembers: 300}
+	s := SoftConfig{StaleAfter: time.Second, DeadHold: 10 * time.Second, ExpectedMembers: 300}
 	l := &Limit{Max: 600}
 	if free, _ := s.Room(l, time.Second, Member{Session: 1}, nil, Flaws{}); free > 2 {
 		t.Errorf("one of 300 that knows nobody finds %d of 600 free", free)
