--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -103,7 +103,7 @@
 	for _, lim := range l.states { // all limits must have room before any is taken
 		if refuse && lim.covers(class, tenant) && !l.hasRoom(now, lim) {
 			lim.refusedSinceTick++
-			lim.gate.Wish(now.Sub(l.startedAt))
+			lim.gate.RecordRefused(now.Sub(l.startedAt))
 			if !lim.refusing {
 				lim.refusing = true
 				l.notifyChange(lim)
@@ -167,7 +167,7 @@
 
 // publishUse publishes this process's use of a limit to the other processes.
 func (l *limits) publishUse(now time.Time, lim *limitState) {
-	l.fleet.carrier.Store().RecordUse(now, lim.key, lim.currentUse(now), lim.gate.Wanted(now.Sub(l.startedAt)))
+	l.fleet.carrier.Store().RecordUse(now, lim.key, lim.currentUse(now), lim.gate.RecentDemand(now.Sub(l.startedAt)))
 }
 
 // capacity returns the sum of the sizes of the slices that this process holds.
@@ -224,7 +224,7 @@
 	l.fleet.carrier.Store().EachUse(now, lim.key, func(w evidence.Writer, use, want int, age time.Duration) {
 		known[w.Session] = limit.Member{Session: w.Session, Use: use, Want: want, Age: age}
 	})
-	me := limit.Member{Session: l.fleet.carrier.Store().Self().Session, Use: lim.currentUse(now), Want: lim.gate.Wanted(now.Sub(l.startedAt))}
+	me := limit.Member{Session: l.fleet.carrier.Store().Self().Session, Use: lim.currentUse(now), Want: lim.gate.RecentDemand(now.Sub(l.startedAt))}
 	lim.available = lim.gate.Look(now.Sub(l.startedAt), me, l.roster.Members(now, me.Session, known))
 }
 
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -321,7 +321,7 @@
 }
 
 func (m *member) tellUse(now time.Time) {
-	m.carrier.Store().RecordUse(now, softKey, len(m.open[softL.Name]), m.gate.Wanted(now.Sub(m.began)))
+	m.carrier.Store().RecordUse(now, softKey, len(m.open[softL.Name]), m.gate.RecentDemand(now.Sub(m.began)))
 }
 
 // look does what a process does every now and then.
--- a/internal/shared/limit/limit.go
+++ b/internal/shared/limit/limit.go
@@ -142,8 +142,8 @@
 	at    time.Duration
 }
 
-// Wanted is how many asked of late: those of the last second and half of those before, and so on.
-func (g *Gate) Wanted(run time.Duration) int {
+// RecentDemand is how many asked of late: those of the last second and half of those before, and so on.
+func (g *Gate) RecentDemand(run time.Duration) int {
 	g.want *= math.Exp2(-max(run-g.at, 0).Seconds())
 	g.at = run
 	return int(math.Ceil(g.want - 0.1))
@@ -163,15 +163,15 @@
 // Open tells whether Admit would let one more in.
 func (g *Gate) Open() bool { return g.left > 0 }
 
-// Wish counts one that asked and was not let in.
-func (g *Gate) Wish(run time.Duration) {
-	g.Wanted(run)
+// RecordRefused counts one that asked and was not let in.
+func (g *Gate) RecordRefused(run time.Duration) {
+	g.RecentDemand(run)
 	g.want++
 }
 
 // Admit tells whether one more may come in, and counts it.
 func (g *Gate) Admit(run time.Duration) bool {
-	g.Wanted(run)
+	g.RecentDemand(run)
 	g.want++
 	if g.left <= 0 {
 		return false
