--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -131,7 +131,7 @@
 	if lim.slices != nil {
 		return lim.inUse < l.capacity(now, lim)
 	}
-	return lim.gate.Open()
+	return lim.gate.HasRoom()
 }
 
 // Release implements proxy.Limits.
@@ -225,7 +225,7 @@
 		known[w.Session] = limit.Member{Session: w.Session, Use: use, Want: want, Age: age}
 	})
 	me := limit.Member{Session: l.fleet.carrier.Store().Self().Session, Use: lim.currentUse(now), Want: lim.gate.RecentDemand(now.Sub(l.startedAt))}
-	lim.available = lim.gate.Look(now.Sub(l.startedAt), me, l.roster.Members(now, me.Session, known))
+	lim.available = lim.gate.Update(now.Sub(l.startedAt), me, l.roster.Members(now, me.Session, known))
 }
 
 // tickStrict claims slices for the existing connections, and one more while clients are refused or
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -358,7 +358,7 @@
 		known[w.Session] = limit.Member{Session: w.Session, Use: use, Want: want, Age: age}
 	})
 	me := limit.Member{Session: store.Self().Session, Use: len(m.open[softL.Name]), Want: known[store.Self().Session].Want}
-	m.gate.Look(now.Sub(m.began), me, m.roster.Members(now, me.Session, known))
+	m.gate.Update(now.Sub(m.began), me, m.roster.Members(now, me.Session, known))
 	// Slices are duties like others.
 	held := func(i int) bool { _, ok := m.node.Holds(m.slices.Duty(i)); return ok }
 	taken := func(i int) bool { return m.node.HasOwner(m.slices.Duty(i)) }
--- a/internal/shared/limit/limit.go
+++ b/internal/shared/limit/limit.go
@@ -149,9 +149,9 @@
 	return int(math.Ceil(g.want - 0.1))
 }
 
-// Look takes what is known now, and returns how much of the limit is free as far as that goes. It is to be called every now and then,
+// Update takes what is known now, and returns how much of the limit is free as far as that goes. It is to be called every now and then,
 // more often than Stale.
-func (g *Gate) Look(run time.Duration, me Member, others []Member) (free int) {
+func (g *Gate) Update(run time.Duration, me Member, others []Member) (free int) {
 	free, part := g.Room(g.Limit, run, me, others, g.Flaws)
 	if !g.ready || run-g.began >= g.StaleAfter {
 		g.ready, g.began, g.left = true, run, part
@@ -160,8 +160,8 @@
 	return free
 }
 
-// Open tells whether Admit would let one more in.
-func (g *Gate) Open() bool { return g.left > 0 }
+// HasRoom tells whether Admit would let one more in.
+func (g *Gate) HasRoom() bool { return g.left > 0 }
 
 // RecordRefused counts one that asked and was not let in.
 func (g *Gate) RecordRefused(run time.Duration) {
