--- a/internal/lab/shared/judge.go
+++ b/internal/lab/shared/judge.go
@@ -222,7 +222,7 @@
 	}
 	j.peak = max(j.peak, len(j.admissions))
 	if excess > 0 && now >= j.excused {
-		bound := limit.Bound(&softL, 1, j.peak)
+		bound := limit.MaxExcess(&softL, 1, j.peak)
 		j.g.count.MostExcess = max(j.g.count.MostExcess, excess)
 		j.g.count.ExcessOfBound = max(j.g.count.ExcessOfBound, float64(excess)/float64(max(bound, 1)))
 		if excess > bound {
--- a/internal/shared/limit/limit.go
+++ b/internal/shared/limit/limit.go
@@ -180,7 +180,7 @@
 	return true
 }
 
-// Bound is by how much the use of all may exceed a soft limit:
+// MaxExcess is by how much the use of all may exceed a soft limit:
 //
 //	(parts - 1) * Most + admitted
 //
@@ -189,7 +189,7 @@
 // were at most Most; what it did not know of were admissions of others since they were last heard, no longer ago than Stale, and
 // those that it did not hear were reckoned with their part or more, which is all that they may take themselves while they don't
 // hear this one.
-func Bound(l *Limit, parts, admitted int) int { return (max(parts, 1)-1)*l.Max + admitted }
+func MaxExcess(l *Limit, parts, admitted int) int { return (max(parts, 1)-1)*l.Max + admitted }
 
 // Slices decides which slices of a strict limit a process wants. What it is told of slices is what the keepers last said.
 type Slices struct {
