--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -174,7 +174,7 @@
 func (l *limits) capacity(now time.Time, lim *limitState) int {
 	n := 0
 	for i := range lim.Slices {
-		if _, ok := l.fleet.node.HoldsAt(now, lim.slices.Duty(i)); ok {
+		if _, ok := l.fleet.node.HoldsAt(now, lim.slices.DutyName(i)); ok {
 			n += lim.slices.Size(i)
 		}
 	}
@@ -231,15 +231,15 @@
 // tickStrict claims slices for the existing connections, and one more while clients are refused or
 // the last slice is nearly full.
 func (l *limits) tickStrict(now time.Time, lim *limitState) {
-	held := func(i int) bool { _, ok := l.fleet.node.Holds(lim.slices.Duty(i)); return ok }
-	taken := func(i int) bool { return l.fleet.node.HasOwner(lim.slices.Duty(i)) }
-	wanted := min(lim.refusedSinceTick, lim.slices.Unit()) + 1
+	held := func(i int) bool { _, ok := l.fleet.node.Holds(lim.slices.DutyName(i)); return ok }
+	taken := func(i int) bool { return l.fleet.node.HasOwner(lim.slices.DutyName(i)) }
+	wanted := min(lim.refusedSinceTick, lim.slices.MinSize()) + 1
 	if l.fleet.draining {
 		wanted = 0
 	}
-	for _, i := range lim.slices.Want(now, lim.inUse, wanted, l.fleet.leaseDuration, held, taken) {
+	for _, i := range lim.slices.Claims(now, lim.inUse, wanted, l.fleet.leaseDuration, held, taken) {
 		if len(l.sliceDuties) < owner.MostLeases/2 {
-			l.sliceDuties = append(l.sliceDuties, lim.slices.Duty(i))
+			l.sliceDuties = append(l.sliceDuties, lim.slices.DutyName(i))
 		}
 	}
 	lim.available = l.capacity(now, lim) - lim.inUse
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -313,7 +313,7 @@
 func (m *member) capacity(now time.Time) int {
 	n := 0
 	for i := range strictL.Slices {
-		if _, ok := m.node.HoldsAt(now, m.slices.Duty(i)); ok {
+		if _, ok := m.node.HoldsAt(now, m.slices.DutyName(i)); ok {
 			n += m.slices.Size(i)
 		}
 	}
@@ -360,13 +360,13 @@
 	me := limit.Member{Session: store.Self().Session, Use: len(m.open[softL.Name]), Want: known[store.Self().Session].Want}
 	m.gate.Update(now.Sub(m.began), me, m.roster.Members(now, me.Session, known))
 	// Slices are duties like others.
-	held := func(i int) bool { _, ok := m.node.Holds(m.slices.Duty(i)); return ok }
-	taken := func(i int) bool { return m.node.HasOwner(m.slices.Duty(i)) }
-	want := m.slices.Want(now, len(m.open[strictL.Name]), min(m.refused[strictL.Name], 2), time.Second, held, taken)
+	held := func(i int) bool { _, ok := m.node.Holds(m.slices.DutyName(i)); return ok }
+	taken := func(i int) bool { return m.node.HasOwner(m.slices.DutyName(i)) }
+	want := m.slices.Claims(now, len(m.open[strictL.Name]), min(m.refused[strictL.Name], 2), time.Second, held, taken)
 	m.refused[strictL.Name] = 0
 	duties := []string{"discovery", "moves", "probes/0"}
 	for _, i := range want {
-		duties = append(duties, m.slices.Duty(i))
+		duties = append(duties, m.slices.DutyName(i))
 	}
 	m.node.SetDuties(duties)
 }
--- a/internal/shared/limit/limit.go
+++ b/internal/shared/limit/limit.go
@@ -206,33 +206,33 @@
 	return &Slices{limit: l, me: me, next: int(me % uint64(l.Slices))}
 }
 
-// Unit is how much a slice holds at the least.
-func (s *Slices) Unit() int { return s.limit.Max / s.limit.Slices }
+// MinSize is how much a slice holds at the least.
+func (s *Slices) MinSize() int { return s.limit.Max / s.limit.Slices }
 
 // Size is how much a slice holds: what does not divide evenly is in the first ones.
 func (s *Slices) Size(i int) int {
 	if i < s.limit.Max%s.limit.Slices {
-		return s.Unit() + 1
+		return s.MinSize() + 1
 	}
-	return s.Unit()
+	return s.MinSize()
 }
 
-// Duty names a slice among the duties.
-func (s *Slices) Duty(i int) string { return fmt.Sprintf("limit/%s/%d", s.limit.Name, i) }
+// DutyName names a slice among the duties.
+func (s *Slices) DutyName(i int) string { return fmt.Sprintf("limit/%s/%d", s.limit.Name, i) }
 
 // spareFor is how long a slice stays unused before it is given back.
 const spareFor = 3 * time.Second
 
-// Want returns the slices to claim and renew, for a use and those that wait for room. held tells whether a slice is held now, taken
+// Claims returns the slices to claim and renew, for a use and those that wait for room. held tells whether a slice is held now, taken
 // whether somebody else is known to hold it; again is the time after which one that is not got is given up for another.
-func (s *Slices) Want(now time.Time, use, waiting int, again time.Duration, held, taken func(i int) bool) []int {
+func (s *Slices) Claims(now time.Time, use, waiting int, again time.Duration, held, taken func(i int) bool) []int {
 	got := 0
 	for _, i := range s.want {
 		if held(i) {
 			got++
 		}
 	}
-	need := min((use+waiting+s.Unit()-1)/s.Unit(), s.limit.Slices)
+	need := min((use+waiting+s.MinSize()-1)/s.MinSize(), s.limit.Slices)
 	switch {
 	case got > need && s.spare.IsZero():
 		s.spare = now
--- a/internal/shared/limit/limit_test.go
+++ b/internal/shared/limit/limit_test.go
@@ -123,12 +123,12 @@
 	mine := map[int]bool{}
 	held := func(i int) bool { return mine[i] }
 	nobody := func(int) bool { return false }
-	want := s.Want(now, 3, 2, time.Second, held, nobody)
+	want := s.Claims(now, 3, 2, time.Second, held, nobody)
 	if len(want) != 3 {
 		t.Fatalf("for 5, slices of 2: %v", want)
 	}
 	mine[want[0]] = true
-	again := s.Want(now.Add(2*time.Second), 3, 2, time.Second, held, func(i int) bool { return i != want[0] })
+	again := s.Claims(now.Add(2*time.Second), 3, 2, time.Second, held, func(i int) bool { return i != want[0] })
 	if len(again) != 3 || again[0] != want[0] || slices.Contains(again, want[1]) && slices.Contains(again, want[2]) {
 		t.Errorf("others hold all but the first of %v, and it wants %v", want, again)
 	}
@@ -136,10 +136,10 @@
 		mine[i] = true
 	}
 	at := now.Add(3 * time.Second)
-	if got := s.Want(at, 1, 0, time.Second, held, nobody); len(got) != 3 {
+	if got := s.Claims(at, 1, 0, time.Second, held, nobody); len(got) != 3 {
 		t.Errorf("a spare slice is given back at once: %v", got)
 	}
-	if got := s.Want(at.Add(spareFor), 1, 0, time.Second, held, nobody); len(got) != 2 {
+	if got := s.Claims(at.Add(spareFor), 1, 0, time.Second, held, nobody); len(got) != 2 {
 		t.Errorf("after %v: %v", spareFor, got)
 	}
 }
