--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -93,7 +93,7 @@
 		f.Verdicts = &v
 	}
 	if o := s.conf.Retries; o.On {
-		f.Retries = &limit.Retries{Part: o.Part, Within: o.Within, Least: o.Least}
+		f.Retries = &limit.RetryBudget{Fraction: o.Part, Period: o.Within, Min: o.Least}
 	}
 	if len(s.conf.Limits) > 0 {
 		o := s.conf.Soft
--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -19,12 +19,12 @@
 
 // Fleet configures the work that a proxy shares with other proxies.
 type Fleet struct {
-	Mesh           mesh.Config    // New sets Loop and the callbacks; a given Tell is called as well
-	SameAddresses  bool           // targets have the same addresses for all proxies
-	Verdicts       *Verdicts      // nil: each proxy judges targets alone
-	Limits         *Limits        // nil: no limits on all proxies together
-	Retries        *limit.Retries // budget of all proxies together; nil: none
-	MovesPerSecond float64        // rate at which the owner of the duty paces moves; 0: not paced
+	Mesh           mesh.Config        // New sets Loop and the callbacks; a given Tell is called as well
+	SameAddresses  bool               // targets have the same addresses for all proxies
+	Verdicts       *Verdicts          // nil: each proxy judges targets alone
+	Limits         *Limits            // nil: no limits on all proxies together
+	Retries        *limit.RetryBudget // budget of all proxies together; nil: none
+	MovesPerSecond float64            // rate at which the owner of the duty paces moves; 0: not paced
 }
 
 // fleet connects a proxy with the other proxies: it carries out the duties that this process owns,
--- a/internal/instance/retries.go
+++ b/internal/instance/retries.go
@@ -12,7 +12,7 @@
 // retry hops exceeds the budget, the module makes none.
 type retries struct {
 	fleet       *fleet
-	config      limit.Retries
+	config      limit.RetryBudget
 	staleAfter  time.Duration
 	firstHops   []time.Time
 	furtherHops []time.Time
@@ -28,7 +28,7 @@
 	furtherKey = evidence.LimitPrefix + "hops, further"
 )
 
-func newRetries(f *fleet, c limit.Retries, staleAfter time.Duration) *retries {
+func newRetries(f *fleet, c limit.RetryBudget, staleAfter time.Duration) *retries {
 	r := &retries{fleet: f, config: c, staleAfter: staleAfter}
 	f.instance.engine.OnHop(r.onHop)
 	return r
@@ -55,7 +55,7 @@
 // The hops of a process that is not heard are unknown and not counted: the budget is then that of
 // the processes that hear each other, based on their own first hops.
 func (r *retries) tick(now time.Time) {
-	from := now.Add(-r.config.Within)
+	from := now.Add(-r.config.Period)
 	r.firstHops, r.furtherHops = dropBefore(r.firstHops, from), dropBefore(r.furtherHops, from)
 	store := r.fleet.carrier.Store()
 	if now.Sub(r.publishedAt) >= publishInterval { // a budget over seconds needs no more frequent updates
@@ -71,7 +71,7 @@
 		})
 		return n
 	}
-	if overBudget := sum(furtherKey) > r.config.Most(sum(firstKey)); overBudget != r.overBudget {
+	if overBudget := sum(furtherKey) > r.config.Max(sum(firstKey)); overBudget != r.overBudget {
 		r.overBudget = overBudget
 		r.fleet.instance.engine.SetRetryBudgetSpent(overBudget)
 		r.fleet.instance.Count.Thrifty++
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -50,7 +50,7 @@
 		f.Verdicts = &v
 	}
 	if part := s.s.Proxies.Retries; part > 0 {
-		f.Retries = &limit.Retries{Part: part, Within: 10 * time.Second, Least: 10}
+		f.Retries = &limit.RetryBudget{Fraction: part, Period: 10 * time.Second, Min: 10}
 	}
 	if l := s.limit(); l != nil {
 		f.Limits = &instance.Limits{Soft: limit.DefaultSoftConfig(), List: []limit.Limit{*l}}
--- a/internal/shared/limit/limit.go
+++ b/internal/shared/limit/limit.go
@@ -264,12 +264,12 @@
 	return slices.Clone(s.want)
 }
 
-// Retries is a budget for further attempts of all processes together: a part of the first ones of late.
-type Retries struct {
-	Part   float64       // of the first attempts within Within; above 0
-	Within time.Duration // above 0
-	Least  int           // that may be made in any case, so that a quiet fleet can try again
+// RetryBudget is a budget for further attempts of all processes together: a part of the first ones of late.
+type RetryBudget struct {
+	Fraction float64       // of the first attempts within Within; above 0
+	Period   time.Duration // above 0
+	Min      int           // that may be made in any case, so that a quiet fleet can try again
 }
 
-// Most is the budget, for so many first attempts of all within Within.
-func (r Retries) Most(first int) int { return r.Least + int(r.Part*float64(first)) }
+// Max is the budget, for so many first attempts of all within Within.
+func (r RetryBudget) Max(first int) int { return r.Min + int(r.Fraction*float64(first)) }
