--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -196,11 +196,11 @@
 
 // tick evaluates what the other processes have published.
 func (l *limits) tick(now time.Time) {
-	var living []limit.Living
+	var living []limit.LiveProcess
 	for _, m := range l.fleet.node.Members() {
-		living = append(living, limit.Living{Session: m.Session, Name: m.Name})
+		living = append(living, limit.LiveProcess{Session: m.Session, Name: m.Name})
 	}
-	l.roster.Look(now, l.config.Soft.DeadHold, living)
+	l.roster.Update(now, l.config.Soft.DeadHold, living)
 	l.sliceDuties = l.sliceDuties[:0]
 	for _, lim := range l.states {
 		if lim.slices == nil {
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -348,11 +348,11 @@
 
 func (m *member) limits(now time.Time) {
 	store := m.carrier.Store()
-	var living []limit.Living
+	var living []limit.LiveProcess
 	for _, p := range m.node.Members() {
-		living = append(living, limit.Living{Session: p.Session, Name: p.Name})
+		living = append(living, limit.LiveProcess{Session: p.Session, Name: p.Name})
 	}
-	m.roster.Look(now, soft.DeadHold, living)
+	m.roster.Update(now, soft.DeadHold, living)
 	known := make(map[uint64]limit.Member)
 	store.EachUse(now, softKey, func(w evidence.Writer, use, want int, age time.Duration) {
 		known[w.Session] = limit.Member{Session: w.Session, Use: use, Want: want, Age: age}
--- a/internal/shared/limit/limit_test.go
+++ b/internal/shared/limit/limit_test.go
@@ -86,10 +86,10 @@
 		t.Errorf("one that nobody has joined finds %d of 600 free", free)
 	}
 	var r Roster
-	r.Look(now, s.DeadHold, []Living{{1, "a"}, {2, "b"}, {3, "c"}})
-	r.Look(now.Add(time.Second), s.DeadHold, []Living{{1, "a"}})
+	r.Update(now, s.DeadHold, []LiveProcess{{1, "a"}, {2, "b"}, {3, "c"}})
+	r.Update(now.Add(time.Second), s.DeadHold, []LiveProcess{{1, "a"}})
 	gone := func(at time.Duration) (list []uint64) {
-		r.Each(now.Add(at), func(l Living, g time.Duration) {
+		r.Each(now.Add(at), func(l LiveProcess, g time.Duration) {
 			if g > 0 {
 				list = append(list, l.Session)
 			}
@@ -99,11 +99,11 @@
 	if got := gone(2 * time.Second); !slices.Equal(got, []uint64{2, 3}) {
 		t.Errorf("gone: %v", got)
 	}
-	r.Look(now.Add(3*time.Second), s.DeadHold, []Living{{1, "a"}, {4, "b"}})
+	r.Update(now.Add(3*time.Second), s.DeadHold, []LiveProcess{{1, "a"}, {4, "b"}})
 	if got := gone(3 * time.Second); !slices.Equal(got, []uint64{3}) {
 		t.Errorf("b is back under its name, and gone are %v", got)
 	}
-	r.Look(now.Add(12*time.Second), s.DeadHold, []Living{{1, "a"}, {4, "b"}})
+	r.Update(now.Add(12*time.Second), s.DeadHold, []LiveProcess{{1, "a"}, {4, "b"}})
 	if got := gone(12 * time.Second); len(got) != 0 {
 		t.Errorf("after Hold, gone are %v", got)
 	}
--- a/internal/shared/limit/roster.go
+++ b/internal/shared/limit/roster.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Living is a process that is held to live.
-type Living struct {
+// LiveProcess is a process that is held to live.
+type LiveProcess struct {
 	Session uint64
 	Name    string
 }
@@ -19,12 +19,12 @@
 }
 
 type entry struct {
-	Living
+	LiveProcess
 	gone time.Time // zero: it lives
 }
 
-// Look takes who lives now, and forgets those that have been gone for longer than hold.
-func (r *Roster) Look(now time.Time, hold time.Duration, list []Living) {
+// Update takes who lives now, and forgets those that have been gone for longer than hold.
+func (r *Roster) Update(now time.Time, hold time.Duration, list []LiveProcess) {
 	names := make(map[string]bool, len(list))
 	for _, l := range list {
 		names[l.Name] = true
@@ -32,7 +32,7 @@
 		if ok {
 			r.seen[i].gone = time.Time{}
 		} else {
-			r.seen = slices.Insert(r.seen, i, entry{Living: l})
+			r.seen = slices.Insert(r.seen, i, entry{LiveProcess: l})
 		}
 	}
 	r.seen = slices.DeleteFunc(r.seen, func(e entry) bool {
@@ -40,27 +40,27 @@
 	})
 	for i := range r.seen {
 		e := &r.seen[i]
-		if e.gone.IsZero() && !slices.ContainsFunc(list, func(l Living) bool { return l.Session == e.Session }) {
+		if e.gone.IsZero() && !slices.ContainsFunc(list, func(l LiveProcess) bool { return l.Session == e.Session }) {
 			e.gone = now
 		}
 	}
 }
 
 // Each calls f for each process that lives or is remembered, with how long it has been gone, by session.
-func (r *Roster) Each(now time.Time, f func(l Living, gone time.Duration)) {
+func (r *Roster) Each(now time.Time, f func(l LiveProcess, gone time.Duration)) {
 	for _, e := range r.seen {
 		gone := time.Duration(0)
 		if !e.gone.IsZero() {
 			gone = max(now.Sub(e.gone), 1)
 		}
-		f(e.Living, gone)
+		f(e.LiveProcess, gone)
 	}
 }
 
 // Members are all but one of them, with what is known of their use; of whom nothing is known is unheard.
 func (r *Roster) Members(now time.Time, but uint64, known map[uint64]Member) []Member {
 	var list []Member
-	r.Each(now, func(l Living, gone time.Duration) {
+	r.Each(now, func(l LiveProcess, gone time.Duration) {
 		if l.Session == but {
 			return
 		}
