--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -116,7 +116,7 @@
 	for _, finding := range list {
 		v.findings[finding.Target] = finding
 		if was := previous[finding.Target].Verdict; was != finding.Verdict {
-			if finding.Condemned() && !was.Condemned() {
+			if finding.Unhealthy() && !was.Unhealthy() {
 				v.fleet.instance.Count.Condemned++
 			}
 			v.notifyChange(VerdictChange{finding, was})
--- a/internal/lab/shared/judge.go
+++ b/internal/lab/shared/judge.go
@@ -104,7 +104,7 @@
 	holds := make(map[int]bool)
 	for _, x := range list {
 		var t int
-		if _, err := fmt.Sscanf(x.Target, "t%d", &t); err != nil || !x.Condemned() {
+		if _, err := fmt.Sscanf(x.Target, "t%d", &t); err != nil || !x.Unhealthy() {
 			continue
 		}
 		holds[t] = true
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -230,7 +230,7 @@
 		return
 	}
 	t := g.rng.IntN(targets)
-	if x, ok := m.found[id(t)]; ok && (x.Condemned() || x.Tried || !verdict.Turn(m.carrier.Store().Self().Session, id(t), now.Unix(), verdict.Triers)) {
+	if x, ok := m.found[id(t)]; ok && (x.Unhealthy() || x.Tried || !verdict.Turn(m.carrier.Store().Self().Session, id(t), now.Unix(), verdict.Triers)) {
 		return
 	}
 	f := g.truth[t]
@@ -376,7 +376,7 @@
 	for _, i := range g.order {
 		m := g.members[i]
 		for target, x := range m.found {
-			if x.Condemned() {
+			if x.Unhealthy() {
 				return fmt.Errorf("%s holds %s to be %v, 20 s after the last trouble of any target", m.name, target, x.Verdict)
 			}
 		}
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -140,7 +140,7 @@
 
 // judged takes a verdict that a proxy has come to, and counts those against relays to which nothing had happened.
 func (s *stage) judged(p *proxyNode, c instance.VerdictChange) {
-	if !c.Condemned() || c.Previous.Condemned() {
+	if !c.Unhealthy() || c.Previous.Unhealthy() {
 		return
 	}
 	for _, n := range s.nodes {
--- a/internal/shared/verdict/verdict.go
+++ b/internal/shared/verdict/verdict.go
@@ -38,8 +38,8 @@
 	return [...]string{"sound", "slow", "failing", "silent", "returning"}[min(v, Returning)]
 }
 
-// Condemned tells whether new work should go elsewhere.
-func (v Verdict) Condemned() bool { return v == Slow || v == Failing || v == Silent }
+// Unhealthy tells whether new work should go elsewhere.
+func (v Verdict) Unhealthy() bool { return v == Slow || v == Failing || v == Silent }
 
 // Config has the figures on which all processes must agree.
 type Config struct {
@@ -285,7 +285,7 @@
 	}
 	order := make([]int, 0, len(all))
 	for i := range all {
-		if all[i].Condemned() {
+		if all[i].Unhealthy() {
 			order = append(order, i)
 		}
 	}
