--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -87,7 +87,7 @@
 	f := &instance.Fleet{Mesh: m, SameAddresses: s.conf.Discovery.SameAddresses, MovesPerSecond: s.conf.Moves.PerSecond}
 	if o := s.conf.Verdicts; o.On {
 		v := instance.DefaultVerdicts()
-		v.Judge = verdict.Config{Fresh: o.Fresh, Forget: o.Forget, Witnesses: o.Witnesses, Part: o.Part}
+		v.Judge = verdict.Config{MaxAge: o.Fresh, ForgetAfter: o.Forget, MinWitnesses: o.Witnesses, MaxFraction: o.Part}
 		v.Evidence.Retention = o.Forget + v.Evidence.WindowLength
 		v.OnChange = s.judged
 		f.Verdicts = &v
--- a/internal/lab/shared/judge.go
+++ b/internal/lab/shared/judge.go
@@ -138,20 +138,20 @@
 			return
 		}
 	}
-	most := verdict.Most(judging.Part, targets/len(zones))
+	most := verdict.Most(judging.MaxFraction, targets/len(zones))
 	for z, n := range byZone {
 		if n > most {
 			j.fail("%s condemns %d targets of zone %s; at most %d may be", m.name, n, zones[z], most)
 			return
 		}
 	}
-	if condemned > verdict.Most(judging.Part, targets) {
+	if condemned > verdict.Most(judging.MaxFraction, targets) {
 		j.fail("%s condemns %d of %d targets", m.name, condemned, targets)
 	}
 	for t := range targets {
 		key := fmt.Sprint(m.name, t)
 		f := j.g.truth[t]
-		sound := f.kind == verdict.Sound && now-j.cured[t] > ageBound+judging.Fresh || f.kind != verdict.Sound && f.zone != "" && f.zone != m.zone
+		sound := f.kind == verdict.Sound && now-j.cured[t] > ageBound+judging.MaxAge || f.kind != verdict.Sound && f.zone != "" && f.zone != m.zone
 		since, was := j.falseSince[key]
 		switch {
 		case !holds[t] || !sound:
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -38,7 +38,7 @@
 
 // figures of the run: shorter than those that serve, so that a run sees more.
 var (
-	judging = verdict.Config{Fresh: 3 * time.Second, Forget: 8 * time.Second, Witnesses: 2, Part: 0.34}
+	judging = verdict.Config{MaxAge: 3 * time.Second, ForgetAfter: 8 * time.Second, MinWitnesses: 2, MaxFraction: 0.34}
 	soft    = limit.SoftConfig{StaleAfter: 3 * time.Second, DeadHold: 25 * time.Second}
 	softKey = evidence.LimitKey("soft")
 	softL   = limit.Limit{Name: "soft", Max: 90}
@@ -335,7 +335,7 @@
 	}
 	conf := judging
 	if m.g.o.Plant == "cap-ignored" {
-		conf.Part = 1
+		conf.MaxFraction = 1
 	}
 	found := verdict.Judge(now, store, m.zone, list, conf, verdict.Flaws{OneWitness: m.g.o.Plant == "one-witness", NoAge: m.g.o.Plant == "no-age"})
 	clear(m.found)
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -80,7 +80,7 @@
 	terms, verdicts, soft := owner.DefaultTerms(), verdict.DefaultConfig(), limit.DefaultSoftConfig()
 	return &Config{
 		Keepers:  Keepers{Lease: terms.Lease, Margin: terms.Margin},
-		Verdicts: Verdicts{Fresh: verdicts.Fresh, Forget: verdicts.Forget, Witnesses: verdicts.Witnesses, Part: verdicts.Part},
+		Verdicts: Verdicts{Fresh: verdicts.MaxAge, Forget: verdicts.ForgetAfter, Witnesses: verdicts.MinWitnesses, Part: verdicts.MaxFraction},
 		Retries:  Retries{Part: 0.2, Within: 10 * time.Second, Least: 10},
 		Soft:     Soft{Stale: soft.StaleAfter, Hold: soft.DeadHold},
 		Log:      Log{Format: "plain"},
--- a/internal/shared/verdict/verdict.go
+++ b/internal/shared/verdict/verdict.go
@@ -43,15 +43,15 @@
 
 // Config has the figures on which all processes must agree.
 type Config struct {
-	Fresh     time.Duration // evidence of at most this age condemns. Above 0
-	Forget    time.Duration // until then a target that was condemned is Returning. Above Fresh
-	Witnesses int           // different ones that must accuse. At least 2
-	Part      float64       // of a zone's targets, and of all, that may be condemned at once; above 0, at most 1
+	MaxAge       time.Duration // evidence of at most this age condemns. Above 0
+	ForgetAfter  time.Duration // until then a target that was condemned is Returning. Above Fresh
+	MinWitnesses int           // different ones that must accuse. At least 2
+	MaxFraction  float64       // of a zone's targets, and of all, that may be condemned at once; above 0, at most 1
 }
 
 // DefaultConfig has the figures that serve.
 func DefaultConfig() Config {
-	return Config{Fresh: 6 * time.Second, Forget: 20 * time.Second, Witnesses: 2, Part: 0.34}
+	return Config{MaxAge: 6 * time.Second, ForgetAfter: 20 * time.Second, MinWitnesses: 2, MaxFraction: 0.34}
 }
 
 // Flaws are mistakes to be planted in tests. The zero value has none.
@@ -112,7 +112,7 @@
 
 // collect sums, by target and witness, what is no older than Forget.
 func collect(now time.Time, s *evidence.Store, c Config, f Flaws) map[string][]*opinion {
-	within := c.Forget
+	within := c.ForgetAfter
 	if f.NoAge {
 		within = time.Hour
 	}
@@ -141,7 +141,7 @@
 		if x.Fail > 0 {
 			o.failAge = min(o.failAge, x.Age)
 		}
-		if x.Age <= c.Fresh || f.NoAge {
+		if x.Age <= c.MaxAge || f.NoAge {
 			o.good.OK += x.OK
 			o.good.ProbeOK += x.ProbeOK
 			o.bad.Fail += x.Fail
@@ -161,7 +161,7 @@
 // did well with, and with three or more.
 func discounted(now time.Time, s *evidence.Store, c Config) map[string]bool {
 	good, bad := make(map[string]uint32), make(map[string]uint32)
-	s.Each(now, c.Forget, func(x evidence.Observation) {
+	s.Each(now, c.ForgetAfter, func(x evidence.Observation) {
 		if x.Target == "" {
 			good[x.Name] += x.OK
 			bad[x.Name] += x.Fail
@@ -176,7 +176,7 @@
 
 // find judges one target.
 func find(ops []*opinion, selfAccused map[string]bool, viewer string, c Config, f Flaws) (Finding, bool) {
-	need := c.Witnesses
+	need := c.MinWitnesses
 	if f.OneWitness {
 		need = 1
 	}
@@ -202,7 +202,7 @@
 	if len(own) == 0 && (len(zones) >= 2 || !others) {
 		decide = all
 	}
-	if x, ok := condemn(decide, need); ok && (x.Age <= c.Fresh || f.NoAge) {
+	if x, ok := condemn(decide, need); ok && (x.Age <= c.MaxAge || f.NoAge) {
 		return x, true
 	}
 	return returning(decide, need, c)
@@ -255,9 +255,9 @@
 func returning(ops []*opinion, need int, c Config) (Finding, bool) {
 	var bad []time.Duration
 	good := time.Hour
-	failed := slices.ContainsFunc(ops, func(o *opinion) bool { return o.failAge <= c.Forget })
+	failed := slices.ContainsFunc(ops, func(o *opinion) bool { return o.failAge <= c.ForgetAfter })
 	for _, o := range ops {
-		if o.badAge <= c.Forget {
+		if o.badAge <= c.ForgetAfter {
 			bad = append(bad, o.badAge)
 		}
 		good = min(good, o.goodAge)
@@ -269,10 +269,10 @@
 		return Finding{}, false
 	}
 	slices.Sort(bad)
-	if good <= bad[0] || bad[need-1] <= c.Fresh {
+	if good <= bad[0] || bad[need-1] <= c.MaxAge {
 		return Finding{}, false
 	}
-	return Finding{Verdict: Returning, Age: bad[need-1], Witnesses: len(bad), Tried: bad[0] <= c.Fresh}, true
+	return Finding{Verdict: Returning, Age: bad[need-1], Witnesses: len(bad), Tried: bad[0] <= c.MaxAge}, true
 }
 
 // capped lets through as many condemnations as Part allows, in each zone and of all; the worst are those with the most
@@ -295,7 +295,7 @@
 	total, by, drop := 0, make(map[string]int), make(map[int]bool)
 	for _, i := range order {
 		z := zone[all[i].Target]
-		if by[z] >= Most(c.Part, size[z]) || total >= Most(c.Part, len(targets)) {
+		if by[z] >= Most(c.MaxFraction, size[z]) || total >= Most(c.MaxFraction, len(targets)) {
 			drop[i] = true
 			continue
 		}
