--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -183,7 +183,7 @@
 // judged logs a verdict that changed, with what it rests on.
 func (s *sharing) judged(c instance.VerdictChange) {
 	s.log.Info().Str("target", c.Target).Stringer("verdict", c.Verdict).Stringer("was", c.Previous).Dur("age_ms", c.Age).
-		Int("witnesses", c.Witnesses).Int("against", c.Against).Msg("fleet: verdict")
+		Int("witnesses", c.Witnesses).Int("against", c.Opposing).Msg("fleet: verdict")
 }
 
 // reload takes what the operator's file may change while the program serves; one that is wrong changes nothing.
--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -124,7 +124,7 @@
 		turn := now.UnixMilli() / trialInterval.Milliseconds()
 		mine := verdict.Turn(v.store.Self().Session, finding.Target, turn, verdict.Triers)
 		until := now.Add(2 * tickInterval)
-		if finding.Verdict == verdict.Returning && mine && !finding.Tried {
+		if finding.Verdict == verdict.Returning && mine && !finding.RecentlyTried {
 			until = time.Time{}
 		}
 		v.fleet.instance.engine.AvoidUntil(finding.Target, until)
@@ -153,7 +153,7 @@
 	for _, id := range v.findingOrder {
 		finding := v.findings[id]
 		all = append(all, mesh.SharedView{Matter: "verdict", Name: id, State: finding.Verdict.String(), AgeMS: finding.Age.Milliseconds(),
-			Text: fmt.Sprintf("%d witnesses, %d against", finding.Witnesses, finding.Against)})
+			Text: fmt.Sprintf("%d witnesses, %d against", finding.Witnesses, finding.Opposing)})
 	}
 	return all
 }
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -148,7 +148,7 @@
 			s.shared.False++
 			if s.o.Log != nil {
 				fmt.Fprintf(s.o.Log, "%v %s: without a cause: %s is %v, was %v, age %v, %d witnesses, %d against\n",
-					s.world.Elapsed(), p.name, c.Target, c.Verdict, c.Previous, c.Age, c.Witnesses, c.Against)
+					s.world.Elapsed(), p.name, c.Target, c.Verdict, c.Previous, c.Age, c.Witnesses, c.Opposing)
 			}
 		}
 	}
--- a/internal/shared/verdict/verdict.go
+++ b/internal/shared/verdict/verdict.go
@@ -69,9 +69,9 @@
 	Verdict
 	Age       time.Duration // of the last of the accusations that are needed; what is known to be older makes no verdict
 	Witnesses int           // that accuse, of those that decide
-	Against   int           // that speak well of it, likewise
-	// Tried tells, of one that returns, that somebody tried it of late and had trouble: nobody else need do so now.
-	Tried bool
+	Opposing  int           // that speak well of it, likewise
+	// RecentlyTried tells, of one that returns, that somebody tried it of late and had trouble: nobody else need do so now.
+	RecentlyTried bool
 }
 
 // opinion is what one witness holds of a target, by the evidence that is fresh.
@@ -243,7 +243,7 @@
 		if kind == Silent && sum.Slow > sum.Silent {
 			kind = Slow
 		}
-		return Finding{Verdict: kind, Age: ages[need-1], Witnesses: len(ages), Against: against}, true
+		return Finding{Verdict: kind, Age: ages[need-1], Witnesses: len(ages), Opposing: against}, true
 	}
 	return Finding{}, false
 }
@@ -272,7 +272,7 @@
 	if good <= bad[0] || bad[need-1] <= c.MaxAge {
 		return Finding{}, false
 	}
-	return Finding{Verdict: Returning, Age: bad[need-1], Witnesses: len(bad), Tried: bad[0] <= c.MaxAge}, true
+	return Finding{Verdict: Returning, Age: bad[need-1], Witnesses: len(bad), RecentlyTried: bad[0] <= c.MaxAge}, true
 }
 
 // capped lets through as many condemnations as Part allows, in each zone and of all; the worst are those with the most
--- a/internal/shared/verdict/verdict_test.go
+++ b/internal/shared/verdict/verdict_test.go
@@ -186,7 +186,7 @@
 	f.want("old, where age does not count", f.judge(8*s, 6, Flaws{NoAge: true}), "s0 silent;")
 	f.want("forgotten", f.judge(23*s, 6, Flaws{}), "")
 	f.saw(8*s, "r", "a", "s0", silent)
-	if got := f.judge(8*s, 6, Flaws{}); len(got) != 1 || !got[0].Tried {
+	if got := f.judge(8*s, 6, Flaws{}); len(got) != 1 || !got[0].RecentlyTried {
 		t.Errorf("after a trial that failed: %+v", got)
 	}
 	f.saw(9*s, "r", "a", "s0", seen)
