--- a/internal/lab/shared/judge.go
+++ b/internal/lab/shared/judge.go
@@ -138,14 +138,14 @@
 			return
 		}
 	}
-	most := verdict.Most(judging.MaxFraction, targets/len(zones))
+	most := verdict.MaxUnhealthy(judging.MaxFraction, targets/len(zones))
 	for z, n := range byZone {
 		if n > most {
 			j.fail("%s condemns %d targets of zone %s; at most %d may be", m.name, n, zones[z], most)
 			return
 		}
 	}
-	if condemned > verdict.Most(judging.MaxFraction, targets) {
+	if condemned > verdict.MaxUnhealthy(judging.MaxFraction, targets) {
 		j.fail("%s condemns %d of %d targets", m.name, condemned, targets)
 	}
 	for t := range targets {
--- a/internal/shared/verdict/verdict.go
+++ b/internal/shared/verdict/verdict.go
@@ -295,7 +295,7 @@
 	total, by, drop := 0, make(map[string]int), make(map[int]bool)
 	for _, i := range order {
 		z := zone[all[i].Target]
-		if by[z] >= Most(c.MaxFraction, size[z]) || total >= Most(c.MaxFraction, len(targets)) {
+		if by[z] >= MaxUnhealthy(c.MaxFraction, size[z]) || total >= MaxUnhealthy(c.MaxFraction, len(targets)) {
 			drop[i] = true
 			continue
 		}
@@ -311,8 +311,8 @@
 	return kept
 }
 
-// Most is how many of n targets may be condemned at once: at least one of two or more.
-func Most(part float64, n int) int {
+// MaxUnhealthy is how many of n targets may be condemned at once: at least one of two or more.
+func MaxUnhealthy(part float64, n int) int {
 	if n < 2 {
 		return 0
 	}
--- a/internal/shared/verdict/verdict_test.go
+++ b/internal/shared/verdict/verdict_test.go
@@ -163,7 +163,7 @@
 		}
 	}
 	got := f.judge(s, 12, Flaws{})
-	if len(got) != Most(0.34, 12) {
+	if len(got) != MaxUnhealthy(0.34, 12) {
 		t.Fatalf("%d of 12 condemned: %v", len(got), got)
 	}
 	for _, x := range got {
@@ -171,7 +171,7 @@
 			t.Errorf("%s with %d witnesses came before worse ones", x.Target, x.Witnesses)
 		}
 	}
-	if Most(0.34, 1) != 0 || Most(0.34, 2) != 1 {
+	if MaxUnhealthy(0.34, 1) != 0 || MaxUnhealthy(0.34, 2) != 1 {
 		t.Error("of one target none may go, of two one")
 	}
 }
