--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -122,13 +122,13 @@
 			v.notifyChange(VerdictChange{finding, was})
 		}
 		turn := now.UnixMilli() / trialInterval.Milliseconds()
-		mine := verdict.Turn(v.store.Self().Session, finding.Target, turn, verdict.Triers)
+		mine := verdict.HasTurn(v.store.Self().Session, finding.Target, turn, verdict.TrialDivisor)
 		until := now.Add(2 * tickInterval)
 		if finding.Verdict == verdict.Returning && mine && !finding.RecentlyTried {
 			until = time.Time{}
 		}
 		v.fleet.instance.engine.AvoidUntil(finding.Target, until)
-		if trial && finding.Verdict != verdict.Failing && verdict.Turn(v.store.Self().Session, finding.Target, turn, members/probersPerTrial) {
+		if trial && finding.Verdict != verdict.Failing && verdict.HasTurn(v.store.Self().Session, finding.Target, turn, members/probersPerTrial) {
 			v.lastTrial = now
 			v.fleet.instance.Count.Trials++
 			v.fleet.instance.engine.ProbeDirectly(finding.Target)
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -230,7 +230,7 @@
 		return
 	}
 	t := g.rng.IntN(targets)
-	if x, ok := m.found[id(t)]; ok && (x.Unhealthy() || x.RecentlyTried || !verdict.Turn(m.carrier.Store().Self().Session, id(t), now.Unix(), verdict.Triers)) {
+	if x, ok := m.found[id(t)]; ok && (x.Unhealthy() || x.RecentlyTried || !verdict.HasTurn(m.carrier.Store().Self().Session, id(t), now.Unix(), verdict.TrialDivisor)) {
 		return
 	}
 	f := g.truth[t]
--- a/internal/shared/verdict/verdict.go
+++ b/internal/shared/verdict/verdict.go
@@ -319,12 +319,12 @@
 	return max(int(part*float64(n)), 1)
 }
 
-// Triers is how many processes share a turn to send clients to a target that returns: one in so many may.
-const Triers = 8
+// TrialDivisor is how many processes share a turn to send clients to a target that returns: one in so many may.
+const TrialDivisor = 8
 
-// Turn tells whether it is a process's turn to try a target in a span of time, by number, where one in so many is to try: turns are
+// HasTurn tells whether it is a process's turn to try a target in a span of time, by number, where one in so many is to try: turns are
 // drawn alike for all, so that about that part tries at a time, whoever is there, and each has its turn before long.
-func Turn(session uint64, target string, span int64, of int) bool {
+func HasTurn(session uint64, target string, span int64, of int) bool {
 	text := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, session), uint64(span))
 	return xxhash.Sum64(append(text, target...))%uint64(max(of, 1)) == 0
 }
--- a/internal/shared/verdict/verdict_test.go
+++ b/internal/shared/verdict/verdict_test.go
@@ -199,7 +199,7 @@
 	for span := range int64(50) {
 		n := 0
 		for id := range uint64(300) {
-			if Turn(id+1, "s7", span, Triers) {
+			if HasTurn(id+1, "s7", span, TrialDivisor) {
 				n++
 			}
 		}
@@ -208,7 +208,7 @@
 	for id := range uint64(300) {
 		had := false
 		for span := range int64(60) {
-			had = had || Turn(id+1, "s7", span, Triers)
+			had = had || HasTurn(id+1, "s7", span, TrialDivisor)
 		}
 		if !had {
 			never++
