--- a/internal/shared/carrier/carrier.go
+++ b/internal/shared/carrier/carrier.go
@@ -18,16 +18,16 @@
 	// TickInterval is the time between two calls of Look, AskEvery about that between two questions.
 	TickInterval  = 200 * time.Millisecond
 	QueryInterval = 500 * time.Millisecond
-	// hotFan is to how many members trouble is told at once; each that had not heard of it tells as many.
-	hotFan = 3
+	// urgentFanout is to how many members trouble is told at once; each that had not heard of it tells as many.
+	urgentFanout = 3
 )
 
 // Carrier carries one process's evidence. It belongs to its loop's goroutine.
 type Carrier struct {
-	node   *mesh.Node
-	store  *evidence.Store
-	gossip *evidence.Gossip
-	turn   int // of the partners
+	node        *mesh.Node
+	store       *evidence.Store
+	gossip      *evidence.Gossip
+	nextPartner int // of the partners
 }
 
 // New returns a carrier with a store of its own; Bind comes before all else.
@@ -73,18 +73,18 @@
 // Tick tells others what is new, asks one of them if it is time, and drops what is old.
 func (c *Carrier) Tick(now time.Time) {
 	if hot := c.gossip.UrgentUpdate(now); hot != nil {
-		for _, m := range c.node.RandomMembers(hotFan) {
+		for _, m := range c.node.RandomMembers(urgentFanout) {
 			c.send(m.Addr, hot)
 		}
 	}
 	if ask, _ := c.gossip.Due(now); ask {
-		c.ask(now)
+		c.queryNextPartner(now)
 	}
 	c.store.Expire(now)
 }
 
-// ask asks the next of the partners.
-func (c *Carrier) ask(now time.Time) {
+// queryNextPartner asks the next of the partners.
+func (c *Carrier) queryNextPartner(now time.Time) {
 	members := c.node.Members()
 	sessions := make([]uint64, len(members))
 	for i := range members {
@@ -94,8 +94,8 @@
 	if len(partners) == 0 {
 		return
 	}
-	c.turn++
-	of := partners[c.turn%len(partners)]
+	c.nextPartner++
+	of := partners[c.nextPartner%len(partners)]
 	i := slices.IndexFunc(members, func(m peers.Member) bool { return m.Session == of })
 	c.send(members[i].Addr, c.gossip.Query(now, of))
 }
--- a/internal/shared/evidence/evidence.go
+++ b/internal/shared/evidence/evidence.go
@@ -72,57 +72,57 @@
 }
 
 type cell struct {
-	counts  Counts
-	changed uint64 // the store's number of its last change
+	counts     Counts
+	changedSeq uint64 // the store's number of its last change
 }
 
 type writer struct {
 	Writer
-	start time.Time // by the reader's clock, no later than the true one; zero: not learnt
-	when  time.Time // it was learnt then
-	said  time.Time // the word had left the writer itself by then
-	floor time.Time // a word that had left it before counts no more
-	next  time.Time // the latest start by what left the writer since span began; it takes start's place when the span is over
-	at    time.Time // next was learnt then...
-	src   time.Time // ...and had left the writer by then
-	span  time.Time
-	cells map[string][]window
-	bad   int // cells with trouble: this process accuses, and its sums are told
-}
-
-type window struct {
-	n uint32
+	start          time.Time // by the reader's clock, no later than the true one; zero: not learnt
+	learnedAt      time.Time // it was learnt then
+	reportedAt     time.Time // the word had left the writer itself by then
+	minReportedAt  time.Time // a word that had left it before counts no more
+	nextStart      time.Time // the latest start by what left the writer since span began; it takes start's place when the span is over
+	nextLearnedAt  time.Time // next was learnt then...
+	nextReportedAt time.Time // ...and had left the writer by then
+	relearnBegan   time.Time
+	cells          map[string][]windowCell
+	badCells       int // cells with trouble: this process accuses, and its sums are told
+}
+
+type windowCell struct {
+	number uint32
 	cell
 }
 
 // Store is one process's evidence. The zero value is not usable.
 type Store struct {
-	cfg     Config
-	flaws   Flaws
-	me      *writer
-	writers []*writer // by session
-	cells   int
-	bad     map[string]int // cells with trouble, by target: those targets are disputed
-	seq     uint64
-	Dropped uint64 // cells for which there was no room
+	cfg      Config
+	flaws    Flaws
+	self     *writer
+	writers  []*writer // by session
+	cells    int
+	badCells map[string]int // cells with trouble, by target: those targets are disputed
+	seq      uint64
+	Dropped  uint64 // cells for which there was no room
 }
 
 // New returns the store of a process that starts now.
 func New(now time.Time, me Writer, c Config, f Flaws) *Store {
-	s := &Store{cfg: c, flaws: f, bad: make(map[string]int)}
-	s.me = s.writer(me)
-	s.me.start, s.me.when = now, now
+	s := &Store{cfg: c, flaws: f, badCells: make(map[string]int)}
+	s.self = s.findOrAdd(me)
+	s.self.start, s.self.learnedAt = now, now
 	return s
 }
 
 // Self is the process whose store it is.
-func (s *Store) Self() Writer { return s.me.Writer }
+func (s *Store) Self() Writer { return s.self.Writer }
 
 // Seq is the number of the last change.
 func (s *Store) Seq() uint64 { return s.seq }
 
 // Disputed tells whether anybody had trouble with any target.
-func (s *Store) Disputed() bool { return len(s.bad) > 0 }
+func (s *Store) Disputed() bool { return len(s.badCells) > 0 }
 
 // Cells is how many there are.
 func (s *Store) Cells() int { return s.cells }
@@ -131,7 +131,7 @@
 	return slices.BinarySearchFunc(s.writers, session, func(w *writer, id uint64) int { return cmp.Compare(w.Session, id) })
 }
 
-func (s *Store) writer(w Writer) *writer {
+func (s *Store) findOrAdd(w Writer) *writer {
 	i, ok := s.find(w.Session)
 	if ok {
 		return s.writers[i]
@@ -139,30 +139,30 @@
 	if len(s.writers) >= s.cfg.MaxWriters {
 		return nil
 	}
-	n := &writer{Writer: w, cells: make(map[string][]window)}
+	n := &writer{Writer: w, cells: make(map[string][]windowCell)}
 	s.writers = slices.Insert(s.writers, i, n)
 	return n
 }
 
 // windowAt is the number of the own window now.
 func (s *Store) windowAt(now time.Time) uint32 {
-	return uint32(max(now.Sub(s.me.start), 0) / s.cfg.WindowLength)
+	return uint32(max(now.Sub(s.self.start), 0) / s.cfg.WindowLength)
 }
 
 // Record takes an outcome of this process's own, with counts of one.
 func (s *Store) Record(now time.Time, target string, c Counts) {
 	n := s.windowAt(now)
-	seen := s.get(s.me, target, n)
-	if c.Bad() == 0 && s.bad[target] > 0 && s.defenders(now, target) >= enough {
-		s.sum(n, Counts{OK: 1}, seen)
+	seen := s.get(s.self, target, n)
+	if c.Bad() == 0 && s.badCells[target] > 0 && s.positiveWitnesses(now, target) >= sufficientWitnesses {
+		s.updateSums(n, Counts{OK: 1}, seen)
 		return
 	}
-	s.put(s.me, target, n, seen.add(c))
-	s.sum(n, c, seen)
+	s.put(s.self, target, n, seen.add(c))
+	s.updateSums(n, c, seen)
 }
 
-// sum counts a target in the window's sums: once as one that did well, once as one that did badly.
-func (s *Store) sum(n uint32, c, seen Counts) {
+// updateSums counts a target in the window's sums: once as one that did well, once as one that did badly.
+func (s *Store) updateSums(n uint32, c, seen Counts) {
 	first := Counts{}
 	if seen.OK+seen.ProbeOK == 0 && c.OK+c.ProbeOK > 0 {
 		first.OK = 1
@@ -171,19 +171,19 @@
 		first.Fail = 1
 	}
 	if first != (Counts{}) {
-		s.put(s.me, "", n, s.get(s.me, "", n).add(first))
+		s.put(s.self, "", n, s.get(s.self, "", n).add(first))
 	}
 }
 
-// enough is how many witnesses speak for a disputed target before this process spares the others its own good word on it.
-const enough = 8
+// sufficientWitnesses is how many witnesses speak for a disputed target before this process spares the others its own good word on it.
+const sufficientWitnesses = 8
 
-// defenders counts processes that did well with a target within the last two windows.
-func (s *Store) defenders(now time.Time, target string) int {
+// positiveWitnesses counts processes that did well with a target within the last two windows.
+func (s *Store) positiveWitnesses(now time.Time, target string) int {
 	n := 0
 	for _, w := range s.writers {
 		for _, c := range w.cells[target] {
-			if c.counts.OK+c.counts.ProbeOK > 0 && !w.start.IsZero() && s.age(now, w, c.n) < s.cfg.WindowLength {
+			if c.counts.OK+c.counts.ProbeOK > 0 && !w.start.IsZero() && s.age(now, w, c.number) < s.cfg.WindowLength {
 				n++
 				break
 			}
@@ -194,7 +194,7 @@
 
 func (s *Store) get(w *writer, target string, n uint32) Counts {
 	for _, c := range w.cells[target] {
-		if c.n == n {
+		if c.number == n {
 			return c.counts
 		}
 	}
@@ -202,12 +202,12 @@
 }
 
 // OwnCounts is what this process itself saw of a target in a window.
-func (s *Store) OwnCounts(target string, n uint32) Counts { return s.get(s.me, target, n) }
+func (s *Store) OwnCounts(target string, n uint32) Counts { return s.get(s.self, target, n) }
 
 // put sets a cell and tells whether that is a change.
 func (s *Store) put(w *writer, target string, n uint32, c Counts) bool {
 	list := w.cells[target]
-	i, ok := slices.BinarySearchFunc(list, n, func(x window, n uint32) int { return cmp.Compare(x.n, n) })
+	i, ok := slices.BinarySearchFunc(list, n, func(x windowCell, n uint32) int { return cmp.Compare(x.number, n) })
 	if ok && list[i].counts == c {
 		return false
 	}
@@ -224,43 +224,43 @@
 		list[i].cell = cell{c, s.seq}
 	} else {
 		s.cells++
-		w.cells[target] = slices.Insert(list, i, window{n, cell{c, s.seq}})
+		w.cells[target] = slices.Insert(list, i, windowCell{n, cell{c, s.seq}})
 	}
 	if strings.HasPrefix(target, LimitPrefix) {
-		for len(w.cells[target]) > latestOf {
+		for len(w.cells[target]) > keptUseWindows {
 			w.cells[target] = slices.Delete(w.cells[target], 0, 1)
 			s.cells--
 		}
 		return true
 	}
 	if target != "" && was.Bad() == 0 && c.Bad() > 0 {
-		s.dispute(target)
-		s.accuser(w)
+		s.addDispute(target)
+		s.addBadCell(w)
 	}
 	return true
 }
 
-// accuser counts a cell with trouble of a writer. With its first one its sums become news: they tell whether it has trouble with
+// addBadCell counts a cell with trouble of a writer. With its first one its sums become news: they tell whether it has trouble with
 // everybody.
-func (s *Store) accuser(w *writer) {
-	if w.bad++; w.bad > 1 {
+func (s *Store) addBadCell(w *writer) {
+	if w.badCells++; w.badCells > 1 {
 		return
 	}
 	for i := range w.cells[""] {
 		s.seq++
-		w.cells[""][i].changed = s.seq
+		w.cells[""][i].changedSeq = s.seq
 	}
 }
 
-// dispute counts a cell with trouble. With a target's first one, what is known in its favour becomes news that is told.
-func (s *Store) dispute(target string) {
-	if s.bad[target]++; s.bad[target] > 1 {
+// addDispute counts a cell with trouble. With a target's first one, what is known in its favour becomes news that is told.
+func (s *Store) addDispute(target string) {
+	if s.badCells[target]++; s.badCells[target] > 1 {
 		return
 	}
 	for _, w := range s.writers {
 		for i := range w.cells[target] {
 			s.seq++
-			w.cells[target][i].changed = s.seq
+			w.cells[target][i].changedSeq = s.seq
 		}
 	}
 }
@@ -269,8 +269,8 @@
 // window, Seen what was wanted in it. They are told always, and only the latest are kept.
 const LimitPrefix = "limit/"
 
-// latestOf is how many windows of a limit's use are kept.
-const latestOf = 2
+// keptUseWindows is how many windows of a limit's use are kept.
+const keptUseWindows = 2
 
 // LimitKey is the name of the cells of a limit.
 func LimitKey(limit string) string { return LimitPrefix + limit }
@@ -278,8 +278,8 @@
 // RecordUse takes this process's use of a limit now, by its LimitKey, and what was wanted of late.
 func (s *Store) RecordUse(now time.Time, key string, use, want int) {
 	n := s.windowAt(now)
-	c := s.get(s.me, key, n)
-	s.put(s.me, key, n, Counts{OK: max(c.OK, uint32(use)), ProbeOK: max(c.ProbeOK, uint32(want))})
+	c := s.get(s.self, key, n)
+	s.put(s.self, key, n, Counts{OK: max(c.OK, uint32(use)), ProbeOK: max(c.ProbeOK, uint32(want))})
 }
 
 // EachUse calls f for the latest use of a limit by each process of which an age is known, this one included, by session.
@@ -288,7 +288,7 @@
 		if list := w.cells[key]; len(list) > 0 && !w.start.IsZero() {
 			last := list[len(list)-1]
 			// The use is as of some time in that window.
-			f(w.Writer, int(last.counts.OK), int(last.counts.ProbeOK), s.age(now, w, last.n)+s.cfg.WindowLength)
+			f(w.Writer, int(last.counts.OK), int(last.counts.ProbeOK), s.age(now, w, last.number)+s.cfg.WindowLength)
 		}
 	}
 }
@@ -296,10 +296,10 @@
 // MergeCell merges a cell that another process passed on, and tells whether it was news. What is held of this process by others
 // changes nothing: it knows best.
 func (s *Store) MergeCell(by Writer, target string, n uint32, c Counts) bool {
-	if by.Session == s.me.Session {
+	if by.Session == s.self.Session {
 		return false
 	}
-	w := s.writer(by)
+	w := s.findOrAdd(by)
 	if w == nil {
 		s.Dropped++
 		return false
@@ -317,36 +317,36 @@
 // the word had left the writer itself, at the most: two that vouch to each other for what it said before its clock was set must
 // not keep that alive, so that only words count then that left it since.
 func (s *Store) LearnStart(asked time.Time, by Writer, age, old time.Duration) {
-	w := s.writer(by)
+	w := s.findOrAdd(by)
 	said := asked.Add(-max(old, 0))
-	if w == nil || w == s.me || age < 0 || said.Before(w.floor) {
+	if w == nil || w == s.self || age < 0 || said.Before(w.minReportedAt) {
 		return
 	}
 	start := asked.Add(-age)
-	if w.start.IsZero() || start.After(s.started(asked, w)) {
-		w.start, w.when, w.said = start, asked, said
+	if w.start.IsZero() || start.After(s.startBound(asked, w)) {
+		w.start, w.learnedAt, w.reportedAt = start, asked, said
 	}
-	if w.span.IsZero() {
-		w.span = asked
+	if w.relearnBegan.IsZero() {
+		w.relearnBegan = asked
 	}
-	if said.Before(w.span) {
+	if said.Before(w.relearnBegan) {
 		return
 	}
-	if w.next.IsZero() || start.After(w.next) {
-		w.next, w.at, w.src = start, asked, said
+	if w.nextStart.IsZero() || start.After(w.nextStart) {
+		w.nextStart, w.nextLearnedAt, w.nextReportedAt = start, asked, said
 	}
-	if asked.Sub(w.span) >= relearn {
-		w.start, w.when, w.said = w.next, w.at, w.src
-		w.floor, w.span, w.next = w.span, asked, time.Time{}
+	if asked.Sub(w.relearnBegan) >= relearnInterval {
+		w.start, w.learnedAt, w.reportedAt = w.nextStart, w.nextLearnedAt, w.nextReportedAt
+		w.minReportedAt, w.relearnBegan, w.nextStart = w.relearnBegan, asked, time.Time{}
 	}
 }
 
-// relearn is after which time what was learnt of a writer's start gives way to what was learnt since.
-const relearn = 5 * time.Second
+// relearnInterval is after which time what was learnt of a writer's start gives way to what was learnt since.
+const relearnInterval = 5 * time.Second
 
-// started is when a writer started, as far as it is certain now.
-func (s *Store) started(now time.Time, w *writer) time.Time {
-	return w.start.Add(-time.Duration(float64(max(now.Sub(w.when), 0)) * s.cfg.ClockDrift))
+// startBound is when a writer startBound, as far as it is certain now.
+func (s *Store) startBound(now time.Time, w *writer) time.Time {
+	return w.start.Add(-time.Duration(float64(max(now.Sub(w.learnedAt), 0)) * s.cfg.ClockDrift))
 }
 
 // Uptime is for how long a writer has run at the most, and how long ago it had said so itself, at the most: that is what others may
@@ -357,15 +357,15 @@
 		return 0, 0, false
 	}
 	w := s.writers[i]
-	if w != s.me {
-		old = time.Duration(float64(max(now.Sub(w.said), 0)) * (1 + s.cfg.ClockDrift))
+	if w != s.self {
+		old = time.Duration(float64(max(now.Sub(w.reportedAt), 0)) * (1 + s.cfg.ClockDrift))
 	}
-	return now.Sub(s.started(now, w)), old, true
+	return now.Sub(s.startBound(now, w)), old, true
 }
 
 // age of a cell is the time since its window's end, at the least 0; it is never under the true one.
 func (s *Store) age(now time.Time, w *writer, n uint32) time.Duration {
-	return max(now.Sub(s.started(now, w).Add(time.Duration(n+1)*s.cfg.WindowLength)), 0)
+	return max(now.Sub(s.startBound(now, w).Add(time.Duration(n+1)*s.cfg.WindowLength)), 0)
 }
 
 // Observation is a cell with what is known of its writer and its age.
@@ -394,8 +394,8 @@
 		slices.Sort(targets)
 		for _, t := range targets {
 			for _, c := range w.cells[t] {
-				if age := s.age(now, w, c.n); age <= within {
-					f(Observation{w.Writer, t, c.n, c.counts, age})
+				if age := s.age(now, w, c.number); age <= within {
+					f(Observation{w.Writer, t, c.number, c.counts, age})
 				}
 			}
 		}
@@ -406,19 +406,19 @@
 func (s *Store) Expire(now time.Time) {
 	kept := s.writers[:0]
 	for _, w := range s.writers {
-		if w.start.IsZero() && w.when.IsZero() {
-			w.when = now // an age may still come
+		if w.start.IsZero() && w.learnedAt.IsZero() {
+			w.learnedAt = now // an age may still come
 		}
-		unknown := w.start.IsZero() && now.Sub(w.when) > s.cfg.Retention
+		unknown := w.start.IsZero() && now.Sub(w.learnedAt) > s.cfg.Retention
 		for t, list := range w.cells { // in no order: each is dropped for itself
 			left := list[:0]
 			for _, c := range list {
-				if !unknown && (w.start.IsZero() || s.age(now, w, c.n) <= s.cfg.Retention) {
+				if !unknown && (w.start.IsZero() || s.age(now, w, c.number) <= s.cfg.Retention) {
 					left = append(left, c)
 				} else if t != "" && c.counts.Bad() > 0 {
-					w.bad--
-					if s.bad[t]--; s.bad[t] == 0 {
-						delete(s.bad, t)
+					w.badCells--
+					if s.badCells[t]--; s.badCells[t] == 0 {
+						delete(s.badCells, t)
 					}
 				}
 			}
@@ -427,7 +427,7 @@
 				delete(w.cells, t)
 			}
 		}
-		if w == s.me || len(w.cells) > 0 {
+		if w == s.self || len(w.cells) > 0 {
 			kept = append(kept, w)
 		}
 	}
--- a/internal/shared/evidence/evidence_test.go
+++ b/internal/shared/evidence/evidence_test.go
@@ -16,13 +16,13 @@
 }
 
 // what a store holds of others and itself, but for ages.
-func (s *Store) held() string {
+func (s *Store) contents() string {
 	out := ""
 	for _, w := range s.writers {
 		for _, t := range []string{"", "a", "b", "c"} {
 			for _, c := range w.cells[t] {
-				if t != "" && s.bad[t] > 0 || t == "" && w.bad > 0 {
-					out += fmt.Sprintln(w.Session, t, c.n, c.counts)
+				if t != "" && s.badCells[t] > 0 || t == "" && w.badCells > 0 {
+					out += fmt.Sprintln(w.Session, t, c.number, c.counts)
 				}
 			}
 		}
@@ -112,9 +112,9 @@
 		}
 	}
 	for i := range stores {
-		if stores[i].held() != stores[0].held() {
+		if stores[i].contents() != stores[0].contents() {
 			if fail {
-				t.Fatalf("store %d holds\n%sstore 0\n%s", i, stores[i].held(), stores[0].held())
+				t.Fatalf("store %d holds\n%sstore 0\n%s", i, stores[i].contents(), stores[0].contents())
 			}
 			return false
 		}
@@ -128,7 +128,7 @@
 			}
 			for target, list := range s.writers[i].cells {
 				for _, c := range list {
-					if own := w.get(w.me, target, c.n); own != c.counts {
+					if own := w.get(w.self, target, c.number); own != c.counts {
 						if fail {
 							t.Fatalf("%s: %v is held of %d's %v", target, c.counts, w.Self().Session, own)
 						}
--- a/internal/shared/evidence/gossip.go
+++ b/internal/shared/evidence/gossip.go
@@ -29,7 +29,7 @@
 // NewGossip returns the gossip of a store that asks one other process about every so often.
 func NewGossip(s *Store, every time.Duration) *Gossip {
 	// Questions are numbered from the session on: a late answer to one of a former life must not pass for that to one of this life.
-	return &Gossip{store: s, every: every, seq: s.me.Session, asked: make(map[uint64]asked), upto: make(map[uint64]uint64)}
+	return &Gossip{store: s, every: every, seq: s.self.Session, asked: make(map[uint64]asked), upto: make(map[uint64]uint64)}
 }
 
 // answerWithin is how long a question may be out; a later answer vouches for nothing that would still count.
--- a/internal/shared/evidence/message.go
+++ b/internal/shared/evidence/message.go
@@ -41,7 +41,7 @@
 		return false
 	}
 	r.UptimeMS = run.Milliseconds() + 1
-	if r.Session != s.me.Session {
+	if r.Session != s.self.Session {
 		r.UptimeAgeMS = old.Milliseconds() + 1
 	}
 	return true
@@ -98,12 +98,12 @@
 	var all []change
 	for _, w := range s.writers {
 		for t, list := range w.cells { // sorted below
-			if t != "" && s.bad[t] == 0 && !strings.HasPrefix(t, LimitPrefix) || t == "" && w.bad == 0 {
+			if t != "" && s.badCells[t] == 0 && !strings.HasPrefix(t, LimitPrefix) || t == "" && w.badCells == 0 {
 				continue
 			}
 			for _, c := range list {
-				if c.changed > since {
-					all = append(all, change{c.changed, w, t, c.n, c.counts})
+				if c.changedSeq > since {
+					all = append(all, change{c.changedSeq, w, t, c.number, c.counts})
 				}
 			}
 		}
@@ -138,7 +138,7 @@
 func (s *Store) WritersOfUnknownAge() []uint64 {
 	var ids []uint64
 	for _, w := range s.writers {
-		if w.start.IsZero() && w.bad > 0 && len(ids) < perMessage {
+		if w.start.IsZero() && w.badCells > 0 && len(ids) < perMessage {
 			ids = append(ids, w.Session)
 		}
 	}
--- a/internal/shared/evidence/use_test.go
+++ b/internal/shared/evidence/use_test.go
@@ -36,7 +36,7 @@
 			t.Errorf("step %d: the use is not known", i)
 		}
 	}
-	if b.Cells() > latestOf || b.Disputed() {
+	if b.Cells() > keptUseWindows || b.Disputed() {
 		t.Errorf("%d cells of a use are kept", b.Cells())
 	}
 }
