--- a/internal/shared/evidence/gossip.go
+++ b/internal/shared/evidence/gossip.go
@@ -8,20 +8,20 @@
 // Gossip says when to ask whom, and keeps what was asked: a question counts from before it was sent, and an answer's changes
 // count only where none before them is missing. Peers are known by session. It is pure, like the Store.
 type Gossip struct {
-	store  *Store
-	every  time.Duration
-	seq    uint64
-	asked  map[uint64]asked // by the question's number
-	upto   map[uint64]uint64
-	next   time.Time
-	told   uint64 // change up to which hot news was passed on
-	Lost   uint64 // questions without an answer
-	Merged uint64 // messages that were news
+	store        *Store
+	interval     time.Duration
+	seq          uint64
+	pending      map[uint64]pendingQuery // by the question's number
+	receivedUpTo map[uint64]uint64
+	nextQuery    time.Time
+	urgentUpTo   uint64 // change up to which hot news was passed on
+	Lost         uint64 // questions without an answer
+	Merged       uint64 // messages that were news
 }
 
-type asked struct {
-	of       uint64
-	at       time.Time
+type pendingQuery struct {
+	peer     uint64
+	sentAt   time.Time
 	answered bool
 	parts    map[uint64]uint64 // what came of the answer, from and up to which change: its parts may be out of order
 }
@@ -29,54 +29,54 @@
 // NewGossip returns the gossip of a store that asks one other process about every so often.
 func NewGossip(s *Store, every time.Duration) *Gossip {
 	// Questions are numbered from the session on: a late answer to one of a former life must not pass for that to one of this life.
-	return &Gossip{store: s, every: every, seq: s.self.Session, asked: make(map[uint64]asked), upto: make(map[uint64]uint64)}
+	return &Gossip{store: s, interval: every, seq: s.self.Session, pending: make(map[uint64]pendingQuery), receivedUpTo: make(map[uint64]uint64)}
 }
 
-// answerWithin is how long a question may be out; a later answer vouches for nothing that would still count.
-const answerWithin = 3 * time.Second
+// answerTimeout is how long a question may be out; a later answer vouches for nothing that would still count.
+const answerTimeout = 3 * time.Second
 
 // Due tells whether it is time to ask, and when to look again.
 func (g *Gossip) Due(now time.Time) (ask bool, next time.Time) {
-	return !now.Before(g.next), g.next
+	return !now.Before(g.nextQuery), g.nextQuery
 }
 
 // Query returns a question to a peer.
 func (g *Gossip) Query(now time.Time, peer uint64) *Message {
-	g.next = now.Add(g.every)
+	g.nextQuery = now.Add(g.interval)
 	g.seq++
-	for n, a := range g.asked { // whichever order
-		if now.Sub(a.at) > answerWithin {
-			delete(g.asked, n)
+	for n, a := range g.pending { // whichever order
+		if now.Sub(a.sentAt) > answerTimeout {
+			delete(g.pending, n)
 			if !a.answered {
 				g.Lost++
-				delete(g.upto, a.of) // it may hold less than it did
+				delete(g.receivedUpTo, a.peer) // it may hold less than it did
 			}
 		}
 	}
-	g.asked[g.seq] = asked{of: peer, at: now}
-	return &Message{IsQuery: true, Seq: g.seq, Since: g.upto[peer], UnknownAge: g.store.WritersOfUnknownAge()}
+	g.pending[g.seq] = pendingQuery{peer: peer, sentAt: now}
+	return &Message{IsQuery: true, Seq: g.seq, Since: g.receivedUpTo[peer], UnknownAge: g.store.WritersOfUnknownAge()}
 }
 
 // Receive merges a message that is no question. An answer to a question that is not out counts as unasked.
 func (g *Gossip) Receive(m *Message) {
-	a, out := g.asked[m.Seq]
+	a, out := g.pending[m.Seq]
 	if !out {
-		a = asked{}
+		a = pendingQuery{}
 	}
-	if g.store.Merge(a.at, m) {
+	if g.store.Merge(a.sentAt, m) {
 		g.Merged++
 	}
 	if out {
 		if a.parts == nil {
 			a.parts = make(map[uint64]uint64)
 		}
-		if len(a.parts) < 2*mostParts {
+		if len(a.parts) < 2*maxParts {
 			a.parts[m.From] = max(a.parts[m.From], m.UpTo)
 		}
 		a.answered = true
-		g.asked[m.Seq] = a
-		for next, ok := a.parts[g.upto[a.of]]; ok && next > g.upto[a.of]; next, ok = a.parts[g.upto[a.of]] {
-			g.upto[a.of] = next
+		g.pending[m.Seq] = a
+		for next, ok := a.parts[g.receivedUpTo[a.peer]]; ok && next > g.receivedUpTo[a.peer]; next, ok = a.parts[g.receivedUpTo[a.peer]] {
+			g.receivedUpTo[a.peer] = next
 		}
 	}
 }
@@ -100,11 +100,11 @@
 }
 
 // Forget drops what is kept of a peer that is gone.
-func (g *Gossip) Forget(peer uint64) { delete(g.upto, peer) }
+func (g *Gossip) Forget(peer uint64) { delete(g.receivedUpTo, peer) }
 
 // UrgentUpdate returns bad news that came since the last call, to be passed on at once; nil: there is none.
 func (g *Gossip) UrgentUpdate(now time.Time) *Message {
-	m := g.store.UrgentUpdate(now, g.told)
-	g.told = g.store.Seq()
+	m := g.store.UrgentUpdate(now, g.urgentUpTo)
+	g.urgentUpTo = g.store.Seq()
 	return m
 }
--- a/internal/shared/evidence/message.go
+++ b/internal/shared/evidence/message.go
@@ -34,8 +34,8 @@
 	UptimeAgeMS int64  `cbor:"6,keyasint,omitempty"` // how long ago the writer itself said so, at the most; 0: it says it now
 }
 
-// runs tells for how long the row's writer has run, if that is known: rounded up, since older does no harm and younger does.
-func (s *Store) runs(now time.Time, r *Row) bool {
+// setUptime tells for how long the row's writer has run, if that is known: rounded up, since older does no harm and younger does.
+func (s *Store) setUptime(now time.Time, r *Row) bool {
 	run, old, ok := s.Uptime(now, r.Session)
 	if !ok {
 		return false
@@ -54,12 +54,12 @@
 	Counts Counts `cbor:"3,keyasint"`
 }
 
-// maxName and maxTarget are the longest names that are taken, in bytes; perMessage is how many cells one message carries.
+// maxNameBytes and maxTargetBytes are the longest names that are taken, in bytes; maxCellsPerMessage is how many cells one message carries.
 const (
-	maxName    = 64
-	maxTarget  = 64
-	perMessage = 12
-	mostParts  = 16
+	maxNameBytes       = 64
+	maxTargetBytes     = 64
+	maxCellsPerMessage = 12
+	maxParts           = 16
 )
 
 // Encode writes a message.
@@ -72,11 +72,11 @@
 		return nil, fmt.Errorf("evidence: %w", err)
 	}
 	for _, r := range m.Rows {
-		if r.Session == 0 || len(r.Name) > maxName || len(r.Zone) > maxName {
+		if r.Session == 0 || len(r.Name) > maxNameBytes || len(r.Zone) > maxNameBytes {
 			return nil, fmt.Errorf("evidence: a writer %x with a name of %d and a zone of %d bytes", r.Session, len(r.Name), len(r.Zone))
 		}
 		for _, c := range r.Cells {
-			if len(c.Target) > maxTarget {
+			if len(c.Target) > maxTargetBytes {
 				return nil, fmt.Errorf("evidence: a target's name of %d bytes", len(c.Target))
 			}
 		}
@@ -85,11 +85,11 @@
 }
 
 type change struct {
-	seq uint64
-	w   *writer
-	t   string
-	n   uint32
-	c   Counts
+	seq    uint64
+	writer *writer
+	target string
+	window uint32
+	counts Counts
 }
 
 // changes lists cells that changed after a number, in that order. Of targets with which nobody had trouble, and of the sums of those
@@ -118,13 +118,13 @@
 	if since > s.seq {
 		since = 0 // it counts by another life of this process
 	}
-	out := s.parts(now, since, s.changes(since), q.Seq)
+	out := s.splitIntoParts(now, since, s.changes(since), q.Seq)
 	if len(q.UnknownAge) > 0 {
 		first := &Message{Seq: q.Seq, From: since, UpTo: since}
-		for _, id := range q.UnknownAge[:min(len(q.UnknownAge), perMessage)] {
+		for _, id := range q.UnknownAge[:min(len(q.UnknownAge), maxCellsPerMessage)] {
 			if i, ok := s.find(id); ok {
 				r := Row{Session: id, Name: s.writers[i].Name, Zone: s.writers[i].Zone}
-				if s.runs(now, &r) {
+				if s.setUptime(now, &r) {
 					first.Rows = append(first.Rows, r)
 				}
 			}
@@ -138,7 +138,7 @@
 func (s *Store) WritersOfUnknownAge() []uint64 {
 	var ids []uint64
 	for _, w := range s.writers {
-		if w.start.IsZero() && w.badCells > 0 && len(ids) < perMessage {
+		if w.start.IsZero() && w.badCells > 0 && len(ids) < maxCellsPerMessage {
 			ids = append(ids, w.Session)
 		}
 	}
@@ -147,37 +147,39 @@
 
 // UrgentUpdate returns what changed after a number and is bad, to be told unasked, in one message; nil: nothing.
 func (s *Store) UrgentUpdate(now time.Time, since uint64) *Message {
-	all := slices.DeleteFunc(s.changes(since), func(c change) bool { return c.t != "" && c.c.Bad() == 0 || strings.HasPrefix(c.t, LimitPrefix) })
-	if !slices.ContainsFunc(all, func(c change) bool { return c.t != "" }) {
+	all := slices.DeleteFunc(s.changes(since), func(c change) bool {
+		return c.target != "" && c.counts.Bad() == 0 || strings.HasPrefix(c.target, LimitPrefix)
+	})
+	if !slices.ContainsFunc(all, func(c change) bool { return c.target != "" }) {
 		return nil
 	}
-	if len(all) > perMessage { // the latest
-		all = all[len(all)-perMessage:]
+	if len(all) > maxCellsPerMessage { // the latest
+		all = all[len(all)-maxCellsPerMessage:]
 	}
-	m := s.parts(now, 0, all, 0)[0]
+	m := s.splitIntoParts(now, 0, all, 0)[0]
 	for i := range m.Rows {
 		m.Rows[i].UptimeMS, m.Rows[i].UptimeAgeMS = -1, 0
 	}
 	return m
 }
 
-func (s *Store) parts(now time.Time, since uint64, all []change, seq uint64) []*Message {
+func (s *Store) splitIntoParts(now time.Time, since uint64, all []change, seq uint64) []*Message {
 	var out []*Message
-	for len(all) > 0 && len(out) < mostParts {
+	for len(all) > 0 && len(out) < maxParts {
 		m := &Message{Seq: seq, From: since}
-		for _, c := range all[:min(perMessage, len(all))] {
-			i := slices.IndexFunc(m.Rows, func(r Row) bool { return r.Session == c.w.Session })
+		for _, c := range all[:min(maxCellsPerMessage, len(all))] {
+			i := slices.IndexFunc(m.Rows, func(r Row) bool { return r.Session == c.writer.Session })
 			if i < 0 {
 				i = len(m.Rows)
-				r := Row{Session: c.w.Session, Name: c.w.Name, Zone: c.w.Zone, UptimeMS: -1}
-				s.runs(now, &r)
+				r := Row{Session: c.writer.Session, Name: c.writer.Name, Zone: c.writer.Zone, UptimeMS: -1}
+				s.setUptime(now, &r)
 				m.Rows = append(m.Rows, r)
 			}
-			m.Rows[i].Cells = append(m.Rows[i].Cells, Cell{c.t, c.n, c.c})
+			m.Rows[i].Cells = append(m.Rows[i].Cells, Cell{c.target, c.window, c.counts})
 			m.UpTo = c.seq
 		}
 		since = m.UpTo
-		all = all[min(perMessage, len(all)):]
+		all = all[min(maxCellsPerMessage, len(all)):]
 		out = append(out, m)
 	}
 	if len(out) == 0 {
