--- a/internal/shared/carrier/carrier.go
+++ b/internal/shared/carrier/carrier.go
@@ -1,5 +1,6 @@
-// Package carrier takes a process's evidence to the other processes of its fleet and theirs to it, as datagrams of its
-// mesh.Node. It decides nothing but when to speak: what is merged and judged is in evidence, verdict and limit.
+// Package carrier exchanges evidence between the processes of a fleet, as datagrams of this
+// process's mesh.Node. It decides only when to send. Packages evidence, verdict and limit merge and
+// judge what is exchanged.
 package carrier
 
 import (
@@ -13,36 +14,40 @@
 )
 
 const (
-	// Topic names the evidence among what processes tell each other.
+	// Topic is the name under which evidence is sent in mesh.Shared messages.
 	Topic = "evidence"
-	// TickInterval is the time between two calls of Look, AskEvery about that between two questions.
-	TickInterval  = 200 * time.Millisecond
+	// TickInterval is the time between two calls of Carrier.Tick.
+	TickInterval = 200 * time.Millisecond
+	// QueryInterval is the approximate time between two queries of this process.
 	QueryInterval = 500 * time.Millisecond
-	// urgentFanout is to how many members trouble is told at once; each that had not heard of it tells as many.
+	// urgentFanout is the number of members that are told of new failures at once. Each member to
+	// which they are new forwards them to as many.
 	urgentFanout = 3
 )
 
-// Carrier carries one process's evidence. It belongs to its loop's goroutine.
+// Carrier exchanges the evidence of one process. It must be used only from the goroutine of its
+// event loop.
 type Carrier struct {
 	node        *mesh.Node
 	store       *evidence.Store
 	gossip      *evidence.Gossip
-	nextPartner int // of the partners
+	nextPartner int // counter that selects the partner of the next query
 }
 
-// New returns a carrier with a store of its own; Bind comes before all else.
-func New(now time.Time, me evidence.Writer, c evidence.Config, f evidence.Flaws) *Carrier {
-	s := evidence.New(now, me, c, f)
+// New returns a carrier with a store of its own. Bind must be called before any other method.
+func New(now time.Time, self evidence.Writer, c evidence.Config, f evidence.Flaws) *Carrier {
+	s := evidence.New(now, self, c, f)
 	return &Carrier{store: s, gossip: evidence.NewGossip(s, QueryInterval)}
 }
 
-// Bind tells by which node it speaks.
+// Bind sets the node through which the carrier sends.
 func (c *Carrier) Bind(n *mesh.Node) { c.node = n }
 
-// Store is the evidence.
+// Store returns the evidence store of this process.
 func (c *Carrier) Store() *evidence.Store { return c.store }
 
-// Receive takes what another process says; what is of another matter, or can't be read, changes nothing.
+// Receive handles a message from another process. Messages of other topics and messages that cannot
+// be decoded are ignored.
 func (c *Carrier) Receive(now time.Time, from netip.AddrPort, s *mesh.Shared) {
 	if s.Matter != Topic || c.node == nil {
 		return
@@ -59,7 +64,8 @@
 	}
 	c.gossip.Receive(m)
 	if m.Seq == 0 && len(c.store.WritersOfUnknownAge()) > 0 {
-		// Whoever told it knows how old that is, or will before long; else it would not count here until the next question.
+		// The sender knows the age of this evidence or will know it soon. Without this query the
+		// evidence would not count here until the next periodic one.
 		c.send(from, c.gossip.Query(now, s.Session))
 	}
 }
@@ -70,20 +76,21 @@
 	}
 }
 
-// Tick tells others what is new, asks one of them if it is time, and drops what is old.
+// Tick sends new failures to other members, sends a query if one is due, and drops expired
+// evidence.
 func (c *Carrier) Tick(now time.Time) {
-	if hot := c.gossip.UrgentUpdate(now); hot != nil {
+	if update := c.gossip.UrgentUpdate(now); update != nil {
 		for _, m := range c.node.RandomMembers(urgentFanout) {
-			c.send(m.Addr, hot)
+			c.send(m.Addr, update)
 		}
 	}
-	if ask, _ := c.gossip.Due(now); ask {
+	if due, _ := c.gossip.Due(now); due {
 		c.queryNextPartner(now)
 	}
 	c.store.Expire(now)
 }
 
-// queryNextPartner asks the next of the partners.
+// queryNextPartner sends a query to the partners in turn.
 func (c *Carrier) queryNextPartner(now time.Time) {
 	members := c.node.Members()
 	sessions := make([]uint64, len(members))
@@ -95,7 +102,7 @@
 		return
 	}
 	c.nextPartner++
-	of := partners[c.nextPartner%len(partners)]
-	i := slices.IndexFunc(members, func(m peers.Member) bool { return m.Session == of })
-	c.send(members[i].Addr, c.gossip.Query(now, of))
+	partner := partners[c.nextPartner%len(partners)]
+	i := slices.IndexFunc(members, func(m peers.Member) bool { return m.Session == partner })
+	c.send(members[i].Addr, c.gossip.Query(now, partner))
 }
--- a/internal/shared/evidence/evidence_test.go
+++ b/internal/shared/evidence/evidence_test.go
@@ -15,7 +15,8 @@
 	return New(t0, Writer{id, fmt.Sprint("p", id), "z"}, DefaultConfig(), f)
 }
 
-// what a store holds of others and itself, but for ages.
+// contents formats the cells that stores exchange: those of disputed targets and the sums of
+// writers with failures. Ages are left out.
 func (s *Store) contents() string {
 	out := ""
 	for _, w := range s.writers {
@@ -30,13 +31,15 @@
 	return out
 }
 
-// Whatever is lost, repeated and reordered, once the links heal all hold the same of the targets that anybody had trouble with.
-func TestAnyOrderLeadsToTheSame(t *testing.T) {
+// Messages are lost, repeated and reordered. Once the links work again, all stores hold the same
+// cells of the disputed targets.
+func TestStoresConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { converge(t, Flaws{}, true) })
 }
 
-// The check above is worth something: counts that are added when they arrive again break it.
-func TestAddingIsFound(t *testing.T) {
+// The check of TestStoresConverge detects a store that adds received counts, so that a repeated
+// message counts twice.
+func TestConvergenceCheckDetectsAddition(t *testing.T) {
 	found := false
 	for seed := range 50 {
 		if !rapid.Custom(func(t *rapid.T) bool { return converge(t, Flaws{MergeAdds: true}, false) }).Example(seed) {
@@ -44,10 +47,12 @@
 		}
 	}
 	if !found {
-		t.Error("a store that adds what it is told again was not found out")
+		t.Error("no seed of 50 detected a store that adds the counts of repeated messages")
 	}
 }
 
+// converge lets stores exchange messages over unreliable links and reports whether they hold the
+// same cells once the links work again. If fail is set, it fails the test if they do not.
 func converge(t *rapid.T, f Flaws, fail bool) bool {
 	n := rapid.IntRange(2, 5).Draw(t, "stores")
 	var stores []*Store
@@ -60,7 +65,7 @@
 		to int
 		m  *Message
 	}
-	var air []sent
+	var inTransit []sent
 	now := t0
 	answer := func(of, to int, q *Message) {
 		for _, m := range stores[of].Answer(now, q) {
@@ -72,7 +77,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			air = append(air, sent{to, got})
+			inTransit = append(inTransit, sent{to, got})
 		}
 	}
 	for range rapid.IntRange(5, 60).Draw(t, "steps") {
@@ -83,43 +88,43 @@
 			target := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "target")
 			stores[i].Record(now, target, rapid.SampledFrom([]Counts{{OK: 1}, {Fail: 1}, {Silent: 1}, {ProbeOK: 1}}).Draw(t, "counts"))
 		case 1:
-			if j := (i + 1) % n; rapid.Bool().Draw(t, "question arrives") {
+			if j := (i + 1) % n; rapid.Bool().Draw(t, "query arrives") {
 				answer(j, i, gossips[i].Query(now, uint64(j+1)))
 			}
-		case 2: // one of those under way arrives, and may again
-			if len(air) > 0 {
-				k := rapid.IntRange(0, len(air)-1).Draw(t, "message")
-				gossips[air[k].to].Receive(air[k].m)
+		case 2: // a message in transit arrives, and may arrive again
+			if len(inTransit) > 0 {
+				k := rapid.IntRange(0, len(inTransit)-1).Draw(t, "message")
+				gossips[inTransit[k].to].Receive(inTransit[k].m)
 				if rapid.Bool().Draw(t, "once") {
-					air = slices.Delete(air, k, k+1)
+					inTransit = slices.Delete(inTransit, k, k+1)
 				}
 			}
 		case 3:
-			if hot := gossips[i].UrgentUpdate(now); hot != nil {
-				air = append(air, sent{(i + 1) % n, hot})
+			if update := gossips[i].UrgentUpdate(now); update != nil {
+				inTransit = append(inTransit, sent{(i + 1) % n, update})
 			}
 		}
 	}
-	air = nil // the rest is lost; then the links heal
+	inTransit = nil // the remaining messages are lost; then the links work again
 	for range 4 * n {
 		for i := range n {
 			j := (i + 1) % n
 			answer(j, i, gossips[i].Query(now, uint64(j+1)))
-			for _, x := range air {
+			for _, x := range inTransit {
 				gossips[x.to].Receive(x.m)
 			}
-			air = nil
+			inTransit = nil
 		}
 	}
 	for i := range stores {
 		if stores[i].contents() != stores[0].contents() {
 			if fail {
-				t.Fatalf("store %d holds\n%sstore 0\n%s", i, stores[i].contents(), stores[0].contents())
+				t.Fatalf("store %d holds\n%sstore 0 holds\n%s", i, stores[i].contents(), stores[0].contents())
 			}
 			return false
 		}
 	}
-	// And it is what happened: of its own outcomes nobody holds more than the one who saw them.
+	// No store holds other counts of a process's own observations than that process itself.
 	for _, s := range stores {
 		for _, w := range stores {
 			i, ok := s.find(w.Self().Session)
@@ -130,7 +135,7 @@
 				for _, c := range list {
 					if own := w.get(w.self, target, c.number); own != c.counts {
 						if fail {
-							t.Fatalf("%s: %v is held of %d's %v", target, c.counts, w.Self().Session, own)
+							t.Fatalf("%s: a store holds %v of session %d, which itself has %v", target, c.counts, w.Self().Session, own)
 						}
 						return false
 					}
@@ -141,8 +146,8 @@
 	return true
 }
 
-// However long a link holds a message up, a cell never looks younger than it is.
-func TestAgesNeverLookYounger(t *testing.T) {
+// A cell never looks younger than it is, however long a link delays a message.
+func TestAgesAreNeverTooSmall(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := func(label string, most int) time.Duration {
 			return time.Duration(rapid.IntRange(0, most).Draw(t, label)) * time.Millisecond
@@ -166,19 +171,20 @@
 				return
 			}
 			found = true
-			// The window ends at most a width after what was seen in it.
-			if true_ := arrived.Sub(begin) - a.cfg.WindowLength; x.Age < true_ {
-				t.Fatalf("it looks %v old and is %v", x.Age, true_)
+			// The window ends at most one window length after the observation.
+			if trueAge := arrived.Sub(begin) - a.cfg.WindowLength; x.Age < trueAge {
+				t.Fatalf("cell has age %v, true age is %v", x.Age, trueAge)
 			}
 		})
 		if !found {
-			t.Fatal("the cell is not there")
+			t.Fatal("the cell was not merged")
 		}
 	})
 }
 
-// What came unasked counts only once an answer has told how long its writer has run, and a late answer can't make it younger.
-func TestUnaskedNewsNeedsAnAge(t *testing.T) {
+// The cells of an unsolicited update have no age until an answer has reported the uptime of their
+// writer. A late answer does not change a known start.
+func TestUnsolicitedUpdateNeedsAge(t *testing.T) {
 	a, b := store(1, Flaws{}), store(2, Flaws{})
 	a.Record(t0.Add(time.Second), "x", Counts{Fail: 1})
 	b.Merge(time.Time{}, a.UrgentUpdate(t0.Add(time.Second), 0))
@@ -193,32 +199,34 @@
 		return n
 	}
 	if count(t0.Add(time.Second)) != 0 {
-		t.Error("a cell of unknown age counts")
+		t.Error("a cell of unknown age is reported")
 	}
 	g := NewGossip(b, time.Second)
 	q := g.Query(t0.Add(2*time.Second), 1)
 	g.Receive(a.Answer(t0.Add(2*time.Second), q)[0])
 	if count(t0.Add(2*time.Second)) != 1 {
-		t.Error("the cell does not count although its age is known")
+		t.Error("the cell is not reported although its age is known")
 	}
-	// An answer that took 20 s to come says that the writer may have started 20 s earlier: that changes nothing.
+	// An answer that took 20 s to arrive only shows that the writer may have started up to 20 s
+	// earlier, which must change nothing.
 	q = g.Query(t0.Add(3*time.Second), 1)
 	m := a.Answer(t0.Add(23*time.Second), q)[0]
 	g.Receive(m)
 	if run, _, _ := b.Uptime(t0.Add(3*time.Second), 1); run > 4*time.Second {
-		t.Errorf("the writer has run for %v", run)
+		t.Errorf("uptime of the writer is %v, want at most 4s", run)
 	}
 }
 
-// Who asks again is told what changed since, not everything; and everything after an answer was lost.
-func TestAskedAgainTellsWhatChanged(t *testing.T) {
+// A repeated query is answered with the changes since the last one, and with everything after an
+// answer was lost.
+func TestRepeatedQueryReturnsChanges(t *testing.T) {
 	a, b := store(1, Flaws{}), store(2, Flaws{})
 	g := NewGossip(b, time.Second)
 	now, cells := t0, 0
 	step := func(lose bool) (told int) {
 		now = now.Add(time.Second)
 		a.Record(now, "x", Counts{Fail: 1})
-		cells = 2 * int(now.Sub(t0)/time.Second) // the target's and the sum
+		cells = 2 * int(now.Sub(t0)/time.Second) // one of the target and one of the sums per window
 		for _, m := range a.Answer(now, g.Query(now, 1)) {
 			for _, r := range m.Rows {
 				told += len(r.Cells)
@@ -231,7 +239,7 @@
 	}
 	for range 10 {
 		if told := step(false); told > 2 && cells > 2 {
-			t.Fatalf("%d cells told, 2 are new", told)
+			t.Fatalf("answer has %d cells, want the 2 new ones", told)
 		}
 	}
 	step(true)
@@ -239,13 +247,13 @@
 		step(true)
 	}
 	if told := step(false); told != cells {
-		t.Errorf("%d cells told after answers were lost, of %d", told, cells)
+		t.Errorf("answer after lost ones has %d cells, want all %d", told, cells)
 	}
 }
 
-// An answer that was on its way when the asker started anew is no answer to a question of its new life: it would make what it
-// vouches for look as young as it was then.
-func TestAnswerToAFormerLife(t *testing.T) {
+// An answer to a query from before the querying process restarted must not pass for an answer to a
+// query of the restarted process: its writer would look as young as it was at the earlier query.
+func TestAnswerToQueryBeforeRestart(t *testing.T) {
 	a := store(1, Flaws{})
 	a.Record(t0.Add(time.Second), "x", Counts{Fail: 1})
 	former := NewGossip(store(2, Flaws{}), time.Second)
@@ -255,13 +263,14 @@
 	g.Query(t0.Add(20*time.Second), 1)
 	g.Receive(late)
 	if run, _, ok := b.Uptime(t0.Add(20*time.Second), 1); ok && run < 20*time.Second {
-		t.Errorf("the writer seems to have run for %v, and has for 20 s", run)
+		t.Errorf("uptime of the writer is %v, want 20s or more", run)
 	}
 }
 
-// The writer's clock is set ahead by 3 s: what it numbers from then on seems as much later, until its start is learnt anew. Two
-// others that ask each other all the time must not keep alive what it had said before.
-func TestFormerStartIsNotKeptAlive(t *testing.T) {
+// The clock of a writer is set ahead by 3 s. The windows that it numbers from then on look that
+// much younger until its start is learned anew. Two other processes that keep querying each other
+// must not keep alive what the writer reported before.
+func TestStartBeforeClockJumpIsReplaced(t *testing.T) {
 	const jump = 3 * time.Second
 	w, x, y := store(1, Flaws{}), store(2, Flaws{}), store(3, Flaws{})
 	gx, gy := NewGossip(x, time.Second), NewGossip(y, time.Second)
@@ -293,16 +302,16 @@
 		ask(gx, y, now)
 		ask(gy, x, now)
 		for name, s := range map[string]*Store{"x": x, "y": y} {
-			// All of the last two windows was seen a second ago at the most.
+			// The observations of the last two windows are at most one second old.
 			if run, _, ok := s.Uptime(now, 1); i >= 10+2*20 && ok && run < now.Sub(t0)+jump-time.Second {
-				t.Fatalf("%v: %s holds that the writer has run for %v, by whose clock it is %v; age %v", now.Sub(t0), name, run, own.Sub(t0), age(s, now))
+				t.Fatalf("after %v: store %s has uptime %v for the writer, which is %v by its own clock; age of its latest cell %v", now.Sub(t0), name, run, own.Sub(t0), age(s, now))
 			}
 		}
 	}
 }
 
-// A store is bounded, whatever its peers claim, and what is old goes.
-func TestBounded(t *testing.T) {
+// A store is bounded, whatever its peers send, and drops old cells.
+func TestStoreIsBounded(t *testing.T) {
 	c := DefaultConfig()
 	c.MaxCells, c.MaxWriters = 50, 3
 	s := New(t0, Writer{1, "p1", "z"}, c, Flaws{})
@@ -312,16 +321,17 @@
 		}
 	}
 	if s.Cells() > 50 || len(s.writers) > 3 || s.Dropped == 0 {
-		t.Errorf("%d cells of %d writers, %d dropped", s.Cells(), len(s.writers), s.Dropped)
+		t.Errorf("%d cells of %d writers, %d dropped; want at most 50 of 3, and some dropped", s.Cells(), len(s.writers), s.Dropped)
 	}
 	s.Expire(t0)
 	s.Expire(t0.Add(c.Retention + time.Second))
 	if s.Cells() != 0 || s.Disputed() {
-		t.Errorf("%d cells stay", s.Cells())
+		t.Errorf("%d cells remain after the retention period, or a target is still disputed", s.Cells())
 	}
 }
 
-// Bytes that are no message are refused, and nothing in them sizes what is made of them.
+// Decode refuses bytes that are not a message, and nothing in them determines the size of an
+// allocation.
 func FuzzDecode(f *testing.F) {
 	m := &Message{Seq: 3, Rows: []Row{{Session: 1, Name: "p", UptimeMS: 5, Cells: []Cell{{"a", 2, Counts{Fail: 1}}}}}}
 	text, _ := m.Encode()
@@ -334,8 +344,8 @@
 	})
 }
 
-// An outcome allocates nothing once its cell is there, and costs well under a microsecond.
-func BenchmarkSaw(b *testing.B) {
+// Recording an outcome in an existing cell allocates nothing and takes well under one microsecond.
+func BenchmarkRecord(b *testing.B) {
 	s := store(1, Flaws{})
 	s.Record(t0, "a", Counts{OK: 1})
 	b.ReportAllocs()
@@ -344,15 +354,16 @@
 	}
 }
 
-func TestSawAllocatesNothing(t *testing.T) {
+func TestRecordAllocatesNothing(t *testing.T) {
 	s := store(1, Flaws{})
 	s.Record(t0, "a", Counts{OK: 1})
 	if n := testing.AllocsPerRun(100, func() { s.Record(t0, "a", Counts{OK: 1}) }); n > 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("%v allocations per outcome, want 0", n)
 	}
 }
 
-// What a connection costs in all: its limit's use told, its outcome counted.
+// BenchmarkConnection measures the cost of one connection: the use of its limit is recorded and its
+// outcome counted.
 func BenchmarkConnection(b *testing.B) {
 	key := LimitKey("l")
 	s := store(1, Flaws{})
@@ -363,7 +374,7 @@
 	}
 }
 
-// A store keeps the cells of 1,024 processes.
+// With the default settings a store holds the cells of 1,024 processes.
 func TestManyWriters(t *testing.T) {
 	const n = 1024
 	s := New(t0, Writer{1, "p1", "z"}, DefaultConfig(), Flaws{})
@@ -371,6 +382,6 @@
 		s.MergeCell(Writer{w, "x", "z"}, "a", 0, Counts{Fail: 1})
 	}
 	if len(s.writers) != n || s.Dropped != 0 {
-		t.Errorf("%d writers of %d, %d cells dropped", len(s.writers), n, s.Dropped)
+		t.Errorf("%d writers, want %d; %d cells dropped, want 0", len(s.writers), n, s.Dropped)
 	}
 }
--- a/internal/shared/evidence/gossip.go
+++ b/internal/shared/evidence/gossip.go
@@ -5,51 +5,59 @@
 	"time"
 )
 
-// Gossip says when to ask whom, and keeps what was asked: a question counts from before it was sent, and an answer's changes
-// count only where none before them is missing. Peers are known by session. It is pure, like the Store.
+// Gossip decides when a process queries which peer, and keeps the state of its queries. The age of
+// what an answer tells counts from before its query was sent. The changes in an answer count as
+// received only if no earlier change is missing. Peers are identified by session. Like Store,
+// Gossip uses no clock and no I/O.
 type Gossip struct {
-	store        *Store
-	interval     time.Duration
-	seq          uint64
-	pending      map[uint64]pendingQuery // by the question's number
+	store    *Store
+	interval time.Duration           // time between two queries
+	seq      uint64                  // Message.Seq of the last query
+	pending  map[uint64]pendingQuery // queries in progress, by Message.Seq
+	// receivedUpTo is the number of the last change received without a gap, by peer.
 	receivedUpTo map[uint64]uint64
-	nextQuery    time.Time
-	urgentUpTo   uint64 // change up to which hot news was passed on
-	Lost         uint64 // questions without an answer
-	Merged       uint64 // messages that were news
+	nextQuery    time.Time // when the next query is due
+	urgentUpTo   uint64    // last change that UrgentUpdate has covered
+	Lost         uint64    // queries without an answer
+	Merged       uint64    // messages that changed the store
 }
 
 type pendingQuery struct {
 	peer     uint64
 	sentAt   time.Time
 	answered bool
-	parts    map[uint64]uint64 // what came of the answer, from and up to which change: its parts may be out of order
+	// parts maps the number before the first change of each received part of the answer to that of
+	// its last. Parts may arrive out of order.
+	parts map[uint64]uint64
 }
 
-// NewGossip returns the gossip of a store that asks one other process about every so often.
-func NewGossip(s *Store, every time.Duration) *Gossip {
-	// Questions are numbered from the session on: a late answer to one of a former life must not pass for that to one of this life.
-	return &Gossip{store: s, interval: every, seq: s.self.Session, pending: make(map[uint64]pendingQuery), receivedUpTo: make(map[uint64]uint64)}
+// NewGossip returns the gossip of a store that sends a query to one other process about once per
+// interval.
+func NewGossip(s *Store, interval time.Duration) *Gossip {
+	// Queries are numbered from the session on, so that a late answer to a query from before a
+	// restart is not taken for an answer to a query of this process.
+	return &Gossip{store: s, interval: interval, seq: s.self.Session, pending: make(map[uint64]pendingQuery), receivedUpTo: make(map[uint64]uint64)}
 }
 
-// answerTimeout is how long a question may be out; a later answer vouches for nothing that would still count.
+// answerTimeout is the time after which a query counts as lost. What a later answer tells of ages
+// would be too old to be of use.
 const answerTimeout = 3 * time.Second
 
-// Due tells whether it is time to ask, and when to look again.
-func (g *Gossip) Due(now time.Time) (ask bool, next time.Time) {
+// Due reports whether a query is due, and when the next one is.
+func (g *Gossip) Due(now time.Time) (due bool, next time.Time) {
 	return !now.Before(g.nextQuery), g.nextQuery
 }
 
-// Query returns a question to a peer.
+// Query returns a query to a peer. It drops the queries that have timed out.
 func (g *Gossip) Query(now time.Time, peer uint64) *Message {
 	g.nextQuery = now.Add(g.interval)
 	g.seq++
-	for n, a := range g.pending { // whichever order
+	for n, a := range g.pending { // in any order
 		if now.Sub(a.sentAt) > answerTimeout {
 			delete(g.pending, n)
 			if !a.answered {
 				g.Lost++
-				delete(g.receivedUpTo, a.peer) // it may hold less than it did
+				delete(g.receivedUpTo, a.peer) // the peer may have restarted with fewer changes
 			}
 		}
 	}
@@ -57,16 +65,17 @@
 	return &Message{IsQuery: true, Seq: g.seq, Since: g.receivedUpTo[peer], UnknownAge: g.store.WritersOfUnknownAge()}
 }
 
-// Receive merges a message that is no question. An answer to a question that is not out counts as unasked.
+// Receive merges a message that is not a query. An answer to a query that is no longer pending is
+// treated as unsolicited.
 func (g *Gossip) Receive(m *Message) {
-	a, out := g.pending[m.Seq]
-	if !out {
+	a, known := g.pending[m.Seq]
+	if !known {
 		a = pendingQuery{}
 	}
 	if g.store.Merge(a.sentAt, m) {
 		g.Merged++
 	}
-	if out {
+	if known {
 		if a.parts == nil {
 			a.parts = make(map[uint64]uint64)
 		}
@@ -81,28 +90,31 @@
 	}
 }
 
-// Partners are the processes that one asks, of all sessions that live: those at distances of 1, 4, 16 and so on around the ring
-// of sessions. Who asks the same few again is told what changed since; who asked anybody would be told everything each time.
-func Partners(me uint64, sessions []uint64) []uint64 {
+// Partners returns the processes that a process queries, out of the sessions of all live ones:
+// those at the distances 1, 4, 16 and so on around the ring of sorted sessions. A process that
+// queries the same few again receives only the changes since its last query. Queries to random
+// processes would each be answered with everything.
+func Partners(self uint64, sessions []uint64) []uint64 {
 	ring := slices.Clone(sessions)
-	if !slices.Contains(ring, me) {
-		ring = append(ring, me)
+	if !slices.Contains(ring, self) {
+		ring = append(ring, self)
 	}
 	slices.Sort(ring)
-	at, _ := slices.BinarySearch(ring, me)
-	var out []uint64
+	at, _ := slices.BinarySearch(ring, self)
+	var partners []uint64
 	for d := 1; d < len(ring); d *= 4 {
-		if p := ring[(at+d)%len(ring)]; p != me && !slices.Contains(out, p) {
-			out = append(out, p)
+		if p := ring[(at+d)%len(ring)]; p != self && !slices.Contains(partners, p) {
+			partners = append(partners, p)
 		}
 	}
-	return out
+	return partners
 }
 
-// Forget drops what is kept of a peer that is gone.
+// Forget drops the state of a peer that has left.
 func (g *Gossip) Forget(peer uint64) { delete(g.receivedUpTo, peer) }
 
-// UrgentUpdate returns bad news that came since the last call, to be passed on at once; nil: there is none.
+// UrgentUpdate returns the failures that are new since the last call, to be forwarded at once, or
+// nil if there are none.
 func (g *Gossip) UrgentUpdate(now time.Time) *Message {
 	m := g.store.UrgentUpdate(now, g.urgentUpTo)
 	g.urgentUpTo = g.store.Seq()
--- a/internal/shared/evidence/message.go
+++ b/internal/shared/evidence/message.go
@@ -10,51 +10,62 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Message is a part of what one process tells another of the evidence.
+// Message is a query for evidence, a part of an answer, or an unsolicited update.
 type Message struct {
-	// IsQuery asks for what changed after Since, by the answerer's numbers; 0: for all.
+	// IsQuery marks a query for what changed after Since, by the sequence numbers of the process
+	// that answers. A Since of 0 asks for everything.
 	IsQuery bool   `cbor:"1,keyasint,omitempty"`
 	Since   uint64 `cbor:"2,keyasint,omitempty"`
-	// Seq of an answer is that of its question. A message that is no answer has 0 and vouches for no writer's age.
-	Seq  uint64 `cbor:"3,keyasint,omitempty"`
-	From uint64 `cbor:"6,keyasint,omitempty"` // an answer tells all changes after From...
-	UpTo uint64 `cbor:"4,keyasint,omitempty"` // ...up to this one, by the answerer's numbers
+	// Seq is a number chosen by the sender of a query. An answer carries the Seq of its query. An
+	// unsolicited message has 0, and the uptimes in it are ignored.
+	Seq uint64 `cbor:"3,keyasint,omitempty"`
+	// From and UpTo bound the changes in an answer, by the sequence numbers of the process that
+	// answers: it contains all changes after From, up to and including UpTo.
+	From uint64 `cbor:"6,keyasint,omitempty"`
+	UpTo uint64 `cbor:"4,keyasint,omitempty"`
 	Rows []Row  `cbor:"5,keyasint,omitempty"`
-	// UnknownAge names writers of whose cells the asker knows no age; an answer vouches for them, whether or not it has cells of theirs.
+	// UnknownAge lists writers that have cells whose age the sender of the query does not know. An
+	// answer reports their uptimes whether or not it has cells of theirs.
 	UnknownAge []uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// Row is cells of one writer.
+// Row has cells of one writer.
 type Row struct {
-	Session     uint64 `cbor:"1,keyasint"`
-	Name        string `cbor:"2,keyasint"`
-	Zone        string `cbor:"3,keyasint,omitempty"`
-	UptimeMS    int64  `cbor:"4,keyasint,omitempty"` // how long it has run at the most, in an answer; below 0: not known
-	Cells       []Cell `cbor:"5,keyasint,omitempty"`
-	UptimeAgeMS int64  `cbor:"6,keyasint,omitempty"` // how long ago the writer itself said so, at the most; 0: it says it now
+	Session uint64 `cbor:"1,keyasint"`
+	Name    string `cbor:"2,keyasint"`
+	Zone    string `cbor:"3,keyasint,omitempty"`
+	// UptimeMS in an answer is an upper bound of the time for which the writer has run; below 0:
+	// unknown.
+	UptimeMS int64  `cbor:"4,keyasint,omitempty"`
+	Cells    []Cell `cbor:"5,keyasint,omitempty"`
+	// UptimeAgeMS is an upper bound of the time since the writer itself reported UptimeMS; 0: it
+	// reports it now.
+	UptimeAgeMS int64 `cbor:"6,keyasint,omitempty"`
 }
 
-// setUptime tells for how long the row's writer has run, if that is known: rounded up, since older does no harm and younger does.
+// setUptime sets the uptime of a row's writer and reports whether it is known. It rounds up: a
+// value that is too large is harmless, one that is too small is not.
 func (s *Store) setUptime(now time.Time, r *Row) bool {
-	run, old, ok := s.Uptime(now, r.Session)
+	uptime, reportAge, ok := s.Uptime(now, r.Session)
 	if !ok {
 		return false
 	}
-	r.UptimeMS = run.Milliseconds() + 1
+	r.UptimeMS = uptime.Milliseconds() + 1
 	if r.Session != s.self.Session {
-		r.UptimeAgeMS = old.Milliseconds() + 1
+		r.UptimeAgeMS = reportAge.Milliseconds() + 1
 	}
 	return true
 }
 
-// Cell is one cell.
+// Cell has the counts of one window of a target, or of a limit if the name begins with LimitPrefix.
 type Cell struct {
 	Target string `cbor:"1,keyasint,omitempty"`
 	Window uint32 `cbor:"2,keyasint"`
 	Counts Counts `cbor:"3,keyasint"`
 }
 
-// maxNameBytes and maxTargetBytes are the longest names that are taken, in bytes; maxCellsPerMessage is how many cells one message carries.
+// Bounds of a message. Longer names are refused. What does not fit in maxParts parts of an answer
+// is sent with the next answer.
 const (
 	maxNameBytes       = 64
 	maxTargetBytes     = 64
@@ -62,10 +73,11 @@
 	maxParts           = 16
 )
 
-// Encode writes a message.
+// Encode returns the encoding of a message.
 func (m *Message) Encode() ([]byte, error) { return cbor.Marshal(m) }
 
-// Decode reads a message. Nothing in it sizes an allocation beyond what it brings.
+// Decode decodes a message. No number in the message determines the size of an allocation beyond
+// the size of the message itself.
 func Decode(text []byte) (*Message, error) {
 	var m Message
 	if err := cbor.Unmarshal(text, &m); err != nil {
@@ -73,11 +85,11 @@
 	}
 	for _, r := range m.Rows {
 		if r.Session == 0 || len(r.Name) > maxNameBytes || len(r.Zone) > maxNameBytes {
-			return nil, fmt.Errorf("evidence: a writer %x with a name of %d and a zone of %d bytes", r.Session, len(r.Name), len(r.Zone))
+			return nil, fmt.Errorf("evidence: writer %x has a name of %d bytes and a zone of %d bytes, want a session above 0 and at most %d bytes", r.Session, len(r.Name), len(r.Zone), maxNameBytes)
 		}
 		for _, c := range r.Cells {
 			if len(c.Target) > maxTargetBytes {
-				return nil, fmt.Errorf("evidence: a target's name of %d bytes", len(c.Target))
+				return nil, fmt.Errorf("evidence: target has a name of %d bytes, want at most %d", len(c.Target), maxTargetBytes)
 			}
 		}
 	}
@@ -92,12 +104,13 @@
 	counts Counts
 }
 
-// changes lists cells that changed after a number, in that order. Of targets with which nobody had trouble, and of the sums of those
-// who had none, nothing is told: that all went well is what everybody takes for granted.
+// changes lists the cells that changed after a sequence number, in the order of their changes. It
+// leaves out targets with which no process had a failure and the sums of writers that had none:
+// where nothing is reported, success is assumed.
 func (s *Store) changes(since uint64) []change {
 	var all []change
 	for _, w := range s.writers {
-		for t, list := range w.cells { // sorted below
+		for t, list := range w.cells { // in any order; sorted below
 			if t != "" && s.badCells[t] == 0 && !strings.HasPrefix(t, LimitPrefix) || t == "" && w.badCells == 0 {
 				continue
 			}
@@ -112,11 +125,12 @@
 	return all
 }
 
-// Answer returns the parts of an answer to a question, at most mostParts; what they leave out is told by the next answer.
+// Answer returns the parts of the answer to a query: at most maxParts with cells, and before them
+// one with the uptimes asked for. The next answer has what does not fit.
 func (s *Store) Answer(now time.Time, q *Message) []*Message {
 	since := q.Since
 	if since > s.seq {
-		since = 0 // it counts by another life of this process
+		since = 0 // the number is from before this process restarted
 	}
 	out := s.splitIntoParts(now, since, s.changes(since), q.Seq)
 	if len(q.UnknownAge) > 0 {
@@ -134,7 +148,8 @@
 	return out
 }
 
-// WritersOfUnknownAge names writers with trouble of whose cells no age is known, at most a few.
+// WritersOfUnknownAge returns writers that have failures in their cells and whose start is unknown,
+// at most maxCellsPerMessage of them.
 func (s *Store) WritersOfUnknownAge() []uint64 {
 	var ids []uint64
 	for _, w := range s.writers {
@@ -145,7 +160,8 @@
 	return ids
 }
 
-// UrgentUpdate returns what changed after a number and is bad, to be told unasked, in one message; nil: nothing.
+// UrgentUpdate returns the failures that changed after a sequence number as one unsolicited
+// message, or nil if there are none. If they do not fit, it returns the latest.
 func (s *Store) UrgentUpdate(now time.Time, since uint64) *Message {
 	all := slices.DeleteFunc(s.changes(since), func(c change) bool {
 		return c.target != "" && c.counts.Bad() == 0 || strings.HasPrefix(c.target, LimitPrefix)
@@ -153,7 +169,7 @@
 	if !slices.ContainsFunc(all, func(c change) bool { return c.target != "" }) {
 		return nil
 	}
-	if len(all) > maxCellsPerMessage { // the latest
+	if len(all) > maxCellsPerMessage { // keep the latest
 		all = all[len(all)-maxCellsPerMessage:]
 	}
 	m := s.splitIntoParts(now, 0, all, 0)[0]
@@ -163,6 +179,8 @@
 	return m
 }
 
+// splitIntoParts returns messages with the given changes, at most maxParts. Without changes it
+// returns one empty message.
 func (s *Store) splitIntoParts(now time.Time, since uint64, all []change, seq uint64) []*Message {
 	var out []*Message
 	for len(all) > 0 && len(out) < maxParts {
@@ -188,18 +206,18 @@
 	return out
 }
 
-// Merge takes a message's rows, and tells whether any of it was news. asked is when the question was sent that it answers, the
-// zero time for what came unasked.
-func (s *Store) Merge(asked time.Time, m *Message) bool {
-	news := false
+// Merge merges the rows of a message and reports whether any cell changed. askedAt is the time at
+// which the query was sent that the message answers, or zero for an unsolicited message.
+func (s *Store) Merge(askedAt time.Time, m *Message) bool {
+	changed := false
 	for _, r := range m.Rows {
 		by := Writer{r.Session, r.Name, r.Zone}
-		if !asked.IsZero() && r.UptimeMS >= 0 {
-			s.LearnStart(asked, by, time.Duration(r.UptimeMS)*time.Millisecond, time.Duration(r.UptimeAgeMS)*time.Millisecond)
+		if !askedAt.IsZero() && r.UptimeMS >= 0 {
+			s.LearnStart(askedAt, by, time.Duration(r.UptimeMS)*time.Millisecond, time.Duration(r.UptimeAgeMS)*time.Millisecond)
 		}
 		for _, c := range r.Cells {
-			news = s.MergeCell(by, c.Target, c.Window, c.Counts) || news
+			changed = s.MergeCell(by, c.Target, c.Window, c.Counts) || changed
 		}
 	}
-	return news
+	return changed
 }
--- a/internal/shared/evidence/use_test.go
+++ b/internal/shared/evidence/use_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The use of a limit reaches others with an age, and only the latest windows of it are kept.
-func TestUse(t *testing.T) {
+// The use of a limit reaches other processes with its age, and only its latest windows are kept.
+func TestLimitUse(t *testing.T) {
 	a, b := store(1, Flaws{}), store(2, Flaws{})
 	g := NewGossip(b, time.Second)
 	for i := range 8 {
@@ -23,20 +23,20 @@
 			g.Receive(m)
 		}
 		seen := false
-		b.EachUse(now, LimitKey("l"), func(w Writer, use, want int, age time.Duration) {
+		b.EachUse(now, LimitKey("l"), func(w Writer, use, demand int, age time.Duration) {
 			if w.Session != 1 {
 				return
 			}
 			seen = true
-			if use != 10+i || want != i || age < 0 || age > 2*b.cfg.WindowLength {
-				t.Errorf("step %d: use %d, want %d, age %v", i, use, want, age)
+			if use != 10+i || demand != i || age < 0 || age > 2*b.cfg.WindowLength {
+				t.Errorf("step %d: got use %d, demand %d, age %v", i, use, demand, age)
 			}
 		})
 		if !seen {
-			t.Errorf("step %d: the use is not known", i)
+			t.Errorf("step %d: the use was not received", i)
 		}
 	}
 	if b.Cells() > keptUseWindows || b.Disputed() {
-		t.Errorf("%d cells of a use are kept", b.Cells())
+		t.Errorf("%d cells of the use are kept, or a target is disputed", b.Cells())
 	}
 }
--- a/internal/shared/limit/limit.go
+++ b/internal/shared/limit/limit.go
@@ -133,50 +133,50 @@
 // Gate lets in what a soft limit leaves to this process.
 type Gate struct {
 	SoftConfig
-	Limit *Limit
-	Flaws Flaws
-	left  int
-	began time.Duration // of the span for which left is counted
-	ready bool
-	want  float64 // that came of late, halved each second
-	at    time.Duration
+	Limit       *Limit
+	Flaws       Flaws
+	remaining   int
+	periodBegan time.Duration // of the span for which left is counted
+	started     bool
+	demand      float64 // that came of late, halved each second
+	demandAt    time.Duration
 }
 
 // RecentDemand is how many asked of late: those of the last second and half of those before, and so on.
 func (g *Gate) RecentDemand(run time.Duration) int {
-	g.want *= math.Exp2(-max(run-g.at, 0).Seconds())
-	g.at = run
-	return int(math.Ceil(g.want - 0.1))
+	g.demand *= math.Exp2(-max(run-g.demandAt, 0).Seconds())
+	g.demandAt = run
+	return int(math.Ceil(g.demand - 0.1))
 }
 
 // Update takes what is known now, and returns how much of the limit is free as far as that goes. It is to be called every now and then,
 // more often than Stale.
 func (g *Gate) Update(run time.Duration, me Member, others []Member) (free int) {
 	free, part := g.Room(g.Limit, run, me, others, g.Flaws)
-	if !g.ready || run-g.began >= g.StaleAfter {
-		g.ready, g.began, g.left = true, run, part
+	if !g.started || run-g.periodBegan >= g.StaleAfter {
+		g.started, g.periodBegan, g.remaining = true, run, part
 	}
-	g.left = min(g.left, free)
+	g.remaining = min(g.remaining, free)
 	return free
 }
 
 // HasRoom tells whether Admit would let one more in.
-func (g *Gate) HasRoom() bool { return g.left > 0 }
+func (g *Gate) HasRoom() bool { return g.remaining > 0 }
 
 // RecordRefused counts one that asked and was not let in.
 func (g *Gate) RecordRefused(run time.Duration) {
 	g.RecentDemand(run)
-	g.want++
+	g.demand++
 }
 
 // Admit tells whether one more may come in, and counts it.
 func (g *Gate) Admit(run time.Duration) bool {
 	g.RecentDemand(run)
-	g.want++
-	if g.left <= 0 {
+	g.demand++
+	if g.remaining <= 0 {
 		return false
 	}
-	g.left--
+	g.remaining--
 	return true
 }
 
@@ -193,17 +193,17 @@
 
 // Slices decides which slices of a strict limit a process wants. What it is told of slices is what the keepers last said.
 type Slices struct {
-	limit *Limit
-	me    uint64
-	want  []int     // slices that it wants, in the order in which it took them up
-	spare time.Time // since when it has had one more than it needs; zero: it has not
-	moved time.Time // when it last looked elsewhere
-	next  int
+	limit      *Limit
+	me         uint64
+	claims     []int     // slices that it wants, in the order in which it took them up
+	spareSince time.Time // since when it has had one more than it needs; zero: it has not
+	lastSwitch time.Time // when it last looked elsewhere
+	nextSlice  int
 }
 
 // NewSlices returns the slices of a process, which wants none.
 func NewSlices(l *Limit, me uint64) *Slices {
-	return &Slices{limit: l, me: me, next: int(me % uint64(l.Slices))}
+	return &Slices{limit: l, me: me, nextSlice: int(me % uint64(l.Slices))}
 }
 
 // MinSize is how much a slice holds at the least.
@@ -220,48 +220,48 @@
 // DutyName names a slice among the duties.
 func (s *Slices) DutyName(i int) string { return fmt.Sprintf("limit/%s/%d", s.limit.Name, i) }
 
-// spareFor is how long a slice stays unused before it is given back.
-const spareFor = 3 * time.Second
+// spareTimeout is how long a slice stays unused before it is given back.
+const spareTimeout = 3 * time.Second
 
 // Claims returns the slices to claim and renew, for a use and those that wait for room. held tells whether a slice is held now, taken
 // whether somebody else is known to hold it; again is the time after which one that is not got is given up for another.
 func (s *Slices) Claims(now time.Time, use, waiting int, again time.Duration, held, taken func(i int) bool) []int {
 	got := 0
-	for _, i := range s.want {
+	for _, i := range s.claims {
 		if held(i) {
 			got++
 		}
 	}
 	need := min((use+waiting+s.MinSize()-1)/s.MinSize(), s.limit.Slices)
 	switch {
-	case got > need && s.spare.IsZero():
-		s.spare = now
+	case got > need && s.spareSince.IsZero():
+		s.spareSince = now
 	case got <= need:
-		s.spare = time.Time{}
-	case now.Sub(s.spare) >= spareFor:
-		for k := len(s.want) - 1; k >= 0; k-- {
-			if held(s.want[k]) {
-				s.want = slices.Delete(s.want, k, k+1)
+		s.spareSince = time.Time{}
+	case now.Sub(s.spareSince) >= spareTimeout:
+		for k := len(s.claims) - 1; k >= 0; k-- {
+			if held(s.claims[k]) {
+				s.claims = slices.Delete(s.claims, k, k+1)
 				break
 			}
 		}
-		s.spare = now
+		s.spareSince = now
 	}
 	// Those that others hold are given up in turn, for the next one.
-	if now.Sub(s.moved) >= again {
-		s.want = slices.DeleteFunc(s.want, func(i int) bool { return !held(i) && taken(i) })
-		s.moved = now
+	if now.Sub(s.lastSwitch) >= again {
+		s.claims = slices.DeleteFunc(s.claims, func(i int) bool { return !held(i) && taken(i) })
+		s.lastSwitch = now
 	}
-	for tries := 0; len(s.want) < need && tries < s.limit.Slices; tries++ {
-		if i := s.next; !slices.Contains(s.want, i) {
-			s.want = append(s.want, i)
+	for tries := 0; len(s.claims) < need && tries < s.limit.Slices; tries++ {
+		if i := s.nextSlice; !slices.Contains(s.claims, i) {
+			s.claims = append(s.claims, i)
 		}
-		s.next = (s.next + 1) % s.limit.Slices
+		s.nextSlice = (s.nextSlice + 1) % s.limit.Slices
 	}
-	if len(s.want) > need {
-		s.want = slices.DeleteFunc(s.want, func(i int) bool { return !held(i) })
+	if len(s.claims) > need {
+		s.claims = slices.DeleteFunc(s.claims, func(i int) bool { return !held(i) })
 	}
-	return slices.Clone(s.want)
+	return slices.Clone(s.claims)
 }
 
 // RetryBudget is a budget for further attempts of all processes together: a part of the first ones of late.
--- a/internal/shared/limit/limit_test.go
+++ b/internal/shared/limit/limit_test.go
@@ -139,8 +139,8 @@
 	if got := s.Claims(at, 1, 0, time.Second, held, nobody); len(got) != 3 {
 		t.Errorf("a spare slice is given back at once: %v", got)
 	}
-	if got := s.Claims(at.Add(spareFor), 1, 0, time.Second, held, nobody); len(got) != 2 {
-		t.Errorf("after %v: %v", spareFor, got)
+	if got := s.Claims(at.Add(spareTimeout), 1, 0, time.Second, held, nobody); len(got) != 2 {
+		t.Errorf("after %v: %v", spareTimeout, got)
 	}
 }
 
--- a/internal/shared/limit/roster.go
+++ b/internal/shared/limit/roster.go
@@ -15,12 +15,12 @@
 // Roster remembers processes that are not heard of any more: one that is held to be dead may only be cut off, and go on to use what it
 // has. A new life under its name proves that it is dead.
 type Roster struct {
-	seen []entry // by session
+	entries []entry // by session
 }
 
 type entry struct {
 	LiveProcess
-	gone time.Time // zero: it lives
+	deadSince time.Time // zero: it lives
 }
 
 // Update takes who lives now, and forgets those that have been gone for longer than hold.
@@ -28,30 +28,30 @@
 	names := make(map[string]bool, len(list))
 	for _, l := range list {
 		names[l.Name] = true
-		i, ok := slices.BinarySearchFunc(r.seen, l.Session, func(e entry, id uint64) int { return cmp.Compare(e.Session, id) })
+		i, ok := slices.BinarySearchFunc(r.entries, l.Session, func(e entry, id uint64) int { return cmp.Compare(e.Session, id) })
 		if ok {
-			r.seen[i].gone = time.Time{}
+			r.entries[i].deadSince = time.Time{}
 		} else {
-			r.seen = slices.Insert(r.seen, i, entry{LiveProcess: l})
+			r.entries = slices.Insert(r.entries, i, entry{LiveProcess: l})
 		}
 	}
-	r.seen = slices.DeleteFunc(r.seen, func(e entry) bool {
-		return !e.gone.IsZero() && (now.Sub(e.gone) > hold || names[e.Name])
+	r.entries = slices.DeleteFunc(r.entries, func(e entry) bool {
+		return !e.deadSince.IsZero() && (now.Sub(e.deadSince) > hold || names[e.Name])
 	})
-	for i := range r.seen {
-		e := &r.seen[i]
-		if e.gone.IsZero() && !slices.ContainsFunc(list, func(l LiveProcess) bool { return l.Session == e.Session }) {
-			e.gone = now
+	for i := range r.entries {
+		e := &r.entries[i]
+		if e.deadSince.IsZero() && !slices.ContainsFunc(list, func(l LiveProcess) bool { return l.Session == e.Session }) {
+			e.deadSince = now
 		}
 	}
 }
 
 // Each calls f for each process that lives or is remembered, with how long it has been gone, by session.
 func (r *Roster) Each(now time.Time, f func(l LiveProcess, gone time.Duration)) {
-	for _, e := range r.seen {
+	for _, e := range r.entries {
 		gone := time.Duration(0)
-		if !e.gone.IsZero() {
-			gone = max(now.Sub(e.gone), 1)
+		if !e.deadSince.IsZero() {
+			gone = max(now.Sub(e.deadSince), 1)
 		}
 		f(e.LiveProcess, gone)
 	}
