--- a/internal/shared/verdict/verdict.go
+++ b/internal/shared/verdict/verdict.go
@@ -85,9 +85,9 @@
 	silent, failed bool
 }
 
-// settle makes up the witness's mind: it accuses if what went badly is half or more of what it saw. Probes that are answered speak
+// evaluate makes up the witness's mind: it accuses if what went badly is half or more of what it saw. Probes that are answered speak
 // against silence only: a target may answer them and fail every request.
-func (o *opinion) settle() {
+func (o *opinion) evaluate() {
 	o.failed = o.bad.Fail > 0 && o.bad.Fail >= o.good.OK
 	o.silent = o.bad.Silent+o.bad.Slow > 0 && o.bad.Bad() >= o.good.OK+o.good.ProbeOK
 }
@@ -96,22 +96,22 @@
 
 // Judge returns findings on targets, in their order. viewer is the zone of who asks.
 func Judge(now time.Time, s *evidence.Store, viewer string, targets []Target, c Config, f Flaws) []Finding {
-	views := collect(now, s, c, f)
-	selfAccused := discounted(now, s, c)
+	views := collectOpinions(now, s, c, f)
+	selfAccused := unreliableWitnesses(now, s, c)
 	var all []Finding
 	for _, t := range targets {
 		if ops := views[t.ID]; len(ops) > 0 {
-			if x, ok := find(ops, selfAccused, viewer, c, f); ok {
+			if x, ok := judgeTarget(ops, selfAccused, viewer, c, f); ok {
 				x.Target = t.ID
 				all = append(all, x)
 			}
 		}
 	}
-	return capped(all, targets, c)
+	return capUnhealthy(all, targets, c)
 }
 
-// collect sums, by target and witness, what is no older than Forget.
-func collect(now time.Time, s *evidence.Store, c Config, f Flaws) map[string][]*opinion {
+// collectOpinions sums, by target and witness, what is no older than Forget.
+func collectOpinions(now time.Time, s *evidence.Store, c Config, f Flaws) map[string][]*opinion {
 	within := c.ForgetAfter
 	if f.NoAge {
 		within = time.Hour
@@ -151,15 +151,15 @@
 	})
 	for _, list := range views { // each for itself
 		for _, o := range list {
-			o.settle()
+			o.evaluate()
 		}
 	}
 	return views
 }
 
-// discounted names the witnesses that accuse themselves: over the time that counts they had trouble with more targets than they
+// unreliableWitnesses names the witnesses that accuse themselves: over the time that counts they had trouble with more targets than they
 // did well with, and with three or more.
-func discounted(now time.Time, s *evidence.Store, c Config) map[string]bool {
+func unreliableWitnesses(now time.Time, s *evidence.Store, c Config) map[string]bool {
 	good, bad := make(map[string]uint32), make(map[string]uint32)
 	s.Each(now, c.ForgetAfter, func(x evidence.Observation) {
 		if x.Target == "" {
@@ -174,8 +174,8 @@
 	return out
 }
 
-// find judges one target.
-func find(ops []*opinion, selfAccused map[string]bool, viewer string, c Config, f Flaws) (Finding, bool) {
+// judgeTarget judges one target.
+func judgeTarget(ops []*opinion, selfAccused map[string]bool, viewer string, c Config, f Flaws) (Finding, bool) {
 	need := c.MinWitnesses
 	if f.OneWitness {
 		need = 1
@@ -202,15 +202,15 @@
 	if len(own) == 0 && (len(zones) >= 2 || !others) {
 		decide = all
 	}
-	if x, ok := condemn(decide, need); ok && (x.Age <= c.MaxAge || f.NoAge) {
+	if x, ok := findUnhealthy(decide, need); ok && (x.Age <= c.MaxAge || f.NoAge) {
 		return x, true
 	}
-	return returning(decide, need, c)
+	return findReturning(decide, need, c)
 }
 
-// condemn counts the opinions that decide. Of those that speak well of the target the ones count whose word is no older than the
+// findUnhealthy counts the opinions that decide. Of those that speak well of the target the ones count whose word is no older than the
 // accusations that are needed, by a window or two: what went well before says nothing of what happens now.
-func condemn(ops []*opinion, need int) (Finding, bool) {
+func findUnhealthy(ops []*opinion, need int) (Finding, bool) {
 	for _, kind := range []Verdict{Failing, Silent} {
 		var ages []time.Duration
 		for _, o := range ops {
@@ -225,7 +225,7 @@
 			continue
 		}
 		slices.Sort(ages)
-		limit, against := ages[need-1]+sameTime, 0
+		limit, against := ages[need-1]+opposingSlack, 0
 		var sum evidence.Counts
 		for _, o := range ops {
 			accuses := o.failed || kind == Silent && o.silent
@@ -248,11 +248,11 @@
 	return Finding{}, false
 }
 
-// sameTime is by how much a good word may be older than an accusation and still speak against it.
-const sameTime = time.Second
+// opposingSlack is by how much a good word may be older than an accusation and still speak against it.
+const opposingSlack = time.Second
 
-// returning tells whether a target was condemned by evidence that is too old for that now, and nobody has done well there since.
-func returning(ops []*opinion, need int, c Config) (Finding, bool) {
+// findReturning tells whether a target was condemned by evidence that is too old for that now, and nobody has done well there since.
+func findReturning(ops []*opinion, need int, c Config) (Finding, bool) {
 	var bad []time.Duration
 	good := time.Hour
 	failed := slices.ContainsFunc(ops, func(o *opinion) bool { return o.failAge <= c.ForgetAfter })
@@ -275,9 +275,9 @@
 	return Finding{Verdict: Returning, Age: bad[need-1], Witnesses: len(bad), RecentlyTried: bad[0] <= c.MaxAge}, true
 }
 
-// capped lets through as many condemnations as Part allows, in each zone and of all; the worst are those with the most
+// capUnhealthy lets through as many condemnations as Part allows, in each zone and of all; the worst are those with the most
 // witnesses, then those whose names come first.
-func capped(all []Finding, targets []Target, c Config) []Finding {
+func capUnhealthy(all []Finding, targets []Target, c Config) []Finding {
 	zone, size := make(map[string]string, len(targets)), make(map[string]int)
 	for _, t := range targets {
 		zone[t.ID] = t.Zone
--- a/internal/shared/verdict/verdict_test.go
+++ b/internal/shared/verdict/verdict_test.go
@@ -21,8 +21,8 @@
 	return &fleet{t, evidence.New(t0, evidence.Writer{Session: 1, Name: "viewer", Zone: viewerZone}, evidence.DefaultConfig(), evidence.Flaws{}), make(map[string]*evidence.Store)}
 }
 
-// saw has a process of a zone see something; name@zone.
-func (f *fleet) saw(at time.Duration, name, zone, target string, c evidence.Counts) {
+// record has a process of a zone see something; name@zone.
+func (f *fleet) record(at time.Duration, name, zone, target string, c evidence.Counts) {
 	s := f.by[name]
 	if s == nil {
 		s = evidence.New(t0, evidence.Writer{Session: uint64(len(f.by) + 2), Name: name, Zone: zone}, evidence.DefaultConfig(), evidence.Flaws{})
@@ -45,7 +45,7 @@
 	return Judge(t0.Add(at), f.view, f.view.Self().Zone, list, DefaultConfig(), fl)
 }
 
-func (f *fleet) want(what string, got []Finding, want string) {
+func (f *fleet) expect(what string, got []Finding, want string) {
 	f.t.Helper()
 	text := ""
 	for _, x := range got {
@@ -70,15 +70,15 @@
 func TestOneWitnessIsNone(t *testing.T) {
 	f := newFleet(t, "a")
 	for range 50 {
-		f.saw(s, "p", "a", "s0", fails)
+		f.record(s, "p", "a", "s0", fails)
 	}
 	again := evidence.New(t0, evidence.Writer{Session: 99, Name: "p", Zone: "a"}, evidence.DefaultConfig(), evidence.Flaws{})
 	again.Record(t0.Add(s), "s0", fails)
 	f.view.Merge(t0.Add(s), again.Answer(t0.Add(s), &evidence.Message{IsQuery: true})[0])
-	f.want("one", f.judge(s, 6, Flaws{}), "")
-	f.want("one, where one is enough", f.judge(s, 6, Flaws{OneWitness: true}), "s0 failing;")
-	f.saw(s, "q", "a", "s0", fails)
-	f.want("two", f.judge(s, 6, Flaws{}), "s0 failing;")
+	f.expect("one", f.judge(s, 6, Flaws{}), "")
+	f.expect("one, where one is enough", f.judge(s, 6, Flaws{OneWitness: true}), "s0 failing;")
+	f.record(s, "q", "a", "s0", fails)
+	f.expect("two", f.judge(s, 6, Flaws{}), "s0 failing;")
 }
 
 // A target that answers probes and fails its requests is failing; one that answers nothing is silent; probes that are answered
@@ -86,40 +86,40 @@
 func TestKinds(t *testing.T) {
 	f := newFleet(t, "a")
 	for _, p := range []string{"p", "q", "r"} {
-		f.saw(s, p, "a", "s0", fails)
-		f.saw(s, p, "a", "s0", seen)
-		f.saw(s, p, "a", "s2", silent)
-		f.saw(s, p, "a", "s4", slow)
+		f.record(s, p, "a", "s0", fails)
+		f.record(s, p, "a", "s0", seen)
+		f.record(s, p, "a", "s2", silent)
+		f.record(s, p, "a", "s4", slow)
 		for i := 6; i < 10; i++ {
-			f.saw(s, p, "a", fmt.Sprint("s", i), ok) // else they would accuse themselves
+			f.record(s, p, "a", fmt.Sprint("s", i), ok) // else they would accuse themselves
 		}
 	}
 	for i := range 6 {
-		f.saw(s, fmt.Sprint("d", i), "a", "s4", seen)
+		f.record(s, fmt.Sprint("d", i), "a", "s4", seen)
 	}
-	f.want("kinds", f.judge(s, 12, Flaws{}), "s0 failing;s2 silent;")
+	f.expect("kinds", f.judge(s, 12, Flaws{}), "s0 failing;s2 silent;")
 }
 
 // A few errors among much that goes well condemn nobody.
 func TestAFewErrors(t *testing.T) {
 	f := newFleet(t, "a")
-	f.saw(s, "p", "a", "s0", fails)
-	f.saw(s, "q", "a", "s0", fails)
+	f.record(s, "p", "a", "s0", fails)
+	f.record(s, "q", "a", "s0", fails)
 	for i := range 4 {
-		f.saw(s, fmt.Sprint("d", i), "a", "s0", ok)
+		f.record(s, fmt.Sprint("d", i), "a", "s0", ok)
 	}
-	f.want("few", f.judge(s, 6, Flaws{}), "")
+	f.expect("few", f.judge(s, 6, Flaws{}), "")
 }
 
 // What went well before the trouble does not speak against it.
 func TestWhatWentWellBefore(t *testing.T) {
 	f := newFleet(t, "a")
 	for i := range 9 {
-		f.saw(s, fmt.Sprint("d", i), "a", "s0", ok)
+		f.record(s, fmt.Sprint("d", i), "a", "s0", ok)
 	}
-	f.saw(4*s, "p", "a", "s0", silent)
-	f.saw(4*s, "q", "a", "s0", silent)
-	f.want("before", f.judge(4*s, 6, Flaws{}), "s0 silent;")
+	f.record(4*s, "p", "a", "s0", silent)
+	f.record(4*s, "q", "a", "s0", silent)
+	f.expect("before", f.judge(4*s, 6, Flaws{}), "s0 silent;")
 }
 
 // Who has trouble with most targets has trouble himself, and two of those condemn nobody.
@@ -127,29 +127,29 @@
 	f := newFleet(t, "a")
 	for _, p := range []string{"p", "q"} {
 		for i := range 5 {
-			f.saw(s, p, "a", fmt.Sprint("s", i), fails)
+			f.record(s, p, "a", fmt.Sprint("s", i), fails)
 		}
-		f.saw(s, p, "a", "s5", ok)
+		f.record(s, p, "a", "s5", ok)
 	}
-	f.want("poisoned", f.judge(s, 6, Flaws{}), "")
+	f.expect("poisoned", f.judge(s, 6, Flaws{}), "")
 }
 
 // A target that one zone can't reach is sound in the other.
 func TestCutOffZone(t *testing.T) {
 	for zone, want := range map[string]string{"a": "", "b": "s0 silent;"} {
 		f := newFleet(t, zone)
-		f.saw(s, "p", "b", "s0", silent)
-		f.saw(s, "q", "b", "s0", silent)
-		f.saw(s, "r", "a", "s0", ok)
-		f.want(zone, f.judge(s, 6, Flaws{}), want)
+		f.record(s, "p", "b", "s0", silent)
+		f.record(s, "q", "b", "s0", silent)
+		f.record(s, "r", "a", "s0", ok)
+		f.expect(zone, f.judge(s, 6, Flaws{}), want)
 	}
 	// Where nobody of the zone knows, one other zone's word does not do, two others' does.
 	f := newFleet(t, "c")
-	f.saw(s, "p", "b", "s0", silent)
-	f.saw(s, "q", "b", "s0", silent)
-	f.want("one other zone", f.judge(s, 6, Flaws{}), "")
-	f.saw(s, "r", "a", "s0", silent)
-	f.want("two other zones", f.judge(s, 6, Flaws{}), "s0 silent;")
+	f.record(s, "p", "b", "s0", silent)
+	f.record(s, "q", "b", "s0", silent)
+	f.expect("one other zone", f.judge(s, 6, Flaws{}), "")
+	f.record(s, "r", "a", "s0", silent)
+	f.expect("two other zones", f.judge(s, 6, Flaws{}), "s0 silent;")
 }
 
 // At most a part is condemned, of a zone and of all, the worst first.
@@ -159,7 +159,7 @@
 		for w := range 2 + i%3 {
 			// Each sees well of others, so that it does not accuse itself.
 			name := fmt.Sprintf("p%d-%d", i, w)
-			f.saw(s, name, "a", fmt.Sprint("s", i), silent)
+			f.record(s, name, "a", fmt.Sprint("s", i), silent)
 		}
 	}
 	got := f.judge(s, 12, Flaws{})
@@ -179,18 +179,18 @@
 // Evidence that is too old condemns nobody. The target returns, until one does well there, or until all is forgotten.
 func TestAgeAndReturn(t *testing.T) {
 	f := newFleet(t, "a")
-	f.saw(s, "p", "a", "s0", silent)
-	f.saw(s, "q", "a", "s0", silent)
-	f.want("fresh", f.judge(3*s, 6, Flaws{}), "s0 silent;")
-	f.want("old", f.judge(8*s, 6, Flaws{}), "s0 returning;")
-	f.want("old, where age does not count", f.judge(8*s, 6, Flaws{NoAge: true}), "s0 silent;")
-	f.want("forgotten", f.judge(23*s, 6, Flaws{}), "")
-	f.saw(8*s, "r", "a", "s0", silent)
+	f.record(s, "p", "a", "s0", silent)
+	f.record(s, "q", "a", "s0", silent)
+	f.expect("fresh", f.judge(3*s, 6, Flaws{}), "s0 silent;")
+	f.expect("old", f.judge(8*s, 6, Flaws{}), "s0 returning;")
+	f.expect("old, where age does not count", f.judge(8*s, 6, Flaws{NoAge: true}), "s0 silent;")
+	f.expect("forgotten", f.judge(23*s, 6, Flaws{}), "")
+	f.record(8*s, "r", "a", "s0", silent)
 	if got := f.judge(8*s, 6, Flaws{}); len(got) != 1 || !got[0].RecentlyTried {
 		t.Errorf("after a trial that failed: %+v", got)
 	}
-	f.saw(9*s, "r", "a", "s0", seen)
-	f.want("a sign of life", f.judge(9*s, 6, Flaws{}), "")
+	f.record(9*s, "r", "a", "s0", seen)
+	f.expect("a sign of life", f.judge(9*s, 6, Flaws{}), "")
 }
 
 // About one process in eight has the turn at a time, and each has it before long.
