--- a/internal/shared/evidence/evidence_test.go
+++ b/internal/shared/evidence/evidence_test.go
@@ -212,8 +212,8 @@
 	q = g.Query(t0.Add(3*time.Second), 1)
 	m := a.Answer(t0.Add(23*time.Second), q)[0]
 	g.Receive(m)
-	if run, _, _ := b.Uptime(t0.Add(3*time.Second), 1); run > 4*time.Second {
-		t.Errorf("uptime of the writer is %v, want at most 4s", run)
+	if uptime, _, _ := b.Uptime(t0.Add(3*time.Second), 1); uptime > 4*time.Second {
+		t.Errorf("uptime of the writer is %v, want at most 4s", uptime)
 	}
 }
 
@@ -223,31 +223,31 @@
 	a, b := store(1, Flaws{}), store(2, Flaws{})
 	g := NewGossip(b, time.Second)
 	now, cells := t0, 0
-	step := func(lose bool) (told int) {
+	step := func(lose bool) (inAnswer int) {
 		now = now.Add(time.Second)
 		a.Record(now, "x", Counts{Fail: 1})
 		cells = 2 * int(now.Sub(t0)/time.Second) // one of the target and one of the sums per window
 		for _, m := range a.Answer(now, g.Query(now, 1)) {
 			for _, r := range m.Rows {
-				told += len(r.Cells)
+				inAnswer += len(r.Cells)
 			}
 			if !lose {
 				g.Receive(m)
 			}
 		}
-		return told
+		return inAnswer
 	}
 	for range 10 {
-		if told := step(false); told > 2 && cells > 2 {
-			t.Fatalf("answer has %d cells, want the 2 new ones", told)
+		if inAnswer := step(false); inAnswer > 2 && cells > 2 {
+			t.Fatalf("answer has %d cells, want the 2 new ones", inAnswer)
 		}
 	}
 	step(true)
 	for range 4 {
 		step(true)
 	}
-	if told := step(false); told != cells {
-		t.Errorf("answer after lost ones has %d cells, want all %d", told, cells)
+	if inAnswer := step(false); inAnswer != cells {
+		t.Errorf("answer after lost ones has %d cells, want all %d", inAnswer, cells)
 	}
 }
 
@@ -256,14 +256,14 @@
 func TestAnswerToQueryBeforeRestart(t *testing.T) {
 	a := store(1, Flaws{})
 	a.Record(t0.Add(time.Second), "x", Counts{Fail: 1})
-	former := NewGossip(store(2, Flaws{}), time.Second)
-	late := a.Answer(t0.Add(time.Second), former.Query(t0.Add(time.Second), 1))[0]
+	beforeRestart := NewGossip(store(2, Flaws{}), time.Second)
+	late := a.Answer(t0.Add(time.Second), beforeRestart.Query(t0.Add(time.Second), 1))[0]
 	b := store(3, Flaws{})
 	g := NewGossip(b, time.Second)
 	g.Query(t0.Add(20*time.Second), 1)
 	g.Receive(late)
-	if run, _, ok := b.Uptime(t0.Add(20*time.Second), 1); ok && run < 20*time.Second {
-		t.Errorf("uptime of the writer is %v, want 20s or more", run)
+	if uptime, _, ok := b.Uptime(t0.Add(20*time.Second), 1); ok && uptime < 20*time.Second {
+		t.Errorf("uptime of the writer is %v, want 20s or more", uptime)
 	}
 }
 
@@ -274,7 +274,7 @@
 	const jump = 3 * time.Second
 	w, x, y := store(1, Flaws{}), store(2, Flaws{}), store(3, Flaws{})
 	gx, gy := NewGossip(x, time.Second), NewGossip(y, time.Second)
-	age := func(s *Store, now time.Time) (age time.Duration) {
+	latestAge := func(s *Store, now time.Time) (age time.Duration) {
 		age = time.Hour
 		s.Each(now, time.Hour, func(c Observation) {
 			if c.Session == 1 && c.Target == "x" {
@@ -290,21 +290,21 @@
 			own = now.Add(jump)
 		}
 		w.Record(own, "x", Counts{Fail: 1})
-		ask := func(g *Gossip, of *Store, at time.Time) {
+		query := func(g *Gossip, of *Store, at time.Time) {
 			for _, m := range of.Answer(at, g.Query(now, of.Self().Session)) {
 				g.Receive(m)
 			}
 		}
-		ask(gx, w, own)
+		query(gx, w, own)
 		if i%2 == 0 {
-			ask(gy, w, own)
+			query(gy, w, own)
 		}
-		ask(gx, y, now)
-		ask(gy, x, now)
+		query(gx, y, now)
+		query(gy, x, now)
 		for name, s := range map[string]*Store{"x": x, "y": y} {
 			// The observations of the last two windows are at most one second old.
-			if run, _, ok := s.Uptime(now, 1); i >= 10+2*20 && ok && run < now.Sub(t0)+jump-time.Second {
-				t.Fatalf("after %v: store %s has uptime %v for the writer, which is %v by its own clock; age of its latest cell %v", now.Sub(t0), name, run, own.Sub(t0), age(s, now))
+			if uptime, _, ok := s.Uptime(now, 1); i >= 10+2*20 && ok && uptime < now.Sub(t0)+jump-time.Second {
+				t.Fatalf("after %v: store %s has uptime %v for the writer, which is %v by its own clock; age of its latest cell %v", now.Sub(t0), name, uptime, own.Sub(t0), latestAge(s, now))
 			}
 		}
 	}
--- a/internal/shared/limit/limit.go
+++ b/internal/shared/limit/limit.go
@@ -1,11 +1,14 @@
-// Package limit decides what one process may take of a limit that holds for all processes of a fleet together: connections that
-// stand, or new ones a second. It is pure: there is no clock, I/O, draw or map order.
+// Package limit decides how much one process may use of a limit that holds for all processes of a
+// fleet together: a number of open connections, or of new connections per period. It is
+// deterministic: it uses no clock, I/O, random numbers or map order.
 //
-// Two kinds, chosen by the operators:
+// Operators choose one of two kinds:
 //
-//   - Strict: the limit is cut in slices, each a duty that the keepers lease to one process at a time (see Slices). What all may
-//     use never exceeds the limit; room that the lost held is free again when their leases end.
-//   - Soft: each tells the others what it uses, and takes part of the room that it knows of (see Soft). Over by no more than Bound.
+//   - Strict: the limit is divided into slices. Each slice is a duty that the keepers lease to
+//     one process at a time (see Slices). The total use never exceeds the limit. What a lost
+//     process held becomes available when its leases end.
+//   - Soft: each process publishes its use and takes a share of the room that it knows of (see
+//     SoftConfig). The total use exceeds the limit by at most MaxExcess.
 package limit
 
 import (
@@ -18,10 +21,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind tells how a limit is kept.
+// Kind is how a limit is enforced.
 type Kind uint8
 
-// The kinds.
+// The kinds of limits.
 const (
 	SoftKind Kind = iota
 	StrictKind
@@ -29,21 +32,23 @@
 
 func (k Kind) String() string { return [...]string{"soft", "strict"}[min(k, StrictKind)] }
 
-// Limit is what all processes together may take.
+// Limit is a bound on what all processes together may use.
 type Limit struct {
 	Name   string
 	Kind   Kind
-	Max    int           // connections that stand, or in Within
-	Period time.Duration // 0: those that stand; else new ones in any such time
-	Slices int           // of a strict one; Most/Slices each, the first ones one more
-	Tenant string        // whose; empty: everybody's
-	Class  string        // of which class; empty: of all
+	Max    int           // open connections, or new ones per Period
+	Period time.Duration // 0: Max counts open connections; else new connections in any such period
+	// Slices is the number of slices of a strict limit. Each has a size of Max/Slices, the first
+	// ones one more.
+	Slices int
+	Tenant string // tenant that it applies to; empty: all
+	Class  string // class that it applies to; empty: all
 }
 
-// MaxSlices is how many slices a limit may have: each is a duty of the keepers.
+// MaxSlices is the largest number of slices of a limit. Each slice is a duty of the keepers.
 const MaxSlices = 64
 
-// Check tells what is out of its range.
+// Check returns an error if a field is out of range.
 func (l *Limit) Check() error {
 	switch {
 	case l.Max < 1:
@@ -58,38 +63,46 @@
 	return nil
 }
 
-// Member is another process, as this one knows it.
+// Member is what this process knows of another process.
 type Member struct {
 	Session uint64
-	Use     int           // of the limit, at the most, as of Age ago
-	Want    int           // that came of late, let in or not
-	Age     time.Duration // at the least the true one; Unheard where nothing is known
-	DeadFor time.Duration // since it was held to be dead; 0: it lives
+	Use     int           // upper bound of its use of the limit, as of Age ago
+	Want    int           // recent demand, admitted or not
+	Age     time.Duration // at least the true age of Use and Want; UnknownAge if nothing is known
+	DeadFor time.Duration // time since it was declared dead; 0: alive
 }
 
-// UnknownAge is the age of what was never heard.
+// UnknownAge is the age of a Member from which nothing was received.
 const UnknownAge = time.Duration(math.MaxInt64)
 
-// SoftConfig has the figures of soft limits on which all processes must agree.
+// SoftConfig has the settings of soft limits. They must be equal in all processes.
 type SoftConfig struct {
-	StaleAfter      time.Duration // what is older says nothing: that process is reckoned with its part, or with what it had if that is more
-	DeadHold        time.Duration // for so long a process that was held to be dead is reckoned with, as it may only be cut off
-	ExpectedMembers int           // processes that there should be; until Hold after the start missing ones are reckoned with
+	// StaleAfter is the age from which a report is ignored. Its process is then assumed to use an
+	// even share of the limit, or its last known use if that is larger.
+	StaleAfter time.Duration
+	// DeadHold is how long a process that was declared dead still counts, since it may have lost
+	// only its connection to this one.
+	DeadHold time.Duration
+	// ExpectedMembers is the number of processes that should exist. Until DeadHold after the start,
+	// missing ones are assumed to use an even share.
+	ExpectedMembers int
 }
 
-// DefaultSoftConfig has the figures that serve.
+// DefaultSoftConfig returns the default settings.
 func DefaultSoftConfig() SoftConfig {
 	return SoftConfig{StaleAfter: 4 * time.Second, DeadHold: 15 * time.Second}
 }
 
-// Flaws are mistakes to be planted in tests. The zero value has none.
+// Flaws are deliberate faults that tests enable. The zero value has none.
 type Flaws struct {
-	ForgetLost bool // those that are not heard are reckoned as nothing
+	ForgetLost bool // processes that are not heard from are assumed to use nothing
 }
 
-// Room is how much of a limit this process knows to be free, and its part of that by what it and the others want: what it may take
-// before it has heard anew from them. run is for how long it has run; others are all other members that live, or died within Hold.
-func (s SoftConfig) Room(l *Limit, run time.Duration, me Member, others []Member, f Flaws) (free, part int) {
+// Room returns how much of a limit is free as far as this process knows, and the process's share of
+// that, in proportion to its demand and that of the others. The share is what it may take until the
+// others have reported again. uptime is the time for which this process has run. others are all
+// other members that live or that died within DeadHold.
+func (s SoftConfig) Room(l *Limit, uptime time.Duration, self Member, others []Member, f Flaws) (free, share int) {
 	n := 1
 	for _, m := range others {
 		if m.DeadFor <= s.DeadHold {
@@ -97,81 +110,85 @@
 		}
 	}
 	missing := 0
-	if run < s.DeadHold {
+	if uptime < s.DeadHold {
 		missing = max(s.ExpectedMembers-n, 0)
 	}
 	n += missing
-	even := (l.Max + n - 1) / n // rounded up: what is reckoned for those that say nothing
-	used, want := me.Use, weight(me)
+	evenShare := (l.Max + n - 1) / n // rounded up; assumed for processes that do not report
+	used, totalWeight := self.Use, weight(self)
 	if !f.ForgetLost {
-		used += missing * even
+		used += missing * evenShare
 	}
 	for _, m := range others {
 		switch {
 		case m.DeadFor > s.DeadHold:
 		case m.Age <= s.StaleAfter && m.DeadFor == 0:
 			used += m.Use
-			want += weight(m)
+			totalWeight += weight(m)
 		case !f.ForgetLost:
-			used += max(m.Use, even)
+			used += max(m.Use, evenShare)
 		}
 	}
 	free = max(l.Max-used, 0)
-	exact := float64(free) * weight(me) / want
-	part = int(exact)
-	// What is left of a whole is drawn, by whom and when: of many with a small part each, some have one.
-	span := uint64(run / max(s.StaleAfter, 1))
-	if text := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, me.Session), span); float64(xxhash.Sum64(text)>>11)/(1<<53) < exact-float64(part) {
-		part++
+	exact := float64(free) * weight(self) / totalWeight
+	share = int(exact)
+	// The fraction left by rounding down is drawn by session and period, so that of many processes
+	// with a small share each some may take one.
+	period := uint64(uptime / max(s.StaleAfter, 1))
+	if text := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, self.Session), period); float64(xxhash.Sum64(text)>>11)/(1<<53) < exact-float64(share) {
+		share++
 	}
-	return free, part
+	return free, share
 }
 
-// weight of a member in the parts of what is free: what it wants, and a little for what may come.
+// weight returns the weight of a member in the division of the free room: its demand and a little
+// for demand to come.
 func weight(m Member) float64 { return float64(m.Want) + 0.25 }
 
-// Gate lets in what a soft limit leaves to this process.
+// Gate admits what a soft limit leaves to this process. Times are passed to it as the time for
+// which the process has run.
 type Gate struct {
 	SoftConfig
 	Limit       *Limit
 	Flaws       Flaws
-	remaining   int
-	periodBegan time.Duration // of the span for which left is counted
-	started     bool
-	demand      float64 // that came of late, halved each second
-	demandAt    time.Duration
+	remaining   int           // admissions left in the current period of StaleAfter
+	periodBegan time.Duration // start of the period of remaining
+	started     bool          // a first period has begun
+	demand      float64       // recent requests, halved each second
+	demandAt    time.Duration // when demand was last decayed
 }
 
-// RecentDemand is how many asked of late: those of the last second and half of those before, and so on.
-func (g *Gate) RecentDemand(run time.Duration) int {
-	g.demand *= math.Exp2(-max(run-g.demandAt, 0).Seconds())
-	g.demandAt = run
+// RecentDemand returns the recent number of requests. Their weight halves with each second that
+// passes.
+func (g *Gate) RecentDemand(uptime time.Duration) int {
+	g.demand *= math.Exp2(-max(uptime-g.demandAt, 0).Seconds())
+	g.demandAt = uptime
 	return int(math.Ceil(g.demand - 0.1))
 }
 
-// Update takes what is known now, and returns how much of the limit is free as far as that goes. It is to be called every now and then,
-// more often than Stale.
-func (g *Gate) Update(run time.Duration, me Member, others []Member) (free int) {
-	free, part := g.Room(g.Limit, run, me, others, g.Flaws)
-	if !g.started || run-g.periodBegan >= g.StaleAfter {
-		g.started, g.periodBegan, g.remaining = true, run, part
+// Update takes the current knowledge of the members and returns how much of the limit is free as
+// far as that is known. It must be called regularly, more often than StaleAfter.
+func (g *Gate) Update(uptime time.Duration, self Member, others []Member) (free int) {
+	free, share := g.Room(g.Limit, uptime, self, others, g.Flaws)
+	if !g.started || uptime-g.periodBegan >= g.StaleAfter {
+		g.started, g.periodBegan, g.remaining = true, uptime, share
 	}
 	g.remaining = min(g.remaining, free)
 	return free
 }
 
-// HasRoom tells whether Admit would let one more in.
+// HasRoom reports whether Admit would admit one more.
 func (g *Gate) HasRoom() bool { return g.remaining > 0 }
 
-// RecordRefused counts one that asked and was not let in.
-func (g *Gate) RecordRefused(run time.Duration) {
-	g.RecentDemand(run)
+// RecordRefused counts a request that was refused without a call of Admit.
+func (g *Gate) RecordRefused(uptime time.Duration) {
+	g.RecentDemand(uptime)
 	g.demand++
 }
 
-// Admit tells whether one more may come in, and counts it.
-func (g *Gate) Admit(run time.Duration) bool {
-	g.RecentDemand(run)
+// Admit reports whether one more is admitted, and counts the request.
+func (g *Gate) Admit(uptime time.Duration) bool {
+	g.RecentDemand(uptime)
 	g.demand++
 	if g.remaining <= 0 {
 		return false
@@ -180,36 +197,44 @@
 	return true
 }
 
-// MaxExcess is by how much the use of all may exceed a soft limit:
+// MaxExcess returns by how much the total use may exceed a soft limit:
 //
-//	(parts - 1) * Most + admitted
+//	(partitions - 1) * Max + admitted
 //
-// parts is into how many parts the fleet was split for longer than Hold (1: it was not), and admitted how many were let in by all
-// processes within the last Stale and a look. For at the last admission, by whichever process, what it knew to be used and itself
-// were at most Most; what it did not know of were admissions of others since they were last heard, no longer ago than Stale, and
-// those that it did not hear were reckoned with their part or more, which is all that they may take themselves while they don't
-// hear this one.
-func MaxExcess(l *Limit, parts, admitted int) int { return (max(parts, 1)-1)*l.Max + admitted }
+// partitions is the number of partitions into which the fleet was split for longer than DeadHold, 1
+// if it was not split. admitted is the number of admissions by all processes within the last
+// StaleAfter and one update interval.
+//
+// The bound holds because at the last admission the use that the admitting process knew of,
+// including its own, was at most Max. What it did not know of were admissions of others since their
+// last reports, which are no older than StaleAfter. Processes that it did not hear were counted
+// with an even share or more, which is all that they may take themselves while they do not hear
+// this one.
+func MaxExcess(l *Limit, partitions, admitted int) int {
+	return (max(partitions, 1)-1)*l.Max + admitted
+}
 
-// Slices decides which slices of a strict limit a process wants. What it is told of slices is what the keepers last said.
+// Slices decides which slices of a strict limit a process claims. The functions passed to Claims
+// tell it what the keepers last reported of the slices.
 type Slices struct {
 	limit      *Limit
-	me         uint64
-	claims     []int     // slices that it wants, in the order in which it took them up
-	spareSince time.Time // since when it has had one more than it needs; zero: it has not
-	lastSwitch time.Time // when it last looked elsewhere
-	nextSlice  int
+	self       uint64
+	claims     []int     // claimed slices, oldest claim first
+	spareSince time.Time // since when more slices are held than needed; zero: not so
+	lastSwitch time.Time // when claims to slices of others were last given up
+	nextSlice  int       // slice to claim next
 }
 
-// NewSlices returns the slices of a process, which wants none.
-func NewSlices(l *Limit, me uint64) *Slices {
-	return &Slices{limit: l, me: me, nextSlice: int(me % uint64(l.Slices))}
+// NewSlices returns the slices of a process, which claims none yet.
+func NewSlices(l *Limit, self uint64) *Slices {
+	return &Slices{limit: l, self: self, nextSlice: int(self % uint64(l.Slices))}
 }
 
-// MinSize is how much a slice holds at the least.
+// MinSize returns the size of the smallest slice.
 func (s *Slices) MinSize() int { return s.limit.Max / s.limit.Slices }
 
-// Size is how much a slice holds: what does not divide evenly is in the first ones.
+// Size returns the size of a slice. The first slices are larger by one if the limit does not divide
+// evenly.
 func (s *Slices) Size(i int) int {
 	if i < s.limit.Max%s.limit.Slices {
 		return s.MinSize() + 1
@@ -217,26 +242,28 @@
 	return s.MinSize()
 }
 
-// DutyName names a slice among the duties.
+// DutyName returns the name of the duty of a slice.
 func (s *Slices) DutyName(i int) string { return fmt.Sprintf("limit/%s/%d", s.limit.Name, i) }
 
 // spareTimeout is how long a slice stays unused before it is given back.
 const spareTimeout = 3 * time.Second
 
-// Claims returns the slices to claim and renew, for a use and those that wait for room. held tells whether a slice is held now, taken
-// whether somebody else is known to hold it; again is the time after which one that is not got is given up for another.
-func (s *Slices) Claims(now time.Time, use, waiting int, again time.Duration, held, taken func(i int) bool) []int {
-	got := 0
+// Claims returns the slices to claim and renew, for the current use and the number of requests that
+// wait for room. held reports whether this process holds a slice now, taken whether another process
+// is known to hold it. A claimed slice that another process holds is given up for another one after
+// retryAfter.
+func (s *Slices) Claims(now time.Time, use, waiting int, retryAfter time.Duration, held, taken func(i int) bool) []int {
+	heldCount := 0
 	for _, i := range s.claims {
 		if held(i) {
-			got++
+			heldCount++
 		}
 	}
 	need := min((use+waiting+s.MinSize()-1)/s.MinSize(), s.limit.Slices)
 	switch {
-	case got > need && s.spareSince.IsZero():
+	case heldCount > need && s.spareSince.IsZero():
 		s.spareSince = now
-	case got <= need:
+	case heldCount <= need:
 		s.spareSince = time.Time{}
 	case now.Sub(s.spareSince) >= spareTimeout:
 		for k := len(s.claims) - 1; k >= 0; k-- {
@@ -247,8 +274,8 @@
 		}
 		s.spareSince = now
 	}
-	// Those that others hold are given up in turn, for the next one.
-	if now.Sub(s.lastSwitch) >= again {
+	// Slices that other processes hold are given up for the next ones in turn.
+	if now.Sub(s.lastSwitch) >= retryAfter {
 		s.claims = slices.DeleteFunc(s.claims, func(i int) bool { return !held(i) && taken(i) })
 		s.lastSwitch = now
 	}
@@ -264,12 +291,15 @@
 	return slices.Clone(s.claims)
 }
 
-// RetryBudget is a budget for further attempts of all processes together: a part of the first ones of late.
+// RetryBudget bounds the retries of all processes together to a fraction of their recent first
+// attempts.
 type RetryBudget struct {
-	Fraction float64       // of the first attempts within Within; above 0
+	Fraction float64       // of the first attempts within Period; above 0
 	Period   time.Duration // above 0
-	Min      int           // that may be made in any case, so that a quiet fleet can try again
+	// Min is the number of retries that are always allowed, so that a fleet with little traffic can
+	// retry.
+	Min int
 }
 
-// Max is the budget, for so many first attempts of all within Within.
+// Max returns the budget for a number of first attempts of all processes within Period.
 func (r RetryBudget) Max(first int) int { return r.Min + int(r.Fraction*float64(first)) }
--- a/internal/shared/limit/limit_test.go
+++ b/internal/shared/limit/limit_test.go
@@ -10,8 +10,9 @@
 
 var now = time.Date(2026, 1, 5, 6, 0, 0, 0, time.UTC)
 
-// Where all see the same, what they may take in one span is no more than what is free, but for the draws of what does not divide.
-func TestPartsOfWhatIsFree(t *testing.T) {
+// If all processes have the same knowledge, their shares of one period add up to at most what is
+// free, plus one per process for the drawn fractions.
+func TestSharesOfFreeRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := SoftConfig{StaleAfter: time.Second, DeadHold: 10 * time.Second}
 		l := &Limit{Max: rapid.IntRange(1, 400).Draw(t, "most")}
@@ -23,23 +24,24 @@
 			used += all[i].Use
 		}
 		sum := 0
-		for i, me := range all {
+		for i, self := range all {
 			others := slices.Delete(slices.Clone(all), i, i+1)
-			free, part := s.Room(l, time.Hour, me, others, Flaws{})
+			free, share := s.Room(l, time.Hour, self, others, Flaws{})
 			if free != max(l.Max-used, 0) {
-				t.Fatalf("%d is free, not %d", free, max(l.Max-used, 0))
+				t.Fatalf("Room reports %d free, want %d", free, max(l.Max-used, 0))
 			}
-			sum += part
+			sum += share
 		}
 		if free := max(l.Max-used, 0); sum > free+n {
-			t.Fatalf("parts of %d add up to %d", free, sum)
+			t.Fatalf("shares of %d free add up to %d", free, sum)
 		}
 	})
 }
 
-// Who is not heard is reckoned with his part, or with what he had: two parts of a fleet that don't hear each other keep to the limit
-// together, however they are cut and whatever they had.
-func TestPartsThatDoNotHearEachOther(t *testing.T) {
+// A process that is not heard from counts with an even share or its last known use. Two partitions
+// that do not hear each other therefore keep to the limit together, whatever their members and
+// previous use.
+func TestPartitionsKeepToLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := SoftConfig{StaleAfter: time.Second, DeadHold: time.Minute}
 		l := &Limit{Max: rapid.IntRange(10, 300).Draw(t, "most")}
@@ -51,7 +53,7 @@
 			before[i], side[i] = use[i], rapid.Bool().Draw(t, "side")
 			total += use[i]
 		}
-		for range 400 { // each takes what it sees room for, as long as there is any
+		for range 400 { // each process takes what it knows to be free, as long as there is any
 			i := rapid.IntRange(0, n-1).Draw(t, "who")
 			var others []Member
 			for k := range n {
@@ -69,47 +71,49 @@
 			}
 		}
 		if total > l.Max {
-			t.Fatalf("%d stand under a limit of %d, of members on two sides", total, l.Max)
+			t.Fatalf("%d connections under a limit of %d, in two partitions", total, l.Max)
 		}
 	})
 }
 
-// A fleet that has just started reckons with those that it has not met; one that restarted under its name is no longer reckoned
-// with as lost, and one that was lost is after Hold.
+// A process that has just started counts the members that it has not met yet. A member that
+// restarted under its name no longer counts as lost, and a lost one no longer counts after
+// DeadHold.
 func TestStartAndLoss(t *testing.T) {
 	s := SoftConfig{StaleAfter: time.Second, DeadHold: 10 * time.Second, ExpectedMembers: 300}
 	l := &Limit{Max: 600}
 	if free, _ := s.Room(l, time.Second, Member{Session: 1}, nil, Flaws{}); free > 2 {
-		t.Errorf("one of 300 that knows nobody finds %d of 600 free", free)
+		t.Errorf("one of 300 expected processes that knows no other finds %d of 600 free, want at most 2", free)
 	}
 	if free, _ := s.Room(l, 11*time.Second, Member{Session: 1}, nil, Flaws{}); free != 600 {
-		t.Errorf("one that nobody has joined finds %d of 600 free", free)
+		t.Errorf("a process without other members after DeadHold finds %d of 600 free, want all", free)
 	}
 	var r Roster
 	r.Update(now, s.DeadHold, []LiveProcess{{1, "a"}, {2, "b"}, {3, "c"}})
 	r.Update(now.Add(time.Second), s.DeadHold, []LiveProcess{{1, "a"}})
-	gone := func(at time.Duration) (list []uint64) {
-		r.Each(now.Add(at), func(l LiveProcess, g time.Duration) {
-			if g > 0 {
+	deadAt := func(at time.Duration) (list []uint64) {
+		r.Each(now.Add(at), func(l LiveProcess, deadFor time.Duration) {
+			if deadFor > 0 {
 				list = append(list, l.Session)
 			}
 		})
 		return list
 	}
-	if got := gone(2 * time.Second); !slices.Equal(got, []uint64{2, 3}) {
-		t.Errorf("gone: %v", got)
+	if got := deadAt(2 * time.Second); !slices.Equal(got, []uint64{2, 3}) {
+		t.Errorf("dead processes: %v, want 2 and 3", got)
 	}
 	r.Update(now.Add(3*time.Second), s.DeadHold, []LiveProcess{{1, "a"}, {4, "b"}})
-	if got := gone(3 * time.Second); !slices.Equal(got, []uint64{3}) {
-		t.Errorf("b is back under its name, and gone are %v", got)
+	if got := deadAt(3 * time.Second); !slices.Equal(got, []uint64{3}) {
+		t.Errorf("dead processes after b restarted under its name: %v, want 3", got)
 	}
 	r.Update(now.Add(12*time.Second), s.DeadHold, []LiveProcess{{1, "a"}, {4, "b"}})
-	if got := gone(12 * time.Second); len(got) != 0 {
-		t.Errorf("after Hold, gone are %v", got)
+	if got := deadAt(12 * time.Second); len(got) != 0 {
+		t.Errorf("dead processes after DeadHold: %v, want none", got)
 	}
 }
 
-// Slices add up to the limit; those that are needed are wanted, others' are given up for others, spare ones are given back.
+// The sizes of the slices add up to the limit. The process claims as many as it needs, gives up
+// those that others hold for others, and gives back spare ones after spareTimeout.
 func TestSlices(t *testing.T) {
 	l := &Limit{Name: "x", Kind: StrictKind, Max: 26, Slices: 12}
 	s := NewSlices(l, 5)
@@ -118,29 +122,29 @@
 		sum += s.Size(i)
 	}
 	if sum != l.Max {
-		t.Errorf("slices add up to %d of %d", sum, l.Max)
+		t.Errorf("slices add up to %d, want %d", sum, l.Max)
 	}
 	mine := map[int]bool{}
 	held := func(i int) bool { return mine[i] }
 	nobody := func(int) bool { return false }
 	want := s.Claims(now, 3, 2, time.Second, held, nobody)
 	if len(want) != 3 {
-		t.Fatalf("for 5, slices of 2: %v", want)
+		t.Fatalf("claims for a use of 5 with slices of 2: %v, want 3 slices", want)
 	}
 	mine[want[0]] = true
 	again := s.Claims(now.Add(2*time.Second), 3, 2, time.Second, held, func(i int) bool { return i != want[0] })
 	if len(again) != 3 || again[0] != want[0] || slices.Contains(again, want[1]) && slices.Contains(again, want[2]) {
-		t.Errorf("others hold all but the first of %v, and it wants %v", want, again)
+		t.Errorf("others hold all but the first of %v: claims are %v", want, again)
 	}
 	for _, i := range again {
 		mine[i] = true
 	}
 	at := now.Add(3 * time.Second)
 	if got := s.Claims(at, 1, 0, time.Second, held, nobody); len(got) != 3 {
-		t.Errorf("a spare slice is given back at once: %v", got)
+		t.Errorf("claims are %v, want 3 slices: spare ones are not given back at once", got)
 	}
 	if got := s.Claims(at.Add(spareTimeout), 1, 0, time.Second, held, nobody); len(got) != 2 {
-		t.Errorf("after %v: %v", spareTimeout, got)
+		t.Errorf("claims after %v: %v, want 2 slices", spareTimeout, got)
 	}
 }
 
--- a/internal/shared/limit/roster.go
+++ b/internal/shared/limit/roster.go
@@ -6,27 +6,29 @@
 	"time"
 )
 
-// LiveProcess is a process that is held to live.
+// LiveProcess is a process that is believed to be alive.
 type LiveProcess struct {
 	Session uint64
 	Name    string
 }
 
-// Roster remembers processes that are not heard of any more: one that is held to be dead may only be cut off, and go on to use what it
-// has. A new life under its name proves that it is dead.
+// Roster remembers processes that are no longer heard from. A process that was declared dead may
+// have lost only its connections, and still use what it has. A new session under its name proves
+// that it is dead.
 type Roster struct {
-	entries []entry // by session
+	entries []entry // sorted by session
 }
 
 type entry struct {
 	LiveProcess
-	deadSince time.Time // zero: it lives
+	deadSince time.Time // zero: alive
 }
 
-// Update takes who lives now, and forgets those that have been gone for longer than hold.
-func (r *Roster) Update(now time.Time, hold time.Duration, list []LiveProcess) {
-	names := make(map[string]bool, len(list))
-	for _, l := range list {
+// Update takes the processes that live now, and forgets those that have been dead for longer than
+// hold or whose name another session has taken.
+func (r *Roster) Update(now time.Time, hold time.Duration, live []LiveProcess) {
+	names := make(map[string]bool, len(live))
+	for _, l := range live {
 		names[l.Name] = true
 		i, ok := slices.BinarySearchFunc(r.entries, l.Session, func(e entry, id uint64) int { return cmp.Compare(e.Session, id) })
 		if ok {
@@ -40,35 +42,37 @@
 	})
 	for i := range r.entries {
 		e := &r.entries[i]
-		if e.deadSince.IsZero() && !slices.ContainsFunc(list, func(l LiveProcess) bool { return l.Session == e.Session }) {
+		if e.deadSince.IsZero() && !slices.ContainsFunc(live, func(l LiveProcess) bool { return l.Session == e.Session }) {
 			e.deadSince = now
 		}
 	}
 }
 
-// Each calls f for each process that lives or is remembered, with how long it has been gone, by session.
-func (r *Roster) Each(now time.Time, f func(l LiveProcess, gone time.Duration)) {
+// Each calls f for each process that lives or is remembered, in the order of sessions, with the
+// time for which it has been dead.
+func (r *Roster) Each(now time.Time, f func(l LiveProcess, deadFor time.Duration)) {
 	for _, e := range r.entries {
-		gone := time.Duration(0)
+		deadFor := time.Duration(0)
 		if !e.deadSince.IsZero() {
-			gone = max(now.Sub(e.deadSince), 1)
+			deadFor = max(now.Sub(e.deadSince), 1)
 		}
-		f(e.LiveProcess, gone)
+		f(e.LiveProcess, deadFor)
 	}
 }
 
-// Members are all but one of them, with what is known of their use; of whom nothing is known is unheard.
-func (r *Roster) Members(now time.Time, but uint64, known map[uint64]Member) []Member {
+// Members returns all processes except one, with what is known of their use. A process of which
+// nothing is known has the age UnknownAge.
+func (r *Roster) Members(now time.Time, except uint64, known map[uint64]Member) []Member {
 	var list []Member
-	r.Each(now, func(l LiveProcess, gone time.Duration) {
-		if l.Session == but {
+	r.Each(now, func(l LiveProcess, deadFor time.Duration) {
+		if l.Session == except {
 			return
 		}
 		m, ok := known[l.Session]
 		if !ok {
 			m = Member{Session: l.Session, Age: UnknownAge}
 		}
-		m.DeadFor = gone
+		m.DeadFor = deadFor
 		list = append(list, m)
 	})
 	return list
--- a/internal/shared/verdict/verdict.go
+++ b/internal/shared/verdict/verdict.go
@@ -1,14 +1,22 @@
-// Package verdict judges egress targets by what all processes saw of them. A verdict is a function of the merged evidence and
-// of who asks, so that equal evidence is an equal verdict everywhere. It is pure: there is no clock, I/O, draw or map order.
+// Package verdict judges egress targets by what all processes observed of them. A verdict is a
+// function of the merged evidence and of the viewer's zone and targets, so that equal evidence
+// leads to equal verdicts everywhere. The package is deterministic: it uses no clock, I/O, random
+// numbers or map order.
 //
-// The rules, each of which a planted mistake breaks (see internal/lab/shared):
+// The rules are listed below. For each there is a deliberate fault in the tests that breaks it (see
+// internal/lab/shared).
 //
-//   - No single witness condemns. Witnesses are counted by name, so that two lives of a process are one, and what one says
-//     counts once, however often it says it.
-//   - A witness that accuses more targets than it speaks well of accuses itself: its word against a target does not count.
-//   - Those in the viewer's zone go first: a target that only another zone can't reach is sound here.
-//   - At most a part of a zone's targets, and of all, are condemned at once: the worst first.
-//   - Evidence older than Config.Fresh condemns nobody; it makes a target that was condemned Returning, until Config.Forget.
+//   - A single witness is never enough to judge a target unhealthy. Witnesses are counted by
+//     name, so that a process before and after a restart is one witness, and each counts once,
+//     however often it reports.
+//   - A witness that has failures with more targets than it has successes with is itself suspect:
+//     its reports against targets do not count.
+//   - Witnesses in the zone of the viewer take precedence: a target that only another zone cannot
+//     reach is sound here.
+//   - At most a fraction of the targets of a zone, and of all targets, are judged unhealthy at
+//     once: the worst first.
+//   - Evidence older than Config.MaxAge judges no target unhealthy. It makes a target that was
+//     unhealthy Returning, until Config.ForgetAfter.
 package verdict
 
 import (
@@ -22,71 +30,82 @@
 	"ospreyspan/internal/shared/evidence"
 )
 
-// Verdict is what the fleet holds of a target.
+// Verdict is the shared judgement of a target.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Sound     Verdict = iota
-	Slow              // it answers, but too late
-	Failing           // it answers with errors, or breaks connections
-	Silent            // it gives no sign
-	Returning         // it was one of these, and nobody has tried since
+	Sound   Verdict = iota // no problem is known
+	Slow                   // it answers, but too late
+	Failing                // it answers with errors or breaks connections
+	Silent                 // it does not answer
+	// Returning is the verdict on a target that was Slow, Failing or Silent and with which nobody
+	// has had a success since.
+	Returning
 )
 
 func (v Verdict) String() string {
 	return [...]string{"sound", "slow", "failing", "silent", "returning"}[min(v, Returning)]
 }
 
-// Unhealthy tells whether new work should go elsewhere.
+// Unhealthy reports whether new work should go to other targets.
 func (v Verdict) Unhealthy() bool { return v == Slow || v == Failing || v == Silent }
 
-// Config has the figures on which all processes must agree.
+// Config has the settings that must be equal in all processes.
 type Config struct {
-	MaxAge       time.Duration // evidence of at most this age condemns. Above 0
-	ForgetAfter  time.Duration // until then a target that was condemned is Returning. Above Fresh
-	MinWitnesses int           // different ones that must accuse. At least 2
-	MaxFraction  float64       // of a zone's targets, and of all, that may be condemned at once; above 0, at most 1
+	MaxAge time.Duration // largest age of evidence that judges a target unhealthy; above 0
+	// ForgetAfter is the age of evidence up to which a target that was unhealthy is Returning;
+	// above MaxAge.
+	ForgetAfter  time.Duration
+	MinWitnesses int // number of different witnesses that must accuse a target; at least 2
+	// MaxFraction is the fraction of a zone's targets, and of all, that may be unhealthy at once;
+	// above 0, at most 1.
+	MaxFraction float64
 }
 
-// DefaultConfig has the figures that serve.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{MaxAge: 6 * time.Second, ForgetAfter: 20 * time.Second, MinWitnesses: 2, MaxFraction: 0.34}
 }
 
-// Flaws are mistakes to be planted in tests. The zero value has none.
+// Flaws are deliberate faults that tests enable. The zero value has none.
 type Flaws struct {
-	OneWitness bool // one is enough
-	NoAge      bool // evidence of any age condemns
+	OneWitness bool // one witness is enough
+	NoAge      bool // evidence of any age judges targets unhealthy
 }
 
-// Target is one that the viewer's route table names.
+// Target is a target in the viewer's route table.
 type Target struct{ ID, Zone string }
 
-// Finding is a verdict that is not Sound, with what it rests on.
+// Finding is a verdict other than Sound, with its grounds.
 type Finding struct {
 	Target string
 	Verdict
-	Age       time.Duration // of the last of the accusations that are needed; what is known to be older makes no verdict
-	Witnesses int           // that accuse, of those that decide
-	Opposing  int           // that speak well of it, likewise
-	// RecentlyTried tells, of one that returns, that somebody tried it of late and had trouble: nobody else need do so now.
+	// Age is the age of the last accusation that is needed to reach the required number. A finding
+	// rests on nothing known to be older.
+	Age       time.Duration
+	Witnesses int // deciding witnesses that accuse the target
+	Opposing  int // deciding witnesses with successes that oppose the accusations
+	// RecentlyTried is set for a Returning target if a process tried it recently and failed. Other
+	// processes need not try it now.
 	RecentlyTried bool
 }
 
-// opinion is what one witness holds of a target, by the evidence that is fresh.
+// opinion is what one witness holds of a target. The counts are of the evidence that is at most
+// MaxAge old.
 type opinion struct {
 	name, zone     string
 	good, bad      evidence.Counts
-	goodAge        time.Duration // of the youngest hop that went well; whichever age it has
-	seenAge        time.Duration // likewise of a probe that was answered
-	badAge         time.Duration
-	failAge        time.Duration // of the youngest hop that failed and was answered
+	goodAge        time.Duration // of the latest successful hop, however old
+	seenAge        time.Duration // of the latest answered probe, however old
+	badAge         time.Duration // of the latest failure of any kind, however old
+	failAge        time.Duration // of the latest hop that was answered with a failure, however old
 	silent, failed bool
 }
 
-// evaluate makes up the witness's mind: it accuses if what went badly is half or more of what it saw. Probes that are answered speak
-// against silence only: a target may answer them and fail every request.
+// evaluate determines whether the witness accuses the target: it does if at least half of its
+// outcomes are failures. Answered probes count against silence only, since a target may answer them
+// and fail every request.
 func (o *opinion) evaluate() {
 	o.failed = o.bad.Fail > 0 && o.bad.Fail >= o.good.OK
 	o.silent = o.bad.Silent+o.bad.Slow > 0 && o.bad.Bad() >= o.good.OK+o.good.ProbeOK
@@ -94,14 +113,15 @@
 
 func (o *opinion) accuses() bool { return o.failed || o.silent }
 
-// Judge returns findings on targets, in their order. viewer is the zone of who asks.
+// Judge returns the findings on targets, in the order of targets. viewer is the zone of the process
+// that asks.
 func Judge(now time.Time, s *evidence.Store, viewer string, targets []Target, c Config, f Flaws) []Finding {
 	views := collectOpinions(now, s, c, f)
-	selfAccused := unreliableWitnesses(now, s, c)
+	unreliable := unreliableWitnesses(now, s, c)
 	var all []Finding
 	for _, t := range targets {
 		if ops := views[t.ID]; len(ops) > 0 {
-			if x, ok := judgeTarget(ops, selfAccused, viewer, c, f); ok {
+			if x, ok := judgeTarget(ops, unreliable, viewer, c, f); ok {
 				x.Target = t.ID
 				all = append(all, x)
 			}
@@ -110,14 +130,15 @@
 	return capUnhealthy(all, targets, c)
 }
 
-// collectOpinions sums, by target and witness, what is no older than Forget.
+// collectOpinions collects the opinions on each target from the evidence that is at most
+// ForgetAfter old.
 func collectOpinions(now time.Time, s *evidence.Store, c Config, f Flaws) map[string][]*opinion {
-	within := c.ForgetAfter
+	maxAge := c.ForgetAfter
 	if f.NoAge {
-		within = time.Hour
+		maxAge = time.Hour
 	}
 	views := make(map[string][]*opinion)
-	s.Each(now, within, func(x evidence.Observation) {
+	s.Each(now, maxAge, func(x evidence.Observation) {
 		if x.Target == "" {
 			return
 		}
@@ -149,7 +170,7 @@
 			o.bad.Slow += x.Slow
 		}
 	})
-	for _, list := range views { // each for itself
+	for _, list := range views { // in any order
 		for _, o := range list {
 			o.evaluate()
 		}
@@ -157,8 +178,8 @@
 	return views
 }
 
-// unreliableWitnesses names the witnesses that accuse themselves: over the time that counts they had trouble with more targets than they
-// did well with, and with three or more.
+// unreliableWitnesses returns the names of the witnesses that are not counted: within ForgetAfter
+// they had failures with more targets than they had successes with, and with at least three.
 func unreliableWitnesses(now time.Time, s *evidence.Store, c Config) map[string]bool {
 	good, bad := make(map[string]uint32), make(map[string]uint32)
 	s.Each(now, c.ForgetAfter, func(x evidence.Observation) {
@@ -167,23 +188,23 @@
 			bad[x.Name] += x.Fail
 		}
 	})
-	out := make(map[string]bool)
-	for name, n := range bad { // a set
-		out[name] = n >= 3 && n > good[name]
+	unreliable := make(map[string]bool)
+	for name, n := range bad { // in any order
+		unreliable[name] = n >= 3 && n > good[name]
 	}
-	return out
+	return unreliable
 }
 
-// judgeTarget judges one target.
-func judgeTarget(ops []*opinion, selfAccused map[string]bool, viewer string, c Config, f Flaws) (Finding, bool) {
+// judgeTarget judges one target by the opinions on it.
+func judgeTarget(ops []*opinion, unreliable map[string]bool, viewer string, c Config, f Flaws) (Finding, bool) {
 	need := c.MinWitnesses
 	if f.OneWitness {
 		need = 1
 	}
 	var own, all []*opinion
-	zones, others := make(map[string]bool), false
+	accusingZones, others := make(map[string]bool), false
 	for _, o := range ops {
-		if selfAccused[o.name] {
+		if unreliable[o.name] {
 			continue
 		}
 		all = append(all, o)
@@ -193,23 +214,24 @@
 			others = true
 		}
 		if o.accuses() {
-			zones[o.zone] = true
+			accusingZones[o.zone] = true
 		}
 	}
-	decide := own
-	// Where nobody here has seen anything that counts, the word of others does if it comes from two zones: from one alone it may
-	// be that zone that is cut off.
-	if len(own) == 0 && (len(zones) >= 2 || !others) {
-		decide = all
+	deciding := own
+	// If no witness of the viewer's zone counts, those of other zones decide if accusations come
+	// from at least two zones. A single zone may itself be cut off.
+	if len(own) == 0 && (len(accusingZones) >= 2 || !others) {
+		deciding = all
 	}
-	if x, ok := findUnhealthy(decide, need); ok && (x.Age <= c.MaxAge || f.NoAge) {
+	if x, ok := findUnhealthy(deciding, need); ok && (x.Age <= c.MaxAge || f.NoAge) {
 		return x, true
 	}
-	return findReturning(decide, need, c)
+	return findReturning(deciding, need, c)
 }
 
-// findUnhealthy counts the opinions that decide. Of those that speak well of the target the ones count whose word is no older than the
-// accusations that are needed, by a window or two: what went well before says nothing of what happens now.
+// findUnhealthy judges a target by the opinions that decide. A witness that does not accuse the
+// target opposes the accusations only if its last success is at most opposingSlack older than the
+// accusations that are needed: earlier successes say nothing about the present state.
 func findUnhealthy(ops []*opinion, need int) (Finding, bool) {
 	for _, kind := range []Verdict{Failing, Silent} {
 		var ages []time.Duration
@@ -225,33 +247,35 @@
 			continue
 		}
 		slices.Sort(ages)
-		limit, against := ages[need-1]+opposingSlack, 0
+		maxGoodAge, opposing := ages[need-1]+opposingSlack, 0
 		var sum evidence.Counts
 		for _, o := range ops {
 			accuses := o.failed || kind == Silent && o.silent
-			if !accuses && (o.goodAge <= limit || kind == Silent && o.seenAge <= limit) {
-				against++
+			if !accuses && (o.goodAge <= maxGoodAge || kind == Silent && o.seenAge <= maxGoodAge) {
+				opposing++
 			}
 			if accuses {
 				sum.Slow += min(o.bad.Slow, 1)
 				sum.Silent += min(o.bad.Silent, 1)
 			}
 		}
-		if 2*len(ages) <= against {
-			continue // a few errors among much that goes well
+		if 2*len(ages) <= opposing {
+			continue // a few errors among many successes
 		}
 		if kind == Silent && sum.Slow > sum.Silent {
 			kind = Slow
 		}
-		return Finding{Verdict: kind, Age: ages[need-1], Witnesses: len(ages), Opposing: against}, true
+		return Finding{Verdict: kind, Age: ages[need-1], Witnesses: len(ages), Opposing: opposing}, true
 	}
 	return Finding{}, false
 }
 
-// opposingSlack is by how much a good word may be older than an accusation and still speak against it.
+// opposingSlack is by how much a success may be older than an accusation and still count against
+// it: two windows of evidence of the default length.
 const opposingSlack = time.Second
 
-// findReturning tells whether a target was condemned by evidence that is too old for that now, and nobody has done well there since.
+// findReturning reports whether a target was unhealthy by evidence that is now too old for that
+// verdict, and whether no witness has had a success with it since.
 func findReturning(ops []*opinion, need int, c Config) (Finding, bool) {
 	var bad []time.Duration
 	good := time.Hour
@@ -261,7 +285,7 @@
 			bad = append(bad, o.badAge)
 		}
 		good = min(good, o.goodAge)
-		if !failed { // it had been silent: an answered probe is a sign of life
+		if !failed { // the target was silent: an answered probe shows that it is alive
 			good = min(good, o.seenAge)
 		}
 	}
@@ -275,8 +299,8 @@
 	return Finding{Verdict: Returning, Age: bad[need-1], Witnesses: len(bad), RecentlyTried: bad[0] <= c.MaxAge}, true
 }
 
-// capUnhealthy lets through as many condemnations as Part allows, in each zone and of all; the worst are those with the most
-// witnesses, then those whose names come first.
+// capUnhealthy keeps as many unhealthy findings as MaxFraction allows, in each zone and in total.
+// Those with the most witnesses come first, then those whose targets come first by name.
 func capUnhealthy(all []Finding, targets []Target, c Config) []Finding {
 	zone, size := make(map[string]string, len(targets)), make(map[string]int)
 	for _, t := range targets {
@@ -311,20 +335,24 @@
 	return kept
 }
 
-// MaxUnhealthy is how many of n targets may be condemned at once: at least one of two or more.
-func MaxUnhealthy(part float64, n int) int {
+// MaxUnhealthy returns how many of n targets may be unhealthy at once: at least one if n is two or
+// more, otherwise none.
+func MaxUnhealthy(fraction float64, n int) int {
 	if n < 2 {
 		return 0
 	}
-	return max(int(part*float64(n)), 1)
+	return max(int(fraction*float64(n)), 1)
 }
 
-// TrialDivisor is how many processes share a turn to send clients to a target that returns: one in so many may.
+// TrialDivisor determines how many processes may send clients to a Returning target at a time:
+// about one in TrialDivisor.
 const TrialDivisor = 8
 
-// HasTurn tells whether it is a process's turn to try a target in a span of time, by number, where one in so many is to try: turns are
-// drawn alike for all, so that about that part tries at a time, whoever is there, and each has its turn before long.
-func HasTurn(session uint64, target string, span int64, of int) bool {
-	text := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, session), uint64(span))
-	return xxhash.Sum64(append(text, target...))%uint64(max(of, 1)) == 0
+// HasTurn reports whether a process may try a target in the period with the given number, where
+// about one process in divisor may. The decision depends on nothing but the arguments, so that
+// about the same fraction of the processes has the turn in each period, whichever processes exist,
+// and each gets it before long.
+func HasTurn(session uint64, target string, period int64, divisor int) bool {
+	text := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, session), uint64(period))
+	return xxhash.Sum64(append(text, target...))%uint64(max(divisor, 1)) == 0
 }
