--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -93,17 +93,17 @@
 	fleet := &instance.FleetConfig{Mesh: meshConfig, SameAddresses: f.config.Discovery.SameAddresses, MovesPerSecond: f.config.Moves.PerSecond}
 	if o := f.config.Verdicts; o.Enabled {
 		verdicts := instance.DefaultVerdictConfig()
-		verdicts.Judge = verdict.Config{Fresh: o.MaxEvidenceAge, Forget: o.ForgetAfter, Witnesses: o.MinWitnesses, Part: o.MaxShare}
-		verdicts.Evidence.Keep = o.ForgetAfter + verdicts.Evidence.Width
+		verdicts.Judge = verdict.Config{MaxAge: o.MaxEvidenceAge, ForgetAfter: o.ForgetAfter, MinWitnesses: o.MinWitnesses, MaxFraction: o.MaxShare}
+		verdicts.Evidence.Retention = o.ForgetAfter + verdicts.Evidence.WindowLength
 		verdicts.OnChange = f.logVerdictChange
 		fleet.Verdicts = &verdicts
 	}
 	if o := f.config.Retries; o.Enabled {
-		fleet.Retries = &limit.Retries{Part: o.Ratio, Within: o.Window, Least: o.MinRetries}
+		fleet.Retries = &limit.RetryBudget{Fraction: o.Ratio, Period: o.Window, Min: o.MinRetries}
 	}
 	if len(f.config.Limits) > 0 {
 		o := f.config.SoftLimits
-		fleet.Limits = &instance.LimitsConfig{Soft: limit.Soft{Stale: o.StaleAfter, Hold: o.HoldTime, Expect: o.ExpectedProcesses}, List: f.config.Limits, OnChange: f.logLimitChange}
+		fleet.Limits = &instance.LimitsConfig{Soft: limit.SoftConfig{StaleAfter: o.StaleAfter, DeadHold: o.HoldTime, ExpectedMembers: o.ExpectedProcesses}, List: f.config.Limits, OnChange: f.logLimitChange}
 		for _, l := range f.config.Limits {
 			if err := checkLimitNames(cfg, l); err != nil {
 				return nil, fmt.Errorf("%s: [limit %s] %w", f.path, l.Name, err)
@@ -131,7 +131,7 @@
 	if change.Refusing {
 		message = "fleet: limit refuses"
 	}
-	f.log.Info().Str("limit", change.Limit.Name).Stringer("kind", change.Limit.Kind).Int("most", change.Limit.Most).Int("use", change.InUse).Int("room", change.Available).Msg(message)
+	f.log.Info().Str("limit", change.Limit.Name).Stringer("kind", change.Limit.Kind).Int("most", change.Limit.Max).Int("use", change.InUse).Int("room", change.Available).Msg(message)
 }
 
 // randomSessionID returns a random ID that is never 0.
@@ -192,7 +192,7 @@
 // logVerdictChange logs a changed verdict on a target, with the evidence behind it.
 func (f *operatorFeatures) logVerdictChange(change instance.VerdictChange) {
 	f.log.Info().Str("target", change.Target).Stringer("verdict", change.Verdict).Stringer("was", change.Previous).Dur("age_ms", change.Age).
-		Int("witnesses", change.Witnesses).Int("against", change.Against).Msg("fleet: verdict")
+		Int("witnesses", change.Witnesses).Int("against", change.Opposing).Msg("fleet: verdict")
 }
 
 // reload reads the operator file again and applies what may change while the program serves: seeds,
--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -19,12 +19,12 @@
 
 // FleetConfig configures the work that a proxy shares with other proxies.
 type FleetConfig struct {
-	Mesh           mesh.Config    // New sets Loop and the callbacks; a given OnEvent is called as well
-	SameAddresses  bool           // targets have the same addresses for all proxies
+	Mesh           mesh.Config        // New sets Loop and the callbacks; a given OnEvent is called as well
+	SameAddresses  bool               // targets have the same addresses for all proxies
 	Verdicts       *VerdictConfig // nil: each proxy judges targets alone
 	Limits         *LimitsConfig  // nil: no limits on all proxies together
-	Retries        *limit.Retries // budget of all proxies together; nil: none
-	MovesPerSecond float64        // rate at which the owner of the duty paces moves; 0: not paced
+	Retries        *limit.RetryBudget // budget of all proxies together; nil: none
+	MovesPerSecond float64            // rate at which the owner of the duty paces moves; 0: not paced
 }
 
 // fleet connects a proxy with the other proxies: it carries out the duties that this process owns,
@@ -229,7 +229,7 @@
 	me := evidence.Writer{Session: m.Session, Name: cmp.Or(m.Name, c.Name), Zone: m.Zone}
 	f.carrier = carrier.New(f.loop.Now(), me, evidenceConfig, evidence.Flaws{})
 	f.tickTimer.Fire = f.tick
-	m.OnSharedMessage = func(from netip.AddrPort, s *mesh.SharedMessage) { f.carrier.Take(f.loop.Now(), from, s) }
+	m.OnSharedMessage = func(from netip.AddrPort, s *mesh.SharedMessage) { f.carrier.Receive(f.loop.Now(), from, s) }
 	m.SharedView = f.sharedView
 	if v != nil {
 		f.verdicts = newVerdicts(f, *v)
@@ -238,21 +238,21 @@
 		f.limits = newLimits(f, *l, c)
 	}
 	if c.Fleet.Retries != nil {
-		f.retries = newRetries(f, *c.Fleet.Retries, limit.DefaultSoft().Stale)
+		f.retries = newRetries(f, *c.Fleet.Retries, limit.DefaultSoftConfig().StaleAfter)
 	}
 }
 
 // tick publishes this process's new evidence and evaluates that of the others.
 func (f *fleet) tick() {
 	now := f.loop.Now()
-	f.loop.After(&f.tickTimer, carrier.LookEvery)
+	f.loop.After(&f.tickTimer, carrier.TickInterval)
 	if f.limits != nil {
 		f.limits.tick(now)
 	}
 	if f.retries != nil {
 		f.retries.tick(now)
 	}
-	f.carrier.Look(now)
+	f.carrier.Tick(now)
 	if f.verdicts != nil {
 		f.verdicts.tick(now)
 	}
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -14,7 +14,7 @@
 // LimitsConfig configures the limits on what all proxies of a fleet together may take. All proxies
 // must have the same ones.
 type LimitsConfig struct {
-	Soft     limit.Soft
+	Soft     limit.SoftConfig
 	List     []limit.Limit
 	OnChange func(LimitChange) // called when a limit begins or ceases to refuse; may be nil
 }
@@ -61,10 +61,10 @@
 
 func newLimits(f *fleet, c LimitsConfig, proxyConfig Config) *limits {
 	l := &limits{fleet: f, config: c, startedAt: f.loop.Now()}
-	l.config.Soft.Expect = max(c.Soft.Expect, proxyConfig.Settings.Config.Relays)
+	l.config.Soft.ExpectedMembers = max(c.Soft.ExpectedMembers, proxyConfig.Settings.Config.Relays)
 	for _, lim := range c.List {
 		state := &limitState{Limit: lim, key: evidence.LimitKey(lim.Name), class: settingsIndex(lim.Class, proxyConfig.Settings.Classes), tenant: settingsIndex(lim.Tenant, proxyConfig.Settings.Tenants)}
-		state.gate = limit.Gate{Soft: l.config.Soft, Limit: &state.Limit}
+		state.gate = limit.Gate{SoftConfig: l.config.Soft, Limit: &state.Limit}
 		if lim.Kind == limit.StrictKind {
 			state.slices = limit.NewSlices(&state.Limit, proxyConfig.Fleet.Mesh.Session)
 		}
@@ -97,7 +97,7 @@
 	for _, to := range list {
 		for _, lim := range l.states {
 			if lim.Name == to.Name && lim.Kind == to.Kind && lim.Slices == to.Slices && to.Check() == nil {
-				lim.Most = to.Most
+				lim.Max = to.Max
 			}
 		}
 	}
@@ -110,7 +110,7 @@
 	for _, lim := range l.states { // all limits must have room before any is taken
 		if refuse && lim.covers(class, tenant) && !l.hasRoom(now, lim) {
 			lim.refusedSinceTick++
-			lim.gate.Wish(now.Sub(l.startedAt))
+			lim.gate.RecordRefused(now.Sub(l.startedAt))
 			if !lim.refusing {
 				lim.refusing = true
 				l.notifyChange(lim)
@@ -138,7 +138,7 @@
 	if lim.slices != nil {
 		return lim.inUse < l.capacity(now, lim)
 	}
-	return lim.gate.Open()
+	return lim.gate.HasRoom()
 }
 
 // Release implements proxy.Limits.
@@ -163,10 +163,10 @@
 // currentUse returns the number of connections, or of recent admissions, that count under the limit
 // in this process now.
 func (lim *limitState) currentUse(now time.Time) int {
-	if lim.Within == 0 {
+	if lim.Period == 0 {
 		return lim.inUse
 	}
-	for len(lim.admittedAt) > 0 && now.Sub(lim.admittedAt[0]) > lim.Within {
+	for len(lim.admittedAt) > 0 && now.Sub(lim.admittedAt[0]) > lim.Period {
 		lim.admittedAt = lim.admittedAt[1:]
 	}
 	return len(lim.admittedAt)
@@ -174,14 +174,14 @@
 
 // publishUse publishes this process's use of a limit to the other processes.
 func (l *limits) publishUse(now time.Time, lim *limitState) {
-	l.fleet.carrier.Store().Use(now, lim.key, lim.currentUse(now), lim.gate.Wanted(now.Sub(l.startedAt)))
+	l.fleet.carrier.Store().RecordUse(now, lim.key, lim.currentUse(now), lim.gate.RecentDemand(now.Sub(l.startedAt)))
 }
 
 // capacity returns the sum of the sizes of the slices that this process holds.
 func (l *limits) capacity(now time.Time, lim *limitState) int {
 	n := 0
 	for i := range lim.Slices {
-		if _, ok := l.fleet.node.HoldsAt(now, lim.slices.Duty(i)); ok {
+		if _, ok := l.fleet.node.HoldsAt(now, lim.slices.DutyName(i)); ok {
 			n += lim.slices.Size(i)
 		}
 	}
@@ -203,11 +203,11 @@
 
 // tick evaluates what the other processes have published.
 func (l *limits) tick(now time.Time) {
-	var living []limit.Living
+	var living []limit.LiveProcess
 	for _, m := range l.fleet.node.Members() {
-		living = append(living, limit.Living{Session: m.Session, Name: m.Name})
+		living = append(living, limit.LiveProcess{Session: m.Session, Name: m.Name})
 	}
-	l.roster.Look(now, l.config.Soft.Hold, living)
+	l.roster.Update(now, l.config.Soft.DeadHold, living)
 	l.sliceDuties = l.sliceDuties[:0]
 	for _, lim := range l.states {
 		if lim.slices == nil {
@@ -228,25 +228,25 @@
 func (l *limits) tickSoft(now time.Time, lim *limitState) {
 	l.publishUse(now, lim)
 	known := make(map[uint64]limit.Member)
-	l.fleet.carrier.Store().Uses(now, lim.key, func(w evidence.Writer, use, want int, age time.Duration) {
+	l.fleet.carrier.Store().EachUse(now, lim.key, func(w evidence.Writer, use, want int, age time.Duration) {
 		known[w.Session] = limit.Member{Session: w.Session, Use: use, Want: want, Age: age}
 	})
-	me := limit.Member{Session: l.fleet.carrier.Store().Me().Session, Use: lim.currentUse(now), Want: lim.gate.Wanted(now.Sub(l.startedAt))}
-	lim.available = lim.gate.Look(now.Sub(l.startedAt), me, l.roster.Members(now, me.Session, known))
+	me := limit.Member{Session: l.fleet.carrier.Store().Self().Session, Use: lim.currentUse(now), Want: lim.gate.RecentDemand(now.Sub(l.startedAt))}
+	lim.available = lim.gate.Update(now.Sub(l.startedAt), me, l.roster.Members(now, me.Session, known))
 }
 
 // tickStrict claims slices for the existing connections, and one more while clients are refused or
 // the last slice is nearly full.
 func (l *limits) tickStrict(now time.Time, lim *limitState) {
-	held := func(i int) bool { _, ok := l.fleet.node.Holds(lim.slices.Duty(i)); return ok }
-	taken := func(i int) bool { return l.fleet.node.HasOwner(lim.slices.Duty(i)) }
-	wanted := min(lim.refusedSinceTick, lim.slices.Unit()) + 1
+	held := func(i int) bool { _, ok := l.fleet.node.Holds(lim.slices.DutyName(i)); return ok }
+	taken := func(i int) bool { return l.fleet.node.HasOwner(lim.slices.DutyName(i)) }
+	wanted := min(lim.refusedSinceTick, lim.slices.MinSize()) + 1
 	if l.fleet.draining {
 		wanted = 0
 	}
-	for _, i := range lim.slices.Want(now, lim.inUse, wanted, l.fleet.leaseDuration, held, taken) {
+	for _, i := range lim.slices.Claims(now, lim.inUse, wanted, l.fleet.leaseDuration, held, taken) {
 		if len(l.sliceDuties) < owner.MaxLeases/2 {
-			l.sliceDuties = append(l.sliceDuties, lim.slices.Duty(i))
+			l.sliceDuties = append(l.sliceDuties, lim.slices.DutyName(i))
 		}
 	}
 	lim.available = l.capacity(now, lim) - lim.inUse
@@ -263,19 +263,19 @@
 	now := l.fleet.loop.Now()
 	var all []mesh.SharedView
 	for _, lim := range l.states {
-		state, text := "takes", fmt.Sprintf("%v limit of %d for all proxies, %d used here", lim.Kind, lim.Most, lim.currentUse(now))
+		state, text := "takes", fmt.Sprintf("%v limit of %d for all proxies, %d used here", lim.Kind, lim.Max, lim.currentUse(now))
 		if lim.refusing {
 			state = "refuses"
 		}
 		age, use, heard := time.Duration(0), 0, 0
 		if lim.slices == nil {
-			l.fleet.carrier.Store().Uses(now, lim.key, func(_ evidence.Writer, u, _ int, a time.Duration) {
-				if a <= l.config.Soft.Stale {
+			l.fleet.carrier.Store().EachUse(now, lim.key, func(_ evidence.Writer, u, _ int, a time.Duration) {
+				if a <= l.config.Soft.StaleAfter {
 					age, use, heard = max(age, a), use+u, heard+1
 				}
 			})
 			text += fmt.Sprintf(", %d processes heard use %d, room for %d; exceeded at most by the admissions within %v, and by the whole limit for each further partition that is cut off for over %v",
-				heard, use, lim.available, l.config.Soft.Stale, l.config.Soft.Hold)
+				heard, use, lim.available, l.config.Soft.StaleAfter, l.config.Soft.DeadHold)
 		} else {
 			text += fmt.Sprintf(", slices held here for %d; exceeded by 0", l.capacity(now, lim))
 		}
--- a/internal/instance/retries.go
+++ b/internal/instance/retries.go
@@ -12,7 +12,7 @@
 // retry hops exceeds the budget, the module makes none.
 type retries struct {
 	fleet       *fleet
-	config      limit.Retries
+	config      limit.RetryBudget
 	staleAfter  time.Duration
 	firstHops   []time.Time
 	furtherHops []time.Time
@@ -28,7 +28,7 @@
 	furtherKey = evidence.LimitPrefix + "hops, further"
 )
 
-func newRetries(f *fleet, c limit.Retries, staleAfter time.Duration) *retries {
+func newRetries(f *fleet, c limit.RetryBudget, staleAfter time.Duration) *retries {
 	r := &retries{fleet: f, config: c, staleAfter: staleAfter}
 	f.instance.engine.OnHopStart(r.onHop)
 	return r
@@ -55,24 +55,24 @@
 // The hops of a process that is not heard are unknown and not counted: the budget is then that of
 // the processes that hear each other, based on their own first hops.
 func (r *retries) tick(now time.Time) {
-	from := now.Add(-r.config.Within)
+	from := now.Add(-r.config.Period)
 	r.firstHops, r.furtherHops = dropBefore(r.firstHops, from), dropBefore(r.furtherHops, from)
 	store := r.fleet.carrier.Store()
 	// a budget over seconds needs no more frequent updates
 	if now.Sub(r.publishedAt) >= publishInterval {
 		r.publishedAt = now
-		store.Use(now, firstKey, len(r.firstHops), 0)
-		store.Use(now, furtherKey, len(r.furtherHops), 0)
+		store.RecordUse(now, firstKey, len(r.firstHops), 0)
+		store.RecordUse(now, furtherKey, len(r.furtherHops), 0)
 	}
 	sum := func(key string) (n int) {
-		store.Uses(now, key, func(_ evidence.Writer, use, _ int, age time.Duration) {
+		store.EachUse(now, key, func(_ evidence.Writer, use, _ int, age time.Duration) {
 			if age <= r.staleAfter {
 				n += use
 			}
 		})
 		return n
 	}
-	if overBudget := sum(furtherKey) > r.config.Most(sum(firstKey)); overBudget != r.overBudget {
+	if overBudget := sum(furtherKey) > r.config.Max(sum(firstKey)); overBudget != r.overBudget {
 		r.overBudget = overBudget
 		r.fleet.instance.engine.SetRetryBudgetSpent(overBudget)
 		r.fleet.instance.Count.Thrifty++
--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -32,7 +32,7 @@
 }
 
 const (
-	tickInterval = carrier.LookEvery
+	tickInterval = carrier.TickInterval
 	// trialInterval is the length of a turn, in which some of the processes try a target that has a
 	// verdict.
 	trialInterval = time.Second
@@ -69,7 +69,7 @@
 		case proxy.OutcomeFromHop:
 			c.OK = 1
 		case proxy.OutcomeFromProbe:
-			c.Seen = 1
+			c.ProbeOK = 1
 		default:
 			return // a connection that its client closed is no evidence
 		}
@@ -91,7 +91,7 @@
 	if c.Bad() > 0 {
 		v.fleet.instance.Count.Sightings++
 	}
-	v.store.Saw(v.fleet.loop.Now(), target, c)
+	v.store.Record(v.fleet.loop.Now(), target, c)
 }
 
 // tick evaluates the verdicts if there is evidence against a target or a verdict to revise.
@@ -109,26 +109,26 @@
 			v.targets = append(v.targets, verdict.Target{ID: t.ID, Zone: t.Site})
 		}
 	}
-	list := verdict.Judge(now, v.store, v.store.Me().Zone, v.targets, v.config.Judge, verdict.Flaws{})
+	list := verdict.Judge(now, v.store, v.store.Self().Zone, v.targets, v.config.Judge, verdict.Flaws{})
 	previous := v.findings
 	v.findings = make(map[string]verdict.Finding, len(list))
 	trial, members := now.Sub(v.lastTrial) >= trialInterval, v.fleet.node.Peers().Count()
 	for _, finding := range list {
 		v.findings[finding.Target] = finding
 		if was := previous[finding.Target].Verdict; was != finding.Verdict {
-			if finding.Condemned() && !was.Condemned() {
+			if finding.Unhealthy() && !was.Unhealthy() {
 				v.fleet.instance.Count.Condemned++
 			}
 			v.notifyChange(VerdictChange{finding, was})
 		}
 		turn := now.UnixMilli() / trialInterval.Milliseconds()
-		mine := verdict.Turn(v.store.Me().Session, finding.Target, turn, verdict.Triers)
+		mine := verdict.HasTurn(v.store.Self().Session, finding.Target, turn, verdict.TrialDivisor)
 		until := now.Add(2 * tickInterval)
-		if finding.Verdict == verdict.Returning && mine && !finding.Tried {
+		if finding.Verdict == verdict.Returning && mine && !finding.RecentlyTried {
 			until = time.Time{}
 		}
 		v.fleet.instance.engine.AvoidUntil(finding.Target, until)
-		if trial && finding.Verdict != verdict.Failing && verdict.Turn(v.store.Me().Session, finding.Target, turn, members/probersPerTrial) {
+		if trial && finding.Verdict != verdict.Failing && verdict.HasTurn(v.store.Self().Session, finding.Target, turn, members/probersPerTrial) {
 			v.lastTrial = now
 			v.fleet.instance.Count.Trials++
 			v.fleet.instance.engine.ProbeDirectly(finding.Target)
@@ -153,7 +153,7 @@
 	for _, id := range v.findingOrder {
 		finding := v.findings[id]
 		all = append(all, mesh.SharedView{Topic: "verdict", Name: id, State: finding.Verdict.String(), AgeMS: finding.Age.Milliseconds(),
-			Text: fmt.Sprintf("%d witnesses, %d against", finding.Witnesses, finding.Against)})
+			Text: fmt.Sprintf("%d witnesses, %d against", finding.Witnesses, finding.Opposing)})
 	}
 	return all
 }
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -50,10 +50,10 @@
 		f.Verdicts = &v
 	}
 	if part := s.s.Proxies.Retries; part > 0 {
-		f.Retries = &limit.Retries{Part: part, Within: 10 * time.Second, Least: 10}
+		f.Retries = &limit.RetryBudget{Fraction: part, Period: 10 * time.Second, Min: 10}
 	}
 	if l := s.limit(); l != nil {
-		f.Limits = &instance.LimitsConfig{Soft: limit.DefaultSoft(), List: []limit.Limit{*l}}
+		f.Limits = &instance.LimitsConfig{Soft: limit.DefaultSoftConfig(), List: []limit.Limit{*l}}
 	}
 	return f, nil
 }
@@ -65,9 +65,9 @@
 		return nil
 	}
 	if s.slices == 0 {
-		s.slices = min(most, 2*s.s.Proxies.Count, limit.MostSlices)
+		s.slices = min(most, 2*s.s.Proxies.Count, limit.MaxSlices)
 	}
-	l := &limit.Limit{Name: "all", Most: most, Slices: s.slices, Within: s.s.Proxies.LimitWithin}
+	l := &limit.Limit{Name: "all", Max: most, Slices: s.slices, Period: s.s.Proxies.LimitWithin}
 	if s.s.Proxies.LimitKind == "strict" {
 		l.Kind = limit.StrictKind
 	}
@@ -140,7 +140,7 @@
 
 // judged takes a verdict that a proxy has come to, and counts those against relays to which nothing had happened.
 func (s *stage) judged(p *proxyNode, c instance.VerdictChange) {
-	if !c.Condemned() || c.Previous.Condemned() {
+	if !c.Unhealthy() || c.Previous.Unhealthy() {
 		return
 	}
 	for _, n := range s.nodes {
@@ -148,7 +148,7 @@
 			s.shared.False++
 			if s.o.Log != nil {
 				fmt.Fprintf(s.o.Log, "%v %s: without a cause: %s is %v, was %v, age %v, %d witnesses, %d against\n",
-					s.world.Elapsed(), p.name, c.Target, c.Verdict, c.Previous, c.Age, c.Witnesses, c.Against)
+					s.world.Elapsed(), p.name, c.Target, c.Verdict, c.Previous, c.Age, c.Witnesses, c.Opposing)
 			}
 		}
 	}
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -77,12 +77,12 @@
 
 // defaults returns the configuration that an empty file stands for.
 func defaults() *Config {
-	terms, verdicts, soft := owner.DefaultTerms(), verdict.DefaultConfig(), limit.DefaultSoft()
+	terms, verdicts, soft := owner.DefaultTerms(), verdict.DefaultConfig(), limit.DefaultSoftConfig()
 	return &Config{
 		Keepers:    Keepers{Lease: terms.Lease, Margin: terms.Margin},
-		Verdicts:   Verdicts{MaxEvidenceAge: verdicts.Fresh, ForgetAfter: verdicts.Forget, MinWitnesses: verdicts.Witnesses, MaxShare: verdicts.Part},
+		Verdicts:   Verdicts{MaxEvidenceAge: verdicts.MaxAge, ForgetAfter: verdicts.ForgetAfter, MinWitnesses: verdicts.MinWitnesses, MaxShare: verdicts.MaxFraction},
 		Retries:    Retries{Ratio: 0.2, Window: 10 * time.Second, MinRetries: 10},
-		SoftLimits: SoftLimits{StaleAfter: soft.Stale, HoldTime: soft.Hold},
+		SoftLimits: SoftLimits{StaleAfter: soft.StaleAfter, HoldTime: soft.DeadHold},
 		Log:        Log{Format: "plain"},
 	}
 }
@@ -222,7 +222,7 @@
 	for _, name := range f.SectionNames("limit") {
 		s := limitSection{Kind: "soft", Slices: 16}
 		f.Decode("limit "+name, &s)
-		l := limit.Limit{Name: name, Most: s.MaxConnections, Within: s.Window, Slices: s.Slices, Tenant: s.Tenant, Class: s.Class}
+		l := limit.Limit{Name: name, Max: s.MaxConnections, Period: s.Window, Slices: s.Slices, Tenant: s.Tenant, Class: s.Class}
 		if s.Kind == "strict" {
 			l.Kind = limit.StrictKind
 		}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -136,7 +136,7 @@
 func (c *Config) limitsWithoutMaximum() []limit.Limit {
 	list := slices.Clone(c.Limits)
 	for i := range list {
-		list[i].Most = 0
+		list[i].Max = 0
 	}
 	return list
 }
