--- a/internal/changes/bench_test.go
+++ b/internal/changes/bench_test.go
@@ -45,7 +45,7 @@
 		return Change{Key: fmt.Sprintf("server-%05d", i%5550), Value: fmt.Sprintf("10.20.123.123:9000 zone-1 %09d", i)}
 	}
 	step := func(i int) {
-		now = now.Add(config.PushEvery)
+		now = now.Add(config.MinPushInterval)
 		source.flushAt = now
 		if err := source.Propose(now, []Change{change(i)}); err != nil {
 			b.Fatal(err)
--- a/internal/changes/follow.go
+++ b/internal/changes/follow.go
@@ -29,7 +29,7 @@
 	r.audit(now)
 	// A source that the tree does not name any more asks too, so that it hears of its successor's epoch.
 	if r.tree == nil || r.leading && r.tree.Source() == r.cfg.Self {
-		r.askAt = now.Add(r.cfg.PullEvery)
+		r.askAt = now.Add(r.cfg.PullInterval)
 		return
 	}
 	if r.attempt != 0 && now.After(r.returnAt) && !r.behind() && r.snapshot == nil {
@@ -74,7 +74,7 @@
 		to = r.snapshot.server
 	}
 	if !ok || to == r.cfg.Self {
-		r.askAt = now.Add(r.cfg.PullEvery)
+		r.askAt = now.Add(r.cfg.PullInterval)
 		return
 	}
 	if to == r.tree.Source() && m.Flags&flagRepair != 0 {
@@ -88,7 +88,7 @@
 
 // regular has the next question go out at the usual time.
 func (r *Replica) regular(now time.Time) {
-	r.askAt = now.Add(r.cfg.PullEvery*3/4 + r.draw(r.cfg.PullEvery/2))
+	r.askAt = now.Add(r.cfg.PullInterval*3/4 + r.draw(r.cfg.PullInterval/2))
 }
 
 // pause has the next question wait for a time that grows with the number of failures, and go to somebody else.
@@ -201,7 +201,7 @@
 	r.fails = 0
 	if q.flags&flagChild == 0 {
 		r.attempt = 0
-		r.askAt = now.Add(r.draw(r.cfg.PullEvery / 4)) // to be pushed to again
+		r.askAt = now.Add(r.draw(r.cfg.PullInterval / 4)) // to be pushed to again
 		return
 	}
 	r.followOn(now)
--- a/internal/changes/replica.go
+++ b/internal/changes/replica.go
@@ -13,10 +13,10 @@
 
 // Flaws plant mistakes, for tests of the tests.
 type Flaws struct {
-	GapIgnored     bool // changes are applied though earlier ones are missing
-	DigestIgnored  bool // no digest is compared
-	OldEpochTaken  bool // a former source's changes are applied
-	BudgetExceeded bool // repair waits for nothing
+	GapIgnored         bool // changes are applied though earlier ones are missing
+	DigestIgnored      bool // no digest is compared
+	StaleEpochAccepted bool // a former source's changes are applied
+	BudgetExceeded     bool // repair waits for nothing
 }
 
 // Config is what a Replica needs.
@@ -24,19 +24,19 @@
 	Self    MemberID
 	Session uint64 // drawn for this life; questions are numbered from it on
 	Seed    uint64
-	// PullEvery is the mean time between two pulls, PullTimeout how long one waits for its answer.
-	PullEvery, PullTimeout time.Duration
-	// PushEvery is the least time between two pushes of a source's; changes that come meanwhile share one.
-	PushEvery time.Duration
+	// PullInterval is the mean time between two pulls, PullTimeout how long one waits for its answer.
+	PullInterval, PullTimeout time.Duration
+	// MinPushInterval is the least time between two pushes of a source's; changes that come meanwhile share one.
+	MinPushInterval time.Duration
 	// ChildLease is how long changes are pushed to a member after it pulled.
 	ChildLease time.Duration
 	// StaleAfter is the age of the state over which others than the parent are asked too.
 	StaleAfter time.Duration
-	// HoldOver is how many changes have to be missing for the others to be held back until all are there, HoldAtMost for how long.
-	HoldOver   int
-	HoldAtMost time.Duration
-	// MostChildren is to how many members changes are pushed.
-	MostChildren int
+	// HoldThreshold is how many changes have to be missing for the others to be held back until all are there, HoldAtMost for how long.
+	HoldThreshold int
+	MaxHold       time.Duration
+	// MaxChildren is to how many members changes are pushed.
+	MaxChildren int
 	// BytesPerSecond bounds what is sent and received, BurstBytes how much of it may come at once.
 	BytesPerSecond, BurstBytes float64
 	// LogChanges bounds the log; in bytes it is bounded by the state's size and LogBytes, whichever is larger.
@@ -47,8 +47,8 @@
 // DefaultConfig has the figures that docs/changes.md measures.
 func DefaultConfig() Config {
 	return Config{
-		PullEvery: time.Second, PullTimeout: 400 * time.Millisecond, PushEvery: 200 * time.Millisecond, ChildLease: 3500 * time.Millisecond, StaleAfter: 4 * time.Second,
-		HoldOver: 100, HoldAtMost: 2 * time.Minute, MostChildren: 16, BytesPerSecond: 4000, BurstBytes: 10000, LogChanges: 8192, LogBytes: 1 << 18,
+		PullInterval: time.Second, PullTimeout: 400 * time.Millisecond, MinPushInterval: 200 * time.Millisecond, ChildLease: 3500 * time.Millisecond, StaleAfter: 4 * time.Second,
+		HoldThreshold: 100, MaxHold: 2 * time.Minute, MaxChildren: 16, BytesPerSecond: 4000, BurstBytes: 10000, LogChanges: 8192, LogBytes: 1 << 18,
 	}
 }
 
@@ -159,7 +159,7 @@
 		cfg: c, rng: rand.New(rand.NewPCG(c.Seed, c.Session)), budget: NewBudget(now, c.BytesPerSecond, c.BurstBytes), state: NewState(),
 		sequence: c.Session >> 2, changed: make(map[string]struct{}),
 	}
-	r.askAt = now.Add(r.draw(c.PullEvery / 4))
+	r.askAt = now.Add(r.draw(c.PullInterval / 4))
 	return r
 }
 
@@ -215,7 +215,7 @@
 	r.tree = t
 	if parent, _ = t.Parent(r.cfg.Self); parent != old {
 		r.attempt = 0
-		r.askBy(now.Add(r.draw(r.cfg.PullEvery / 4)))
+		r.askBy(now.Add(r.draw(r.cfg.PullInterval / 4)))
 	}
 }
 
@@ -260,7 +260,7 @@
 		return
 	}
 	r.budget.Spend(now, m.class(), len(text)+DatagramOverhead)
-	if m.Epoch < r.fence && !m.question() && !r.cfg.Flaws.OldEpochTaken {
+	if m.Epoch < r.fence && !m.question() && !r.cfg.Flaws.StaleEpochAccepted {
 		r.Count.Stale++
 		r.settleQuestion(from, m)
 		return
@@ -356,13 +356,13 @@
 	case !r.behind() && r.snapshot == nil:
 		r.heldSince = time.Time{}
 	case !r.heldSince.IsZero():
-	case !r.aligned(), r.snapshot != nil, r.target > r.number+uint64(r.cfg.HoldOver):
+	case !r.aligned(), r.snapshot != nil, r.target > r.number+uint64(r.cfg.HoldThreshold):
 		r.heldSince = now
 	}
 	if r.heldSince.IsZero() {
 		return false
 	}
-	if now.Sub(r.heldSince) < r.cfg.HoldAtMost {
+	if now.Sub(r.heldSince) < r.cfg.MaxHold {
 		return true
 	}
 	r.heldSince = now
--- a/internal/changes/serve.go
+++ b/internal/changes/serve.go
@@ -64,7 +64,7 @@
 func (r *Replica) servePull(now time.Time, from MemberID, m *Message) {
 	answer := &Message{Kind: Answer, Sequence: m.Sequence, AgeMS: r.ageMS(now)}
 	answer.Status, answer.Batch = r.compare(m)
-	if m.Flags&flagChild != 0 && !r.children.take(now, from, now.Add(r.cfg.ChildLease), r.cfg.MostChildren) {
+	if m.Flags&flagChild != 0 && !r.children.take(now, from, now.Add(r.cfg.ChildLease), r.cfg.MaxChildren) {
 		answer.Status, answer.Batch = Busy, nil
 	}
 	if answer.Batch != nil && !r.cfg.Flaws.BudgetExceeded && !r.budget.Allows(now, ClassRepair) {
--- a/internal/changes/source.go
+++ b/internal/changes/source.go
@@ -88,7 +88,7 @@
 	if !r.leading || r.flushed >= r.number || now.Before(r.flushAt) {
 		return
 	}
-	r.flushAt = now.Add(r.cfg.PushEvery)
+	r.flushAt = now.Add(r.cfg.MinPushInterval)
 	bytes := len(r.children) * r.log.after(r.flushed, payload).size()
 	if now.Sub(r.flushedAt) < longestFlush && !r.budget.Has(now, ClassChange, bytes) {
 		return
--- a/internal/lab/changes/world.go
+++ b/internal/lab/changes/world.go
@@ -47,7 +47,7 @@
 	case "digest-not-checked":
 		return changes.Flaws{DigestIgnored: true}, nil
 	case "old-epoch-taken":
-		return changes.Flaws{OldEpochTaken: true}, nil
+		return changes.Flaws{StaleEpochAccepted: true}, nil
 	case "repair-storm":
 		return changes.Flaws{BudgetExceeded: true}, nil
 	}
