--- a/internal/changes/bench_test.go
+++ b/internal/changes/bench_test.go
@@ -36,7 +36,7 @@
 		inner.Take()
 		for _, r := range []*Replica{source, inner} {
 			r.TakeApplied()
-			r.TakeInForce()
+			r.TakeUpdate()
 		}
 	}
 	source.push(now, 0, nil)
--- a/internal/changes/follow.go
+++ b/internal/changes/follow.go
@@ -283,7 +283,7 @@
 			}
 			r.number = m.Base
 			r.Count.TakenBack += uint64(len(undo))
-			r.step(now, Applied{Epoch: r.line, From: from, To: r.number, Back: true})
+			r.step(now, AppliedRange{Epoch: r.line, From: from, To: r.number, RolledBack: true})
 			r.askAt = now
 			return
 		}
@@ -322,7 +322,7 @@
 		r.beginSnapshot(now)
 		return
 	}
-	step := Applied{Epoch: m.Epoch, From: r.number, To: b.To()}
+	step := AppliedRange{Epoch: m.Epoch, From: r.number, To: b.To()}
 	if gap {
 		step.From = b.From
 		r.log.Reset(b.To(), r.state.Digest())
--- a/internal/changes/replica.go
+++ b/internal/changes/replica.go
@@ -61,15 +61,15 @@
 	Text []byte
 }
 
-// Applied is a step of a replica's state, for judges: the changes after From up to To, of a source's epoch.
-type Applied struct {
+// AppliedRange is a step of a replica's state, for judges: the changes after From up to To, of a source's epoch.
+type AppliedRange struct {
 	Epoch, From, To uint64
 	Snapshot        bool // it took the state itself
-	Back            bool // it took a former source's changes after To back
+	RolledBack      bool // it took a former source's changes after To back
 }
 
-// InForce is what changed for the consumer since the last one. Changes has each key once, in the order of keys.
-type InForce struct {
+// Update is what changed for the consumer since the last one. Changes has each key once, in the order of keys.
+type Update struct {
 	Epoch, Number uint64
 	Digest        uint64
 	Changes       []Change
@@ -145,8 +145,8 @@
 	snapshot  *snapshot
 
 	sends     []Send
-	applied   []Applied
-	inForce   *InForce
+	applied   []AppliedRange
+	inForce   *Update
 	changed   map[string]struct{} // keys that the consumer does not know the value of
 	published uint64
 	heldSince time.Time // changes are held back since then; zero: they are not
@@ -328,22 +328,22 @@
 }
 
 // TakeApplied returns the steps of the state since the last call.
-func (r *Replica) TakeApplied() []Applied {
+func (r *Replica) TakeApplied() []AppliedRange {
 	applied := r.applied
 	r.applied = nil
 	return applied
 }
 
-// TakeInForce returns what the consumer is to bring into force since the last call, nil if there is nothing. What was missed comes in one
+// TakeUpdate returns what the consumer is to bring into force since the last call, nil if there is nothing. What was missed comes in one
 // piece, once all of it is there.
-func (r *Replica) TakeInForce() *InForce {
+func (r *Replica) TakeUpdate() *Update {
 	f := r.inForce
 	r.inForce = nil
 	return f
 }
 
 // step takes note of changes that were applied to the state.
-func (r *Replica) step(now time.Time, a Applied) {
+func (r *Replica) step(now time.Time, a AppliedRange) {
 	r.steppedAt = now
 	r.applied = append(r.applied, a)
 	r.log.compact(r.cfg.LogChanges, max(r.cfg.LogBytes, r.state.Bytes()))
@@ -384,7 +384,7 @@
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
-	f := &InForce{Epoch: r.line, Number: r.number, Digest: r.state.Digest()}
+	f := &Update{Epoch: r.line, Number: r.number, Digest: r.state.Digest()}
 	for _, key := range keys {
 		value, ok := r.state.Get(key)
 		f.Changes = append(f.Changes, Change{Key: key, Value: value, Delete: !ok})
--- a/internal/changes/replica_test.go
+++ b/internal/changes/replica_test.go
@@ -174,11 +174,11 @@
 		t.Fatal(err)
 	}
 	f.calm(5 * time.Second)
-	got := f.replicas[1].TakeInForce()
+	got := f.replicas[1].TakeUpdate()
 	if got == nil || len(got.Changes) != 3 || !got.Changes[1].Delete || got.Changes[2].Value != "8" || got.Number != 11 {
 		t.Errorf("%+v", got)
 	}
-	if f.replicas[1].TakeInForce() != nil {
+	if f.replicas[1].TakeUpdate() != nil {
 		t.Error("told twice")
 	}
 }
--- a/internal/changes/snapshot.go
+++ b/internal/changes/snapshot.go
@@ -258,7 +258,7 @@
 		r.asOf = time.Time{} // it was vouched for at a later number
 	}
 	r.target = max(r.target, m.Number)
-	r.step(now, Applied{Epoch: r.line, From: from, To: r.number, Snapshot: true})
+	r.step(now, AppliedRange{Epoch: r.line, From: from, To: r.number, Snapshot: true})
 	r.confirmPromised()
 	r.push(now, q.to, nil)
 	r.attempt = 0
--- a/internal/changes/source.go
+++ b/internal/changes/source.go
@@ -72,7 +72,7 @@
 	}
 	r.target, r.asOf = r.number, now
 	if r.number > from {
-		r.step(now, Applied{Epoch: r.line, From: from, To: r.number})
+		r.step(now, AppliedRange{Epoch: r.line, From: from, To: r.number})
 	}
 	r.flush(now)
 	r.publish(now)
--- a/internal/lab/changes/judge.go
+++ b/internal/lab/changes/judge.go
@@ -42,7 +42,7 @@
 }
 
 // caughtUp notes a step of a process that was cut off.
-func (j *judge) caughtUp(p *process, f *changes.InForce) {
+func (j *judge) caughtUp(p *process, f *changes.Update) {
 	h := &j.heal
 	if h.region == "" || p.member.Region != h.region || p.started > h.at || p.inForce >= h.number {
 		return
@@ -89,7 +89,7 @@
 	for _, a := range p.replica.TakeApplied() {
 		j.applied(p, a)
 	}
-	if f := p.replica.TakeInForce(); f != nil {
+	if f := p.replica.TakeUpdate(); f != nil {
 		j.inForce(p, f)
 	}
 	if p == j.world.source && p.replica.Leading() {
@@ -100,7 +100,7 @@
 	}
 }
 
-func (j *judge) applied(p *process, a changes.Applied) {
+func (j *judge) applied(p *process, a changes.AppliedRange) {
 	j.Count.Applied++
 	if a.Snapshot {
 		j.Count.Snapshots++
@@ -108,11 +108,11 @@
 	switch {
 	case a.Epoch < p.epoch:
 		j.fail("process %d applied changes of epoch %d after some of epoch %d", p.member.ID, a.Epoch, p.epoch)
-	case a.Epoch < p.replica.Fence() && !a.Back:
+	case a.Epoch < p.replica.Fence() && !a.RolledBack:
 		j.fail("process %d applied changes of epoch %d, having heard of epoch %d", p.member.ID, a.Epoch, p.replica.Fence())
 	case a.From != p.number:
 		j.fail("process %d applied changes after %d at %d", p.member.ID, a.From, p.number)
-	case a.To <= a.From && !a.Snapshot && !a.Back:
+	case a.To <= a.From && !a.Snapshot && !a.RolledBack:
 		j.fail("process %d applied no change after %d", p.member.ID, a.From)
 	}
 	p.epoch, p.number = a.Epoch, a.To
@@ -124,7 +124,7 @@
 	}
 }
 
-func (j *judge) inForce(p *process, f *changes.InForce) {
+func (j *judge) inForce(p *process, f *changes.Update) {
 	first := p.inForce == 0
 	if f.Epoch == j.world.epoch && !first && p != j.world.source {
 		for number := p.inForce + 1; number <= f.Number; number++ {
