--- a/internal/changes/bench_test.go
+++ b/internal/changes/bench_test.go
@@ -15,7 +15,7 @@
 	config := DefaultConfig()
 	config.Self, config.Session, config.BytesPerSecond, config.BurstBytes = 1, 1, 1e12, 1e12
 	source := New(now, config)
-	if err := source.Lead(now, 1); err != nil {
+	if err := source.BecomeSource(now, 1); err != nil {
 		b.Fatal(err)
 	}
 	source.SetTree(now, tree)
@@ -30,10 +30,10 @@
 		inner.children.take(now, child, now.Add(time.Hour), 4)
 	}
 	deliver := func() {
-		for _, send := range source.Take() {
-			inner.Handle(now, 1, send.Text)
+		for _, send := range source.TakeMessages() {
+			inner.Handle(now, 1, send.Data)
 		}
-		inner.Take()
+		inner.TakeMessages()
 		for _, r := range []*Replica{source, inner} {
 			r.TakeApplied()
 			r.TakeUpdate()
@@ -65,8 +65,8 @@
 	for i := range b.N {
 		step(5550 + i)
 	}
-	if _, number := inner.Position(); number != uint64(5550+b.N) || inner.Count.Sent < uint64(4*b.N) {
-		b.Fatalf("at %d, %+v", number, inner.Count)
+	if _, number := inner.Position(); number != uint64(5550+b.N) || inner.Counters.Sent < uint64(4*b.N) {
+		b.Fatalf("at %d, %+v", number, inner.Counters)
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/1024, "KB-of-both")
 }
--- a/internal/changes/follow.go
+++ b/internal/changes/follow.go
@@ -46,7 +46,7 @@
 	if r.waits(now, ClassRepair) {
 		return
 	}
-	r.Count.Repairs++
+	r.Counters.Repairs++
 	m := &Message{Kind: Pull, Flags: flagRepair}
 	if r.attempt == 0 {
 		m.Flags |= flagChild
@@ -78,7 +78,7 @@
 		return
 	}
 	if to == r.tree.Source() && m.Flags&flagRepair != 0 {
-		r.Count.RepairsAtSource++
+		r.Counters.RepairsAtSource++
 	}
 	r.sequence++
 	m.Sequence = r.sequence
@@ -112,7 +112,7 @@
 
 // unanswered gives the question up that is out.
 func (r *Replica) unanswered(now time.Time) {
-	r.Count.Unanswered++
+	r.Counters.Unanswered++
 	r.asked = nil
 	if r.snapshot != nil {
 		r.snapshot.server = 0
@@ -235,7 +235,7 @@
 // pushed takes changes that came unasked, or a position.
 func (r *Replica) pushed(now time.Time, from MemberID, m *Message) {
 	if m.Batch != nil && m.Batch.To() > m.Number {
-		r.Count.Damaged++
+		r.Counters.Damaged++
 		return
 	}
 	news := m.Number > r.target
@@ -282,7 +282,7 @@
 				r.changed[c.Key] = struct{}{}
 			}
 			r.number = m.Base
-			r.Count.TakenBack += uint64(len(undo))
+			r.Counters.RolledBack += uint64(len(undo))
 			r.step(now, AppliedRange{Epoch: r.line, From: from, To: r.number, RolledBack: true})
 			r.askAt = now
 			return
@@ -296,7 +296,7 @@
 	b := m.Batch
 	flaws := r.cfg.Flaws
 	if b.To() <= r.number {
-		r.Count.Duplicates++
+		r.Counters.Duplicates++
 		if digest, ok := r.log.digestAt(b.To()); ok && digest != b.After && !flaws.DigestIgnored {
 			r.realign(now, m)
 		}
@@ -304,12 +304,12 @@
 	}
 	gap := b.From > r.number
 	if gap && !flaws.GapIgnored {
-		r.Count.Gaps++
+		r.Counters.Gaps++
 		r.askBy(now.Add(repairSoon + r.draw(repairSoon)))
 		return
 	}
 	if b.From == r.number && b.Before != r.state.Digest() && !flaws.DigestIgnored {
-		r.Count.Mismatches++
+		r.Counters.Mismatches++
 		r.realign(now, m)
 		return
 	}
@@ -318,7 +318,7 @@
 		rest = b.Changes[r.number-b.From:]
 	}
 	if !r.apply(rest, b.After, gap || flaws.DigestIgnored) {
-		r.Count.Mismatches++
+		r.Counters.Mismatches++
 		r.beginSnapshot(now)
 		return
 	}
@@ -372,7 +372,7 @@
 	case r.leading:
 		r.recount()
 	default:
-		r.Count.Mismatches++
+		r.Counters.Mismatches++
 		r.beginSnapshot(now)
 	}
 }
--- a/internal/changes/replica.go
+++ b/internal/changes/replica.go
@@ -55,10 +55,10 @@
 // DatagramOverhead is what each message costs next to its own bytes: IP and UDP headers and the carrier's envelope.
 const DatagramOverhead = 64
 
-// Send is a message to a member.
-type Send struct {
+// Outgoing is a message to a member.
+type Outgoing struct {
 	To   MemberID
-	Text []byte
+	Data []byte
 }
 
 // AppliedRange is a step of a replica's state, for judges: the changes after From up to To, of a source's epoch.
@@ -79,7 +79,7 @@
 type Counters struct {
 	Sent, Received, BytesSent, BytesReceived uint64
 	Damaged                                  uint64 // messages that can't be read
-	Stale                                    uint64 // messages of a former source's, refused
+	StaleEpoch                               uint64 // messages of a former source's, refused
 	Duplicates                               uint64 // batches without news
 	Gaps                                     uint64 // batches ahead of the state
 	Mismatches                               uint64 // digests that were wrong
@@ -87,7 +87,7 @@
 	RepairsAtSource                          uint64 // of them to the source
 	Unanswered                               uint64 // questions
 	RefusedBusy                              uint64 // questions that were refused for want of bytes or places
-	TakenBack                                uint64 // changes of former sources
+	RolledBack                               uint64 // changes of former sources
 	Snapshots, SnapshotsFailed               uint64
 	PushesSkipped                            uint64 // for want of bytes
 	Ignored                                  uint64 // questions that were not answered for want of bytes
@@ -144,13 +144,13 @@
 	auditNext int
 	snapshot  *snapshot
 
-	sends     []Send
+	sends     []Outgoing
 	applied   []AppliedRange
 	inForce   *Update
 	changed   map[string]struct{} // keys that the consumer does not know the value of
 	published uint64
 	heldSince time.Time // changes are held back since then; zero: they are not
-	Count     Counters
+	Counters  Counters
 }
 
 // New returns a replica with an empty state.
@@ -177,8 +177,8 @@
 // Fence returns the highest epoch heard of.
 func (r *Replica) Fence() uint64 { return r.fence }
 
-// Leading tells whether this is the source.
-func (r *Replica) Leading() bool { return r.leading }
+// IsSource tells whether this is the source.
+func (r *Replica) IsSource() bool { return r.leading }
 
 // aligned tells whether the state is known to belong to the present epoch.
 func (r *Replica) aligned() bool { return r.line == r.fence && r.fence > 0 }
@@ -190,8 +190,8 @@
 // vouched for it yet.
 func (r *Replica) AsOf() (at time.Time, ok bool) { return r.asOf, !r.asOf.IsZero() }
 
-// Raise refuses all epochs below one that is known from elsewhere.
-func (r *Replica) Raise(now time.Time, epoch uint64) { r.observe(now, epoch) }
+// RaiseFence refuses all epochs below one that is known from elsewhere.
+func (r *Replica) RaiseFence(now time.Time, epoch uint64) { r.observe(now, epoch) }
 
 // observe takes note of an epoch. A higher one ends this process's own lead.
 func (r *Replica) observe(now time.Time, epoch uint64) {
@@ -251,23 +251,23 @@
 
 // Handle takes a message from a member. Each may be lost, late, repeated or out of order.
 func (r *Replica) Handle(now time.Time, from MemberID, text []byte) {
-	r.Count.Received++
-	r.Count.BytesReceived += uint64(len(text) + DatagramOverhead)
+	r.Counters.Received++
+	r.Counters.BytesReceived += uint64(len(text) + DatagramOverhead)
 	m, err := Decode(text)
 	if err != nil {
-		r.Count.Damaged++
+		r.Counters.Damaged++
 		r.budget.Spend(now, ClassChange, len(text)+DatagramOverhead)
 		return
 	}
 	r.budget.Spend(now, m.class(), len(text)+DatagramOverhead)
 	if m.Epoch < r.fence && !m.question() && !r.cfg.Flaws.StaleEpochAccepted {
-		r.Count.Stale++
+		r.Counters.StaleEpoch++
 		r.settleQuestion(from, m)
 		return
 	}
 	r.observe(now, m.Epoch)
 	if m.question() && r.budget.Exhausted(now, m.class()) && !r.cfg.Flaws.BudgetExceeded {
-		r.Count.Ignored++
+		r.Counters.Ignored++
 		return
 	}
 	switch m.Kind {
@@ -315,13 +315,13 @@
 	}
 	text := m.Encode()
 	r.budget.Spend(now, m.class(), len(text)+DatagramOverhead)
-	r.Count.Sent++
-	r.Count.BytesSent += uint64(len(text) + DatagramOverhead)
-	r.sends = append(r.sends, Send{to, text})
+	r.Counters.Sent++
+	r.Counters.BytesSent += uint64(len(text) + DatagramOverhead)
+	r.sends = append(r.sends, Outgoing{to, text})
 }
 
-// Take returns what is to be sent since the last call.
-func (r *Replica) Take() []Send {
+// TakeMessages returns what is to be sent since the last call.
+func (r *Replica) TakeMessages() []Outgoing {
 	sends := r.sends
 	r.sends = nil
 	return sends
--- a/internal/changes/replica_test.go
+++ b/internal/changes/replica_test.go
@@ -39,8 +39,8 @@
 // collect takes what the replicas send.
 func (f *fleet) collect() {
 	for i, r := range f.replicas {
-		for _, send := range r.Take() {
-			f.way = append(f.way, parcel{MemberID(i + 1), send.To, send.Text})
+		for _, send := range r.TakeMessages() {
+			f.way = append(f.way, parcel{MemberID(i + 1), send.To, send.Data})
 		}
 	}
 }
@@ -67,7 +67,7 @@
 func (f *fleet) calm(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.advance(50 * time.Millisecond) {
 		for _, r := range f.replicas {
-			r.Confirm(f.now)
+			r.ConfirmCurrent(f.now)
 		}
 		for len(f.way) > 0 {
 			f.deliver(0, false)
@@ -82,7 +82,7 @@
 		epoch := uint64(0)
 		lead := func(r *Replica) {
 			epoch++
-			if err := r.Lead(f.now, epoch); err != nil && !errors.Is(err, ErrStaleEpoch) {
+			if err := r.BecomeSource(f.now, epoch); err != nil && !errors.Is(err, ErrStaleEpoch) {
 				t.Fatal(err)
 			}
 			f.collect()
@@ -98,7 +98,7 @@
 				lead(f.replicas[rapid.IntRange(0, 1).Draw(t, "source")])
 			case what <= 3: // by whoever takes itself for the source
 				r := f.replicas[rapid.IntRange(0, 1).Draw(t, "source")]
-				if err := r.Propose(f.now, []Change{drawChange(t)}); err != nil && !errors.Is(err, ErrNotLeading) {
+				if err := r.Propose(f.now, []Change{drawChange(t)}); err != nil && !errors.Is(err, ErrNotSource) {
 					t.Fatal(err)
 				}
 				f.collect()
@@ -130,7 +130,7 @@
 // A former source's changes are refused, it learns that it is none, and what it said alone is taken back.
 func TestFormerSourceIsRefused(t *testing.T) {
 	f := newFleet(4)
-	if err := f.replicas[0].Lead(f.now, 1); err != nil {
+	if err := f.replicas[0].BecomeSource(f.now, 1); err != nil {
 		t.Fatal(err)
 	}
 	propose := func(r *Replica, value string) {
@@ -140,19 +140,19 @@
 	}
 	propose(f.replicas[0], "first")
 	f.calm(10 * time.Second)
-	if err := f.replicas[1].Lead(f.now, 2); err != nil {
+	if err := f.replicas[1].BecomeSource(f.now, 2); err != nil {
 		t.Fatal(err)
 	}
 	propose(f.replicas[1], "second")
 	propose(f.replicas[0], "of a former source")
 	f.calm(10 * time.Second)
 	for i, r := range f.replicas {
-		if value, _ := r.State().Get("key"); value != "second" || r.Leading() != (i == 1) {
-			t.Errorf("replica %d has %q, leading %v", i+1, value, r.Leading())
+		if value, _ := r.State().Get("key"); value != "second" || r.IsSource() != (i == 1) {
+			t.Errorf("replica %d has %q, leading %v", i+1, value, r.IsSource())
 		}
 	}
-	if f.replicas[0].Count.TakenBack != 1 || f.replicas[0].Lead(f.now, 1) == nil {
-		t.Errorf("%+v", f.replicas[0].Count)
+	if f.replicas[0].Counters.RolledBack != 1 || f.replicas[0].BecomeSource(f.now, 1) == nil {
+		t.Errorf("%+v", f.replicas[0].Counters)
 	}
 	if err := f.replicas[1].Propose(f.now, []Change{{Key: ""}}); !errors.Is(err, ErrEntry) {
 		t.Errorf("a change without a key: %v", err)
@@ -162,7 +162,7 @@
 // The consumer is told of each key once, and of deletions.
 func TestInForceHasEachKeyOnce(t *testing.T) {
 	f := newFleet(2)
-	if err := f.replicas[0].Lead(f.now, 1); err != nil {
+	if err := f.replicas[0].BecomeSource(f.now, 1); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 10 {
--- a/internal/changes/serve.go
+++ b/internal/changes/serve.go
@@ -46,7 +46,7 @@
 			continue
 		}
 		if !r.budget.Allows(now, ClassChange) {
-			r.Count.PushesSkipped++
+			r.Counters.PushesSkipped++
 			continue
 		}
 		r.send(now, c.id, &Message{Kind: Push, Batch: b})
@@ -71,7 +71,7 @@
 		answer.Status, answer.Batch = Busy, nil
 	}
 	if answer.Status == Busy {
-		r.Count.RefusedBusy++
+		r.Counters.RefusedBusy++
 	}
 	r.send(now, from, answer)
 }
@@ -106,7 +106,7 @@
 		answer.Status = Behind
 	case !r.guests.take(now, from, now.Add(guestLease), mostGuests), !r.cfg.Flaws.BudgetExceeded && !r.budget.Allows(now, ClassSnapshot):
 		answer.Status = Busy
-		r.Count.RefusedBusy++
+		r.Counters.RefusedBusy++
 	default:
 		answer.Status = Newer
 		return true
--- a/internal/changes/snapshot.go
+++ b/internal/changes/snapshot.go
@@ -231,7 +231,7 @@
 }
 
 func (r *Replica) failSnapshot(now time.Time) {
-	r.Count.SnapshotsFailed++
+	r.Counters.SnapshotsFailed++
 	r.snapshot.restart()
 	r.pause(now)
 }
@@ -239,7 +239,7 @@
 // finishSnapshot has the copy take the state's place.
 func (r *Replica) finishSnapshot(now time.Time, q *question, m *Message) {
 	s := r.snapshot
-	r.Count.Snapshots++
+	r.Counters.Snapshots++
 	for key, value := range s.state.entries { // any order: keys are only noted
 		if old, ok := r.state.Get(key); !ok || old != value {
 			r.changed[key] = struct{}{}
--- a/internal/changes/source.go
+++ b/internal/changes/source.go
@@ -8,13 +8,13 @@
 
 // Errors of a source.
 var (
-	ErrNotLeading = errors.New("changes: this is not the source")
+	ErrNotSource  = errors.New("changes: this is not the source")
 	ErrStaleEpoch = errors.New("changes: an epoch that is not above those heard of")
 )
 
-// Lead makes this process the source under an epoch, which must be above all before it: an owner's token is. It goes on from its state
+// BecomeSource makes this process the source under an epoch, which must be above all before it: an owner's token is. It goes on from its state
 // and number; what others had of a former source beyond that they take back.
-func (r *Replica) Lead(now time.Time, epoch uint64) error {
+func (r *Replica) BecomeSource(now time.Time, epoch uint64) error {
 	if epoch <= r.fence && !(epoch == r.fence && r.line < epoch) {
 		return fmt.Errorf("%w: %d, heard of %d", ErrStaleEpoch, epoch, r.fence)
 	}
@@ -35,7 +35,7 @@
 	if counted.Digest() == r.state.Digest() || r.cfg.Flaws.DigestIgnored {
 		return
 	}
-	r.Count.Mismatches++
+	r.Counters.Mismatches++
 	r.state = counted
 	r.log.Reset(r.number, counted.Digest())
 }
@@ -43,8 +43,8 @@
 // Resign ends the lead; the state stays.
 func (r *Replica) Resign() { r.leading = false }
 
-// Confirm says that the state is the truth as of now.
-func (r *Replica) Confirm(now time.Time) {
+// ConfirmCurrent says that the state is the truth as of now.
+func (r *Replica) ConfirmCurrent(now time.Time) {
 	if r.leading {
 		r.asOf = now
 	}
@@ -53,7 +53,7 @@
 // Propose numbers changes and passes them on. Those that change nothing are left out.
 func (r *Replica) Propose(now time.Time, proposed []Change) error {
 	if !r.leading {
-		return ErrNotLeading
+		return ErrNotSource
 	}
 	for _, c := range proposed {
 		if err := c.check(); err != nil {
--- a/internal/changes/state.go
+++ b/internal/changes/state.go
@@ -208,8 +208,8 @@
 	return sum == s.parts[bucket]
 }
 
-// Damage overwrites a value without the digest's knowledge, as a fault of memory would. It is for tests.
-func (s *State) Damage(key, value string) {
+// CorruptValue overwrites a value without the digest's knowledge, as a fault of memory would. It is for tests.
+func (s *State) CorruptValue(key, value string) {
 	if _, ok := s.entries[key]; ok {
 		s.entries[key] = value
 	}
--- a/internal/lab/changes/changes_test.go
+++ b/internal/lab/changes/changes_test.go
@@ -22,7 +22,7 @@
 		}
 	}
 	t.Logf("%+v", all)
-	if n := int(last); all.Kills < n || all.Cuts < n || all.LateSources < n/2 || all.Damages < n || all.Snapshots < n || all.Replicas.Stale < last {
+	if n := int(last); all.Kills < n || all.Cuts < n || all.LateSources < n/2 || all.Damages < n || all.Snapshots < n || all.Replicas.StaleEpoch < last {
 		t.Errorf("the faults did not bite: %+v", all)
 	}
 }
--- a/internal/lab/changes/faults.go
+++ b/internal/lab/changes/faults.go
@@ -147,7 +147,7 @@
 
 // speakLate has a former source propose what is not true, if it does not know yet that it is one.
 func (w *world) speakLate(p *process) {
-	if !p.up || p == w.source || !p.replica.Leading() || p.stalled > w.now {
+	if !p.up || p == w.source || !p.replica.IsSource() || p.stalled > w.now {
 		return
 	}
 	w.judge.Count.LateSources++
@@ -162,5 +162,5 @@
 		return
 	}
 	w.judge.Count.Damages++
-	p.replica.State().Damage(keyName(w.rng.IntN(w.options.Keys)), "damaged")
+	p.replica.State().CorruptValue(keyName(w.rng.IntN(w.options.Keys)), "damaged")
 }
--- a/internal/lab/changes/judge.go
+++ b/internal/lab/changes/judge.go
@@ -92,7 +92,7 @@
 	if f := p.replica.TakeUpdate(); f != nil {
 		j.inForce(p, f)
 	}
-	if p == j.world.source && p.replica.Leading() {
+	if p == j.world.source && p.replica.IsSource() {
 		epoch, number := p.replica.Position()
 		if n := len(j.history); n == 0 || j.history[n-1].number != number {
 			j.history = append(j.history, position{j.world.now, epoch, number})
@@ -116,7 +116,7 @@
 		j.fail("process %d applied no change after %d", p.member.ID, a.From)
 	}
 	p.epoch, p.number = a.Epoch, a.To
-	if p == j.world.source && p.replica.Leading() {
+	if p == j.world.source && p.replica.IsSource() {
 		for number := a.From + 1; number <= a.To; number++ {
 			j.Count.Changes++
 			j.proposed[number] = j.world.now
@@ -185,7 +185,7 @@
 		if !p.up {
 			continue
 		}
-		sum := p.replica.Count.BytesSent + p.replica.Count.BytesReceived
+		sum := p.replica.Counters.BytesSent + p.replica.Counters.BytesReceived
 		second := float64(sum - p.traffic.last)
 		p.traffic.last = sum
 		p.traffic.seconds[p.traffic.next%10] = second
--- a/internal/lab/changes/run.go
+++ b/internal/lab/changes/run.go
@@ -128,7 +128,7 @@
 func (w *world) confirmAlways() {
 	w.every(500*time.Millisecond, func() {
 		if p := w.source; p != nil && p.up && p.stalled <= w.now {
-			p.replica.Confirm(p.clock(w.now))
+			p.replica.ConfirmCurrent(p.clock(w.now))
 		}
 	})
 }
@@ -136,7 +136,7 @@
 func (w *world) result(alikeAfter time.Duration) Result {
 	j := w.judge
 	for _, p := range w.processes {
-		addCounters(&j.Count.Replicas, &p.replica.Count)
+		addCounters(&j.Count.Replicas, &p.replica.Counters)
 	}
 	ms := func(quantile float64) time.Duration {
 		return time.Duration(j.latency.ValueAtQuantile(quantile)) * time.Millisecond
@@ -150,9 +150,9 @@
 func addCounters(to, from *changes.Counters) {
 	for _, pair := range []struct{ to, from *uint64 }{
 		{&to.Sent, &from.Sent}, {&to.Received, &from.Received}, {&to.BytesSent, &from.BytesSent}, {&to.BytesReceived, &from.BytesReceived},
-		{&to.Damaged, &from.Damaged}, {&to.Stale, &from.Stale}, {&to.Duplicates, &from.Duplicates}, {&to.Gaps, &from.Gaps},
+		{&to.Damaged, &from.Damaged}, {&to.StaleEpoch, &from.StaleEpoch}, {&to.Duplicates, &from.Duplicates}, {&to.Gaps, &from.Gaps},
 		{&to.Mismatches, &from.Mismatches}, {&to.Repairs, &from.Repairs}, {&to.RepairsAtSource, &from.RepairsAtSource},
-		{&to.Unanswered, &from.Unanswered}, {&to.RefusedBusy, &from.RefusedBusy}, {&to.TakenBack, &from.TakenBack}, {&to.Snapshots, &from.Snapshots},
+		{&to.Unanswered, &from.Unanswered}, {&to.RefusedBusy, &from.RefusedBusy}, {&to.RolledBack, &from.RolledBack}, {&to.Snapshots, &from.Snapshots},
 		{&to.SnapshotsFailed, &from.SnapshotsFailed}, {&to.PushesSkipped, &from.PushesSkipped}, {&to.Ignored, &from.Ignored},
 	} {
 		*pair.to += *pair.from
@@ -177,7 +177,7 @@
 		"changes %d, steps %d, snapshots %d, of them failed %d, ages checked %d; messages %d, of former sources refused %d, gaps %d, wrong digests %d, "+
 		"repairs %d, of them at the source %d, changes taken back %d, refused for want of bytes %d",
 		c.Seeds, c.Kills, c.Cuts, c.Stalls, c.SourcesReplaced, c.LateSources, c.Damages, c.Changes, c.Applied, c.Snapshots, r.SnapshotsFailed,
-		c.AgesChecked, r.Received, r.Stale, r.Gaps, r.Mismatches, r.Repairs, r.RepairsAtSource, r.TakenBack, r.RefusedBusy)
+		c.AgesChecked, r.Received, r.StaleEpoch, r.Gaps, r.Mismatches, r.Repairs, r.RepairsAtSource, r.RolledBack, r.RefusedBusy)
 }
 
 func (r Result) String() string {
--- a/internal/lab/changes/world.go
+++ b/internal/lab/changes/world.go
@@ -198,7 +198,7 @@
 	w.processes = append(w.processes, p)
 	w.byID[p.member.ID] = p
 	if w.tree != nil {
-		p.replica.Raise(p.clock(w.now), w.epoch)
+		p.replica.RaiseFence(p.clock(w.now), w.epoch)
 		w.after(w.rand(time.Second), func() { w.giveTree(p) })
 	}
 	w.membersChanged(0)
@@ -258,7 +258,7 @@
 	w.epoch++
 	w.source = p
 	w.judge.led(p)
-	if err := p.replica.Lead(p.clock(w.now), w.epoch); err != nil {
+	if err := p.replica.BecomeSource(p.clock(w.now), w.epoch); err != nil {
 		w.judge.fail("%v", err)
 		return
 	}
@@ -273,7 +273,7 @@
 // tellTruth has the source propose what the truth is, as one that asks discovery.
 func (w *world) tellTruth() {
 	p := w.source
-	if p == nil || !p.up || p.stalled > w.now || !p.replica.Leading() {
+	if p == nil || !p.up || p.stalled > w.now || !p.replica.IsSource() {
 		return
 	}
 	entries := make([]changes.Entry, 0, len(w.truth))
@@ -295,7 +295,7 @@
 	} else {
 		w.truth[key] = c.Value
 	}
-	if p := w.source; p != nil && p.up && p.stalled <= w.now && p.replica.Leading() {
+	if p := w.source; p != nil && p.up && p.stalled <= w.now && p.replica.IsSource() {
 		_ = p.replica.Propose(p.clock(w.now), []changes.Change{c}) // it leads
 		w.settle(p)
 	}
@@ -305,7 +305,7 @@
 
 // settle carries out what a process wants, and has the judge see what it did.
 func (w *world) settle(p *process) {
-	for _, send := range p.replica.Take() {
+	for _, send := range p.replica.TakeMessages() {
 		w.carry(p, send)
 	}
 	w.judge.saw(p)
@@ -318,7 +318,7 @@
 	heap.Push(&w.queue, event{at: p.tickAt, order: w.order, to: p})
 }
 
-func (w *world) carry(from *process, send changes.Send) {
+func (w *world) carry(from *process, send changes.Outgoing) {
 	to := w.byID[send.To]
 	if to == nil || !w.linked(from, to) || w.links.Float64() < w.options.Loss {
 		return
@@ -333,7 +333,7 @@
 			delay += time.Duration(w.links.Int64N(int64(10 * time.Second)))
 		}
 		w.order++
-		heap.Push(&w.queue, event{at: w.now + delay, order: w.order, to: to, from: from.member.ID, text: send.Text})
+		heap.Push(&w.queue, event{at: w.now + delay, order: w.order, to: to, from: from.member.ID, text: send.Data})
 	}
 }
 
