--- a/internal/changes/bench_test.go
+++ b/internal/changes/bench_test.go
@@ -19,7 +19,7 @@
 		b.Fatal(err)
 	}
 	source.SetTree(now, tree)
-	source.children.take(now, 2, now.Add(time.Hour), 1)
+	source.children.acquire(now, 2, now.Add(time.Hour), 1)
 	config.Self, config.Session = 2, 2
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -27,7 +27,7 @@
 	inner := New(now, config)
 	inner.SetTree(now, tree)
 	for child := MemberID(3); child < 7; child++ {
-		inner.children.take(now, child, now.Add(time.Hour), 4)
+		inner.children.acquire(now, child, now.Add(time.Hour), 4)
 	}
 	deliver := func() {
 		for _, send := range source.TakeMessages() {
@@ -39,14 +39,14 @@
 			r.TakeUpdate()
 		}
 	}
-	source.push(now, 0, nil)
+	source.pushToChildren(now, 0, nil)
 	deliver()
 	change := func(i int) Change {
 		return Change{Key: fmt.Sprintf("server-%05d", i%5550), Value: fmt.Sprintf("10.20.123.123:9000 zone-1 %09d", i)}
 	}
 	step := func(i int) {
 		now = now.Add(config.MinPushInterval)
-		source.flushAt = now
+		source.nextFlushAt = now
 		if err := source.Propose(now, []Change{change(i)}); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/changes/log.go
+++ b/internal/changes/log.go
@@ -20,8 +20,8 @@
 // To is the number of the last change.
 func (b *Batch) To() uint64 { return b.From + uint64(len(b.Changes)) }
 
-// size is about how many bytes it takes as a message.
-func (b *Batch) size() int {
+// estimatedSize is about how many bytes it takes as a message.
+func (b *Batch) estimatedSize() int {
 	const header = 40
 	size := header + DatagramOverhead
 	if b != nil {
@@ -32,8 +32,8 @@
 	return size
 }
 
-// logged is a change, what takes it back, and the digest of the state that it led to.
-type logged struct {
+// logEntry is a change, what takes it back, and the digest of the state that it led to.
+type logEntry struct {
 	change Change
 	undo   Change
 	digest uint64
@@ -42,32 +42,32 @@
 // Log is the latest changes of a state, bounded in number and bytes: the oldest ones are dropped, and whoever needs those takes a
 // snapshot.
 type Log struct {
-	first   uint64 // number of the state that the oldest change applies to
-	before  uint64 // digest of that state
-	changes []logged
-	bytes   int
+	baseNumber uint64 // number of the state that the oldest change applies to
+	baseDigest uint64 // digest of that state
+	changes    []logEntry
+	bytes      int
 }
 
 // Reset drops all changes; the log goes on from a state's number and digest.
 func (l *Log) Reset(number, digest uint64) {
-	*l = Log{first: number, before: digest}
+	*l = Log{baseNumber: number, baseDigest: digest}
 }
 
 // Last returns the number of the latest change.
-func (l *Log) Last() uint64 { return l.first + uint64(len(l.changes)) }
+func (l *Log) Last() uint64 { return l.baseNumber + uint64(len(l.changes)) }
 
 func (l *Log) append(c, undo Change, digest uint64) {
-	l.changes = append(l.changes, logged{c, undo, digest})
+	l.changes = append(l.changes, logEntry{c, undo, digest})
 	l.bytes += changeSize(c)
 }
 
-// back drops the changes after a number and returns what takes them back, in the order in which it is to be done; ok is false if the log
-// does not reach back so far.
-func (l *Log) back(number uint64) (undo []Change, ok bool) {
-	if number < l.first || number > l.Last() {
+// rollBack drops the changes after a number and returns what takes them rollBack, in the order in which it is to be done; ok is false if the log
+// does not reach rollBack so far.
+func (l *Log) rollBack(number uint64) (undo []Change, ok bool) {
+	if number < l.baseNumber || number > l.Last() {
 		return nil, false
 	}
-	keep := number - l.first
+	keep := number - l.baseNumber
 	for i := len(l.changes) - 1; uint64(i+1) > keep; i-- {
 		undo = append(undo, l.changes[i].undo)
 		l.bytes -= changeSize(l.changes[i].change)
@@ -77,9 +77,9 @@
 }
 
 // compact drops the oldest changes over a number and a sum of bytes.
-func (l *Log) compact(mostChanges, mostBytes int) {
+func (l *Log) compact(maxChanges, maxBytes int) {
 	drop, bytes := 0, l.bytes
-	for drop < len(l.changes) && (len(l.changes)-drop > mostChanges || bytes > mostBytes) {
+	for drop < len(l.changes) && (len(l.changes)-drop > maxChanges || bytes > maxBytes) {
 		bytes -= changeSize(l.changes[drop].change)
 		drop++
 	}
@@ -87,33 +87,33 @@
 	if drop == 0 || drop < len(l.changes)/8 && len(l.changes)-drop > 8 {
 		return
 	}
-	l.before = l.changes[drop-1].digest
-	l.first += uint64(drop)
-	l.changes = append([]logged(nil), l.changes[drop:]...)
+	l.baseDigest = l.changes[drop-1].digest
+	l.baseNumber += uint64(drop)
+	l.changes = append([]logEntry(nil), l.changes[drop:]...)
 	l.bytes = bytes
 }
 
 // digestAt returns the state's digest after a number, if the log reaches back so far.
 func (l *Log) digestAt(number uint64) (digest uint64, ok bool) {
 	switch {
-	case number < l.first || number > l.Last():
+	case number < l.baseNumber || number > l.Last():
 		return 0, false
-	case number == l.first:
-		return l.before, true
+	case number == l.baseNumber:
+		return l.baseDigest, true
 	}
-	return l.changes[number-l.first-1].digest, true
+	return l.changes[number-l.baseNumber-1].digest, true
 }
 
-// after returns the changes after a number, as many as take limit bytes on the wire and one at least; nil if there are none or the log
+// changesAfter returns the changes changesAfter a number, as many as take limit bytes on the wire and one at least; nil if there are none or the log
 // does not reach back so far.
-func (l *Log) after(number uint64, limit int) *Batch {
+func (l *Log) changesAfter(number uint64, limit int) *Batch {
 	before, ok := l.digestAt(number)
 	if !ok || number == l.Last() {
 		return nil
 	}
 	b := &Batch{From: number, Before: before}
 	size := 0
-	for _, c := range l.changes[number-l.first:] {
+	for _, c := range l.changes[number-l.baseNumber:] {
 		size += changeSize(c.change)
 		if size > limit && len(b.Changes) > 0 {
 			break
--- a/internal/changes/message.go
+++ b/internal/changes/message.go
@@ -9,88 +9,88 @@
 // MaxMessage is the longest encoded message, in bytes. With the envelope of whoever carries it it fits a datagram of 1,200 bytes.
 const MaxMessage = 1100
 
-// payload is how many bytes of changes, entries or digests a message carries, next to its header.
-const payload = 1000
+// maxPayload is how many bytes of changes, entries or digests a message carries, next to its header.
+const maxPayload = 1000
 
 // Kind is what a message is for.
 type Kind uint8
 
-// The kinds.
+// The kindsEnd.
 const (
-	// Push passes changes on to whoever pulled lately. Without changes it tells the sender's position.
-	Push Kind = 1 + iota
-	// Pull tells the sender's position and asks what is newer and how old the rest is.
-	Pull
-	// Answer answers a Pull.
-	Answer
-	// AskDigests asks for the digests of a page of buckets; Digests answers it.
-	AskDigests
-	Digests
-	// AskEntries asks for the entries from one place to another; Entries answers it.
-	AskEntries
-	Entries
-	kinds
+	// KindPush passes changes on to whoever pulled lately. Without changes it tells the sender's position.
+	KindPush Kind = 1 + iota
+	// KindPull tells the sender's position and asks what is newer and how old the rest is.
+	KindPull
+	// KindPullResponse answers a Pull.
+	KindPullResponse
+	// KindDigestsRequest asks for the digests of a page of buckets; Digests answers it.
+	KindDigestsRequest
+	KindDigestsResponse
+	// KindEntriesRequest asks for the entries from one place to another; Entries answers it.
+	KindEntriesRequest
+	KindEntriesResponse
+	kindsEnd
 )
 
 // Status is how a question is answered.
 type Status uint8
 
-// The statuses.
+// The statusesEnd.
 const (
-	// Same: the asker has all that the answerer has.
-	Same Status = 1 + iota
-	// Newer: the answer carries changes that the asker lacks.
-	Newer
-	// TooOld: the answerer's log does not reach back to the asker's position.
-	TooOld
-	// Diverged: the asker's state is not one that led to the answerer's.
-	Diverged
-	// Behind: the answerer knows less than the asker, or does not know yet whether its own state is of the present epoch.
-	Behind
-	// Busy: the answerer has no bytes or no place left for this.
-	Busy
-	statuses
+	// StatusSame: the asker has all that the answerer has.
+	StatusSame Status = 1 + iota
+	// StatusNewer: the answer carries changes that the asker lacks.
+	StatusNewer
+	// StatusTooOld: the answerer's log does not reach back to the asker's position.
+	StatusTooOld
+	// StatusDiverged: the asker's state is not one that led to the answerer's.
+	StatusDiverged
+	// StatusBehind: the answerer knows less than the asker, or does not know yet whether its own state is of the present epoch.
+	StatusBehind
+	// StatusBusy: the answerer has no bytes or no place left for this.
+	StatusBusy
+	statusesEnd
 )
 
 // Flags of a Pull.
 const (
-	flagChild  = 1 << iota // the answerer is to push to the sender for a while
-	flagRepair             // asks for missed changes
-	flagReplay             // the sender's digest means nothing: it completes a snapshot
+	flagSubscribe = 1 << iota // the answerer is to push to the sender for a while
+	flagRepair                // asks for missed changes
+	flagReplay                // the sender's digest means nothing: it completes a snapshot
 	flagsEnd
 )
 
 // digestsPerPage is how many digests of buckets a message carries.
-const digestsPerPage = payload / 8 / 64 * 64
+const digestsPerPage = maxPayload / 8 / 64 * 64
 
 // Message is what one process tells another. Which fields are set goes by the kind.
 type Message struct {
-	Kind     Kind
-	Status   Status // of answers
-	Flags    uint8  // of a Pull
-	Sequence uint64 // of a question, and of its answer
-	Epoch    uint64 // of the sender's source; in a Pull that which its state belongs to
-	Base     uint64 // number at which that epoch began
-	Number   uint64 // of the sender's latest change
-	Digest   uint64 // of the sender's state
-	Known    uint64 // in Push and Answer: highest number that the sender heard of in this epoch
-	AgeMS    uint64 // of an Answer: the state was the source's so many ms ago, at the most; AgeUnknown
-	Batch    *Batch // of Push and Answer
-	Page     uint64 // of AskDigests and Digests
-	Digests  []uint64
-	Start    uint64 // of AskEntries and Entries: first place
-	End      uint64 // last place
-	Entries  []Entry
+	Kind         Kind
+	Status       Status // of answers
+	Flags        uint8  // of a Pull
+	Sequence     uint64 // of a question, and of its answer
+	Epoch        uint64 // of the sender's source; in a Pull that which its state belongs to
+	EpochBase    uint64 // number at which that epoch began
+	Number       uint64 // of the sender's latest change
+	Digest       uint64 // of the sender's state
+	HighestKnown uint64 // in Push and Answer: highest number that the sender heard of in this epoch
+	AgeMS        uint64 // of an Answer: the state was the source's so many ms ago, at the most; AgeUnknown
+	Batch        *Batch // of Push and Answer
+	Page         uint64 // of AskDigests and Digests
+	Digests      []uint64
+	Start        uint64 // of AskEntries and Entries: first place
+	End          uint64 // last place
+	Entries      []Entry
 }
 
 // AgeUnknown says that nobody vouched for the state yet.
 const AgeUnknown = 1<<62 - 1
 
-// mostNumber bounds epochs and numbers, so that sums don't overflow.
-const mostNumber = 1 << 62
+// maxNumber bounds epochs and numbers, so that sums don't overflow.
+const maxNumber = 1 << 62
 
-// ErrMessage tells of a message that can't be read.
-var ErrMessage = errors.New("changes: a message can't be read")
+// ErrMalformedMessage tells of a message that can't be read.
+var ErrMalformedMessage = errors.New("changes: a message can't be read")
 
 func stringSize(s string) int {
 	size := 1
@@ -132,25 +132,25 @@
 	b = append(b, byte(m.Kind))
 	b = binary.AppendUvarint(b, m.Sequence)
 	b = binary.AppendUvarint(b, m.Epoch)
-	b = binary.AppendUvarint(b, m.Base)
+	b = binary.AppendUvarint(b, m.EpochBase)
 	b = binary.AppendUvarint(b, m.Number)
 	b = binary.BigEndian.AppendUint64(b, m.Digest)
 	switch m.Kind {
-	case Push:
-		b = appendBatch(binary.AppendUvarint(b, m.Known), m.Batch)
-	case Pull:
+	case KindPush:
+		b = appendBatch(binary.AppendUvarint(b, m.HighestKnown), m.Batch)
+	case KindPull:
 		b = append(b, m.Flags)
-	case Answer:
+	case KindPullResponse:
 		b = binary.AppendUvarint(append(b, byte(m.Status)), m.AgeMS)
-		b = appendBatch(binary.AppendUvarint(b, m.Known), m.Batch)
-	case AskDigests:
+		b = appendBatch(binary.AppendUvarint(b, m.HighestKnown), m.Batch)
+	case KindDigestsRequest:
 		b = binary.AppendUvarint(b, m.Page)
-	case Digests:
+	case KindDigestsResponse:
 		b = binary.AppendUvarint(append(b, byte(m.Status)), m.Page)
 		for _, digest := range m.Digests {
 			b = binary.BigEndian.AppendUint64(b, digest)
 		}
-	case AskEntries, Entries:
+	case KindEntriesRequest, KindEntriesResponse:
 		b = append(b, byte(m.Status))
 		b = binary.BigEndian.AppendUint64(b, m.Start)
 		b = binary.BigEndian.AppendUint64(b, m.End)
@@ -163,49 +163,49 @@
 
 // reader reads the parts of a message. After the first error all that it returns is zero.
 type reader struct {
-	rest   []byte
-	failed bool
+	remaining []byte
+	failed    bool
 }
 
 func (r *reader) byte() byte {
-	if len(r.rest) < 1 {
+	if len(r.remaining) < 1 {
 		r.failed = true
 		return 0
 	}
-	b := r.rest[0]
-	r.rest = r.rest[1:]
+	b := r.remaining[0]
+	r.remaining = r.remaining[1:]
 	return b
 }
 
 func (r *reader) uvarint() uint64 {
-	value, size := binary.Uvarint(r.rest)
+	value, size := binary.Uvarint(r.remaining)
 	if size <= 0 {
 		r.failed = true
 		return 0
 	}
-	r.rest = r.rest[size:]
+	r.remaining = r.remaining[size:]
 	return value
 }
 
-func (r *reader) fixed() uint64 {
-	if len(r.rest) < 8 {
+func (r *reader) uint64() uint64 {
+	if len(r.remaining) < 8 {
 		r.failed = true
 		return 0
 	}
-	value := binary.BigEndian.Uint64(r.rest)
-	r.rest = r.rest[8:]
+	value := binary.BigEndian.Uint64(r.remaining)
+	r.remaining = r.remaining[8:]
 	return value
 }
 
 // string reads a string that is no longer than most.
-func (r *reader) string(most int) string {
+func (r *reader) string(maxLength int) string {
 	length := r.uvarint()
-	if r.failed || length > uint64(most) || length > uint64(len(r.rest)) {
+	if r.failed || length > uint64(maxLength) || length > uint64(len(r.remaining)) {
 		r.failed = true
 		return ""
 	}
-	s := string(r.rest[:length])
-	r.rest = r.rest[length:]
+	s := string(r.remaining[:length])
+	r.remaining = r.remaining[length:]
 	return s
 }
 
@@ -214,8 +214,8 @@
 	if r.failed || count == 0 {
 		return nil
 	}
-	b := &Batch{From: r.uvarint(), Before: r.fixed(), After: r.fixed()}
-	if b.From > mostNumber {
+	b := &Batch{From: r.uvarint(), Before: r.uint64(), After: r.uint64()}
+	if b.From > maxNumber {
 		r.failed = true
 	}
 	// The list grows by what is there: the count sizes nothing.
@@ -234,45 +234,45 @@
 
 func (r *reader) status() Status {
 	s := Status(r.byte())
-	if s >= statuses {
+	if s >= statusesEnd {
 		r.failed = true
 	}
 	return s
 }
 
 // Decode reads a message. No number in it sizes an allocation.
-func Decode(text []byte) (*Message, error) {
-	if len(text) > MaxMessage {
-		return nil, fmt.Errorf("%w: %d bytes", ErrMessage, len(text))
+func Decode(data []byte) (*Message, error) {
+	if len(data) > MaxMessage {
+		return nil, fmt.Errorf("%w: %d bytes", ErrMalformedMessage, len(data))
 	}
-	r := &reader{rest: text}
-	m := &Message{Kind: Kind(r.byte()), Sequence: r.uvarint(), Epoch: r.uvarint(), Base: r.uvarint(), Number: r.uvarint(), Digest: r.fixed()}
+	r := &reader{remaining: data}
+	m := &Message{Kind: Kind(r.byte()), Sequence: r.uvarint(), Epoch: r.uvarint(), EpochBase: r.uvarint(), Number: r.uvarint(), Digest: r.uint64()}
 	switch m.Kind {
-	case Push:
-		m.Known, m.Batch = r.uvarint(), r.batch()
-	case Pull:
+	case KindPush:
+		m.HighestKnown, m.Batch = r.uvarint(), r.batch()
+	case KindPull:
 		m.Flags = r.byte()
 		r.failed = r.failed || m.Flags >= flagsEnd
-	case Answer:
+	case KindPullResponse:
 		m.Status, m.AgeMS = r.status(), r.uvarint()
-		m.Known, m.Batch = r.uvarint(), r.batch()
-	case AskDigests:
+		m.HighestKnown, m.Batch = r.uvarint(), r.batch()
+	case KindDigestsRequest:
 		m.Page = r.uvarint()
-	case Digests:
+	case KindDigestsResponse:
 		m.Status, m.Page = r.status(), r.uvarint()
-		for len(r.rest) > 0 && !r.failed {
-			m.Digests = append(m.Digests, r.fixed())
+		for len(r.remaining) > 0 && !r.failed {
+			m.Digests = append(m.Digests, r.uint64())
 		}
-	case AskEntries, Entries:
-		m.Status, m.Start, m.End = r.status(), r.fixed(), r.fixed()
-		for len(r.rest) > 0 && !r.failed {
+	case KindEntriesRequest, KindEntriesResponse:
+		m.Status, m.Start, m.End = r.status(), r.uint64(), r.uint64()
+		for len(r.remaining) > 0 && !r.failed {
 			m.Entries = append(m.Entries, Entry{r.string(MaxKey), r.string(MaxValue)})
 		}
 	default:
 		r.failed = true
 	}
-	if r.failed || len(r.rest) > 0 || m.Number > mostNumber || m.Known > mostNumber || m.Epoch > mostNumber || m.AgeMS > AgeUnknown {
-		return nil, fmt.Errorf("%w: %d bytes of kind %d", ErrMessage, len(text), m.Kind)
+	if r.failed || len(r.remaining) > 0 || m.Number > maxNumber || m.HighestKnown > maxNumber || m.Epoch > maxNumber || m.AgeMS > AgeUnknown {
+		return nil, fmt.Errorf("%w: %d bytes of kind %d", ErrMalformedMessage, len(data), m.Kind)
 	}
 	return m, nil
 }
--- a/internal/changes/replica.go
+++ b/internal/changes/replica.go
@@ -93,78 +93,78 @@
 	Ignored                                  uint64 // questions that were not answered for want of bytes
 }
 
-// vouch says that the state at a number was the source's no earlier than a time.
-type vouch struct {
+// freshness says that the state at a number was the source's no earlier than a time.
+type freshness struct {
 	number uint64
 	at     time.Time
 }
 
-// question is the one that is out.
-type question struct {
+// request is the one that is out.
+type request struct {
 	sequence uint64
 	to       MemberID
-	sent     time.Time
+	sentAt   time.Time
 	flags    uint8
 }
 
 // Replica is one process's copy of the state, its source or not. It belongs to one goroutine.
 type Replica struct {
-	cfg        Config
-	rng        *rand.Rand
-	tree       *Tree
-	budget     *Budget
-	state      *State
-	number     uint64
-	log        Log
-	fence      uint64    // highest epoch heard of: what is of a lower one is refused
-	observedAt time.Time // when it was heard of first
-	line       uint64    // epoch that the state is known to belong to
-	base       uint64    // number at which that epoch began
-	leading    bool
-	target     uint64    // highest number heard of in the fence's epoch
-	asOf       time.Time // the state was the source's then, or later
-	steppedAt  time.Time // when the state changed last
-	promised   vouch     // counts once the state is there
-	children   leases    // changes are pushed to them
-	guests     leases    // the snapshot is served to them
-	turn       int       // of the children
-
-	flushed   uint64    // number up to which a source's changes are pushed
-	flushAt   time.Time // before then it pushes no more
-	flushedAt time.Time
-
-	sequence  uint64
-	asked     *question
-	askAt     time.Time
-	attempt   int       // whom to ask: see Tree.Neighbour
-	returnAt  time.Time // to the parent
-	fails     int       // repairs in a row that brought nothing
-	tooOld    int       // answers in a row by logs that don't reach back
-	staleTurn int
-	auditNext int
-	snapshot  *snapshot
-
-	sends     []Outgoing
-	applied   []AppliedRange
-	inForce   *Update
-	changed   map[string]struct{} // keys that the consumer does not know the value of
-	published uint64
-	heldSince time.Time // changes are held back since then; zero: they are not
-	Counters  Counters
+	cfg              Config
+	rng              *rand.Rand
+	tree             *Tree
+	budget           *Budget
+	state            *State
+	number           uint64
+	log              Log
+	fence            uint64    // highest epoch heard of: what is of a lower one is refused
+	fenceRaisedAt    time.Time // when it was heard of first
+	stateEpoch       uint64    // epoch that the state is known to belong to
+	epochBase        uint64    // number at which that epoch began
+	isSource         bool
+	targetNumber     uint64    // highest number heard of in the fence's epoch
+	asOf             time.Time // the state was the source's then, or later
+	lastAppliedAt    time.Time // when the state changed last
+	pendingFreshness freshness // counts once the state is there
+	children         leases    // changes are pushed to them
+	snapshotClients  leases    // the snapshot is served to them
+	pushRotation     int       // of the children
+
+	flushedNumber uint64    // number up to which a source's changes are pushed
+	nextFlushAt   time.Time // before then it pushes no more
+	lastFlushAt   time.Time
+
+	lastSequence     uint64
+	pending          *request
+	nextRequestAt    time.Time
+	attempt          int       // whom to ask: see Tree.Neighbour
+	returnToParentAt time.Time // to the parent
+	failedRepairs    int       // repairs in a row that brought nothing
+	tooOldResponses  int       // answers in a row by logs that don't reach back
+	staleRotation    int
+	nextAuditBucket  int
+	snapshot         *snapshotFetch
+
+	outgoing        []Outgoing
+	applied         []AppliedRange
+	update          *Update
+	changedKeys     map[string]struct{} // keys that the consumer does not know the value of
+	publishedNumber uint64
+	heldSince       time.Time // changes are held back since then; zero: they are not
+	Counters        Counters
 }
 
 // New returns a replica with an empty state.
 func New(now time.Time, c Config) *Replica {
 	r := &Replica{
 		cfg: c, rng: rand.New(rand.NewPCG(c.Seed, c.Session)), budget: NewBudget(now, c.BytesPerSecond, c.BurstBytes), state: NewState(),
-		sequence: c.Session >> 2, changed: make(map[string]struct{}),
+		lastSequence: c.Session >> 2, changedKeys: make(map[string]struct{}),
 	}
-	r.askAt = now.Add(r.draw(c.PullInterval / 4))
+	r.nextRequestAt = now.Add(r.randomUpTo(c.PullInterval / 4))
 	return r
 }
 
-// draw draws evenly from none to d.
-func (r *Replica) draw(d time.Duration) time.Duration {
+// randomUpTo draws evenly from none to d.
+func (r *Replica) randomUpTo(d time.Duration) time.Duration {
 	return time.Duration(r.rng.Int64N(int64(d) + 1))
 }
 
@@ -172,35 +172,35 @@
 func (r *Replica) State() *State { return r.state }
 
 // Position returns the epoch that the state belongs to and the number of its latest change.
-func (r *Replica) Position() (epoch, number uint64) { return r.line, r.number }
+func (r *Replica) Position() (epoch, number uint64) { return r.stateEpoch, r.number }
 
 // Fence returns the highest epoch heard of.
 func (r *Replica) Fence() uint64 { return r.fence }
 
 // IsSource tells whether this is the source.
-func (r *Replica) IsSource() bool { return r.leading }
+func (r *Replica) IsSource() bool { return r.isSource }
 
-// aligned tells whether the state is known to belong to the present epoch.
-func (r *Replica) aligned() bool { return r.line == r.fence && r.fence > 0 }
+// isAligned tells whether the state is known to belong to the present epoch.
+func (r *Replica) isAligned() bool { return r.stateEpoch == r.fence && r.fence > 0 }
 
-// behind tells whether there is something to repair.
-func (r *Replica) behind() bool { return !r.aligned() || r.number < r.target }
+// isBehind tells whether there is something to repair.
+func (r *Replica) isBehind() bool { return !r.isAligned() || r.number < r.targetNumber }
 
 // AsOf returns a time by this process's clock at which its state was the source's, counted from before it was asked; ok is false if nobody
 // vouched for it yet.
 func (r *Replica) AsOf() (at time.Time, ok bool) { return r.asOf, !r.asOf.IsZero() }
 
 // RaiseFence refuses all epochs below one that is known from elsewhere.
-func (r *Replica) RaiseFence(now time.Time, epoch uint64) { r.observe(now, epoch) }
+func (r *Replica) RaiseFence(now time.Time, epoch uint64) { r.observeEpoch(now, epoch) }
 
-// observe takes note of an epoch. A higher one ends this process's own lead.
-func (r *Replica) observe(now time.Time, epoch uint64) {
+// observeEpoch takes note of an epoch. A higher one ends this process's own lead.
+func (r *Replica) observeEpoch(now time.Time, epoch uint64) {
 	if epoch <= r.fence {
 		return
 	}
-	r.fence, r.target, r.observedAt = epoch, 0, now
-	r.asOf, r.promised = time.Time{}, vouch{} // what a former source vouched for says nothing of the present one's state
-	r.leading = false
+	r.fence, r.targetNumber, r.fenceRaisedAt = epoch, 0, now
+	r.asOf, r.pendingFreshness = time.Time{}, freshness{} // what a former source vouched for says nothing of the present one's state
+	r.isSource = false
 	if r.snapshot != nil {
 		r.snapshot.restart()
 	}
@@ -215,87 +215,87 @@
 	r.tree = t
 	if parent, _ = t.Parent(r.cfg.Self); parent != old {
 		r.attempt = 0
-		r.askBy(now.Add(r.draw(r.cfg.PullInterval / 4)))
+		r.requestBy(now.Add(r.randomUpTo(r.cfg.PullInterval / 4)))
 	}
 }
 
-func (r *Replica) askBy(at time.Time) {
-	if at.Before(r.askAt) {
-		r.askAt = at
+func (r *Replica) requestBy(at time.Time) {
+	if at.Before(r.nextRequestAt) {
+		r.nextRequestAt = at
 	}
 }
 
 // Due is when Tick has something to do.
 func (r *Replica) Due() time.Time {
-	due := r.askAt
-	if r.asked != nil {
-		due = r.asked.sent.Add(r.cfg.PullTimeout)
+	due := r.nextRequestAt
+	if r.pending != nil {
+		due = r.pending.sentAt.Add(r.cfg.PullTimeout)
 	}
-	if r.leading && r.flushed < r.number && r.flushAt.Before(due) {
-		due = r.flushAt
+	if r.isSource && r.flushedNumber < r.number && r.nextFlushAt.Before(due) {
+		due = r.nextFlushAt
 	}
 	return due
 }
 
 // Tick does what is due.
 func (r *Replica) Tick(now time.Time) {
-	if r.asked != nil && !now.Before(r.asked.sent.Add(r.cfg.PullTimeout)) {
-		r.unanswered(now)
+	if r.pending != nil && !now.Before(r.pending.sentAt.Add(r.cfg.PullTimeout)) {
+		r.handleTimeout(now)
 	}
-	if r.asked == nil && !now.Before(r.askAt) {
-		r.ask(now)
+	if r.pending == nil && !now.Before(r.nextRequestAt) {
+		r.sendNextRequest(now)
 	}
 	r.flush(now)
 	r.publish(now)
 }
 
 // Handle takes a message from a member. Each may be lost, late, repeated or out of order.
-func (r *Replica) Handle(now time.Time, from MemberID, text []byte) {
+func (r *Replica) Handle(now time.Time, from MemberID, data []byte) {
 	r.Counters.Received++
-	r.Counters.BytesReceived += uint64(len(text) + DatagramOverhead)
-	m, err := Decode(text)
+	r.Counters.BytesReceived += uint64(len(data) + DatagramOverhead)
+	m, err := Decode(data)
 	if err != nil {
 		r.Counters.Damaged++
-		r.budget.Spend(now, ClassChange, len(text)+DatagramOverhead)
+		r.budget.Spend(now, ClassChange, len(data)+DatagramOverhead)
 		return
 	}
-	r.budget.Spend(now, m.class(), len(text)+DatagramOverhead)
-	if m.Epoch < r.fence && !m.question() && !r.cfg.Flaws.StaleEpochAccepted {
+	r.budget.Spend(now, m.class(), len(data)+DatagramOverhead)
+	if m.Epoch < r.fence && !m.isRequest() && !r.cfg.Flaws.StaleEpochAccepted {
 		r.Counters.StaleEpoch++
-		r.settleQuestion(from, m)
+		r.abandonRequest(from, m)
 		return
 	}
-	r.observe(now, m.Epoch)
-	if m.question() && r.budget.Exhausted(now, m.class()) && !r.cfg.Flaws.BudgetExceeded {
+	r.observeEpoch(now, m.Epoch)
+	if m.isRequest() && r.budget.Exhausted(now, m.class()) && !r.cfg.Flaws.BudgetExceeded {
 		r.Counters.Ignored++
 		return
 	}
 	switch m.Kind {
-	case Push:
-		r.pushed(now, from, m)
-	case Pull:
+	case KindPush:
+		r.handlePush(now, from, m)
+	case KindPull:
 		r.servePull(now, from, m)
-	case AskDigests:
+	case KindDigestsRequest:
 		r.serveDigests(now, from, m)
-	case AskEntries:
+	case KindEntriesRequest:
 		r.serveEntries(now, from, m)
 	default:
-		r.answered(now, from, m)
+		r.handleResponse(now, from, m)
 	}
 	r.publish(now)
 }
 
-// question tells whether a message asks for an answer.
-func (m *Message) question() bool {
-	return m.Kind == Pull || m.Kind == AskDigests || m.Kind == AskEntries
+// isRequest tells whether a message asks for an answer.
+func (m *Message) isRequest() bool {
+	return m.Kind == KindPull || m.Kind == KindDigestsRequest || m.Kind == KindEntriesRequest
 }
 
 // class is what a message's bytes count as.
 func (m *Message) class() Class {
 	switch {
-	case m.Kind == Answer && m.Batch != nil, m.Kind == Pull && m.Flags&flagRepair != 0:
+	case m.Kind == KindPullResponse && m.Batch != nil, m.Kind == KindPull && m.Flags&flagRepair != 0:
 		return ClassRepair
-	case m.Kind >= AskDigests:
+	case m.Kind >= KindDigestsRequest:
 		return ClassSnapshot
 	}
 	return ClassChange
@@ -303,27 +303,27 @@
 
 // send fills a message's header in and sends it.
 func (r *Replica) send(now time.Time, to MemberID, m *Message) {
-	m.Epoch, m.Base, m.Number, m.Digest = r.fence, r.base, r.number, r.state.Digest()
-	if m.Kind == Push || m.Kind == Answer {
-		m.Known = r.target
+	m.Epoch, m.EpochBase, m.Number, m.Digest = r.fence, r.epochBase, r.number, r.state.Digest()
+	if m.Kind == KindPush || m.Kind == KindPullResponse {
+		m.HighestKnown = r.targetNumber
 	}
-	if m.Kind == Pull {
-		m.Epoch = r.line
+	if m.Kind == KindPull {
+		m.Epoch = r.stateEpoch
 		if m.Flags&flagReplay != 0 {
-			m.Number = r.snapshot.number
+			m.Number = r.snapshot.replayedNumber
 		}
 	}
-	text := m.Encode()
-	r.budget.Spend(now, m.class(), len(text)+DatagramOverhead)
+	data := m.Encode()
+	r.budget.Spend(now, m.class(), len(data)+DatagramOverhead)
 	r.Counters.Sent++
-	r.Counters.BytesSent += uint64(len(text) + DatagramOverhead)
-	r.sends = append(r.sends, Outgoing{to, text})
+	r.Counters.BytesSent += uint64(len(data) + DatagramOverhead)
+	r.outgoing = append(r.outgoing, Outgoing{to, data})
 }
 
 // TakeMessages returns what is to be sent since the last call.
 func (r *Replica) TakeMessages() []Outgoing {
-	sends := r.sends
-	r.sends = nil
+	sends := r.outgoing
+	r.outgoing = nil
 	return sends
 }
 
@@ -337,26 +337,26 @@
 // TakeUpdate returns what the consumer is to bring into force since the last call, nil if there is nothing. What was missed comes in one
 // piece, once all of it is there.
 func (r *Replica) TakeUpdate() *Update {
-	f := r.inForce
-	r.inForce = nil
+	f := r.update
+	r.update = nil
 	return f
 }
 
-// step takes note of changes that were applied to the state.
-func (r *Replica) step(now time.Time, a AppliedRange) {
-	r.steppedAt = now
+// recordApplied takes note of changes that were applied to the state.
+func (r *Replica) recordApplied(now time.Time, a AppliedRange) {
+	r.lastAppliedAt = now
 	r.applied = append(r.applied, a)
 	r.log.compact(r.cfg.LogChanges, max(r.cfg.LogBytes, r.state.Bytes()))
 }
 
-// hold decides whether changes are held back: from when many are known to be missing, or the state is not known to be the source's, until
+// shouldHold decides whether changes are held back: from when many are known to be missing, or the state is not known to be the source's, until
 // all is there, or for HoldAtMost.
-func (r *Replica) hold(now time.Time) bool {
+func (r *Replica) shouldHold(now time.Time) bool {
 	switch {
-	case !r.behind() && r.snapshot == nil:
+	case !r.isBehind() && r.snapshot == nil:
 		r.heldSince = time.Time{}
 	case !r.heldSince.IsZero():
-	case !r.aligned(), r.snapshot != nil, r.target > r.number+uint64(r.cfg.HoldThreshold):
+	case !r.isAligned(), r.snapshot != nil, r.targetNumber > r.number+uint64(r.cfg.HoldThreshold):
 		r.heldSince = now
 	}
 	if r.heldSince.IsZero() {
@@ -371,38 +371,38 @@
 
 // publish hands changes to the consumer, unless they are held back.
 func (r *Replica) publish(now time.Time) {
-	if r.hold(now) || r.number == r.published && len(r.changed) == 0 {
+	if r.shouldHold(now) || r.number == r.publishedNumber && len(r.changedKeys) == 0 {
 		return
 	}
-	keys := make([]string, 0, len(r.changed))
-	if r.inForce != nil { // not taken yet
-		for _, c := range r.inForce.Changes {
-			r.changed[c.Key] = struct{}{}
+	keys := make([]string, 0, len(r.changedKeys))
+	if r.update != nil { // not taken yet
+		for _, c := range r.update.Changes {
+			r.changedKeys[c.Key] = struct{}{}
 		}
 	}
-	for key := range r.changed { // sorted below
+	for key := range r.changedKeys { // sorted below
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
-	f := &Update{Epoch: r.line, Number: r.number, Digest: r.state.Digest()}
+	f := &Update{Epoch: r.stateEpoch, Number: r.number, Digest: r.state.Digest()}
 	for _, key := range keys {
 		value, ok := r.state.Get(key)
 		f.Changes = append(f.Changes, Change{Key: key, Value: value, Delete: !ok})
 	}
-	clear(r.changed)
-	r.inForce, r.published = f, r.number
+	clear(r.changedKeys)
+	r.update, r.publishedNumber = f, r.number
 }
 
-// confirm takes an age that was vouched for, or keeps it until the state is there.
-func (r *Replica) confirm(v vouch) {
-	if v.at.After(r.promised.at) {
-		r.promised = v
+// recordFreshness takes an age that was vouched for, or keeps it until the state is there.
+func (r *Replica) recordFreshness(v freshness) {
+	if v.at.After(r.pendingFreshness.at) {
+		r.pendingFreshness = v
 	}
-	r.confirmPromised()
+	r.applyPendingFreshness()
 }
 
-func (r *Replica) confirmPromised() {
-	if r.aligned() && r.number >= r.promised.number && r.promised.at.After(r.asOf) {
-		r.asOf = r.promised.at
+func (r *Replica) applyPendingFreshness() {
+	if r.isAligned() && r.number >= r.pendingFreshness.number && r.pendingFreshness.at.After(r.asOf) {
+		r.asOf = r.pendingFreshness.at
 	}
 }
--- a/internal/changes/replica_test.go
+++ b/internal/changes/replica_test.go
@@ -9,20 +9,20 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is a few replicas and what is under way between them.
-type fleet struct {
+// testCluster is a few replicas and what is under way between them.
+type testCluster struct {
 	now      time.Time
 	replicas []*Replica
-	way      []parcel
+	inFlight []packet
 }
 
-type parcel struct {
+type packet struct {
 	from, to MemberID
-	text     []byte
+	data     []byte
 }
 
-func newFleet(count int) *fleet {
-	f := &fleet{now: time.Unix(1000, 0)}
+func newTestCluster(count int) *testCluster {
+	f := &testCluster{now: time.Unix(1000, 0)}
 	var members []Member
 	for i := range count {
 		members = append(members, Member{ID: MemberID(i + 1), Zone: "zone"})
@@ -37,25 +37,25 @@
 }
 
 // collect takes what the replicas send.
-func (f *fleet) collect() {
+func (f *testCluster) collect() {
 	for i, r := range f.replicas {
 		for _, send := range r.TakeMessages() {
-			f.way = append(f.way, parcel{MemberID(i + 1), send.To, send.Data})
+			f.inFlight = append(f.inFlight, packet{MemberID(i + 1), send.To, send.Data})
 		}
 	}
 }
 
 // deliver hands one message over; it stays under way if it is to come again.
-func (f *fleet) deliver(i int, again bool) {
-	p := f.way[i]
-	if !again {
-		f.way = append(f.way[:i:i], f.way[i+1:]...)
+func (f *testCluster) deliver(i int, duplicate bool) {
+	p := f.inFlight[i]
+	if !duplicate {
+		f.inFlight = append(f.inFlight[:i:i], f.inFlight[i+1:]...)
 	}
-	f.replicas[p.to-1].Handle(f.now, p.from, p.text)
+	f.replicas[p.to-1].Handle(f.now, p.from, p.data)
 	f.collect()
 }
 
-func (f *fleet) advance(d time.Duration) {
+func (f *testCluster) advance(d time.Duration) {
 	f.now = f.now.Add(d)
 	for _, r := range f.replicas {
 		r.Tick(f.now)
@@ -63,22 +63,22 @@
 	f.collect()
 }
 
-// calm delivers all in order for a while.
-func (f *fleet) calm(d time.Duration) {
+// runWithoutLoss delivers all in order for a while.
+func (f *testCluster) runWithoutLoss(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.advance(50 * time.Millisecond) {
 		for _, r := range f.replicas {
 			r.ConfirmCurrent(f.now)
 		}
-		for len(f.way) > 0 {
+		for len(f.inFlight) > 0 {
 			f.deliver(0, false)
 		}
 	}
 }
 
 // Any loss, repetition, order and delay, and any number of new sources on the way, end in the same state.
-func TestAnyOrderEndsInTheSameState(t *testing.T) {
+func TestReplicasConvergeAfterMessageFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFleet(5)
+		f := newTestCluster(5)
 		epoch := uint64(0)
 		lead := func(r *Replica) {
 			epoch++
@@ -90,31 +90,31 @@
 		lead(f.replicas[0])
 		for range rapid.IntRange(0, 150).Draw(t, "steps") {
 			at := 0
-			if len(f.way) > 0 {
-				at = rapid.IntRange(0, len(f.way)-1).Draw(t, "which")
+			if len(f.inFlight) > 0 {
+				at = rapid.IntRange(0, len(f.inFlight)-1).Draw(t, "which")
 			}
-			switch what := rapid.IntRange(0, 9).Draw(t, "what"); {
-			case what == 0:
+			switch action := rapid.IntRange(0, 9).Draw(t, "what"); {
+			case action == 0:
 				lead(f.replicas[rapid.IntRange(0, 1).Draw(t, "source")])
-			case what <= 3: // by whoever takes itself for the source
+			case action <= 3: // by whoever takes itself for the source
 				r := f.replicas[rapid.IntRange(0, 1).Draw(t, "source")]
 				if err := r.Propose(f.now, []Change{drawChange(t)}); err != nil && !errors.Is(err, ErrNotSource) {
 					t.Fatal(err)
 				}
 				f.collect()
-			case what == 4:
+			case action == 4:
 				f.advance(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond)
-			case len(f.way) == 0:
-			case what == 5:
-				f.way = append(f.way[:at:at], f.way[at+1:]...)
+			case len(f.inFlight) == 0:
+			case action == 5:
+				f.inFlight = append(f.inFlight[:at:at], f.inFlight[at+1:]...)
 			default:
-				f.deliver(at, what == 6)
+				f.deliver(at, action == 6)
 			}
 		}
-		f.way = nil
+		f.inFlight = nil
 		source := f.replicas[0]
 		lead(source)
-		f.calm(2 * time.Minute)
+		f.runWithoutLoss(2 * time.Minute)
 		for i, r := range f.replicas {
 			e, n := r.Position()
 			if _, number := source.Position(); e != epoch || n != number || r.State().Digest() != source.State().Digest() || r.State().clone().Digest() != source.State().Digest() {
@@ -129,7 +129,7 @@
 
 // A former source's changes are refused, it learns that it is none, and what it said alone is taken back.
 func TestFormerSourceIsRefused(t *testing.T) {
-	f := newFleet(4)
+	f := newTestCluster(4)
 	if err := f.replicas[0].BecomeSource(f.now, 1); err != nil {
 		t.Fatal(err)
 	}
@@ -139,13 +139,13 @@
 		}
 	}
 	propose(f.replicas[0], "first")
-	f.calm(10 * time.Second)
+	f.runWithoutLoss(10 * time.Second)
 	if err := f.replicas[1].BecomeSource(f.now, 2); err != nil {
 		t.Fatal(err)
 	}
 	propose(f.replicas[1], "second")
 	propose(f.replicas[0], "of a former source")
-	f.calm(10 * time.Second)
+	f.runWithoutLoss(10 * time.Second)
 	for i, r := range f.replicas {
 		if value, _ := r.State().Get("key"); value != "second" || r.IsSource() != (i == 1) {
 			t.Errorf("replica %d has %q, leading %v", i+1, value, r.IsSource())
@@ -154,14 +154,14 @@
 	if f.replicas[0].Counters.RolledBack != 1 || f.replicas[0].BecomeSource(f.now, 1) == nil {
 		t.Errorf("%+v", f.replicas[0].Counters)
 	}
-	if err := f.replicas[1].Propose(f.now, []Change{{Key: ""}}); !errors.Is(err, ErrEntry) {
+	if err := f.replicas[1].Propose(f.now, []Change{{Key: ""}}); !errors.Is(err, ErrInvalidEntry) {
 		t.Errorf("a change without a key: %v", err)
 	}
 }
 
 // The consumer is told of each key once, and of deletions.
-func TestInForceHasEachKeyOnce(t *testing.T) {
-	f := newFleet(2)
+func TestUpdateHasEachKeyOnce(t *testing.T) {
+	f := newTestCluster(2)
 	if err := f.replicas[0].BecomeSource(f.now, 1); err != nil {
 		t.Fatal(err)
 	}
@@ -173,7 +173,7 @@
 	if err := f.replicas[0].Propose(f.now, []Change{{Key: "1", Delete: true}}); err != nil {
 		t.Fatal(err)
 	}
-	f.calm(5 * time.Second)
+	f.runWithoutLoss(5 * time.Second)
 	got := f.replicas[1].TakeUpdate()
 	if got == nil || len(got.Changes) != 3 || !got.Changes[1].Delete || got.Changes[2].Value != "8" || got.Number != 11 {
 		t.Errorf("%+v", got)
--- a/internal/changes/snapshot.go
+++ b/internal/changes/snapshot.go
@@ -5,227 +5,227 @@
 	"time"
 )
 
-// snapshot brings a copy of the state to another process's. Buckets with equal digests are kept; the entries of the others are asked
+// snapshotFetch brings a copy of the state to another process's. Buckets with equal digests are kept; the entries of the others are asked
 // for in pieces, from whoever has bytes to spare, while the state goes on changing: each piece is labelled with the number at which it was
 // read. Then the changes after the lowest label are applied to what is older than they are. The digest at the highest label decides
 // whether all fits together; until then the replica's own state stands.
-type snapshot struct {
-	state     *State
-	epoch     uint64 // of all that was taken so far; 0: nothing was
-	page      uint64 // of digests, next to be compared
-	wanted    [buckets]bool
-	next      uint64 // place up to which entries are there
-	fetched   bool
-	labels    []label
-	highest   uint64 // label
-	digest    uint64 // at the highest label
-	replaying bool
-	number    uint64 // of the latest change that was replayed
+type snapshotFetch struct {
+	state          *State
+	epoch          uint64 // of all that was taken so far; 0: nothing was
+	nextPage       uint64 // of digests, next to be compared
+	wantedBuckets  [buckets]bool
+	nextHash       uint64 // place up to which entries are there
+	allFetched     bool
+	rangeNumbers   []rangeNumber
+	highestNumber  uint64 // label
+	highestDigest  uint64 // at the highest label
+	replaying      bool
+	replayedNumber uint64 // of the latest change that was replayed
 
-	server  MemberID // served the last question; 0: somebody else is to be found
-	refused int      // questions in a row that it had no bytes for
+	server        MemberID // served the last question; 0: somebody else is to be found
+	busyResponses int      // questions in a row that it had no bytes for
 }
 
-// refusedAtMost is how many questions in a row a server may have no bytes for until another one is looked for.
-const refusedAtMost = 10
+// maxBusyResponses is how many questions in a row a server may have no bytes for until another one is looked for.
+const maxBusyResponses = 10
 
-// label says that the entries from place start to place end are as of a number.
-type label struct {
+// rangeNumber says that the entries from place start to place end are as of a number.
+type rangeNumber struct {
 	start, end uint64
 	number     uint64
 }
 
 // beginSnapshot brings the state in line with the others' as a whole.
 func (r *Replica) beginSnapshot(now time.Time) {
-	if r.snapshot != nil || r.leading {
+	if r.snapshot != nil || r.isSource {
 		return
 	}
-	r.tooOld = 0
-	r.snapshot = &snapshot{state: r.state.clone()}
+	r.tooOldResponses = 0
+	r.snapshot = &snapshotFetch{state: r.state.clone()}
 	r.snapshot.restart()
-	r.askAt = now.Add(r.draw(repairSoon))
+	r.nextRequestAt = now.Add(r.randomUpTo(repairDelay))
 }
 
 // restart begins with the comparison again; entries that are there already are kept if they agree.
-func (s *snapshot) restart() {
-	*s = snapshot{state: s.state}
+func (s *snapshotFetch) restart() {
+	*s = snapshotFetch{state: s.state}
 	if s.state.Len() == 0 { // nothing to compare
-		s.page = buckets / digestsPerPage
+		s.nextPage = buckets / digestsPerPage
 		for bucket := range buckets {
-			s.wanted[bucket] = true
+			s.wantedBuckets[bucket] = true
 		}
 	}
 }
 
-func (s *snapshot) comparing() bool { return s.page < buckets/digestsPerPage }
+func (s *snapshotFetch) isComparing() bool { return s.nextPage < buckets/digestsPerPage }
 
-// run returns the next places that are wanted, with small gaps between them included: a question costs as much as a few entries. ok is
+// nextRange returns the next places that are wanted, with small gaps between them included: a question costs as much as a few entries. ok is
 // false if none are left.
-func (s *snapshot) run() (start, end uint64, ok bool) {
-	if s.fetched {
+func (s *snapshotFetch) nextRange() (start, end uint64, ok bool) {
+	if s.allFetched {
 		return 0, 0, false
 	}
-	first := bucketOf(s.next)
-	for first < buckets && !s.wanted[first] {
+	first := bucketOf(s.nextHash)
+	for first < buckets && !s.wantedBuckets[first] {
 		first++
 	}
 	if first == buckets {
 		return 0, 0, false
 	}
-	gap := payload / 2 * buckets / (s.state.Bytes() + 1)
+	gap := maxPayload / 2 * buckets / (s.state.Bytes() + 1)
 	last := first
 	for next := first + 1; next < buckets && next <= last+1+gap; next++ {
-		if s.wanted[next] {
+		if s.wantedBuckets[next] {
 			last = next
 		}
 	}
-	return max(s.next, uint64(first)<<bucketShift), lastPlace(last), true
+	return max(s.nextHash, uint64(first)<<bucketShift), lastHash(last), true
 }
 
-func lastPlace(bucket int) uint64 { return uint64(bucket)<<bucketShift | (1<<bucketShift - 1) }
+func lastHash(bucket int) uint64 { return uint64(bucket)<<bucketShift | (1<<bucketShift - 1) }
 
-// note keeps a label and the digest at the highest one.
-func (s *snapshot) note(start, end uint64, m *Message) {
-	s.labels = append(s.labels, label{start, end, m.Number})
-	if m.Number >= s.highest {
-		s.highest, s.digest = m.Number, m.Digest
+// recordRange keeps a label and the digest at the highest one.
+func (s *snapshotFetch) recordRange(start, end uint64, m *Message) {
+	s.rangeNumbers = append(s.rangeNumbers, rangeNumber{start, end, m.Number})
+	if m.Number >= s.highestNumber {
+		s.highestNumber, s.highestDigest = m.Number, m.Digest
 	}
 }
 
-// labelOf returns the number as of which a place's entry is.
-func (s *snapshot) labelOf(place uint64) uint64 {
-	for _, l := range s.labels {
-		if l.start <= place && place <= l.end {
+// numberAt returns the number as of which a place's entry is.
+func (s *snapshotFetch) numberAt(hash uint64) uint64 {
+	for _, l := range s.rangeNumbers {
+		if l.start <= hash && hash <= l.end {
 			return l.number
 		}
 	}
 	return 0
 }
 
-func (r *Replica) askSnapshot(now time.Time) {
+func (r *Replica) sendSnapshotRequest(now time.Time) {
 	s := r.snapshot
-	m := &Message{Kind: AskDigests, Page: s.page}
-	if !s.comparing() {
-		start, end, ok := s.run()
-		m = &Message{Kind: AskEntries, Start: start, End: end}
+	m := &Message{Kind: KindDigestsRequest, Page: s.nextPage}
+	if !s.isComparing() {
+		start, end, ok := s.nextRange()
+		m = &Message{Kind: KindEntriesRequest, Start: start, End: end}
 		if !ok {
 			s.beginReplay()
-			m = &Message{Kind: Pull, Flags: flagReplay | flagRepair}
+			m = &Message{Kind: KindPull, Flags: flagReplay | flagRepair}
 		}
 	}
-	if r.waits(now, m.class()) {
+	if r.deferForBudget(now, m.class()) {
 		return
 	}
-	r.question(now, m)
+	r.sendRequest(now, m)
 }
 
-func (s *snapshot) beginReplay() {
+func (s *snapshotFetch) beginReplay() {
 	if s.replaying {
 		return
 	}
-	s.replaying, s.number = true, math.MaxUint64
-	for _, l := range s.labels {
-		s.number = min(s.number, l.number)
+	s.replaying, s.replayedNumber = true, math.MaxUint64
+	for _, l := range s.rangeNumbers {
+		s.replayedNumber = min(s.replayedNumber, l.number)
 	}
 }
 
-// answeredSnapshot takes an answer to a question of a snapshot's.
-func (r *Replica) answeredSnapshot(now time.Time, q *question, m *Message) {
+// handleSnapshotResponse takes an answer to a question of a snapshot's.
+func (r *Replica) handleSnapshotResponse(now time.Time, q *request, m *Message) {
 	s := r.snapshot
-	if m.Status == Busy && q.to == s.server && s.refused < refusedAtMost {
-		s.refused++
-		r.askAt = now.Add(repairPause + r.draw(repairPause))
+	if m.Status == StatusBusy && q.to == s.server && s.busyResponses < maxBusyResponses {
+		s.busyResponses++
+		r.nextRequestAt = now.Add(repairBackoff + r.randomUpTo(repairBackoff))
 		return
 	}
-	if m.Status == Busy || m.Status == Behind {
+	if m.Status == StatusBusy || m.Status == StatusBehind {
 		s.server = 0
-		r.pause(now)
+		r.backOff(now)
 		return
 	}
-	s.server, s.refused = q.to, 0
+	s.server, s.busyResponses = q.to, 0
 	if s.epoch != 0 && s.epoch != m.Epoch {
 		s.restart()
-		r.askAt = now
+		r.nextRequestAt = now
 		return
 	}
 	s.epoch = m.Epoch
-	taken := false
+	accepted := false
 	switch {
-	case m.Kind == Digests && s.comparing():
-		taken = s.takeDigests(m)
-	case m.Kind == Entries && !s.comparing() && !s.replaying:
-		taken = s.takeEntries(m)
-	case m.Kind == Answer && s.replaying:
-		taken = s.replay(m)
+	case m.Kind == KindDigestsResponse && s.isComparing():
+		accepted = s.acceptDigests(m)
+	case m.Kind == KindEntriesResponse && !s.isComparing() && !s.replaying:
+		accepted = s.acceptEntries(m)
+	case m.Kind == KindPullResponse && s.replaying:
+		accepted = s.replay(m)
 	}
-	if !taken {
+	if !accepted {
 		r.failSnapshot(now)
 		return
 	}
-	r.fails, r.askAt = 0, now
-	if _, _, more := s.run(); s.comparing() || more {
+	r.failedRepairs, r.nextRequestAt = 0, now
+	if _, _, more := s.nextRange(); s.isComparing() || more {
 		return
 	}
 	s.beginReplay()
-	if s.number < s.highest {
+	if s.replayedNumber < s.highestNumber {
 		return
 	}
-	if s.state.Digest() != s.digest && !r.cfg.Flaws.DigestIgnored {
+	if s.state.Digest() != s.highestDigest && !r.cfg.Flaws.DigestIgnored {
 		r.failSnapshot(now)
 		return
 	}
 	r.finishSnapshot(now, q, m)
 }
 
-func (s *snapshot) takeDigests(m *Message) bool {
-	if m.Page != s.page || len(m.Digests) != digestsPerPage {
+func (s *snapshotFetch) acceptDigests(m *Message) bool {
+	if m.Page != s.nextPage || len(m.Digests) != digestsPerPage {
 		return false
 	}
 	for i, digest := range m.Digests {
 		bucket := int(m.Page)*digestsPerPage + i
-		s.wanted[bucket] = s.state.parts[bucket] != digest || !s.state.audit(bucket)
-		if !s.wanted[bucket] {
-			s.note(uint64(bucket)<<bucketShift, lastPlace(bucket), m)
+		s.wantedBuckets[bucket] = s.state.bucketDigests[bucket] != digest || !s.state.isBucketIntact(bucket)
+		if !s.wantedBuckets[bucket] {
+			s.recordRange(uint64(bucket)<<bucketShift, lastHash(bucket), m)
 		}
 	}
-	s.page++
+	s.nextPage++
 	return true
 }
 
-func (s *snapshot) takeEntries(m *Message) bool {
-	start, end, ok := s.run()
+func (s *snapshotFetch) acceptEntries(m *Message) bool {
+	start, end, ok := s.nextRange()
 	if !ok || m.Start != start || m.End > end || m.End < start {
 		return false
 	}
 	for _, e := range m.Entries {
-		if at := place(e.Key); e.check() != nil || at < m.Start || at > m.End {
+		if at := keyHash(e.Key); e.check() != nil || at < m.Start || at > m.End {
 			return false
 		}
 	}
-	s.state.clear(m.Start, m.End)
+	s.state.removeRange(m.Start, m.End)
 	for _, e := range m.Entries {
 		s.state.put(e)
 	}
-	s.note(m.Start, m.End, m)
-	s.next = m.End + 1
-	s.fetched = m.End == math.MaxUint64
+	s.recordRange(m.Start, m.End, m)
+	s.nextHash = m.End + 1
+	s.allFetched = m.End == math.MaxUint64
 	return true
 }
 
 // replay applies changes to the entries that are older than they are.
-func (s *snapshot) replay(m *Message) bool {
+func (s *snapshotFetch) replay(m *Message) bool {
 	b := m.Batch
-	if m.Status != Newer || b == nil || b.From != s.number {
+	if m.Status != StatusNewer || b == nil || b.From != s.replayedNumber {
 		return false
 	}
 	for i, c := range b.Changes {
-		if s.labelOf(place(c.Key)) < b.From+uint64(i)+1 {
+		if s.numberAt(keyHash(c.Key)) < b.From+uint64(i)+1 {
 			s.state.apply(c)
 		}
 	}
-	s.number = b.To()
-	if s.number >= s.highest {
-		s.highest, s.digest = s.number, b.After
+	s.replayedNumber = b.To()
+	if s.replayedNumber >= s.highestNumber {
+		s.highestNumber, s.highestDigest = s.replayedNumber, b.After
 	}
 	return true
 }
@@ -233,34 +233,34 @@
 func (r *Replica) failSnapshot(now time.Time) {
 	r.Counters.SnapshotsFailed++
 	r.snapshot.restart()
-	r.pause(now)
+	r.backOff(now)
 }
 
 // finishSnapshot has the copy take the state's place.
-func (r *Replica) finishSnapshot(now time.Time, q *question, m *Message) {
+func (r *Replica) finishSnapshot(now time.Time, q *request, m *Message) {
 	s := r.snapshot
 	r.Counters.Snapshots++
 	for key, value := range s.state.entries { // any order: keys are only noted
 		if old, ok := r.state.Get(key); !ok || old != value {
-			r.changed[key] = struct{}{}
+			r.changedKeys[key] = struct{}{}
 		}
 	}
 	for key := range r.state.entries { // likewise
 		if _, ok := s.state.Get(key); !ok {
-			r.changed[key] = struct{}{}
+			r.changedKeys[key] = struct{}{}
 		}
 	}
 	from := r.number
-	r.state, r.number, r.line, r.base = s.state, s.number, s.epoch, m.Base
+	r.state, r.number, r.stateEpoch, r.epochBase = s.state, s.replayedNumber, s.epoch, m.EpochBase
 	r.log.Reset(r.number, r.state.Digest())
 	r.snapshot = nil
 	if r.number < from {
 		r.asOf = time.Time{} // it was vouched for at a later number
 	}
-	r.target = max(r.target, m.Number)
-	r.step(now, AppliedRange{Epoch: r.line, From: from, To: r.number, Snapshot: true})
-	r.confirmPromised()
-	r.push(now, q.to, nil)
+	r.targetNumber = max(r.targetNumber, m.Number)
+	r.recordApplied(now, AppliedRange{Epoch: r.stateEpoch, From: from, To: r.number, Snapshot: true})
+	r.applyPendingFreshness()
+	r.pushToChildren(now, q.to, nil)
 	r.attempt = 0
-	r.askAt = now
+	r.nextRequestAt = now
 }
--- a/internal/changes/state.go
+++ b/internal/changes/state.go
@@ -16,8 +16,8 @@
 	MaxValue = 640
 )
 
-// ErrEntry tells of a key or value out of bounds.
-var ErrEntry = errors.New("changes: a key or value out of bounds")
+// ErrInvalidEntry tells of a key or value out of bounds.
+var ErrInvalidEntry = errors.New("changes: a key or value out of bounds")
 
 // Entry is a key and its value.
 type Entry struct {
@@ -27,7 +27,7 @@
 
 func (e Entry) check() error {
 	if e.Key == "" || len(e.Key) > MaxKey || len(e.Value) > MaxValue {
-		return fmt.Errorf("%w: a key of %d and a value of %d bytes", ErrEntry, len(e.Key), len(e.Value))
+		return fmt.Errorf("%w: a key of %d and a value of %d bytes", ErrInvalidEntry, len(e.Key), len(e.Value))
 	}
 	return nil
 }
@@ -44,8 +44,8 @@
 	return d.Sum64()
 }
 
-// place is where a key stands in a snapshot's order.
-func place(key string) uint64 { return xxhash.Sum64String(key) }
+// keyHash is where a key stands in a snapshot's order.
+func keyHash(key string) uint64 { return xxhash.Sum64String(key) }
 
 // buckets are equal parts of all places, compared by their digests where two states differ.
 const (
@@ -53,25 +53,25 @@
 	bucketShift = 56
 )
 
-func bucketOf(place uint64) int { return int(place >> bucketShift) }
+func bucketOf(hash uint64) int { return int(hash >> bucketShift) }
 
 // State is keyed entries with digests that follow each change in constant time. A digest is the sum of its entries' hashes, so it does
 // not depend on the order in which they came.
 type State struct {
-	entries map[string]string
-	order   []placed // by place, for snapshots and audits; nil until it is asked for
-	digest  uint64
-	parts   [buckets]uint64
-	bytes   int
+	entries       map[string]string
+	byHash        []hashedKey // by place, for snapshots and audits; nil until it is asked for
+	digest        uint64
+	bucketDigests [buckets]uint64
+	bytes         int
 }
 
-type placed struct {
-	place uint64
-	key   string
+type hashedKey struct {
+	hash uint64
+	key  string
 }
 
-func (p placed) compare(o placed) int {
-	return cmp.Or(cmp.Compare(p.place, o.place), cmp.Compare(p.key, o.key))
+func (p hashedKey) compare(o hashedKey) int {
+	return cmp.Or(cmp.Compare(p.hash, o.hash), cmp.Compare(p.key, o.key))
 }
 
 // NewState returns an empty state.
@@ -102,36 +102,36 @@
 	return all
 }
 
-func (s *State) account(e Entry, sign int) {
+func (s *State) updateDigests(e Entry, sign int) {
 	hash := e.hash()
 	if sign < 0 {
 		hash = -hash
 	}
 	s.digest += hash
-	s.parts[bucketOf(place(e.Key))] += hash
+	s.bucketDigests[bucketOf(keyHash(e.Key))] += hash
 	s.bytes += sign * (len(e.Key) + len(e.Value))
 }
 
 func (s *State) put(e Entry) {
 	old, had := s.entries[e.Key]
 	if had {
-		s.account(Entry{e.Key, old}, -1)
-	} else if s.order != nil {
-		added := placed{place(e.Key), e.Key}
-		at, _ := slices.BinarySearchFunc(s.order, added, placed.compare)
-		s.order = slices.Insert(s.order, at, added)
+		s.updateDigests(Entry{e.Key, old}, -1)
+	} else if s.byHash != nil {
+		added := hashedKey{keyHash(e.Key), e.Key}
+		at, _ := slices.BinarySearchFunc(s.byHash, added, hashedKey.compare)
+		s.byHash = slices.Insert(s.byHash, at, added)
 	}
 	s.entries[e.Key] = e.Value
-	s.account(e, 1)
+	s.updateDigests(e, 1)
 }
 
 func (s *State) remove(key string) {
 	if old, had := s.entries[key]; had {
-		s.account(Entry{key, old}, -1)
+		s.updateDigests(Entry{key, old}, -1)
 		delete(s.entries, key)
-		if s.order != nil {
-			at, _ := slices.BinarySearchFunc(s.order, placed{place(key), key}, placed.compare)
-			s.order = slices.Delete(s.order, at, at+1)
+		if s.byHash != nil {
+			at, _ := slices.BinarySearchFunc(s.byHash, hashedKey{keyHash(key), key}, hashedKey.compare)
+			s.byHash = slices.Delete(s.byHash, at, at+1)
 		}
 	}
 }
@@ -156,39 +156,39 @@
 	return c
 }
 
-func (s *State) index() []placed {
-	if s.order == nil && len(s.entries) > 0 {
+func (s *State) sortedByHash() []hashedKey {
+	if s.byHash == nil && len(s.entries) > 0 {
 		for key := range s.entries { // sorted below
-			s.order = append(s.order, placed{place(key), key})
+			s.byHash = append(s.byHash, hashedKey{keyHash(key), key})
 		}
-		slices.SortFunc(s.order, placed.compare)
+		slices.SortFunc(s.byHash, hashedKey.compare)
 	}
-	return s.order
+	return s.byHash
 }
 
-// between returns the entries from place start to place end, both included, as many as take limit bytes on the wire; next is where the
+// entriesBetween returns the entries from place start to place end, both included, as many as take limit bytes on the wire; next is where the
 // following ones begin, done tells that there are none.
-func (s *State) between(start, end uint64, limit int) (entries []Entry, next uint64, done bool) {
-	order := s.index()
-	at, _ := slices.BinarySearchFunc(order, start, func(p placed, start uint64) int { return cmp.Compare(p.place, start) })
+func (s *State) entriesBetween(start, end uint64, limit int) (entries []Entry, next uint64, done bool) {
+	order := s.sortedByHash()
+	at, _ := slices.BinarySearchFunc(order, start, func(p hashedKey, start uint64) int { return cmp.Compare(p.hash, start) })
 	size := 0
-	for ; at < len(order) && order[at].place <= end; at++ {
+	for ; at < len(order) && order[at].hash <= end; at++ {
 		e := Entry{order[at].key, s.entries[order[at].key]}
 		size += entrySize(e)
-		if size > limit && len(entries) > 0 && order[at].place != order[at-1].place {
-			return entries, order[at].place, false
+		if size > limit && len(entries) > 0 && order[at].hash != order[at-1].hash {
+			return entries, order[at].hash, false
 		}
 		entries = append(entries, e)
 	}
 	return entries, 0, true
 }
 
-// clear removes the entries from place start to place end, both included.
-func (s *State) clear(start, end uint64) {
-	order := s.index()
-	at, _ := slices.BinarySearchFunc(order, start, func(p placed, start uint64) int { return cmp.Compare(p.place, start) })
+// removeRange removes the entries from place start to place end, both included.
+func (s *State) removeRange(start, end uint64) {
+	order := s.sortedByHash()
+	at, _ := slices.BinarySearchFunc(order, start, func(p hashedKey, start uint64) int { return cmp.Compare(p.hash, start) })
 	var keys []string
-	for ; at < len(order) && order[at].place <= end; at++ {
+	for ; at < len(order) && order[at].hash <= end; at++ {
 		keys = append(keys, order[at].key)
 	}
 	for _, key := range keys {
@@ -196,16 +196,16 @@
 	}
 }
 
-// audit counts a bucket's digest anew and tells whether it is what the changes led to: false means that memory was damaged.
-func (s *State) audit(bucket int) bool {
+// isBucketIntact counts a bucket's digest anew and tells whether it is what the changes led to: false means that memory was damaged.
+func (s *State) isBucketIntact(bucket int) bool {
 	start := uint64(bucket) << bucketShift
-	order := s.index()
-	at, _ := slices.BinarySearchFunc(order, start, func(p placed, start uint64) int { return cmp.Compare(p.place, start) })
+	order := s.sortedByHash()
+	at, _ := slices.BinarySearchFunc(order, start, func(p hashedKey, start uint64) int { return cmp.Compare(p.hash, start) })
 	var sum uint64
-	for ; at < len(order) && bucketOf(order[at].place) == bucket; at++ {
+	for ; at < len(order) && bucketOf(order[at].hash) == bucket; at++ {
 		sum += Entry{order[at].key, s.entries[order[at].key]}.hash()
 	}
-	return sum == s.parts[bucket]
+	return sum == s.bucketDigests[bucket]
 }
 
 // CorruptValue overwrites a value without the digest's knowledge, as a fault of memory would. It is for tests.
--- a/internal/changes/state_test.go
+++ b/internal/changes/state_test.go
@@ -17,7 +17,7 @@
 }
 
 // Whichever changes led to a state, its digest is that of its entries, and each change can be taken back.
-func TestDigestFollowsTheEntries(t *testing.T) {
+func TestDigestMatchesEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
 		for range rapid.IntRange(0, 60).Draw(t, "changes") {
@@ -30,11 +30,11 @@
 				}
 			}
 		}
-		if fresh := s.clone(); fresh.digest != s.digest || fresh.parts != s.parts || fresh.bytes != s.bytes {
+		if fresh := s.clone(); fresh.digest != s.digest || fresh.bucketDigests != s.bucketDigests || fresh.bytes != s.bytes {
 			t.Fatal("the digest is not that of the entries")
 		}
 		for bucket := range buckets {
-			if !s.audit(bucket) {
+			if !s.isBucketIntact(bucket) {
 				t.Fatalf("bucket %d does not hold", bucket)
 			}
 		}
@@ -42,7 +42,7 @@
 }
 
 // The pieces of a snapshot are all of the state, each within its limit.
-func TestPiecesAreTheWhole(t *testing.T) {
+func TestSnapshotRangesCoverState(t *testing.T) {
 	s := NewState()
 	for i := range 500 {
 		s.put(Entry{fmt.Sprint("key-", i), fmt.Sprint("value-", i*i)})
@@ -51,7 +51,7 @@
 	start, done := uint64(0), false
 	for !done {
 		var entries []Entry
-		entries, start, done = s.between(start, lastPlace(buckets-1), 300)
+		entries, start, done = s.entriesBetween(start, lastHash(buckets-1), 300)
 		size := 0
 		for _, e := range entries {
 			copied.put(e)
@@ -64,14 +64,14 @@
 	if copied.Digest() != s.Digest() {
 		t.Error("the pieces are not the state")
 	}
-	s.clear(0, lastPlace(buckets/2))
+	s.removeRange(0, lastHash(buckets/2))
 	if s.Len() == 0 || s.Len() == 500 {
 		t.Errorf("%d entries are left", s.Len())
 	}
 }
 
 // A log answers from any number that it reaches back to, and compacts within its bounds.
-func TestLogReachesBack(t *testing.T) {
+func TestLogChangesAfter(t *testing.T) {
 	s, l := NewState(), Log{}
 	var digests []uint64
 	for i := range 1000 {
@@ -84,11 +84,11 @@
 	if l.Last() != 1000 || len(l.changes) > 345 || len(l.changes) < 290 {
 		t.Fatalf("%d changes up to %d", len(l.changes), l.Last())
 	}
-	if l.after(0, payload) != nil || l.after(1000, payload) != nil {
+	if l.changesAfter(0, maxPayload) != nil || l.changesAfter(1000, maxPayload) != nil {
 		t.Error("changes that there are not")
 	}
-	for number := l.first; number < l.Last(); number++ {
-		b := l.after(number, 100)
+	for number := l.baseNumber; number < l.Last(); number++ {
+		b := l.changesAfter(number, 100)
 		if b.From != number || b.Before != digests[number] || len(b.Changes) == 0 || b.To() < 1000 && b.After != digests[b.To()] {
 			t.Fatalf("after %d: %+v", number, b)
 		}
--- a/internal/changes/tree.go
+++ b/internal/changes/tree.go
@@ -25,16 +25,16 @@
 type Tree struct {
 	source  MemberID
 	parent  map[MemberID]MemberID
-	zoneOf  map[MemberID]*group
-	regions map[string]*group
-	all     []MemberID
+	zoneOf  map[MemberID]*memberGroup
+	regions map[string]*memberGroup
+	members []MemberID
 }
 
-// group is the members of a zone or region in the order of their ranks.
-type group struct {
+// memberGroup is the members of a zone or region in the order of their ranks.
+type memberGroup struct {
 	region  string
 	members []MemberID
-	zones   []*group // of a region
+	zones   []*memberGroup // of a region
 }
 
 // rank orders the members of a group evenly for any scheme of IDs, with the source first.
@@ -55,52 +55,52 @@
 	})
 	t := &Tree{
 		source: source, parent: make(map[MemberID]MemberID, len(members)),
-		zoneOf: make(map[MemberID]*group, len(members)), regions: make(map[string]*group),
+		zoneOf: make(map[MemberID]*memberGroup, len(members)), regions: make(map[string]*memberGroup),
 	}
-	zones := make(map[string]*group)
+	zones := make(map[string]*memberGroup)
 	for _, m := range sorted {
 		zone, region := zones[m.Zone], t.regions[m.Region]
 		if region == nil {
-			region = &group{region: m.Region}
+			region = &memberGroup{region: m.Region}
 			t.regions[m.Region] = region
 		}
 		if zone == nil {
-			zone = &group{region: m.Region}
+			zone = &memberGroup{region: m.Region}
 			zones[m.Zone] = zone
 			region.zones = append(region.zones, zone)
 		}
 		t.zoneOf[m.ID] = zone
 		zone.members = append(zone.members, m.ID)
 		region.members = append(region.members, m.ID)
-		t.all = append(t.all, m.ID)
+		t.members = append(t.members, m.ID)
 	}
 	for _, region := range t.regions { // any order: each sets its own members
-		t.hang(region, fanOut)
+		t.setParents(region, fanOut)
 	}
 	delete(t.parent, source)
 	return t
 }
 
-// hang sets the parents of a region's members.
-func (t *Tree) hang(region *group, fanOut int) {
-	head := region.members[0]
+// setParents sets the parents of a region's members.
+func (t *Tree) setParents(region *memberGroup, fanOut int) {
+	regionHead := region.members[0]
 	for _, zone := range region.zones {
-		first := zone.members[0]
-		t.parent[first] = head
-		heads := 0 // of zones and regions below the zone's head
-		if first == head {
-			t.parent[head] = t.source
-			heads = len(region.zones) - 1
-			if head == t.source {
-				heads += len(t.regions) - 1
+		zoneHead := zone.members[0]
+		t.parent[zoneHead] = regionHead
+		subordinateHeads := 0 // of zones and regions below the zone's head
+		if zoneHead == regionHead {
+			t.parent[regionHead] = t.source
+			subordinateHeads = len(region.zones) - 1
+			if regionHead == t.source {
+				subordinateHeads += len(t.regions) - 1
 			}
 		}
 		// The zone's head has fewer children of its zone the more heads it has.
-		own := max(fanOut-heads, 1)
+		ownZoneChildren := max(fanOut-subordinateHeads, 1)
 		for i, id := range zone.members[1:] {
-			t.parent[id] = first
-			if i >= own {
-				t.parent[id] = zone.members[1+(i-own)/fanOut]
+			t.parent[id] = zoneHead
+			if i >= ownZoneChildren {
+				t.parent[id] = zone.members[1+(i-ownZoneChildren)/fanOut]
 			}
 		}
 	}
@@ -126,44 +126,44 @@
 
 // Attempts from which others are asked than the parent and its parent: members of the own zone, of the own region, any, and the source.
 const (
-	zoneAfter   = 2
-	regionAfter = 6
-	anyAfter    = 10
-	sourceAfter = 16
+	firstZoneAttempt   = 2
+	firstRegionAttempt = 6
+	firstAnyAttempt    = 10
+	sourceAttempt      = 16
 )
 
-// sourceAskers is about how many members of all ask the source when all have come to that attempt, as after a start of all at once.
-const sourceAskers = 32
+// expectedSourceRequests is about how many members of all ask the source when all have come to that attempt, as after a start of all at once.
+const expectedSourceRequests = 32
 
-// Neighbour returns whom to ask on the nth attempt in a row, 0 being the first: the parent; its parent; then members that are drawn from ever
+// RequestTarget returns whom to ask on the nth attempt in a row, 0 being the first: the parent; its parent; then members that are drawn from ever
 // farther away; the source last, and then from the beginning. ok is false if there is nobody this time.
-func (t *Tree) Neighbour(id MemberID, attempt int, rng *rand.Rand) (neighbour MemberID, ok bool) {
+func (t *Tree) RequestTarget(id MemberID, attempt int, rng *rand.Rand) (target MemberID, ok bool) {
 	parent, ok := t.Parent(id)
-	if !ok && len(t.all) == 0 {
+	if !ok && len(t.members) == 0 {
 		return 0, false
 	}
 	if !ok { // it is named as the source, and asks since it is none
-		parent = t.all[rng.IntN(len(t.all))]
+		parent = t.members[rng.IntN(len(t.members))]
 		return parent, parent != id
 	}
 	zone := t.zoneOf[id]
-	from := zone.members
-	switch attempt %= sourceAfter + 1; {
-	case attempt < zoneAfter:
-		if grand, ok := t.Parent(parent); ok && attempt == 1 {
-			return grand, true
+	candidates := zone.members
+	switch attempt %= sourceAttempt + 1; {
+	case attempt < firstZoneAttempt:
+		if grandparent, ok := t.Parent(parent); ok && attempt == 1 {
+			return grandparent, true
 		}
 		return parent, true
-	case attempt == sourceAfter && rng.IntN(len(t.all)) < sourceAskers:
+	case attempt == sourceAttempt && rng.IntN(len(t.members)) < expectedSourceRequests:
 		return t.source, true
-	case attempt >= anyAfter:
-		from = t.all
-	case attempt >= regionAfter:
-		from = t.regions[zone.region].members
+	case attempt >= firstAnyAttempt:
+		candidates = t.members
+	case attempt >= firstRegionAttempt:
+		candidates = t.regions[zone.region].members
 	}
-	const draws = 4
-	for range draws {
-		if drawn := from[rng.IntN(len(from))]; drawn != id && drawn != t.source {
+	const maxDraws = 4
+	for range maxDraws {
+		if drawn := candidates[rng.IntN(len(candidates))]; drawn != id && drawn != t.source {
 			return drawn, true
 		}
 	}
--- a/internal/changes/tree_test.go
+++ b/internal/changes/tree_test.go
@@ -19,7 +19,7 @@
 }
 
 // All compute the same tree from the same members in any order; every member hangs below the source, and few below each.
-func TestTreeIsAlikeForAll(t *testing.T) {
+func TestTreeIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := exampleMembers(rapid.IntRange(1, 300).Draw(t, "members"))
 		source := MemberID(rapid.IntRange(1, len(members)).Draw(t, "source"))
@@ -37,8 +37,8 @@
 				t.Fatalf("member %d is %d below the source", m.ID, tree.Depth(m.ID))
 			}
 			children[parent]++
-			for attempt := range 2 * sourceAfter {
-				if n, ok := tree.Neighbour(m.ID, attempt, rng); ok && n == m.ID {
+			for attempt := range 2 * sourceAttempt {
+				if n, ok := tree.RequestTarget(m.ID, attempt, rng); ok && n == m.ID {
 					t.Fatalf("member %d would ask itself", m.ID)
 				}
 			}
@@ -52,7 +52,7 @@
 }
 
 // A tree of the size in two years is low.
-func TestTreeOf7400IsLow(t *testing.T) {
+func TestTreeDepthOf7400Members(t *testing.T) {
 	tree := NewTree(exampleMembers(7400), 17, 4)
 	deepest := 0
 	for _, m := range exampleMembers(7400) {
@@ -64,15 +64,15 @@
 }
 
 // Over a long time no more is spent than the rate allows; each class has its share while all want to spend, and all of it alone.
-func TestBudgetIsShared(t *testing.T) {
+func TestBudgetSharesAndRate(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		now := time.Unix(0, 0)
 		b := NewBudget(now, 1000, 1000)
-		var spent [classes]int
+		var spent [classCount]int
 		for range 100_000 {
 			now = now.Add(time.Millisecond)
-			for class := range classes {
-				if (!alone || class == ClassSnapshot) && b.Allows(now, class) {
+			for class := range classCount {
+				if (!alone || class == ClassSnapshot) && b.CanSpendAny(now, class) {
 					b.Spend(now, class, 50)
 					spent[class] += 50
 				}
