--- a/internal/changes/bench_test.go
+++ b/internal/changes/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkInnerNode is what a change costs a process with four children, at 5,550 entries: it is read, applied, checked and pushed on. The
-// state's memory is reported too.
+// BenchmarkInnerNode measures the cost of a change for a process with four children, at 5,550
+// entries: it is decoded, applied, checked and pushed on. The memory of the states is reported too.
 func BenchmarkInnerNode(b *testing.B) {
 	now := time.Unix(0, 0)
 	tree := NewTree([]Member{{ID: 1}, {ID: 2}, {ID: 3}, {ID: 4}, {ID: 5}, {ID: 6}}, 1, 4)
@@ -66,7 +66,7 @@
 		step(5550 + i)
 	}
 	if _, number := inner.Position(); number != uint64(5550+b.N) || inner.Counters.Sent < uint64(4*b.N) {
-		b.Fatalf("at %d, %+v", number, inner.Counters)
+		b.Fatalf("replica at number %d, counters %+v", number, inner.Counters)
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/1024, "KB-of-both")
 }
--- a/internal/changes/budget.go
+++ b/internal/changes/budget.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// Class is what bytes are spent on.
+// Class is a category of traffic that has its own share of the Budget.
 type Class uint8
 
-// The classCount.
+// The traffic classes of a Budget.
 const (
-	ClassChange   Class = iota // pushes, pulls and their answers
-	ClassRepair                // changes that were missed
-	ClassSnapshot              // the state itself
+	ClassChange   Class = iota // pushes, pulls and their responses
+	ClassRepair                // retransmission of missed changes
+	ClassSnapshot              // transfer of the state itself
 	classCount
 )
 
-// classShares are the classes' parts of the rate while all of them want to spend. What one leaves is the others'.
+// classShares are the fractions of the rate that the classes get while all of them have traffic to
+// send. Bytes that one class leaves unused go to the others.
 var classShares = [classCount]float64{ClassChange: 0.5, ClassRepair: 0.3, ClassSnapshot: 0.2}
 
-// Budget bounds the bytes that a process sends and receives for changes: a token bucket for each class. A full bucket's share flows to the
-// others.
+// Budget limits the bytes that a process sends and receives for change replication. It holds one
+// token bucket for each class. Tokens that a full bucket cannot hold go to the other buckets.
 type Budget struct {
-	rate       float64 // bytes a second
-	burst      float64 // bytes, of all classes together
+	rate       float64 // bytes per second
+	burst      float64 // bytes, total of all classes
 	tokens     [classCount]float64
 	lastRefill time.Time
 }
 
-// NewBudget returns a full budget of rate bytes a second that may be spent up to burst bytes at once.
+// NewBudget returns a full budget of rate bytes per second that allows bursts of up to burst bytes.
 func NewBudget(now time.Time, rate, burst float64) *Budget {
 	b := &Budget{rate: rate, burst: burst, lastRefill: now}
 	for class := range classCount {
@@ -43,7 +44,7 @@
 	for class := range classCount {
 		b.tokens[class] += earned * classShares[class]
 	}
-	// What runs excess goes to the classes that have room.
+	// Tokens above a class's capacity go to the classes that are below theirs.
 	excess := 0.0
 	for class := range classCount {
 		if capacity := classShares[class] * b.burst; b.tokens[class] > capacity {
@@ -58,29 +59,32 @@
 	}
 }
 
-// CanSpendAny tells whether a class may spend now.
+// CanSpendAny reports whether a class may spend at least 1 byte now.
 func (b *Budget) CanSpendAny(now time.Time, class Class) bool { return b.CanSpend(now, class, 1) }
 
-// CanSpend tells whether a class may spend so many bytes now; more than it can save up count as all of that.
+// CanSpend reports whether a class may spend the given number of bytes now. A number above the
+// capacity of the class's bucket needs a full bucket only.
 func (b *Budget) CanSpend(now time.Time, class Class, bytes int) bool {
 	b.refill(now)
 	return b.tokens[class] >= min(float64(bytes), classShares[class]*b.burst)
 }
 
-// Spend takes bytes from a class. What could not be asked for beforehand, like a datagram that came, may leave it in debt, which later
-// bytes have to wait for.
+// Spend takes bytes from a class's bucket. Bytes that could not be checked beforehand, such as
+// those of a received datagram, may make the balance negative; later traffic then waits until it is
+// repaid.
 func (b *Budget) Spend(now time.Time, class Class, bytes int) {
 	b.refill(now)
 	b.tokens[class] -= float64(bytes)
 }
 
-// Exhausted tells whether a class owes as much as it could have saved: then not even small answers are due.
+// Exhausted reports whether a class's debt exceeds the capacity of its bucket. Not even small
+// responses are sent then.
 func (b *Budget) Exhausted(now time.Time, class Class) bool {
 	b.refill(now)
 	return b.tokens[class] < -classShares[class]*b.burst
 }
 
-// WaitTime is how long a class has to wait at the most until it may spend.
+// WaitTime returns an upper bound on the time until a class may spend bytes again.
 func (b *Budget) WaitTime(now time.Time, class Class) time.Duration {
 	if b.CanSpendAny(now, class) {
 		return 0
--- a/internal/changes/follow.go
+++ b/internal/changes/follow.go
@@ -3,31 +3,37 @@
 import "time"
 
 const (
-	// repairDelay is how long a gap may close by itself, by a message that was only late; as long again is drawn.
+	// repairDelay is how long a gap may remain before it is repaired, since the missing message may
+	// only be late. A random time of up to the same length is added.
 	repairDelay = 40 * time.Millisecond
-	// repairBackoff is the wait after a repair that brought nothing; it doubles with each up to pauseDoublings times, and as long again is
-	// drawn.
+	// repairBackoff is the wait after an unsuccessful repair. It doubles with each further failure,
+	// up to maxBackoffDoublings times, and a random time of up to the same length is added.
 	repairBackoff       = 200 * time.Millisecond
 	maxBackoffDoublings = 3
-	// maxBudgetWait bounds a wait for the budget.
+	// maxBudgetWait bounds the wait for bytes of the budget.
 	maxBudgetWait = 2 * time.Second
-	// parentRetryInterval is how long another than the parent is followed before the parent is tried again.
+	// parentRetryInterval is how long a member other than the parent is asked before the parent is
+	// tried again.
 	parentRetryInterval = 10 * time.Second
-	// immediateRetries is how many questions in a row that had no answer are followed by another one at once.
+	// immediateRetries is the number of consecutive requests without a response that are each
+	// followed by another request at once.
 	immediateRetries = 3
-	// bucketsPerAudit is how many buckets are counted anew with each question.
+	// bucketsPerAudit is the number of buckets whose digests are recomputed with each request.
 	bucketsPerAudit = 8
-	// maxTooOldResponses is how many logs in a row may not reach back until a snapshot is taken.
+	// maxTooOldResponses is the number of consecutive responses from logs that do not reach back
+	// far enough after which a snapshot is fetched.
 	maxTooOldResponses = 3
-	// firstStaleAttempt and staleTurns are the attempts that are tried in turn while the state is stale: all but the source.
+	// firstStaleAttempt and staleAttemptCount give the range of attempts that are tried in turn
+	// while the state is stale: all but the parent, the grandparent and the source.
 	firstStaleAttempt = 2
 	staleAttemptCount = sourceAttempt - firstStaleAttempt
 )
 
-// sendNextRequest sends the next question.
+// sendNextRequest sends the request that is due.
 func (r *Replica) sendNextRequest(now time.Time) {
 	r.auditBuckets(now)
-	// A source that the tree does not name any more asks too, so that it hears of its successor's epoch.
+	// A source that the tree no longer names sends requests too, so that it learns its successor's
+	// epoch.
 	if r.tree == nil || r.isSource && r.tree.Source() == r.cfg.Self {
 		r.nextRequestAt = now.Add(r.cfg.PullInterval)
 		return
@@ -54,7 +60,8 @@
 	r.sendRequest(now, m)
 }
 
-// deferForBudget tells whether a class has no bytes left, and has the next question wait for them.
+// deferForBudget reports whether a class has no bytes left. If so, it postpones the next request
+// until bytes are available.
 func (r *Replica) deferForBudget(now time.Time, class Class) bool {
 	if r.cfg.Flaws.BudgetExceeded {
 		return false
@@ -67,7 +74,7 @@
 	return true
 }
 
-// sendRequest sends a sendRequest to whom the attempts so far lead to.
+// sendRequest sends a request to the member that the current attempt selects.
 func (r *Replica) sendRequest(now time.Time, m *Message) {
 	to, ok := r.tree.RequestTarget(r.cfg.Self, r.attempt, r.rng)
 	if r.snapshot != nil && r.snapshot.server != 0 {
@@ -86,12 +93,13 @@
 	r.send(now, to, m)
 }
 
-// schedulePull has the next question go out at the usual time.
+// schedulePull schedules the next request after the usual pull interval.
 func (r *Replica) schedulePull(now time.Time) {
 	r.nextRequestAt = now.Add(r.cfg.PullInterval*3/4 + r.randomUpTo(r.cfg.PullInterval/2))
 }
 
-// backOff has the next question wait for a time that grows with the number of failures, and go to somebody else.
+// backOff schedules the next request after a wait that grows with the number of failures, and
+// directs it to another member.
 func (r *Replica) backOff(now time.Time) {
 	r.nextAttempt(now)
 	if r.cfg.Flaws.BudgetExceeded {
@@ -110,7 +118,7 @@
 	r.attempt++
 }
 
-// handleTimeout gives the question up that is out.
+// handleTimeout gives up the pending request.
 func (r *Replica) handleTimeout(now time.Time) {
 	r.Counters.Unanswered++
 	r.pending = nil
@@ -129,7 +137,7 @@
 	}
 }
 
-// abandonRequest ends the question that is out if a message answers it that must not be used.
+// abandonRequest ends the pending request if the message is its response but must not be used.
 func (r *Replica) abandonRequest(from MemberID, m *Message) {
 	if r.pending != nil && m.Sequence == r.pending.sequence && from == r.pending.to {
 		r.pending = nil
@@ -137,7 +145,7 @@
 	}
 }
 
-// handleResponse takes an answer to the question that is out.
+// handleResponse processes a response to the pending request.
 func (r *Replica) handleResponse(now time.Time, from MemberID, m *Message) {
 	q := r.pending
 	if q == nil || m.Sequence != q.sequence || from != q.to {
@@ -176,7 +184,8 @@
 	}
 }
 
-// handlePositionResponse takes an answer that says how the own state stands to the answerer's.
+// handlePositionResponse processes a response that states how the local state compares with the
+// responder's.
 func (r *Replica) handlePositionResponse(now time.Time, q *request, m *Message) {
 	r.targetNumber = max(r.targetNumber, m.Number, m.HighestKnown)
 	if m.Batch != nil {
@@ -201,14 +210,15 @@
 	r.failedRepairs = 0
 	if q.flags&flagSubscribe == 0 {
 		r.attempt = 0
-		r.nextRequestAt = now.Add(r.randomUpTo(r.cfg.PullInterval / 4)) // to be pushed to again
+		r.nextRequestAt = now.Add(r.randomUpTo(r.cfg.PullInterval / 4)) // to be subscribed to pushes again
 		return
 	}
 	r.choosePullTarget(now)
 }
 
-// retrySamePeer has the next question go at the usual time to the same one, which is as far as this process and tells it when it has more; if that
-// brought nothing for long, to another one.
+// retrySamePeer schedules the next request to the same member, at the usual interval. That member
+// is at the same number and pushes further changes as soon as it has them. If nothing has been
+// applied for longer than StaleAfter, another member is asked.
 func (r *Replica) retrySamePeer(now time.Time) {
 	if now.Sub(r.lastAppliedAt) > r.cfg.StaleAfter {
 		r.backOff(now)
@@ -217,7 +227,8 @@
 	r.schedulePull(now)
 }
 
-// choosePullTarget chooses whom to ask next time: the same one, unless the state is stale. Then others are tried in turn with the parent.
+// choosePullTarget chooses the member to ask next: the same one, unless the state is stale. While
+// it is stale, other members and the parent are asked alternately.
 func (r *Replica) choosePullTarget(now time.Time) {
 	r.schedulePull(now)
 	if now.Sub(r.asOf) <= r.cfg.StaleAfter || now.Sub(r.fenceRaisedAt) <= r.cfg.StaleAfter {
@@ -232,7 +243,7 @@
 	r.staleRotation++
 }
 
-// handlePush takes changes that came unasked, or a position.
+// handlePush processes a push, which carries changes or only the sender's position.
 func (r *Replica) handlePush(now time.Time, from MemberID, m *Message) {
 	if m.Batch != nil && m.Batch.To() > m.Number {
 		r.Counters.Damaged++
@@ -253,7 +264,7 @@
 	}
 }
 
-// comparePosition compares the own state with a position of the present epoch.
+// comparePosition compares the local state with a position of the current epoch.
 func (r *Replica) comparePosition(now time.Time, from MemberID, m *Message) {
 	digestIgnored := r.cfg.Flaws.DigestIgnored
 	switch {
@@ -268,8 +279,9 @@
 	}
 }
 
-// reconcile brings a state that is not the source's in line with it. What a former source said after the number at which the present one
-// began is taken back, if the log reaches back so far; then, or if that was not the cause, the state is compared as a whole.
+// reconcile brings a state that differs from the source's into line with it. Changes of a former
+// source above the number at which the current epoch began are rolled back, if the log reaches back
+// that far. Otherwise, or if those changes were not the cause, a snapshot is fetched.
 func (r *Replica) reconcile(now time.Time, m *Message) {
 	if r.snapshot != nil || r.isSource {
 		return
@@ -291,7 +303,7 @@
 	r.beginSnapshot(now)
 }
 
-// applyBatch applies a batch if it goes on from the state, and passes it on.
+// applyBatch applies a batch if it continues the local state, and pushes it on to the children.
 func (r *Replica) applyBatch(now time.Time, from MemberID, m *Message) {
 	b := m.Batch
 	flaws := r.cfg.Flaws
@@ -336,7 +348,8 @@
 	}
 }
 
-// applyChanges applies changes if they lead to a digest; else the state stays as it was. unchecked has any digest pass.
+// applyChanges applies changes if the resulting digest equals after; otherwise it leaves the state
+// unchanged. With unchecked set, any digest is accepted.
 func (r *Replica) applyChanges(changes []Change, after uint64, unchecked bool) bool {
 	undo := make([]Change, 0, len(changes))
 	digests := make([]uint64, 0, len(changes))
@@ -357,7 +370,8 @@
 	return true
 }
 
-// auditBuckets counts the digests of some buckets anew, in turn, so that a state that was damaged in memory is found before long.
+// auditBuckets recomputes the digests of a few buckets, in rotation, so that memory corruption of
+// the state is detected early.
 func (r *Replica) auditBuckets(now time.Time) {
 	if r.snapshot != nil || r.cfg.Flaws.DigestIgnored {
 		return
--- a/internal/changes/log.go
+++ b/internal/changes/log.go
@@ -1,6 +1,7 @@
 package changes
 
-// Change sets a key's value or deletes the key. Its number is given by its place in a Batch.
+// Change sets the value of a key or deletes the key. Its number follows from its position in a
+// Batch.
 type Change struct {
 	Key    string
 	Value  string
@@ -9,18 +10,19 @@
 
 func (c Change) check() error { return Entry{c.Key, c.Value}.check() }
 
-// Batch is the changes after number From, in order; the last one has number From+len(Changes).
+// Batch holds consecutive changes in order. The first one has the number From+1, the last one
+// From+len(Changes).
 type Batch struct {
 	From    uint64
-	Before  uint64 // digest of the state that they apply to
-	After   uint64 // digest of the state that they lead to
+	Before  uint64 // digest of the state that the changes apply to
+	After   uint64 // digest of the state after the changes
 	Changes []Change
 }
 
-// To is the number of the last change.
+// To returns the number of the last change.
 func (b *Batch) To() uint64 { return b.From + uint64(len(b.Changes)) }
 
-// estimatedSize is about how many bytes it takes as a message.
+// estimatedSize returns the approximate size of a message with this batch, in bytes.
 func (b *Batch) estimatedSize() int {
 	const header = 40
 	size := header + DatagramOverhead
@@ -32,15 +34,15 @@
 	return size
 }
 
-// logEntry is a change, what takes it back, and the digest of the state that it led to.
+// logEntry is a change, the change that reverts it, and the digest of the resulting state.
 type logEntry struct {
 	change Change
 	undo   Change
 	digest uint64
 }
 
-// Log is the latest changes of a state, bounded in number and bytes: the oldest ones are dropped, and whoever needs those takes a
-// snapshot.
+// Log holds the latest changes of a state, bounded in number and in bytes. The oldest ones are
+// dropped; a member that needs those fetches a snapshot.
 type Log struct {
 	baseNumber uint64 // number of the state that the oldest change applies to
 	baseDigest uint64 // digest of that state
@@ -48,7 +50,7 @@
 	bytes      int
 }
 
-// Reset drops all changes; the log goes on from a state's number and digest.
+// Reset drops all changes. The log continues from the given number and digest of the state.
 func (l *Log) Reset(number, digest uint64) {
 	*l = Log{baseNumber: number, baseDigest: digest}
 }
@@ -61,8 +63,8 @@
 	l.bytes += changeSize(c)
 }
 
-// rollBack drops the changes after a number and returns what takes them rollBack, in the order in which it is to be done; ok is false if the log
-// does not reach rollBack so far.
+// rollBack drops the changes after a number and returns the changes that revert them, in the order
+// in which they have to be applied. ok is false if the log does not reach back that far.
 func (l *Log) rollBack(number uint64) (undo []Change, ok bool) {
 	if number < l.baseNumber || number > l.Last() {
 		return nil, false
@@ -76,14 +78,14 @@
 	return undo, true
 }
 
-// compact drops the oldest changes over a number and a sum of bytes.
+// compact drops the oldest changes beyond maxChanges or maxBytes.
 func (l *Log) compact(maxChanges, maxBytes int) {
 	drop, bytes := 0, l.bytes
 	for drop < len(l.changes) && (len(l.changes)-drop > maxChanges || bytes > maxBytes) {
 		bytes -= changeSize(l.changes[drop].change)
 		drop++
 	}
-	// A part at once, so that a change costs no copy of the whole log.
+	// Changes are dropped in larger groups, so that not every change copies the whole log.
 	if drop == 0 || drop < len(l.changes)/8 && len(l.changes)-drop > 8 {
 		return
 	}
@@ -93,7 +95,8 @@
 	l.bytes = bytes
 }
 
-// digestAt returns the state's digest after a number, if the log reaches back so far.
+// digestAt returns the digest of the state at a number. ok is false if the log does not reach back
+// that far.
 func (l *Log) digestAt(number uint64) (digest uint64, ok bool) {
 	switch {
 	case number < l.baseNumber || number > l.Last():
@@ -104,8 +107,8 @@
 	return l.changes[number-l.baseNumber-1].digest, true
 }
 
-// changesAfter returns the changes changesAfter a number, as many as take limit bytes on the wire and one at least; nil if there are none or the log
-// does not reach back so far.
+// changesAfter returns the changes after a number: as many as fit limit encoded bytes, and at least
+// one. It returns nil if there are none or the log does not reach back that far.
 func (l *Log) changesAfter(number uint64, limit int) *Batch {
 	before, ok := l.digestAt(number)
 	if !ok || number == l.Last() {
--- a/internal/changes/message.go
+++ b/internal/changes/message.go
@@ -6,91 +6,97 @@
 	"fmt"
 )
 
-// MaxMessage is the longest encoded message, in bytes. With the envelope of whoever carries it it fits a datagram of 1,200 bytes.
+// MaxMessage is the maximum size of an encoded message, in bytes. Together with the envelope of the
+// transport it fits a datagram of 1,200 bytes.
 const MaxMessage = 1100
 
-// maxPayload is how many bytes of changes, entries or digests a message carries, next to its header.
+// maxPayload is the maximum size of the changes, entries or digests in a message, in bytes, without
+// the header.
 const maxPayload = 1000
 
-// Kind is what a message is for.
+// Kind is the type of a message.
 type Kind uint8
 
-// The kindsEnd.
+// The message kinds.
 const (
-	// KindPush passes changes on to whoever pulled lately. Without changes it tells the sender's position.
+	// KindPush passes changes on to members that pulled recently. Without changes it states the
+	// sender's position only.
 	KindPush Kind = 1 + iota
-	// KindPull tells the sender's position and asks what is newer and how old the rest is.
+	// KindPull states the sender's position and asks for newer changes and the age of the state.
 	KindPull
-	// KindPullResponse answers a Pull.
+	// KindPullResponse is the response to KindPull.
 	KindPullResponse
-	// KindDigestsRequest asks for the digests of a page of buckets; Digests answers it.
+	// KindDigestsRequest asks for the digests of one page of buckets. KindDigestsResponse is the
+	// response.
 	KindDigestsRequest
 	KindDigestsResponse
-	// KindEntriesRequest asks for the entries from one place to another; Entries answers it.
+	// KindEntriesRequest asks for the entries in a range of key hashes. KindEntriesResponse is the
+	// response.
 	KindEntriesRequest
 	KindEntriesResponse
 	kindsEnd
 )
 
-// Status is how a question is answered.
+// Status is the outcome of a request.
 type Status uint8
 
-// The statusesEnd.
+// The response statuses.
 const (
-	// StatusSame: the asker has all that the answerer has.
+	// StatusSame: the requester has all changes that the responder has.
 	StatusSame Status = 1 + iota
-	// StatusNewer: the answer carries changes that the asker lacks.
+	// StatusNewer: the response carries changes that the requester lacks.
 	StatusNewer
-	// StatusTooOld: the answerer's log does not reach back to the asker's position.
+	// StatusTooOld: the responder's log does not reach back to the requester's position.
 	StatusTooOld
-	// StatusDiverged: the asker's state is not one that led to the answerer's.
+	// StatusDiverged: the requester's state is not among the predecessors of the responder's state.
 	StatusDiverged
-	// StatusBehind: the answerer knows less than the asker, or does not know yet whether its own state is of the present epoch.
+	// StatusBehind: the responder has fewer changes than the requester, or does not know yet
+	// whether its own state belongs to the current epoch.
 	StatusBehind
-	// StatusBusy: the answerer has no bytes or no place left for this.
+	// StatusBusy: the responder has no bytes of its budget or no client slot left for the request.
 	StatusBusy
 	statusesEnd
 )
 
-// Flags of a Pull.
+// Flags of a KindPull message.
 const (
-	flagSubscribe = 1 << iota // the answerer is to push to the sender for a while
+	flagSubscribe = 1 << iota // subscribes the sender to the responder's pushes for ChildLease
 	flagRepair                // asks for missed changes
-	flagReplay                // the sender's digest means nothing: it completes a snapshot
+	flagReplay                // the sender's digest is to be ignored: it completes a snapshot
 	flagsEnd
 )
 
-// digestsPerPage is how many digests of buckets a message carries.
+// digestsPerPage is the number of bucket digests in a message.
 const digestsPerPage = maxPayload / 8 / 64 * 64
 
-// Message is what one process tells another. Which fields are set goes by the kind.
+// Message is a message between two processes. The kind determines which fields are set.
 type Message struct {
 	Kind         Kind
-	Status       Status // of answers
-	Flags        uint8  // of a Pull
-	Sequence     uint64 // of a question, and of its answer
-	Epoch        uint64 // of the sender's source; in a Pull that which its state belongs to
+	Status       Status // of responses
+	Flags        uint8  // of KindPull
+	Sequence     uint64 // of a request, repeated in its response
+	Epoch        uint64 // of the source that the sender follows; in KindPull the epoch that the sender's state belongs to
 	EpochBase    uint64 // number at which that epoch began
 	Number       uint64 // of the sender's latest change
 	Digest       uint64 // of the sender's state
-	HighestKnown uint64 // in Push and Answer: highest number that the sender heard of in this epoch
-	AgeMS        uint64 // of an Answer: the state was the source's so many ms ago, at the most; AgeUnknown
-	Batch        *Batch // of Push and Answer
-	Page         uint64 // of AskDigests and Digests
+	HighestKnown uint64 // in KindPush and KindPullResponse: highest number that the sender has learned of in this epoch
+	AgeMS        uint64 // in KindPullResponse: upper bound on the age of the state, in milliseconds, or AgeUnknown
+	Batch        *Batch // of KindPush and KindPullResponse
+	Page         uint64 // of KindDigestsRequest and KindDigestsResponse
 	Digests      []uint64
-	Start        uint64 // of AskEntries and Entries: first place
-	End          uint64 // last place
+	Start        uint64 // of KindEntriesRequest and KindEntriesResponse: first key hash of the range
+	End          uint64 // last key hash of the range, inclusive
 	Entries      []Entry
 }
 
-// AgeUnknown says that nobody vouched for the state yet.
+// AgeUnknown is the value of AgeMS while the age of the state has not been confirmed.
 const AgeUnknown = 1<<62 - 1
 
-// maxNumber bounds epochs and numbers, so that sums don't overflow.
+// maxNumber bounds epochs and change numbers, so that sums do not overflow.
 const maxNumber = 1 << 62
 
-// ErrMalformedMessage tells of a message that can't be read.
-var ErrMalformedMessage = errors.New("changes: a message can't be read")
+// ErrMalformedMessage reports a message that cannot be decoded.
+var ErrMalformedMessage = errors.New("changes: malformed message")
 
 func stringSize(s string) int {
 	size := 1
@@ -126,7 +132,7 @@
 	return b
 }
 
-// Encode writes a message.
+// Encode returns the encoded message.
 func (m *Message) Encode() []byte {
 	b := make([]byte, 0, 128)
 	b = append(b, byte(m.Kind))
@@ -161,7 +167,8 @@
 	return b
 }
 
-// reader reads the parts of a message. After the first error all that it returns is zero.
+// reader decodes the fields of a message. After the first error the message is refused, whatever
+// the later fields return.
 type reader struct {
 	remaining []byte
 	failed    bool
@@ -197,7 +204,7 @@
 	return value
 }
 
-// string reads a string that is no longer than most.
+// string decodes a string of at most maxLength bytes.
 func (r *reader) string(maxLength int) string {
 	length := r.uvarint()
 	if r.failed || length > uint64(maxLength) || length > uint64(len(r.remaining)) {
@@ -218,7 +225,8 @@
 	if b.From > maxNumber {
 		r.failed = true
 	}
-	// The list grows by what is there: the count sizes nothing.
+	// The slice grows with the changes that are present. The count, which the sender controls,
+	// sizes no allocation.
 	for uint64(len(b.Changes)) < count && !r.failed {
 		c := Change{Delete: r.byte() == 1, Key: r.string(MaxKey)}
 		if !c.Delete {
@@ -240,10 +248,10 @@
 	return s
 }
 
-// Decode reads a message. No number in it sizes an allocation.
+// Decode decodes a message. No number in the message determines the size of an allocation.
 func Decode(data []byte) (*Message, error) {
 	if len(data) > MaxMessage {
-		return nil, fmt.Errorf("%w: %d bytes", ErrMalformedMessage, len(data))
+		return nil, fmt.Errorf("%w: %d bytes, maximum is %d", ErrMalformedMessage, len(data), MaxMessage)
 	}
 	r := &reader{remaining: data}
 	m := &Message{Kind: Kind(r.byte()), Sequence: r.uvarint(), Epoch: r.uvarint(), EpochBase: r.uvarint(), Number: r.uvarint(), Digest: r.uint64()}
@@ -272,7 +280,7 @@
 		r.failed = true
 	}
 	if r.failed || len(r.remaining) > 0 || m.Number > maxNumber || m.HighestKnown > maxNumber || m.Epoch > maxNumber || m.AgeMS > AgeUnknown {
-		return nil, fmt.Errorf("%w: %d bytes of kind %d", ErrMalformedMessage, len(data), m.Kind)
+		return nil, fmt.Errorf("%w: %d bytes, kind %d", ErrMalformedMessage, len(data), m.Kind)
 	}
 	return m, nil
 }
--- a/internal/changes/message_test.go
+++ b/internal/changes/message_test.go
@@ -38,22 +38,22 @@
 	return m
 }
 
-// What is written is read again.
+// Checks that each message decodes to what was encoded, and that a truncated one is refused.
 func TestMessageEncodingRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMessage(t)
 		data := m.Encode()
 		got, err := Decode(data)
 		if err != nil || !reflect.DeepEqual(got, m) {
-			t.Fatalf("%+v became %+v, %v", m, got, err)
+			t.Fatalf("%+v decoded as %+v, error %v", m, got, err)
 		}
 		if _, err := Decode(data[:len(data)-1]); err == nil && m.Kind != KindDigestsResponse && m.Kind != KindEntriesResponse {
-			t.Fatal("a message that was cut off was read")
+			t.Fatal("a truncated message was decoded without error")
 		}
 	})
 }
 
-// The longest messages fit.
+// Checks that the longest messages stay within MaxMessage.
 func TestMessagesFitDatagram(t *testing.T) {
 	state, log := NewState(), Log{}
 	for i := range 2000 {
@@ -65,15 +65,16 @@
 	for number := range uint64(2000) {
 		m := &Message{Kind: KindPullResponse, Sequence: 1<<64 - 1, Epoch: large, EpochBase: large, Number: large, HighestKnown: large, AgeMS: AgeUnknown, Batch: log.changesAfter(number, maxPayload)}
 		if text := m.Encode(); len(text) > MaxMessage {
-			t.Fatalf("%d bytes", len(text))
+			t.Fatalf("encoded message has %d bytes, more than MaxMessage", len(text))
 		}
 	}
 	if text := (&Message{Kind: KindDigestsResponse, Digests: make([]uint64, digestsPerPage)}).Encode(); len(text) > MaxMessage {
-		t.Errorf("%d bytes", len(text))
+		t.Errorf("encoded message has %d bytes, more than MaxMessage", len(text))
 	}
 }
 
-// No bytes make the reader fail other than by its error, and what it takes has its bounds.
+// Checks that Decode refuses arbitrary bytes only by returning an error, and that it returns no
+// more changes or entries than the input has bytes.
 func FuzzDecode(f *testing.F) {
 	f.Add((&Message{Kind: KindPush, Batch: &Batch{Changes: []Change{{Key: "a", Value: "b"}, {Key: "c", Delete: true}}}}).Encode())
 	f.Add((&Message{Kind: KindEntriesResponse, Entries: []Entry{{"a", "b"}}}).Encode())
@@ -83,7 +84,7 @@
 			return
 		}
 		if m.Batch != nil && len(m.Batch.Changes) > len(data) || len(m.Entries) > len(data) {
-			t.Error("more than was sent")
+			t.Error("decoded more changes or entries than the input has bytes")
 		}
 	})
 }
--- a/internal/changes/replica.go
+++ b/internal/changes/replica.go
@@ -1,8 +1,10 @@
-// Package changes keeps one keyed state alike in many processes by passing on what changed in place of the whole. One process, the
-// source, numbers each change; the others apply them in that order, along a tree that all compute alike, and repair what they missed from
-// their neighbours. The design is in docs/changes.md.
+// Package changes replicates one keyed state to many processes by sending changes instead of the
+// whole state. One process, the source, numbers each change. The others apply the changes in that
+// order. Changes spread along a tree that all members compute alike, and each member repairs what
+// it missed from its neighbours. The design is described in docs/changes.md.
 //
-// It is pure: events come with their time, what to send is taken off it, draws come from a seed.
+// The package does no input or output and reads no clock: the caller passes in the time of each
+// event and collects the messages to send, and random numbers come from a seed.
 package changes
 
 import (
@@ -11,40 +13,46 @@
 	"time"
 )
 
-// Flaws plant mistakes, for tests of the tests.
+// Flaws are deliberate defects that tests enable to verify that the checks detect them. The zero
+// value has none.
 type Flaws struct {
-	GapIgnored         bool // changes are applied though earlier ones are missing
+	GapIgnored         bool // changes are applied although earlier ones are missing
 	DigestIgnored      bool // no digest is compared
-	StaleEpochAccepted bool // a former source's changes are applied
-	BudgetExceeded     bool // repair waits for nothing
+	StaleEpochAccepted bool // changes of a former source are applied
+	BudgetExceeded     bool // repairs do not wait for the budget
 }
 
-// Config is what a Replica needs.
+// Config is the configuration of a Replica.
 type Config struct {
 	Self    MemberID
-	Session uint64 // drawn for this life; questions are numbered from it on
+	Session uint64 // random for each process start; request sequence numbers derive from it
 	Seed    uint64
-	// PullInterval is the mean time between two pulls, PullTimeout how long one waits for its answer.
+	// PullInterval is the mean time between two pulls. PullTimeout is how long a response is
+	// awaited.
 	PullInterval, PullTimeout time.Duration
-	// MinPushInterval is the least time between two pushes of a source's; changes that come meanwhile share one.
+	// MinPushInterval is the minimum time between two pushes of the source. Changes that are
+	// proposed within it share one push.
 	MinPushInterval time.Duration
-	// ChildLease is how long changes are pushed to a member after it pulled.
+	// ChildLease is how long changes are pushed to a member after its last pull.
 	ChildLease time.Duration
-	// StaleAfter is the age of the state over which others than the parent are asked too.
+	// StaleAfter is the age of the state above which members other than the parent are asked too.
 	StaleAfter time.Duration
-	// HoldThreshold is how many changes have to be missing for the others to be held back until all are there, HoldAtMost for how long.
+	// HoldThreshold is the number of missing changes above which no update is handed to the
+	// consumer until all changes are there. MaxHold is how long updates are held back at most.
 	HoldThreshold int
 	MaxHold       time.Duration
-	// MaxChildren is to how many members changes are pushed.
+	// MaxChildren is the maximum number of members to which changes are pushed.
 	MaxChildren int
-	// BytesPerSecond bounds what is sent and received, BurstBytes how much of it may come at once.
+	// BytesPerSecond limits the traffic sent and received. BurstBytes is how much of it may occur
+	// at once.
 	BytesPerSecond, BurstBytes float64
-	// LogChanges bounds the log; in bytes it is bounded by the state's size and LogBytes, whichever is larger.
+	// LogChanges bounds the number of changes in the log. The log's size in bytes is bounded by the
+	// size of the state or LogBytes, whichever is larger.
 	LogChanges, LogBytes int
 	Flaws                Flaws
 }
 
-// DefaultConfig has the figures that docs/changes.md measures.
+// DefaultConfig returns the configuration that docs/changes.md evaluates.
 func DefaultConfig() Config {
 	return Config{
 		PullInterval: time.Second, PullTimeout: 400 * time.Millisecond, MinPushInterval: 200 * time.Millisecond, ChildLease: 3500 * time.Millisecond, StaleAfter: 4 * time.Second,
@@ -52,54 +60,57 @@
 	}
 }
 
-// DatagramOverhead is what each message costs next to its own bytes: IP and UDP headers and the carrier's envelope.
+// DatagramOverhead is the number of bytes that each message costs in addition to its own: IP and
+// UDP headers and the envelope of the transport.
 const DatagramOverhead = 64
 
-// Outgoing is a message to a member.
+// Outgoing is an encoded message to be sent to a member.
 type Outgoing struct {
 	To   MemberID
 	Data []byte
 }
 
-// AppliedRange is a step of a replica's state, for judges: the changes after From up to To, of a source's epoch.
+// AppliedRange is one step of a replica's state: the changes after From up to To, of a source's
+// epoch. Test checkers read it.
 type AppliedRange struct {
 	Epoch, From, To uint64
-	Snapshot        bool // it took the state itself
-	RolledBack      bool // it took a former source's changes after To back
+	Snapshot        bool // the state was replaced by a snapshot
+	RolledBack      bool // changes of a former source after To were rolled back
 }
 
-// Update is what changed for the consumer since the last one. Changes has each key once, in the order of keys.
+// Update is what changed for the consumer since the previous Update. Changes holds each key once,
+// in the order of the keys.
 type Update struct {
 	Epoch, Number uint64
 	Digest        uint64
 	Changes       []Change
 }
 
-// Counters tell what happened.
+// Counters count the events of a Replica.
 type Counters struct {
 	Sent, Received, BytesSent, BytesReceived uint64
-	Damaged                                  uint64 // messages that can't be read
-	StaleEpoch                               uint64 // messages of a former source's, refused
-	Duplicates                               uint64 // batches without news
-	Gaps                                     uint64 // batches ahead of the state
-	Mismatches                               uint64 // digests that were wrong
-	Repairs                                  uint64 // repair questions
-	RepairsAtSource                          uint64 // of them to the source
-	Unanswered                               uint64 // questions
-	RefusedBusy                              uint64 // questions that were refused for want of bytes or places
-	RolledBack                               uint64 // changes of former sources
+	Damaged                                  uint64 // messages that could not be decoded
+	StaleEpoch                               uint64 // messages of a former source that were refused
+	Duplicates                               uint64 // batches without new changes
+	Gaps                                     uint64 // batches that start after the local number
+	Mismatches                               uint64 // digests that did not match
+	Repairs                                  uint64 // repair requests
+	RepairsAtSource                          uint64 // repair requests to the source
+	Unanswered                               uint64 // requests without a response in time
+	RefusedBusy                              uint64 // requests that were refused for lack of bytes or client slots
+	RolledBack                               uint64 // changes of former sources that were rolled back
 	Snapshots, SnapshotsFailed               uint64
-	PushesSkipped                            uint64 // for want of bytes
-	Ignored                                  uint64 // questions that were not answered for want of bytes
+	PushesSkipped                            uint64 // pushes not sent for lack of bytes
+	Ignored                                  uint64 // requests that got no response for lack of bytes
 }
 
-// freshness says that the state at a number was the source's no earlier than a time.
+// freshness states that the state at a number was the source's state at a time, or later.
 type freshness struct {
 	number uint64
 	at     time.Time
 }
 
-// request is the one that is out.
+// request is the pending request of a Replica.
 type request struct {
 	sequence uint64
 	to       MemberID
@@ -107,7 +118,8 @@
 	flags    uint8
 }
 
-// Replica is one process's copy of the state, its source or not. It belongs to one goroutine.
+// Replica is one process's copy of the state, whether the process is the source or not. A Replica
+// is not safe for concurrent use.
 type Replica struct {
 	cfg              Config
 	rng              *rand.Rand
@@ -116,30 +128,30 @@
 	state            *State
 	number           uint64
 	log              Log
-	fence            uint64    // highest epoch heard of: what is of a lower one is refused
-	fenceRaisedAt    time.Time // when it was heard of first
+	fence            uint64    // highest epoch known; messages of lower epochs are refused
+	fenceRaisedAt    time.Time // when the fence was raised
 	stateEpoch       uint64    // epoch that the state is known to belong to
 	epochBase        uint64    // number at which that epoch began
 	isSource         bool
-	targetNumber     uint64    // highest number heard of in the fence's epoch
-	asOf             time.Time // the state was the source's then, or later
+	targetNumber     uint64    // highest number known in the fence's epoch
+	asOf             time.Time // the state was the source's state then, or later; zero: unknown
 	lastAppliedAt    time.Time // when the state changed last
-	pendingFreshness freshness // counts once the state is there
-	children         leases    // changes are pushed to them
-	snapshotClients  leases    // the snapshot is served to them
-	pushRotation     int       // of the children
+	pendingFreshness freshness // takes effect once the state reaches its number
+	children         leases    // members that changes are pushed to
+	snapshotClients  leases    // members that the snapshot is served to
+	pushRotation     int       // rotates the order of the children
 
-	flushedNumber uint64    // number up to which a source's changes are pushed
-	nextFlushAt   time.Time // before then it pushes no more
+	flushedNumber uint64    // number up to which the source has pushed its changes
+	nextFlushAt   time.Time // no push before then
 	lastFlushAt   time.Time
 
 	lastSequence     uint64
 	pending          *request
 	nextRequestAt    time.Time
-	attempt          int       // whom to ask: see Tree.Neighbour
-	returnToParentAt time.Time // to the parent
-	failedRepairs    int       // repairs in a row that brought nothing
-	tooOldResponses  int       // answers in a row by logs that don't reach back
+	attempt          int       // selects the member to ask: see Tree.RequestTarget
+	returnToParentAt time.Time // when the parent is tried again
+	failedRepairs    int       // consecutive repairs without result
+	tooOldResponses  int       // consecutive responses from logs that do not reach back far enough
 	staleRotation    int
 	nextAuditBucket  int
 	snapshot         *snapshotFetch
@@ -147,9 +159,9 @@
 	outgoing        []Outgoing
 	applied         []AppliedRange
 	update          *Update
-	changedKeys     map[string]struct{} // keys that the consumer does not know the value of
+	changedKeys     map[string]struct{} // keys whose current value the consumer has not been told
 	publishedNumber uint64
-	heldSince       time.Time // changes are held back since then; zero: they are not
+	heldSince       time.Time // since when updates are held back; zero: they are not
 	Counters        Counters
 }
 
@@ -163,50 +175,54 @@
 	return r
 }
 
-// randomUpTo draws evenly from none to d.
+// randomUpTo returns a uniformly distributed random duration from zero to d.
 func (r *Replica) randomUpTo(d time.Duration) time.Duration {
 	return time.Duration(r.rng.Int64N(int64(d) + 1))
 }
 
-// State is the state as far as it is applied, to be read only. What the consumer was told of may be older: see TakeInForce.
+// State returns the state as applied so far. The caller must not modify it. The last Update may be
+// older: see TakeUpdate.
 func (r *Replica) State() *State { return r.state }
 
 // Position returns the epoch that the state belongs to and the number of its latest change.
 func (r *Replica) Position() (epoch, number uint64) { return r.stateEpoch, r.number }
 
-// Fence returns the highest epoch heard of.
+// Fence returns the highest epoch known.
 func (r *Replica) Fence() uint64 { return r.fence }
 
-// IsSource tells whether this is the source.
+// IsSource reports whether this process is the source.
 func (r *Replica) IsSource() bool { return r.isSource }
 
-// isAligned tells whether the state is known to belong to the present epoch.
+// isAligned reports whether the state is known to belong to the current epoch.
 func (r *Replica) isAligned() bool { return r.stateEpoch == r.fence && r.fence > 0 }
 
-// isBehind tells whether there is something to repair.
+// isBehind reports whether the state needs a repair.
 func (r *Replica) isBehind() bool { return !r.isAligned() || r.number < r.targetNumber }
 
-// AsOf returns a time by this process's clock at which its state was the source's, counted from before it was asked; ok is false if nobody
-// vouched for it yet.
+// AsOf returns a time, by the local clock, at which the state was the source's state. It counts
+// from the sending of the request, so that the time in transit adds to the age. ok is false if the
+// age has not been confirmed yet.
 func (r *Replica) AsOf() (at time.Time, ok bool) { return r.asOf, !r.asOf.IsZero() }
 
-// RaiseFence refuses all epochs below one that is known from elsewhere.
+// RaiseFence refuses all epochs below one that the caller learned of by other means.
 func (r *Replica) RaiseFence(now time.Time, epoch uint64) { r.observeEpoch(now, epoch) }
 
-// observeEpoch takes note of an epoch. A higher one ends this process's own lead.
+// observeEpoch records an epoch. If it is higher than all before it, this process ceases to be the
+// source.
 func (r *Replica) observeEpoch(now time.Time, epoch uint64) {
 	if epoch <= r.fence {
 		return
 	}
 	r.fence, r.targetNumber, r.fenceRaisedAt = epoch, 0, now
-	r.asOf, r.pendingFreshness = time.Time{}, freshness{} // what a former source vouched for says nothing of the present one's state
+	r.asOf, r.pendingFreshness = time.Time{}, freshness{} // what a former source confirmed does not hold for the state of the current one
 	r.isSource = false
 	if r.snapshot != nil {
 		r.snapshot.restart()
 	}
 }
 
-// SetTree takes a tree that was computed from the present members. A new parent is asked soon.
+// SetTree sets the tree that was computed from the current members. If the parent changes, the new
+// one is asked soon.
 func (r *Replica) SetTree(now time.Time, t *Tree) {
 	var old, parent MemberID
 	if r.tree != nil {
@@ -225,7 +241,7 @@
 	}
 }
 
-// Due is when Tick has something to do.
+// Due returns the time of the next Tick call that has work to do.
 func (r *Replica) Due() time.Time {
 	due := r.nextRequestAt
 	if r.pending != nil {
@@ -237,7 +253,7 @@
 	return due
 }
 
-// Tick does what is due.
+// Tick does the work that is due.
 func (r *Replica) Tick(now time.Time) {
 	if r.pending != nil && !now.Before(r.pending.sentAt.Add(r.cfg.PullTimeout)) {
 		r.handleTimeout(now)
@@ -249,7 +265,7 @@
 	r.publish(now)
 }
 
-// Handle takes a message from a member. Each may be lost, late, repeated or out of order.
+// Handle processes a message from a member. Messages may be lost, delayed, duplicated or reordered.
 func (r *Replica) Handle(now time.Time, from MemberID, data []byte) {
 	r.Counters.Received++
 	r.Counters.BytesReceived += uint64(len(data) + DatagramOverhead)
@@ -285,12 +301,12 @@
 	r.publish(now)
 }
 
-// isRequest tells whether a message asks for an answer.
+// isRequest reports whether a message expects a response.
 func (m *Message) isRequest() bool {
 	return m.Kind == KindPull || m.Kind == KindDigestsRequest || m.Kind == KindEntriesRequest
 }
 
-// class is what a message's bytes count as.
+// class returns the traffic class that a message's bytes are charged to.
 func (m *Message) class() Class {
 	switch {
 	case m.Kind == KindPullResponse && m.Batch != nil, m.Kind == KindPull && m.Flags&flagRepair != 0:
@@ -301,7 +317,7 @@
 	return ClassChange
 }
 
-// send fills a message's header in and sends it.
+// send sets the header fields of a message and queues it for sending.
 func (r *Replica) send(now time.Time, to MemberID, m *Message) {
 	m.Epoch, m.EpochBase, m.Number, m.Digest = r.fence, r.epochBase, r.number, r.state.Digest()
 	if m.Kind == KindPush || m.Kind == KindPullResponse {
@@ -320,7 +336,7 @@
 	r.outgoing = append(r.outgoing, Outgoing{to, data})
 }
 
-// TakeMessages returns what is to be sent since the last call.
+// TakeMessages returns the messages queued since the last call.
 func (r *Replica) TakeMessages() []Outgoing {
 	sends := r.outgoing
 	r.outgoing = nil
@@ -334,23 +350,25 @@
 	return applied
 }
 
-// TakeUpdate returns what the consumer is to bring into force since the last call, nil if there is nothing. What was missed comes in one
-// piece, once all of it is there.
+// TakeUpdate returns the changes that the consumer has to put into effect since the last call, or
+// nil if there are none. Changes that were missed come in a single Update, once all of them are
+// there.
 func (r *Replica) TakeUpdate() *Update {
 	f := r.update
 	r.update = nil
 	return f
 }
 
-// recordApplied takes note of changes that were applied to the state.
+// recordApplied records changes that were applied to the state.
 func (r *Replica) recordApplied(now time.Time, a AppliedRange) {
 	r.lastAppliedAt = now
 	r.applied = append(r.applied, a)
 	r.log.compact(r.cfg.LogChanges, max(r.cfg.LogBytes, r.state.Bytes()))
 }
 
-// shouldHold decides whether changes are held back: from when many are known to be missing, or the state is not known to be the source's, until
-// all is there, or for HoldAtMost.
+// shouldHold decides whether updates are held back. That starts when more than HoldThreshold
+// changes are known to be missing, or the state is not known to belong to the source's epoch. It
+// ends when all changes are there, or after MaxHold.
 func (r *Replica) shouldHold(now time.Time) bool {
 	switch {
 	case !r.isBehind() && r.snapshot == nil:
@@ -375,7 +393,7 @@
 		return
 	}
 	keys := make([]string, 0, len(r.changedKeys))
-	if r.update != nil { // not taken yet
+	if r.update != nil { // the consumer has not taken the previous update yet
 		for _, c := range r.update.Changes {
 			r.changedKeys[c.Key] = struct{}{}
 		}
@@ -393,7 +411,8 @@
 	r.update, r.publishedNumber = f, r.number
 }
 
-// recordFreshness takes an age that was vouched for, or keeps it until the state is there.
+// recordFreshness records a confirmed age of the state. It takes effect once the state reaches its
+// number.
 func (r *Replica) recordFreshness(v freshness) {
 	if v.at.After(r.pendingFreshness.at) {
 		r.pendingFreshness = v
--- a/internal/changes/replica_test.go
+++ b/internal/changes/replica_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// testCluster is a few replicas and what is under way between them.
+// testCluster is a set of replicas with the messages in flight between them.
 type testCluster struct {
 	now      time.Time
 	replicas []*Replica
@@ -22,163 +22,165 @@
 }
 
 func newTestCluster(count int) *testCluster {
-	f := &testCluster{now: time.Unix(1000, 0)}
+	tc := &testCluster{now: time.Unix(1000, 0)}
 	var members []Member
 	for i := range count {
 		members = append(members, Member{ID: MemberID(i + 1), Zone: "zone"})
 		c := DefaultConfig()
 		c.Self, c.Session, c.LogChanges = MemberID(i+1), uint64(100+i), 20
-		f.replicas = append(f.replicas, New(f.now, c))
+		tc.replicas = append(tc.replicas, New(tc.now, c))
 	}
-	for _, r := range f.replicas {
-		r.SetTree(f.now, NewTree(members, 1, 2))
+	for _, r := range tc.replicas {
+		r.SetTree(tc.now, NewTree(members, 1, 2))
 	}
-	return f
+	return tc
 }
 
-// collect takes what the replicas send.
-func (f *testCluster) collect() {
-	for i, r := range f.replicas {
+// collect moves the messages that the replicas send to those in flight.
+func (tc *testCluster) collect() {
+	for i, r := range tc.replicas {
 		for _, send := range r.TakeMessages() {
-			f.inFlight = append(f.inFlight, packet{MemberID(i + 1), send.To, send.Data})
+			tc.inFlight = append(tc.inFlight, packet{MemberID(i + 1), send.To, send.Data})
 		}
 	}
 }
 
-// deliver hands one message over; it stays under way if it is to come again.
-func (f *testCluster) deliver(i int, duplicate bool) {
-	p := f.inFlight[i]
+// deliver hands one message to its receiver. A duplicate stays in flight, to be delivered again.
+func (tc *testCluster) deliver(i int, duplicate bool) {
+	p := tc.inFlight[i]
 	if !duplicate {
-		f.inFlight = append(f.inFlight[:i:i], f.inFlight[i+1:]...)
+		tc.inFlight = append(tc.inFlight[:i:i], tc.inFlight[i+1:]...)
 	}
-	f.replicas[p.to-1].Handle(f.now, p.from, p.data)
-	f.collect()
+	tc.replicas[p.to-1].Handle(tc.now, p.from, p.data)
+	tc.collect()
 }
 
-func (f *testCluster) advance(d time.Duration) {
-	f.now = f.now.Add(d)
-	for _, r := range f.replicas {
-		r.Tick(f.now)
+func (tc *testCluster) advance(d time.Duration) {
+	tc.now = tc.now.Add(d)
+	for _, r := range tc.replicas {
+		r.Tick(tc.now)
 	}
-	f.collect()
+	tc.collect()
 }
 
-// runWithoutLoss delivers all in order for a while.
-func (f *testCluster) runWithoutLoss(d time.Duration) {
-	for end := f.now.Add(d); f.now.Before(end); f.advance(50 * time.Millisecond) {
-		for _, r := range f.replicas {
-			r.ConfirmCurrent(f.now)
+// runWithoutLoss delivers all messages in order for the given time.
+func (tc *testCluster) runWithoutLoss(d time.Duration) {
+	for end := tc.now.Add(d); tc.now.Before(end); tc.advance(50 * time.Millisecond) {
+		for _, r := range tc.replicas {
+			r.ConfirmCurrent(tc.now)
 		}
-		for len(f.inFlight) > 0 {
-			f.deliver(0, false)
+		for len(tc.inFlight) > 0 {
+			tc.deliver(0, false)
 		}
 	}
 }
 
-// Any loss, repetition, order and delay, and any number of new sources on the way, end in the same state.
+// Checks that all replicas reach the source's state after any loss, duplication, reordering and
+// delay of messages, and after any number of changes of the source in between.
 func TestReplicasConvergeAfterMessageFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newTestCluster(5)
+		tc := newTestCluster(5)
 		epoch := uint64(0)
 		lead := func(r *Replica) {
 			epoch++
-			if err := r.BecomeSource(f.now, epoch); err != nil && !errors.Is(err, ErrStaleEpoch) {
+			if err := r.BecomeSource(tc.now, epoch); err != nil && !errors.Is(err, ErrStaleEpoch) {
 				t.Fatal(err)
 			}
-			f.collect()
+			tc.collect()
 		}
-		lead(f.replicas[0])
+		lead(tc.replicas[0])
 		for range rapid.IntRange(0, 150).Draw(t, "steps") {
 			at := 0
-			if len(f.inFlight) > 0 {
-				at = rapid.IntRange(0, len(f.inFlight)-1).Draw(t, "which")
+			if len(tc.inFlight) > 0 {
+				at = rapid.IntRange(0, len(tc.inFlight)-1).Draw(t, "which")
 			}
 			switch action := rapid.IntRange(0, 9).Draw(t, "what"); {
 			case action == 0:
-				lead(f.replicas[rapid.IntRange(0, 1).Draw(t, "source")])
-			case action <= 3: // by whoever takes itself for the source
-				r := f.replicas[rapid.IntRange(0, 1).Draw(t, "source")]
-				if err := r.Propose(f.now, []Change{drawChange(t)}); err != nil && !errors.Is(err, ErrNotSource) {
+				lead(tc.replicas[rapid.IntRange(0, 1).Draw(t, "source")])
+			case action <= 3: // by each process that takes itself for the source
+				r := tc.replicas[rapid.IntRange(0, 1).Draw(t, "source")]
+				if err := r.Propose(tc.now, []Change{drawChange(t)}); err != nil && !errors.Is(err, ErrNotSource) {
 					t.Fatal(err)
 				}
-				f.collect()
+				tc.collect()
 			case action == 4:
-				f.advance(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond)
-			case len(f.inFlight) == 0:
+				tc.advance(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond)
+			case len(tc.inFlight) == 0:
 			case action == 5:
-				f.inFlight = append(f.inFlight[:at:at], f.inFlight[at+1:]...)
+				tc.inFlight = append(tc.inFlight[:at:at], tc.inFlight[at+1:]...)
 			default:
-				f.deliver(at, action == 6)
+				tc.deliver(at, action == 6)
 			}
 		}
-		f.inFlight = nil
-		source := f.replicas[0]
+		tc.inFlight = nil
+		source := tc.replicas[0]
 		lead(source)
-		f.runWithoutLoss(2 * time.Minute)
-		for i, r := range f.replicas {
+		tc.runWithoutLoss(2 * time.Minute)
+		for i, r := range tc.replicas {
 			e, n := r.Position()
 			if _, number := source.Position(); e != epoch || n != number || r.State().Digest() != source.State().Digest() || r.State().clone().Digest() != source.State().Digest() {
-				t.Fatalf("replica %d is at %d of epoch %d, the source at %d of epoch %d", i+1, n, e, number, epoch)
+				t.Fatalf("replica %d is at number %d of epoch %d, the source at %d of epoch %d", i+1, n, e, number, epoch)
 			}
-			if at, ok := r.AsOf(); !ok || f.now.Sub(at) > 5*time.Second {
-				t.Fatalf("replica %d knows its age as %v, %v", i+1, f.now.Sub(at), ok)
+			if at, ok := r.AsOf(); !ok || tc.now.Sub(at) > 5*time.Second {
+				t.Fatalf("replica %d has age %v, known: %v, want at most 5 s", i+1, tc.now.Sub(at), ok)
 			}
 		}
 	})
 }
 
-// A former source's changes are refused, it learns that it is none, and what it said alone is taken back.
+// Checks that changes of a former source are refused, that it learns that it is no longer the
+// source, and that changes which it alone has are rolled back.
 func TestFormerSourceIsRefused(t *testing.T) {
-	f := newTestCluster(4)
-	if err := f.replicas[0].BecomeSource(f.now, 1); err != nil {
+	tc := newTestCluster(4)
+	if err := tc.replicas[0].BecomeSource(tc.now, 1); err != nil {
 		t.Fatal(err)
 	}
 	propose := func(r *Replica, value string) {
-		if err := r.Propose(f.now, []Change{{Key: "key", Value: value}}); err != nil {
+		if err := r.Propose(tc.now, []Change{{Key: "key", Value: value}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	propose(f.replicas[0], "first")
-	f.runWithoutLoss(10 * time.Second)
-	if err := f.replicas[1].BecomeSource(f.now, 2); err != nil {
+	propose(tc.replicas[0], "first")
+	tc.runWithoutLoss(10 * time.Second)
+	if err := tc.replicas[1].BecomeSource(tc.now, 2); err != nil {
 		t.Fatal(err)
 	}
-	propose(f.replicas[1], "second")
-	propose(f.replicas[0], "of a former source")
-	f.runWithoutLoss(10 * time.Second)
-	for i, r := range f.replicas {
+	propose(tc.replicas[1], "second")
+	propose(tc.replicas[0], "of a former source")
+	tc.runWithoutLoss(10 * time.Second)
+	for i, r := range tc.replicas {
 		if value, _ := r.State().Get("key"); value != "second" || r.IsSource() != (i == 1) {
-			t.Errorf("replica %d has %q, leading %v", i+1, value, r.IsSource())
+			t.Errorf("replica %d has value %q, is source: %v", i+1, value, r.IsSource())
 		}
 	}
-	if f.replicas[0].Counters.RolledBack != 1 || f.replicas[0].BecomeSource(f.now, 1) == nil {
-		t.Errorf("%+v", f.replicas[0].Counters)
+	if tc.replicas[0].Counters.RolledBack != 1 || tc.replicas[0].BecomeSource(tc.now, 1) == nil {
+		t.Errorf("former source, want 1 change rolled back and epoch 1 refused: %+v", tc.replicas[0].Counters)
 	}
-	if err := f.replicas[1].Propose(f.now, []Change{{Key: ""}}); !errors.Is(err, ErrInvalidEntry) {
-		t.Errorf("a change without a key: %v", err)
+	if err := tc.replicas[1].Propose(tc.now, []Change{{Key: ""}}); !errors.Is(err, ErrInvalidEntry) {
+		t.Errorf("change without a key: got error %v, want ErrInvalidEntry", err)
 	}
 }
 
-// The consumer is told of each key once, and of deletions.
+// Checks that an update holds each key once, and deletions too.
 func TestUpdateHasEachKeyOnce(t *testing.T) {
-	f := newTestCluster(2)
-	if err := f.replicas[0].BecomeSource(f.now, 1); err != nil {
+	tc := newTestCluster(2)
+	if err := tc.replicas[0].BecomeSource(tc.now, 1); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 10 {
-		if err := f.replicas[0].Propose(f.now, []Change{{Key: fmt.Sprint(i % 3), Value: fmt.Sprint(i)}}); err != nil {
+		if err := tc.replicas[0].Propose(tc.now, []Change{{Key: fmt.Sprint(i % 3), Value: fmt.Sprint(i)}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := f.replicas[0].Propose(f.now, []Change{{Key: "1", Delete: true}}); err != nil {
+	if err := tc.replicas[0].Propose(tc.now, []Change{{Key: "1", Delete: true}}); err != nil {
 		t.Fatal(err)
 	}
-	f.runWithoutLoss(5 * time.Second)
-	got := f.replicas[1].TakeUpdate()
+	tc.runWithoutLoss(5 * time.Second)
+	got := tc.replicas[1].TakeUpdate()
 	if got == nil || len(got.Changes) != 3 || !got.Changes[1].Delete || got.Changes[2].Value != "8" || got.Number != 11 {
-		t.Errorf("%+v", got)
+		t.Errorf("got update %+v, want 3 keys, the second deleted, the third at 8, number 11", got)
 	}
-	if f.replicas[1].TakeUpdate() != nil {
-		t.Error("told twice")
+	if tc.replicas[1].TakeUpdate() != nil {
+		t.Error("the same update was returned twice")
 	}
 }
--- a/internal/changes/serve.go
+++ b/internal/changes/serve.go
@@ -6,23 +6,25 @@
 )
 
 const (
-	// maxSnapshotClients is to how many members a process serves its snapshot at a time. Few that have all of it soon serve others; many that have a
-	// part each don't.
+	// maxSnapshotClients is the number of members to which a process serves its snapshot at the
+	// same time. A few clients that finish early can then serve others; many clients that each have
+	// a part cannot.
 	maxSnapshotClients = 2
-	// snapshotClientLease is how long one that does not ask keeps its place.
+	// snapshotClientLease is how long a client that sends no request keeps its slot.
 	snapshotClientLease = 2 * time.Second
 )
 
-// lease is a member's place among those that are served, up to a time.
+// lease is the slot of a member that is served, with the time at which it expires.
 type lease struct {
 	id    MemberID
 	until time.Time
 }
 
-// leases are a bounded number of places.
+// leases are a bounded number of slots.
 type leases []lease
 
-// acquire gives a member a place, or has it keep its own, up to a time; false: there is none left.
+// acquire gives a member a slot, or renews the one it has, until the given time. It returns false
+// if no slot is free.
 func (l *leases) acquire(now time.Time, id MemberID, until time.Time, most int) bool {
 	*l = slices.DeleteFunc(*l, func(e lease) bool { return !now.Before(e.until) })
 	at := slices.IndexFunc(*l, func(e lease) bool { return e.id == id })
@@ -37,7 +39,8 @@
 	return true
 }
 
-// pushToChildren passes changes on, or with none the position alone, to all who pulled lately but one. Nobody is waited for: who misses it pulls.
+// pushToChildren sends a batch, or with nil the position alone, to all members that pulled
+// recently, except one. Pushes are not acknowledged: a member that misses one pulls.
 func (r *Replica) pushToChildren(now time.Time, except MemberID, b *Batch) {
 	r.pushRotation++
 	for i := range r.children {
@@ -57,10 +60,10 @@
 	if r.asOf.IsZero() {
 		return AgeUnknown
 	}
-	return uint64(max(now.Sub(r.asOf).Milliseconds(), 0)) + 1 // older does no harm, younger does
+	return uint64(max(now.Sub(r.asOf).Milliseconds(), 0)) + 1 // overstating the age is harmless, understating it is not
 }
 
-// servePull answers a pull with as many changes as fit one message.
+// servePull responds to a pull with as many changes as fit one message.
 func (r *Replica) servePull(now time.Time, from MemberID, m *Message) {
 	answer := &Message{Kind: KindPullResponse, Sequence: m.Sequence, AgeMS: r.stateAgeMS(now)}
 	answer.Status, answer.Batch = r.compareRequester(m)
@@ -76,14 +79,14 @@
 	r.send(now, from, answer)
 }
 
-// compareRequester tells what the sender of a pull lacks.
+// compareRequester determines what the sender of a pull lacks.
 func (r *Replica) compareRequester(m *Message) (Status, *Batch) {
 	replay := m.Flags&flagReplay != 0
 	switch {
 	case !r.isAligned():
 		return StatusBehind, nil
 	case m.Number > r.number && (r.isSource || m.Epoch < r.stateEpoch && m.Number > r.epochBase):
-		return StatusDiverged, nil // it has changes of a former source that this one does not go on from
+		return StatusDiverged, nil // it has changes of a former source that the local state does not build on
 	case m.Number > r.number:
 		return StatusBehind, nil
 	}
@@ -99,7 +102,8 @@
 	return StatusNewer, r.log.changesAfter(m.Number, maxPayload)
 }
 
-// admitSnapshotRequest tells whether this process may serve a part of a snapshot now, and answers the question if not.
+// admitSnapshotRequest reports whether this process may serve a part of a snapshot now. If not, it
+// sends the refusal.
 func (r *Replica) admitSnapshotRequest(now time.Time, from MemberID, answer *Message) bool {
 	switch {
 	case !r.isAligned() || r.snapshot != nil:
--- a/internal/changes/snapshot.go
+++ b/internal/changes/snapshot.go
@@ -5,37 +5,40 @@
 	"time"
 )
 
-// snapshotFetch brings a copy of the state to another process's. Buckets with equal digests are kept; the entries of the others are asked
-// for in pieces, from whoever has bytes to spare, while the state goes on changing: each piece is labelled with the number at which it was
-// read. Then the changes after the lowest label are applied to what is older than they are. The digest at the highest label decides
-// whether all fits together; until then the replica's own state stands.
+// snapshotFetch copies the state from other processes. Buckets with equal digests are kept; the
+// entries of the others are requested range by range, from any member with bytes to spare, while
+// the state keeps changing. Each range carries the number at which it was read. Afterwards the
+// changes after the lowest of these numbers are applied to the ranges that are older than them. The
+// digest at the highest number decides whether the copy is consistent; until then the replica keeps
+// its own state.
 type snapshotFetch struct {
 	state          *State
-	epoch          uint64 // of all that was taken so far; 0: nothing was
-	nextPage       uint64 // of digests, next to be compared
+	epoch          uint64 // of everything received so far; 0: nothing was received
+	nextPage       uint64 // next page of digests to be compared
 	wantedBuckets  [buckets]bool
-	nextHash       uint64 // place up to which entries are there
+	nextHash       uint64 // first key hash whose entry has not been received
 	allFetched     bool
 	rangeNumbers   []rangeNumber
-	highestNumber  uint64 // label
-	highestDigest  uint64 // at the highest label
+	highestNumber  uint64 // highest number in rangeNumbers or replayed
+	highestDigest  uint64 // digest of the state at highestNumber
 	replaying      bool
-	replayedNumber uint64 // of the latest change that was replayed
+	replayedNumber uint64 // number of the latest change that was replayed
 
-	server        MemberID // served the last question; 0: somebody else is to be found
-	busyResponses int      // questions in a row that it had no bytes for
+	server        MemberID // member that served the last request; 0: another one is to be chosen
+	busyResponses int      // consecutive StatusBusy responses of the server
 }
 
-// maxBusyResponses is how many questions in a row a server may have no bytes for until another one is looked for.
+// maxBusyResponses is the number of consecutive StatusBusy responses of a server after which
+// another member is chosen.
 const maxBusyResponses = 10
 
-// rangeNumber says that the entries from place start to place end are as of a number.
+// rangeNumber states that the entries with key hashes from start to end are as of a number.
 type rangeNumber struct {
 	start, end uint64
 	number     uint64
 }
 
-// beginSnapshot brings the state in line with the others' as a whole.
+// beginSnapshot starts to fetch the whole state from other members.
 func (r *Replica) beginSnapshot(now time.Time) {
 	if r.snapshot != nil || r.isSource {
 		return
@@ -46,7 +49,8 @@
 	r.nextRequestAt = now.Add(r.randomUpTo(repairDelay))
 }
 
-// restart begins with the comparison again; entries that are there already are kept if they agree.
+// restart starts over with the comparison of digests. Entries that were already received are kept
+// where their digests agree.
 func (s *snapshotFetch) restart() {
 	*s = snapshotFetch{state: s.state}
 	if s.state.Len() == 0 { // nothing to compare
@@ -59,8 +63,8 @@
 
 func (s *snapshotFetch) isComparing() bool { return s.nextPage < buckets/digestsPerPage }
 
-// nextRange returns the next places that are wanted, with small gaps between them included: a question costs as much as a few entries. ok is
-// false if none are left.
+// nextRange returns the next range of key hashes to request. It includes small gaps between wanted
+// buckets, since a request costs as much as a few entries. ok is false if no range is left.
 func (s *snapshotFetch) nextRange() (start, end uint64, ok bool) {
 	if s.allFetched {
 		return 0, 0, false
@@ -84,7 +88,7 @@
 
 func lastHash(bucket int) uint64 { return uint64(bucket)<<bucketShift | (1<<bucketShift - 1) }
 
-// recordRange keeps a label and the digest at the highest one.
+// recordRange records the number of a range, and the digest if the number is the highest so far.
 func (s *snapshotFetch) recordRange(start, end uint64, m *Message) {
 	s.rangeNumbers = append(s.rangeNumbers, rangeNumber{start, end, m.Number})
 	if m.Number >= s.highestNumber {
@@ -92,7 +96,7 @@
 	}
 }
 
-// numberAt returns the number as of which a place's entry is.
+// numberAt returns the change number as of which the entry with a key hash was read.
 func (s *snapshotFetch) numberAt(hash uint64) uint64 {
 	for _, l := range s.rangeNumbers {
 		if l.start <= hash && hash <= l.end {
@@ -129,7 +133,7 @@
 	}
 }
 
-// handleSnapshotResponse takes an answer to a question of a snapshot's.
+// handleSnapshotResponse processes a response to a snapshot request.
 func (r *Replica) handleSnapshotResponse(now time.Time, q *request, m *Message) {
 	s := r.snapshot
 	if m.Status == StatusBusy && q.to == s.server && s.busyResponses < maxBusyResponses {
@@ -212,7 +216,7 @@
 	return true
 }
 
-// replay applies changes to the entries that are older than they are.
+// replay applies changes to the entries that are older than them.
 func (s *snapshotFetch) replay(m *Message) bool {
 	b := m.Batch
 	if m.Status != StatusNewer || b == nil || b.From != s.replayedNumber {
@@ -236,16 +240,16 @@
 	r.backOff(now)
 }
 
-// finishSnapshot has the copy take the state's place.
+// finishSnapshot replaces the state with the copy.
 func (r *Replica) finishSnapshot(now time.Time, q *request, m *Message) {
 	s := r.snapshot
 	r.Counters.Snapshots++
-	for key, value := range s.state.entries { // any order: keys are only noted
+	for key, value := range s.state.entries { // in any order: the keys are only added to a set
 		if old, ok := r.state.Get(key); !ok || old != value {
 			r.changedKeys[key] = struct{}{}
 		}
 	}
-	for key := range r.state.entries { // likewise
+	for key := range r.state.entries { // in any order: the keys are only added to a set
 		if _, ok := s.state.Get(key); !ok {
 			r.changedKeys[key] = struct{}{}
 		}
@@ -255,7 +259,7 @@
 	r.log.Reset(r.number, r.state.Digest())
 	r.snapshot = nil
 	if r.number < from {
-		r.asOf = time.Time{} // it was vouched for at a later number
+		r.asOf = time.Time{} // it was confirmed at a later number
 	}
 	r.targetNumber = max(r.targetNumber, m.Number)
 	r.recordApplied(now, AppliedRange{Epoch: r.stateEpoch, From: from, To: r.number, Snapshot: true})
--- a/internal/changes/source.go
+++ b/internal/changes/source.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// Errors of a source.
+// Errors of the methods for a source.
 var (
-	ErrNotSource  = errors.New("changes: this is not the source")
-	ErrStaleEpoch = errors.New("changes: an epoch that is not above those heard of")
+	ErrNotSource  = errors.New("changes: this process is not the source")
+	ErrStaleEpoch = errors.New("changes: epoch is not higher than all known epochs")
 )
 
-// BecomeSource makes this process the source under an epoch, which must be above all before it: an owner's token is. It goes on from its state
-// and number; what others had of a former source beyond that they take back.
+// BecomeSource makes this process the source under an epoch, which must be higher than all before
+// it; the owner's fencing token meets this. The source continues from its state and number. Other
+// members roll back the changes of a former source beyond that number.
 func (r *Replica) BecomeSource(now time.Time, epoch uint64) error {
 	if epoch <= r.fence && !(epoch == r.fence && r.stateEpoch < epoch) {
-		return fmt.Errorf("%w: %d, heard of %d", ErrStaleEpoch, epoch, r.fence)
+		return fmt.Errorf("%w: got %d, highest known is %d", ErrStaleEpoch, epoch, r.fence)
 	}
 	r.observeEpoch(now, epoch)
 	r.isSource, r.stateEpoch, r.epochBase, r.targetNumber = true, epoch, r.number, r.number
@@ -28,8 +29,8 @@
 	return nil
 }
 
-// rebuildDigest counts the digest anew if memory was damaged: what a source says has to agree with its digest. Others then compare their states
-// with it.
+// rebuildDigest recomputes the digest, in case memory was corrupted: the source's changes have to
+// match its digest. The other members then compare their states with it.
 func (r *Replica) rebuildDigest() {
 	rebuilt := r.state.clone()
 	if rebuilt.Digest() == r.state.Digest() || r.cfg.Flaws.DigestIgnored {
@@ -40,17 +41,19 @@
 	r.log.Reset(r.number, rebuilt.Digest())
 }
 
-// Resign ends the lead; the state stays.
+// Resign ends this process's role as the source. The state is kept.
 func (r *Replica) Resign() { r.isSource = false }
 
-// ConfirmCurrent says that the state is the truth as of now.
+// ConfirmCurrent states that the state is authoritative as of now. It has no effect unless this
+// process is the source.
 func (r *Replica) ConfirmCurrent(now time.Time) {
 	if r.isSource {
 		r.asOf = now
 	}
 }
 
-// Propose numbers changes and passes them on. Those that change nothing are left out.
+// Propose numbers changes and sends them to the other members. Changes that have no effect are left
+// out.
 func (r *Replica) Propose(now time.Time, proposed []Change) error {
 	if !r.isSource {
 		return ErrNotSource
@@ -79,11 +82,12 @@
 	return nil
 }
 
-// maxFlushDelay is how long changes wait at the source at the most.
+// maxFlushDelay is how long changes wait at the source for bytes of the budget at most.
 const maxFlushDelay = 2 * time.Second
 
-// flush pushes what was proposed since the last push, unless that was a moment ago or there are not the bytes to push it to all children:
-// then what comes meanwhile goes with it, which saves headers.
+// flush pushes the changes proposed since the last push. It waits if that push was less than
+// MinPushInterval ago or the budget does not suffice for all children. Changes proposed in the
+// meantime then share the push, which saves headers.
 func (r *Replica) flush(now time.Time) {
 	if !r.isSource || r.flushedNumber >= r.number || now.Before(r.nextFlushAt) {
 		return
@@ -96,7 +100,7 @@
 	r.lastFlushAt = now
 	for r.flushedNumber < r.number {
 		b := r.log.changesAfter(r.flushedNumber, maxPayload)
-		r.pushToChildren(now, 0, b) // without changes if the log does not reach back any more: who misses them pulls
+		r.pushToChildren(now, 0, b) // without changes if the log no longer reaches back: members that miss them pull
 		if b == nil {
 			r.flushedNumber = r.number
 			return
@@ -105,7 +109,7 @@
 	}
 }
 
-// Replace proposes what leads from the state to a whole list of entries.
+// Replace proposes the changes that turn the state into a complete list of entries.
 func (r *Replica) Replace(now time.Time, entries []Entry) error {
 	var proposed []Change
 	wanted := make(map[string]struct{}, len(entries))
--- a/internal/changes/state.go
+++ b/internal/changes/state.go
@@ -10,14 +10,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds on one entry, in bytes: any entry fits a datagram.
+// Bounds on one entry, in bytes. Any entry fits a datagram.
 const (
 	MaxKey   = 128
 	MaxValue = 640
 )
 
-// ErrInvalidEntry tells of a key or value out of bounds.
-var ErrInvalidEntry = errors.New("changes: a key or value out of bounds")
+// ErrInvalidEntry reports a key or value that is out of bounds.
+var ErrInvalidEntry = errors.New("changes: key or value out of bounds")
 
 // Entry is a key and its value.
 type Entry struct {
@@ -27,12 +27,12 @@
 
 func (e Entry) check() error {
 	if e.Key == "" || len(e.Key) > MaxKey || len(e.Value) > MaxValue {
-		return fmt.Errorf("%w: a key of %d and a value of %d bytes", ErrInvalidEntry, len(e.Key), len(e.Value))
+		return fmt.Errorf("%w: key of %d bytes (allowed: 1 to %d), value of %d bytes (maximum: %d)", ErrInvalidEntry, len(e.Key), MaxKey, len(e.Value), MaxValue)
 	}
 	return nil
 }
 
-// hash stands for the entry in a digest.
+// hash returns the entry's contribution to a digest.
 func (e Entry) hash() uint64 {
 	var d xxhash.Digest
 	var length [4]byte
@@ -44,10 +44,11 @@
 	return d.Sum64()
 }
 
-// keyHash is where a key stands in a snapshot's order.
+// keyHash returns the hash of a key, by which snapshots are ordered.
 func keyHash(key string) uint64 { return xxhash.Sum64String(key) }
 
-// buckets are equal parts of all places, compared by their digests where two states differ.
+// buckets is the number of equal parts that key hashes are divided into. Two states are compared by
+// the digests of these parts.
 const (
 	buckets     = 256
 	bucketShift = 56
@@ -55,11 +56,11 @@
 
 func bucketOf(hash uint64) int { return int(hash >> bucketShift) }
 
-// State is keyed entries with digests that follow each change in constant time. A digest is the sum of its entries' hashes, so it does
-// not depend on the order in which they came.
+// State is a set of keyed entries with digests that each change updates in constant time. A digest
+// is the sum of the hashes of its entries, so it does not depend on the order of the changes.
 type State struct {
 	entries       map[string]string
-	byHash        []hashedKey // by place, for snapshots and audits; nil until it is asked for
+	byHash        []hashedKey // sorted by key hash, for snapshots and audits; nil until first used
 	digest        uint64
 	bucketDigests [buckets]uint64
 	bytes         int
@@ -80,13 +81,13 @@
 // Len returns the number of entries.
 func (s *State) Len() int { return len(s.entries) }
 
-// Bytes returns the sum of the lengths of all keys and values.
+// Bytes returns the total length of all keys and values.
 func (s *State) Bytes() int { return s.bytes }
 
 // Digest returns the digest of all entries.
 func (s *State) Digest() uint64 { return s.digest }
 
-// Get returns a key's value.
+// Get returns the value of a key.
 func (s *State) Get(key string) (value string, ok bool) {
 	value, ok = s.entries[key]
 	return value, ok
@@ -136,7 +137,7 @@
 	}
 }
 
-// apply makes a change and returns the one that takes it back.
+// apply makes a change and returns the change that reverts it.
 func (s *State) apply(c Change) (undo Change) {
 	old, had := s.entries[c.Key]
 	undo = Change{Key: c.Key, Value: old, Delete: !had}
@@ -150,7 +151,7 @@
 
 func (s *State) clone() *State {
 	c := NewState()
-	for key, value := range s.entries { // any order: digests are sums
+	for key, value := range s.entries { // in any order: digests are sums
 		c.put(Entry{key, value})
 	}
 	return c
@@ -166,8 +167,9 @@
 	return s.byHash
 }
 
-// entriesBetween returns the entries from place start to place end, both included, as many as take limit bytes on the wire; next is where the
-// following ones begin, done tells that there are none.
+// entriesBetween returns the entries with key hashes from start to end, both included, as many as
+// fit limit encoded bytes. next is the key hash of the first entry left out; done reports that none
+// was left out.
 func (s *State) entriesBetween(start, end uint64, limit int) (entries []Entry, next uint64, done bool) {
 	order := s.sortedByHash()
 	at, _ := slices.BinarySearchFunc(order, start, func(p hashedKey, start uint64) int { return cmp.Compare(p.hash, start) })
@@ -183,7 +185,7 @@
 	return entries, 0, true
 }
 
-// removeRange removes the entries from place start to place end, both included.
+// removeRange removes the entries with key hashes from start to end, both included.
 func (s *State) removeRange(start, end uint64) {
 	order := s.sortedByHash()
 	at, _ := slices.BinarySearchFunc(order, start, func(p hashedKey, start uint64) int { return cmp.Compare(p.hash, start) })
@@ -196,7 +198,8 @@
 	}
 }
 
-// isBucketIntact counts a bucket's digest anew and tells whether it is what the changes led to: false means that memory was damaged.
+// isBucketIntact recomputes the digest of a bucket and reports whether it equals the one maintained
+// by the changes. A difference means that memory was corrupted.
 func (s *State) isBucketIntact(bucket int) bool {
 	start := uint64(bucket) << bucketShift
 	order := s.sortedByHash()
@@ -208,7 +211,8 @@
 	return sum == s.bucketDigests[bucket]
 }
 
-// CorruptValue overwrites a value without the digest's knowledge, as a fault of memory would. It is for tests.
+// CorruptValue overwrites a value without updating the digest, as a memory fault would. It is for
+// tests.
 func (s *State) CorruptValue(key, value string) {
 	if _, ok := s.entries[key]; ok {
 		s.entries[key] = value
--- a/internal/changes/state_test.go
+++ b/internal/changes/state_test.go
@@ -16,7 +16,8 @@
 	return c
 }
 
-// Whichever changes led to a state, its digest is that of its entries, and each change can be taken back.
+// Checks that the digest depends on the entries alone, whichever changes led to them, and that each
+// change can be reverted.
 func TestDigestMatchesEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
@@ -26,22 +27,23 @@
 			if rapid.Bool().Draw(t, "back") {
 				s.apply(undo)
 				if s.Digest() != digest || !reflect.DeepEqual(s.entries, before.entries) {
-					t.Fatal("a change that was taken back left something")
+					t.Fatal("the state differs after a change was made and reverted")
 				}
 			}
 		}
 		if fresh := s.clone(); fresh.digest != s.digest || fresh.bucketDigests != s.bucketDigests || fresh.bytes != s.bytes {
-			t.Fatal("the digest is not that of the entries")
+			t.Fatal("digest, bucket digests or size differ from those of the entries")
 		}
 		for bucket := range buckets {
 			if !s.isBucketIntact(bucket) {
-				t.Fatalf("bucket %d does not hold", bucket)
+				t.Fatalf("digest of bucket %d does not match its entries", bucket)
 			}
 		}
 	})
 }
 
-// The pieces of a snapshot are all of the state, each within its limit.
+// Checks that the ranges of a snapshot together make up the whole state, each within its size
+// limit.
 func TestSnapshotRangesCoverState(t *testing.T) {
 	s := NewState()
 	for i := range 500 {
@@ -58,19 +60,20 @@
 			size += entrySize(e)
 		}
 		if size > 300 {
-			t.Fatalf("a piece of %d bytes", size)
+			t.Fatalf("range of %d bytes, want at most 300", size)
 		}
 	}
 	if copied.Digest() != s.Digest() {
-		t.Error("the pieces are not the state")
+		t.Error("the ranges do not add up to the state")
 	}
 	s.removeRange(0, lastHash(buckets/2))
 	if s.Len() == 0 || s.Len() == 500 {
-		t.Errorf("%d entries are left", s.Len())
+		t.Errorf("%d entries are left, want more than 0 and fewer than 500", s.Len())
 	}
 }
 
-// A log answers from any number that it reaches back to, and compacts within its bounds.
+// Checks that a log returns the changes after any number that it reaches back to, and that
+// compaction keeps it within its bounds.
 func TestLogChangesAfter(t *testing.T) {
 	s, l := NewState(), Log{}
 	var digests []uint64
@@ -82,15 +85,15 @@
 		l.compact(300, 1<<20)
 	}
 	if l.Last() != 1000 || len(l.changes) > 345 || len(l.changes) < 290 {
-		t.Fatalf("%d changes up to %d", len(l.changes), l.Last())
+		t.Fatalf("log holds %d changes up to %d, want 290 to 345 up to 1000", len(l.changes), l.Last())
 	}
 	if l.changesAfter(0, maxPayload) != nil || l.changesAfter(1000, maxPayload) != nil {
-		t.Error("changes that there are not")
+		t.Error("got changes after a number outside the log")
 	}
 	for number := l.baseNumber; number < l.Last(); number++ {
 		b := l.changesAfter(number, 100)
 		if b.From != number || b.Before != digests[number] || len(b.Changes) == 0 || b.To() < 1000 && b.After != digests[b.To()] {
-			t.Fatalf("after %d: %+v", number, b)
+			t.Fatalf("changes after %d: %+v", number, b)
 		}
 	}
 }
--- a/internal/changes/tree.go
+++ b/internal/changes/tree.go
@@ -9,19 +9,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MemberID tells members apart: a life of a process.
+// MemberID identifies a member. A restarted process is a new member.
 type MemberID uint64
 
-// Member is a process that takes part.
+// Member is a process that takes part in the replication.
 type Member struct {
 	ID     MemberID
 	Region string
-	Zone   string // unique over all regions
+	Zone   string // unique across all regions
 }
 
-// Tree says from whom each member takes changes. It is a function of the members and the source alone, so all that know the same members
-// compute the same tree and nobody is elected. The source is the root; below it stand one head of each region, one head of each zone
-// under its region's, and in each zone a tree with a bounded number of children.
+// Tree defines the parent from which each member receives changes. It is a function of the members
+// and the source alone, so all processes that know the same members compute the same tree, without
+// an election. The source is the root. Below it are the heads of the regions, one for each; below
+// the head of a region is one head for each of its zones; and the members of a zone form a tree
+// with a bounded number of children.
 type Tree struct {
 	source  MemberID
 	parent  map[MemberID]MemberID
@@ -30,14 +32,15 @@
 	members []MemberID
 }
 
-// memberGroup is the members of a zone or region in the order of their ranks.
+// memberGroup holds the members of a zone or region, sorted by rank.
 type memberGroup struct {
 	region  string
 	members []MemberID
 	zones   []*memberGroup // of a region
 }
 
-// rank orders the members of a group evenly for any scheme of IDs, with the source first.
+// rank returns the sort key of a member within its group. It hashes the ID, so that any scheme of
+// IDs gives an even order, and puts the source first.
 func rank(id, source MemberID) uint64 {
 	if id == source {
 		return 0
@@ -47,7 +50,8 @@
 	return xxhash.Sum64(b[:]) | 1
 }
 
-// NewTree computes the tree. The source need not be a member: then all heads of regions have no parent until it is.
+// NewTree computes the tree. The source need not be a member; the heads of the regions then have a
+// parent that is not a member.
 func NewTree(members []Member, source MemberID, fanOut int) *Tree {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int {
@@ -74,7 +78,7 @@
 		region.members = append(region.members, m.ID)
 		t.members = append(t.members, m.ID)
 	}
-	for _, region := range t.regions { // any order: each sets its own members
+	for _, region := range t.regions { // in any order: each region sets its own members
 		t.setParents(region, fanOut)
 	}
 	delete(t.parent, source)
@@ -87,7 +91,7 @@
 	for _, zone := range region.zones {
 		zoneHead := zone.members[0]
 		t.parent[zoneHead] = regionHead
-		subordinateHeads := 0 // of zones and regions below the zone's head
+		subordinateHeads := 0 // heads of zones and regions below the zone's head
 		if zoneHead == regionHead {
 			t.parent[regionHead] = t.source
 			subordinateHeads = len(region.zones) - 1
@@ -95,7 +99,7 @@
 				subordinateHeads += len(t.regions) - 1
 			}
 		}
-		// The zone's head has fewer children of its zone the more heads it has.
+		// The head of a zone has the fewer children in its zone, the more other heads are below it.
 		ownZoneChildren := max(fanOut-subordinateHeads, 1)
 		for i, id := range zone.members[1:] {
 			t.parent[id] = zoneHead
@@ -109,13 +113,14 @@
 // Source returns the root.
 func (t *Tree) Source() MemberID { return t.source }
 
-// Parent returns a member's parent; ok is false for the source and for who is no member.
+// Parent returns the parent of a member. ok is false for the source and for an ID that is not a
+// member.
 func (t *Tree) Parent(id MemberID) (parent MemberID, ok bool) {
 	parent, ok = t.parent[id]
 	return parent, ok
 }
 
-// Depth is the number of steps from a member up to the root.
+// Depth returns the number of steps from a member up to the root.
 func (t *Tree) Depth(id MemberID) int {
 	depth := 0
 	for p, ok := t.Parent(id); ok; p, ok = t.Parent(p) {
@@ -124,7 +129,8 @@
 	return depth
 }
 
-// Attempts from which others are asked than the parent and its parent: members of the own zone, of the own region, any, and the source.
+// First attempts at which members other than the parent and the grandparent are asked: members of
+// the same zone, of the same region, any member, and the source.
 const (
 	firstZoneAttempt   = 2
 	firstRegionAttempt = 6
@@ -132,17 +138,19 @@
 	sourceAttempt      = 16
 )
 
-// expectedSourceRequests is about how many members of all ask the source when all have come to that attempt, as after a start of all at once.
+// expectedSourceRequests is the approximate number of members, out of all, that ask the source when
+// all have reached that attempt, as after a simultaneous start of all processes.
 const expectedSourceRequests = 32
 
-// RequestTarget returns whom to ask on the nth attempt in a row, 0 being the first: the parent; its parent; then members that are drawn from ever
-// farther away; the source last, and then from the beginning. ok is false if there is nobody this time.
+// RequestTarget returns the member to ask on the nth consecutive attempt, where 0 is the first: the
+// parent; the grandparent; then random members of ever larger groups; the source last; and then
+// from the beginning again. ok is false if there is nobody to ask on this attempt.
 func (t *Tree) RequestTarget(id MemberID, attempt int, rng *rand.Rand) (target MemberID, ok bool) {
 	parent, ok := t.Parent(id)
 	if !ok && len(t.members) == 0 {
 		return 0, false
 	}
-	if !ok { // it is named as the source, and asks since it is none
+	if !ok { // the tree names the member as its source, but it asks, since it is not the source
 		parent = t.members[rng.IntN(len(t.members))]
 		return parent, parent != id
 	}
--- a/internal/changes/tree_test.go
+++ b/internal/changes/tree_test.go
@@ -18,7 +18,8 @@
 	return members
 }
 
-// All compute the same tree from the same members in any order; every member hangs below the source, and few below each.
+// Checks that the same members give the same tree in any order, that every member is below the
+// source, and that each has few children.
 func TestTreeIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := exampleMembers(rapid.IntRange(1, 300).Draw(t, "members"))
@@ -31,27 +32,27 @@
 		for _, m := range members {
 			parent, ok := tree.Parent(m.ID)
 			if p, _ := other.Parent(m.ID); p != parent || ok == (m.ID == source) {
-				t.Fatalf("member %d is below %d, and below %d", m.ID, parent, p)
+				t.Fatalf("member %d has parent %d in one tree and %d in the other", m.ID, parent, p)
 			}
 			if tree.Depth(m.ID) > 12 {
-				t.Fatalf("member %d is %d below the source", m.ID, tree.Depth(m.ID))
+				t.Fatalf("member %d has depth %d, want at most 12", m.ID, tree.Depth(m.ID))
 			}
 			children[parent]++
 			for attempt := range 2 * sourceAttempt {
 				if n, ok := tree.RequestTarget(m.ID, attempt, rng); ok && n == m.ID {
-					t.Fatalf("member %d would ask itself", m.ID)
+					t.Fatalf("request target of member %d is the member itself", m.ID)
 				}
 			}
 		}
 		for _, m := range members {
-			if children[m.ID] > 2+2+1 { // heads of regions, of zones of its region, and one of its zone at least
-				t.Fatalf("%d members are below %d", children[m.ID], m.ID)
+			if children[m.ID] > 2+2+1 { // heads of regions, heads of zones of its region, and at least one member of its zone
+				t.Fatalf("%d children of member %d, want at most 5", children[m.ID], m.ID)
 			}
 		}
 	})
 }
 
-// A tree of the size in two years is low.
+// Checks that a tree of 7,400 members, the size expected in two years, is at most 8 levels deep.
 func TestTreeDepthOf7400Members(t *testing.T) {
 	tree := NewTree(exampleMembers(7400), 17, 4)
 	deepest := 0
@@ -59,11 +60,12 @@
 		deepest = max(deepest, tree.Depth(m.ID))
 	}
 	if deepest > 8 {
-		t.Errorf("%d steps from the source", deepest)
+		t.Errorf("tree has depth %d, want at most 8", deepest)
 	}
 }
 
-// Over a long time no more is spent than the rate allows; each class has its share while all want to spend, and all of it alone.
+// Checks that over a long time no more is spent than the rate allows, and that each class gets its
+// share while all have traffic, and the whole rate when it is alone.
 func TestBudgetSharesAndRate(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		now := time.Unix(0, 0)
@@ -80,10 +82,10 @@
 		}
 		total := spent[ClassChange] + spent[ClassRepair] + spent[ClassSnapshot]
 		if total > 102_000 || total < 99_000 {
-			t.Errorf("alone %v: %v spent in 100 s", alone, spent)
+			t.Errorf("alone %v: %v bytes spent in 100 s, want 99,000 to 102,000 in total", alone, spent)
 		}
 		if !alone && (spent[ClassChange] < 49_000 || spent[ClassRepair] < 29_000 || spent[ClassSnapshot] < 19_000) {
-			t.Errorf("shares: %v", spent)
+			t.Errorf("bytes spent by class: %v, want at least 49,000, 29,000 and 19,000", spent)
 		}
 	}
 }
