--- a/internal/changes/bench_test.go
+++ b/internal/changes/bench_test.go
@@ -30,8 +30,8 @@
 		inner.children.acquire(now, child, now.Add(time.Hour), 4)
 	}
 	deliver := func() {
-		for _, send := range source.TakeMessages() {
-			inner.Handle(now, 1, send.Data)
+		for _, out := range source.TakeMessages() {
+			inner.Handle(now, 1, out.Data)
 		}
 		inner.TakeMessages()
 		for _, r := range []*Replica{source, inner} {
--- a/internal/changes/follow.go
+++ b/internal/changes/follow.go
@@ -118,7 +118,7 @@
 	r.attempt++
 }
 
-// handleTimeout gives up the pending request.
+// handleTimeout gives up the pending request and schedules the next one.
 func (r *Replica) handleTimeout(now time.Time) {
 	r.Counters.Unanswered++
 	r.pending = nil
@@ -147,13 +147,13 @@
 
 // handleResponse processes a response to the pending request.
 func (r *Replica) handleResponse(now time.Time, from MemberID, m *Message) {
-	q := r.pending
-	if q == nil || m.Sequence != q.sequence || from != q.to {
+	req := r.pending
+	if req == nil || m.Sequence != req.sequence || from != req.to {
 		return
 	}
 	r.pending = nil
 	if r.snapshot != nil {
-		r.handleSnapshotResponse(now, q, m)
+		r.handleSnapshotResponse(now, req, m)
 		return
 	}
 	if m.Kind != KindPullResponse || r.isSource {
@@ -163,7 +163,7 @@
 	switch m.Status {
 	case StatusSame, StatusNewer:
 		r.tooOldResponses = 0
-		r.handlePositionResponse(now, q, m)
+		r.handlePositionResponse(now, req, m)
 	case StatusTooOld:
 		r.tooOldResponses++
 		if r.tooOldResponses >= maxTooOldResponses || r.number == 0 {
@@ -186,15 +186,15 @@
 
 // handlePositionResponse processes a response that states how the local state compares with the
 // responder's.
-func (r *Replica) handlePositionResponse(now time.Time, q *request, m *Message) {
+func (r *Replica) handlePositionResponse(now time.Time, req *request, m *Message) {
 	r.targetNumber = max(r.targetNumber, m.Number, m.HighestKnown)
 	if m.Batch != nil {
-		r.applyBatch(now, q.to, m)
+		r.applyBatch(now, req.to, m)
 	} else if m.Status == StatusSame {
-		r.comparePosition(now, q.to, m)
+		r.comparePosition(now, req.to, m)
 	}
 	if m.AgeMS != AgeUnknown {
-		r.recordFreshness(freshness{m.Number, q.sentAt.Add(-time.Duration(m.AgeMS) * time.Millisecond)})
+		r.recordFreshness(freshness{m.Number, req.sentAt.Add(-time.Duration(m.AgeMS) * time.Millisecond)})
 	}
 	if r.snapshot != nil {
 		return
@@ -208,9 +208,10 @@
 		return
 	}
 	r.failedRepairs = 0
-	if q.flags&flagSubscribe == 0 {
+	if req.flags&flagSubscribe == 0 {
 		r.attempt = 0
-		r.nextRequestAt = now.Add(r.randomUpTo(r.cfg.PullInterval / 4)) // to be subscribed to pushes again
+		// The parent is asked soon, to be subscribed to its pushes again.
+		r.nextRequestAt = now.Add(r.randomUpTo(r.cfg.PullInterval / 4))
 		return
 	}
 	r.choosePullTarget(now)
--- a/internal/changes/message.go
+++ b/internal/changes/message.go
@@ -42,18 +42,20 @@
 
 // The response statuses.
 const (
-	// StatusSame: the requester has all changes that the responder has.
+	// StatusSame means that the requester has all changes that the responder has.
 	StatusSame Status = 1 + iota
-	// StatusNewer: the response carries changes that the requester lacks.
+	// StatusNewer means that the response carries changes that the requester lacks.
 	StatusNewer
-	// StatusTooOld: the responder's log does not reach back to the requester's position.
+	// StatusTooOld means that the responder's log does not reach back to the requester's position.
 	StatusTooOld
-	// StatusDiverged: the requester's state is not among the predecessors of the responder's state.
+	// StatusDiverged means that the requester's state is not among the predecessors of the
+	// responder's state.
 	StatusDiverged
-	// StatusBehind: the responder has fewer changes than the requester, or does not know yet
-	// whether its own state belongs to the current epoch.
+	// StatusBehind means that the responder has fewer changes than the requester, or does not know
+	// yet whether its own state belongs to the current epoch.
 	StatusBehind
-	// StatusBusy: the responder has no bytes of its budget or no client slot left for the request.
+	// StatusBusy means that the responder has no bytes of its budget or no client slot left for the
+	// request.
 	StatusBusy
 	statusesEnd
 )
@@ -75,17 +77,17 @@
 	Status       Status // of responses
 	Flags        uint8  // of KindPull
 	Sequence     uint64 // of a request, repeated in its response
-	Epoch        uint64 // of the source that the sender follows; in KindPull the epoch that the sender's state belongs to
+	Epoch        uint64 // of the sender's source; in KindPull of the sender's state
 	EpochBase    uint64 // number at which that epoch began
 	Number       uint64 // of the sender's latest change
 	Digest       uint64 // of the sender's state
-	HighestKnown uint64 // in KindPush and KindPullResponse: highest number that the sender has learned of in this epoch
-	AgeMS        uint64 // in KindPullResponse: upper bound on the age of the state, in milliseconds, or AgeUnknown
+	HighestKnown uint64 // of KindPush and KindPullResponse: highest number known in this epoch
+	AgeMS        uint64 // of KindPullResponse: maximum age of the state in ms, or AgeUnknown
 	Batch        *Batch // of KindPush and KindPullResponse
 	Page         uint64 // of KindDigestsRequest and KindDigestsResponse
 	Digests      []uint64
-	Start        uint64 // of KindEntriesRequest and KindEntriesResponse: first key hash of the range
-	End          uint64 // last key hash of the range, inclusive
+	Start        uint64 // of KindEntriesRequest and KindEntriesResponse: first key hash
+	End          uint64 // of KindEntriesRequest and KindEntriesResponse: last key hash, inclusive
 	Entries      []Entry
 }
 
--- a/internal/changes/message_test.go
+++ b/internal/changes/message_test.go
@@ -64,12 +64,12 @@
 	large := uint64(maxNumber)
 	for number := range uint64(2000) {
 		m := &Message{Kind: KindPullResponse, Sequence: 1<<64 - 1, Epoch: large, EpochBase: large, Number: large, HighestKnown: large, AgeMS: AgeUnknown, Batch: log.changesAfter(number, maxPayload)}
-		if text := m.Encode(); len(text) > MaxMessage {
-			t.Fatalf("encoded message has %d bytes, more than MaxMessage", len(text))
+		if data := m.Encode(); len(data) > MaxMessage {
+			t.Fatalf("encoded message has %d bytes, more than MaxMessage", len(data))
 		}
 	}
-	if text := (&Message{Kind: KindDigestsResponse, Digests: make([]uint64, digestsPerPage)}).Encode(); len(text) > MaxMessage {
-		t.Errorf("encoded message has %d bytes, more than MaxMessage", len(text))
+	if data := (&Message{Kind: KindDigestsResponse, Digests: make([]uint64, digestsPerPage)}).Encode(); len(data) > MaxMessage {
+		t.Errorf("encoded message has %d bytes, more than MaxMessage", len(data))
 	}
 }
 
--- a/internal/changes/replica.go
+++ b/internal/changes/replica.go
@@ -71,7 +71,7 @@
 }
 
 // AppliedRange is one step of a replica's state: the changes after From up to To, of a source's
-// epoch. Test checkers read it.
+// epoch. It is for the checkers of tests and simulations.
 type AppliedRange struct {
 	Epoch, From, To uint64
 	Snapshot        bool // the state was replaced by a snapshot
@@ -90,18 +90,18 @@
 type Counters struct {
 	Sent, Received, BytesSent, BytesReceived uint64
 	Damaged                                  uint64 // messages that could not be decoded
-	StaleEpoch                               uint64 // messages of a former source that were refused
+	StaleEpoch                               uint64 // messages of former sources, refused
 	Duplicates                               uint64 // batches without new changes
 	Gaps                                     uint64 // batches that start after the local number
 	Mismatches                               uint64 // digests that did not match
 	Repairs                                  uint64 // repair requests
 	RepairsAtSource                          uint64 // repair requests to the source
 	Unanswered                               uint64 // requests without a response in time
-	RefusedBusy                              uint64 // requests that were refused for lack of bytes or client slots
-	RolledBack                               uint64 // changes of former sources that were rolled back
+	RefusedBusy                              uint64 // requests refused for lack of bytes or slots
+	RolledBack                               uint64 // changes of former sources, rolled back
 	Snapshots, SnapshotsFailed               uint64
 	PushesSkipped                            uint64 // pushes not sent for lack of bytes
-	Ignored                                  uint64 // requests that got no response for lack of bytes
+	Ignored                                  uint64 // requests not answered for lack of bytes
 }
 
 // freshness states that the state at a number was the source's state at a time, or later.
@@ -204,7 +204,8 @@
 // age has not been confirmed yet.
 func (r *Replica) AsOf() (at time.Time, ok bool) { return r.asOf, !r.asOf.IsZero() }
 
-// RaiseFence refuses all epochs below one that the caller learned of by other means.
+// RaiseFence raises the fence to an epoch that the caller learned of by other means. Messages of
+// lower epochs are refused from then on.
 func (r *Replica) RaiseFence(now time.Time, epoch uint64) { r.observeEpoch(now, epoch) }
 
 // observeEpoch records an epoch. If it is higher than all before it, this process ceases to be the
@@ -214,7 +215,8 @@
 		return
 	}
 	r.fence, r.targetNumber, r.fenceRaisedAt = epoch, 0, now
-	r.asOf, r.pendingFreshness = time.Time{}, freshness{} // what a former source confirmed does not hold for the state of the current one
+	// What a former source confirmed does not hold for the current source's state.
+	r.asOf, r.pendingFreshness = time.Time{}, freshness{}
 	r.isSource = false
 	if r.snapshot != nil {
 		r.snapshot.restart()
@@ -338,9 +340,9 @@
 
 // TakeMessages returns the messages queued since the last call.
 func (r *Replica) TakeMessages() []Outgoing {
-	sends := r.outgoing
+	messages := r.outgoing
 	r.outgoing = nil
-	return sends
+	return messages
 }
 
 // TakeApplied returns the steps of the state since the last call.
@@ -354,9 +356,9 @@
 // nil if there are none. Changes that were missed come in a single Update, once all of them are
 // there.
 func (r *Replica) TakeUpdate() *Update {
-	f := r.update
+	update := r.update
 	r.update = nil
-	return f
+	return update
 }
 
 // recordApplied records changes that were applied to the state.
@@ -402,20 +404,20 @@
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
-	f := &Update{Epoch: r.stateEpoch, Number: r.number, Digest: r.state.Digest()}
+	update := &Update{Epoch: r.stateEpoch, Number: r.number, Digest: r.state.Digest()}
 	for _, key := range keys {
 		value, ok := r.state.Get(key)
-		f.Changes = append(f.Changes, Change{Key: key, Value: value, Delete: !ok})
+		update.Changes = append(update.Changes, Change{Key: key, Value: value, Delete: !ok})
 	}
 	clear(r.changedKeys)
-	r.update, r.publishedNumber = f, r.number
+	r.update, r.publishedNumber = update, r.number
 }
 
 // recordFreshness records a confirmed age of the state. It takes effect once the state reaches its
 // number.
-func (r *Replica) recordFreshness(v freshness) {
-	if v.at.After(r.pendingFreshness.at) {
-		r.pendingFreshness = v
+func (r *Replica) recordFreshness(f freshness) {
+	if f.at.After(r.pendingFreshness.at) {
+		r.pendingFreshness = f
 	}
 	r.applyPendingFreshness()
 }
--- a/internal/changes/replica_test.go
+++ b/internal/changes/replica_test.go
@@ -39,8 +39,8 @@
 // collect moves the messages that the replicas send to those in flight.
 func (tc *testCluster) collect() {
 	for i, r := range tc.replicas {
-		for _, send := range r.TakeMessages() {
-			tc.inFlight = append(tc.inFlight, packet{MemberID(i + 1), send.To, send.Data})
+		for _, out := range r.TakeMessages() {
+			tc.inFlight = append(tc.inFlight, packet{MemberID(i + 1), out.To, out.Data})
 		}
 	}
 }
@@ -81,14 +81,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		tc := newTestCluster(5)
 		epoch := uint64(0)
-		lead := func(r *Replica) {
+		becomeSource := func(r *Replica) {
 			epoch++
 			if err := r.BecomeSource(tc.now, epoch); err != nil && !errors.Is(err, ErrStaleEpoch) {
 				t.Fatal(err)
 			}
 			tc.collect()
 		}
-		lead(tc.replicas[0])
+		becomeSource(tc.replicas[0])
 		for range rapid.IntRange(0, 150).Draw(t, "steps") {
 			at := 0
 			if len(tc.inFlight) > 0 {
@@ -96,7 +96,7 @@
 			}
 			switch action := rapid.IntRange(0, 9).Draw(t, "what"); {
 			case action == 0:
-				lead(tc.replicas[rapid.IntRange(0, 1).Draw(t, "source")])
+				becomeSource(tc.replicas[rapid.IntRange(0, 1).Draw(t, "source")])
 			case action <= 3: // by each process that takes itself for the source
 				r := tc.replicas[rapid.IntRange(0, 1).Draw(t, "source")]
 				if err := r.Propose(tc.now, []Change{drawChange(t)}); err != nil && !errors.Is(err, ErrNotSource) {
@@ -114,7 +114,7 @@
 		}
 		tc.inFlight = nil
 		source := tc.replicas[0]
-		lead(source)
+		becomeSource(source)
 		tc.runWithoutLoss(2 * time.Minute)
 		for i, r := range tc.replicas {
 			e, n := r.Position()
--- a/internal/changes/serve.go
+++ b/internal/changes/serve.go
@@ -25,11 +25,11 @@
 
 // acquire gives a member a slot, or renews the one it has, until the given time. It returns false
 // if no slot is free.
-func (l *leases) acquire(now time.Time, id MemberID, until time.Time, most int) bool {
+func (l *leases) acquire(now time.Time, id MemberID, until time.Time, maxSlots int) bool {
 	*l = slices.DeleteFunc(*l, func(e lease) bool { return !now.Before(e.until) })
 	at := slices.IndexFunc(*l, func(e lease) bool { return e.id == id })
 	if at < 0 {
-		if len(*l) >= most {
+		if len(*l) >= maxSlots {
 			return false
 		}
 		at = len(*l)
@@ -60,23 +60,24 @@
 	if r.asOf.IsZero() {
 		return AgeUnknown
 	}
-	return uint64(max(now.Sub(r.asOf).Milliseconds(), 0)) + 1 // overstating the age is harmless, understating it is not
+	// Overstating the age is harmless, understating it is not.
+	return uint64(max(now.Sub(r.asOf).Milliseconds(), 0)) + 1
 }
 
 // servePull responds to a pull with as many changes as fit one message.
 func (r *Replica) servePull(now time.Time, from MemberID, m *Message) {
-	answer := &Message{Kind: KindPullResponse, Sequence: m.Sequence, AgeMS: r.stateAgeMS(now)}
-	answer.Status, answer.Batch = r.compareRequester(m)
+	response := &Message{Kind: KindPullResponse, Sequence: m.Sequence, AgeMS: r.stateAgeMS(now)}
+	response.Status, response.Batch = r.compareRequester(m)
 	if m.Flags&flagSubscribe != 0 && !r.children.acquire(now, from, now.Add(r.cfg.ChildLease), r.cfg.MaxChildren) {
-		answer.Status, answer.Batch = StatusBusy, nil
+		response.Status, response.Batch = StatusBusy, nil
 	}
-	if answer.Batch != nil && !r.cfg.Flaws.BudgetExceeded && !r.budget.CanSpendAny(now, ClassRepair) {
-		answer.Status, answer.Batch = StatusBusy, nil
+	if response.Batch != nil && !r.cfg.Flaws.BudgetExceeded && !r.budget.CanSpendAny(now, ClassRepair) {
+		response.Status, response.Batch = StatusBusy, nil
 	}
-	if answer.Status == StatusBusy {
+	if response.Status == StatusBusy {
 		r.Counters.RefusedBusy++
 	}
-	r.send(now, from, answer)
+	r.send(now, from, response)
 }
 
 // compareRequester determines what the sender of a pull lacks.
@@ -86,7 +87,8 @@
 	case !r.isAligned():
 		return StatusBehind, nil
 	case m.Number > r.number && (r.isSource || m.Epoch < r.stateEpoch && m.Number > r.epochBase):
-		return StatusDiverged, nil // it has changes of a former source that the local state does not build on
+		// The requester has changes of a former source that the local state does not build on.
+		return StatusDiverged, nil
 	case m.Number > r.number:
 		return StatusBehind, nil
 	}
@@ -104,40 +106,40 @@
 
 // admitSnapshotRequest reports whether this process may serve a part of a snapshot now. If not, it
 // sends the refusal.
-func (r *Replica) admitSnapshotRequest(now time.Time, from MemberID, answer *Message) bool {
+func (r *Replica) admitSnapshotRequest(now time.Time, from MemberID, response *Message) bool {
 	switch {
 	case !r.isAligned() || r.snapshot != nil:
-		answer.Status = StatusBehind
+		response.Status = StatusBehind
 	case !r.snapshotClients.acquire(now, from, now.Add(snapshotClientLease), maxSnapshotClients), !r.cfg.Flaws.BudgetExceeded && !r.budget.CanSpendAny(now, ClassSnapshot):
-		answer.Status = StatusBusy
+		response.Status = StatusBusy
 		r.Counters.RefusedBusy++
 	default:
-		answer.Status = StatusNewer
+		response.Status = StatusNewer
 		return true
 	}
-	r.send(now, from, answer)
+	r.send(now, from, response)
 	return false
 }
 
 func (r *Replica) serveDigests(now time.Time, from MemberID, m *Message) {
-	answer := &Message{Kind: KindDigestsResponse, Sequence: m.Sequence, Page: m.Page}
-	if m.Page >= buckets/digestsPerPage || !r.admitSnapshotRequest(now, from, answer) {
+	response := &Message{Kind: KindDigestsResponse, Sequence: m.Sequence, Page: m.Page}
+	if m.Page >= buckets/digestsPerPage || !r.admitSnapshotRequest(now, from, response) {
 		return
 	}
 	first := int(m.Page) * digestsPerPage
-	answer.Digests = r.state.bucketDigests[first : first+digestsPerPage]
-	r.send(now, from, answer)
+	response.Digests = r.state.bucketDigests[first : first+digestsPerPage]
+	r.send(now, from, response)
 }
 
 func (r *Replica) serveEntries(now time.Time, from MemberID, m *Message) {
-	answer := &Message{Kind: KindEntriesResponse, Sequence: m.Sequence, Start: m.Start, End: m.End}
-	if m.Start > m.End || !r.admitSnapshotRequest(now, from, answer) {
+	response := &Message{Kind: KindEntriesResponse, Sequence: m.Sequence, Start: m.Start, End: m.End}
+	if m.Start > m.End || !r.admitSnapshotRequest(now, from, response) {
 		return
 	}
 	entries, next, done := r.state.entriesBetween(m.Start, m.End, maxPayload)
-	answer.Entries = entries
+	response.Entries = entries
 	if !done {
-		answer.End = next - 1
+		response.End = next - 1
 	}
-	r.send(now, from, answer)
+	r.send(now, from, response)
 }
--- a/internal/changes/snapshot.go
+++ b/internal/changes/snapshot.go
@@ -98,9 +98,9 @@
 
 // numberAt returns the change number as of which the entry with a key hash was read.
 func (s *snapshotFetch) numberAt(hash uint64) uint64 {
-	for _, l := range s.rangeNumbers {
-		if l.start <= hash && hash <= l.end {
-			return l.number
+	for _, rn := range s.rangeNumbers {
+		if rn.start <= hash && hash <= rn.end {
+			return rn.number
 		}
 	}
 	return 0
@@ -128,15 +128,15 @@
 		return
 	}
 	s.replaying, s.replayedNumber = true, math.MaxUint64
-	for _, l := range s.rangeNumbers {
-		s.replayedNumber = min(s.replayedNumber, l.number)
+	for _, rn := range s.rangeNumbers {
+		s.replayedNumber = min(s.replayedNumber, rn.number)
 	}
 }
 
 // handleSnapshotResponse processes a response to a snapshot request.
-func (r *Replica) handleSnapshotResponse(now time.Time, q *request, m *Message) {
+func (r *Replica) handleSnapshotResponse(now time.Time, req *request, m *Message) {
 	s := r.snapshot
-	if m.Status == StatusBusy && q.to == s.server && s.busyResponses < maxBusyResponses {
+	if m.Status == StatusBusy && req.to == s.server && s.busyResponses < maxBusyResponses {
 		s.busyResponses++
 		r.nextRequestAt = now.Add(repairBackoff + r.randomUpTo(repairBackoff))
 		return
@@ -146,7 +146,7 @@
 		r.backOff(now)
 		return
 	}
-	s.server, s.busyResponses = q.to, 0
+	s.server, s.busyResponses = req.to, 0
 	if s.epoch != 0 && s.epoch != m.Epoch {
 		s.restart()
 		r.nextRequestAt = now
@@ -178,7 +178,7 @@
 		r.failSnapshot(now)
 		return
 	}
-	r.finishSnapshot(now, q, m)
+	r.finishSnapshot(now, req, m)
 }
 
 func (s *snapshotFetch) acceptDigests(m *Message) bool {
@@ -241,7 +241,7 @@
 }
 
 // finishSnapshot replaces the state with the copy.
-func (r *Replica) finishSnapshot(now time.Time, q *request, m *Message) {
+func (r *Replica) finishSnapshot(now time.Time, req *request, m *Message) {
 	s := r.snapshot
 	r.Counters.Snapshots++
 	for key, value := range s.state.entries { // in any order: the keys are only added to a set
@@ -264,7 +264,7 @@
 	r.targetNumber = max(r.targetNumber, m.Number)
 	r.recordApplied(now, AppliedRange{Epoch: r.stateEpoch, From: from, To: r.number, Snapshot: true})
 	r.applyPendingFreshness()
-	r.pushToChildren(now, q.to, nil)
+	r.pushToChildren(now, req.to, nil)
 	r.attempt = 0
 	r.nextRequestAt = now
 }
--- a/internal/changes/source.go
+++ b/internal/changes/source.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Errors of the methods for a source.
+// Errors returned to a process that acts as the source but may not.
 var (
 	ErrNotSource  = errors.New("changes: this process is not the source")
 	ErrStaleEpoch = errors.New("changes: epoch is not higher than all known epochs")
@@ -100,7 +100,8 @@
 	r.lastFlushAt = now
 	for r.flushedNumber < r.number {
 		b := r.log.changesAfter(r.flushedNumber, maxPayload)
-		r.pushToChildren(now, 0, b) // without changes if the log no longer reaches back: members that miss them pull
+		// Without changes if the log no longer reaches back: members that miss them pull.
+		r.pushToChildren(now, 0, b)
 		if b == nil {
 			r.flushedNumber = r.number
 			return
--- a/internal/changes/state.go
+++ b/internal/changes/state.go
@@ -10,7 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds on one entry, in bytes. Any entry fits a datagram.
+// MaxKey and MaxValue are the maximum sizes of a key and a value, in bytes. Any entry within them
+// fits a datagram.
 const (
 	MaxKey   = 128
 	MaxValue = 640
@@ -48,7 +49,8 @@
 func keyHash(key string) uint64 { return xxhash.Sum64String(key) }
 
 // buckets is the number of equal parts that key hashes are divided into. Two states are compared by
-// the digests of these parts.
+// the digests of these parts. bucketShift is the number of bits of a key hash below the
+// index of its part.
 const (
 	buckets     = 256
 	bucketShift = 56
@@ -71,8 +73,8 @@
 	key  string
 }
 
-func (p hashedKey) compare(o hashedKey) int {
-	return cmp.Or(cmp.Compare(p.hash, o.hash), cmp.Compare(p.key, o.key))
+func (k hashedKey) compare(other hashedKey) int {
+	return cmp.Or(cmp.Compare(k.hash, other.hash), cmp.Compare(k.key, other.key))
 }
 
 // NewState returns an empty state.
@@ -172,7 +174,7 @@
 // was left out.
 func (s *State) entriesBetween(start, end uint64, limit int) (entries []Entry, next uint64, done bool) {
 	order := s.sortedByHash()
-	at, _ := slices.BinarySearchFunc(order, start, func(p hashedKey, start uint64) int { return cmp.Compare(p.hash, start) })
+	at, _ := slices.BinarySearchFunc(order, start, func(k hashedKey, start uint64) int { return cmp.Compare(k.hash, start) })
 	size := 0
 	for ; at < len(order) && order[at].hash <= end; at++ {
 		e := Entry{order[at].key, s.entries[order[at].key]}
@@ -188,7 +190,7 @@
 // removeRange removes the entries with key hashes from start to end, both included.
 func (s *State) removeRange(start, end uint64) {
 	order := s.sortedByHash()
-	at, _ := slices.BinarySearchFunc(order, start, func(p hashedKey, start uint64) int { return cmp.Compare(p.hash, start) })
+	at, _ := slices.BinarySearchFunc(order, start, func(k hashedKey, start uint64) int { return cmp.Compare(k.hash, start) })
 	var keys []string
 	for ; at < len(order) && order[at].hash <= end; at++ {
 		keys = append(keys, order[at].key)
@@ -203,7 +205,7 @@
 func (s *State) isBucketIntact(bucket int) bool {
 	start := uint64(bucket) << bucketShift
 	order := s.sortedByHash()
-	at, _ := slices.BinarySearchFunc(order, start, func(p hashedKey, start uint64) int { return cmp.Compare(p.hash, start) })
+	at, _ := slices.BinarySearchFunc(order, start, func(k hashedKey, start uint64) int { return cmp.Compare(k.hash, start) })
 	var sum uint64
 	for ; at < len(order) && bucketOf(order[at].hash) == bucket; at++ {
 		sum += Entry{order[at].key, s.entries[order[at].key]}.hash()
--- a/internal/changes/tree.go
+++ b/internal/changes/tree.go
@@ -99,7 +99,7 @@
 				subordinateHeads += len(t.regions) - 1
 			}
 		}
-		// The head of a zone has the fewer children in its zone, the more other heads are below it.
+		// The more heads are below the zone's head, the fewer children it has in its zone.
 		ownZoneChildren := max(fanOut-subordinateHeads, 1)
 		for i, id := range zone.members[1:] {
 			t.parent[id] = zoneHead
@@ -150,7 +150,9 @@
 	if !ok && len(t.members) == 0 {
 		return 0, false
 	}
-	if !ok { // the tree names the member as its source, but it asks, since it is not the source
+	if !ok {
+		// The tree names the member as its source, but the member asks because it is not the
+		// source.
 		parent = t.members[rng.IntN(len(t.members))]
 		return parent, parent != id
 	}
--- a/internal/changes/tree_test.go
+++ b/internal/changes/tree_test.go
@@ -45,7 +45,8 @@
 			}
 		}
 		for _, m := range members {
-			if children[m.ID] > 2+2+1 { // heads of regions, heads of zones of its region, and at least one member of its zone
+			// Heads of regions, heads of zones of its region, and at least one member of its zone.
+			if children[m.ID] > 2+2+1 {
 				t.Fatalf("%d children of member %d, want at most 5", children[m.ID], m.ID)
 			}
 		}
