--- a/internal/changes/tree.go
+++ b/internal/changes/tree.go
@@ -9,35 +9,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MemberID tells members apart: a life of a process.
+// MemberID identifies a member. A restarted process is a new member.
 type MemberID uint64
 
-// Member is a process that takes part.
+// Member is a process that takes part in the replication.
 type Member struct {
 	ID     MemberID
 	Region string
-	Zone   string // unique over all regions
+	Zone   string // unique across all regions
 }
 
-// Tree says from whom each member takes changes. It is a function of the members and the source alone, so all that know the same members
-// compute the same tree and nobody is elected. The source is the root; below it stand one head of each region, one head of each zone
-// under its region's, and in each zone a tree with a bounded number of children.
+// Tree defines the parent from which each member receives changes. It is a function of the members
+// and the source alone, so all processes that know the same members compute the same tree, without
+// an election. The source is the root. Below it are the heads of the regions, one for each; below
+// the head of a region is one head for each of its zones; and the members of a zone form a tree
+// with a bounded number of children.
 type Tree struct {
 	source  MemberID
 	parent  map[MemberID]MemberID
-	zoneOf  map[MemberID]*group
-	regions map[string]*group
-	all     []MemberID
+	zoneOf  map[MemberID]*memberGroup
+	regions map[string]*memberGroup
+	members []MemberID
 }
 
-// group is the members of a zone or region in the order of their ranks.
-type group struct {
+// memberGroup holds the members of a zone or region, sorted by rank.
+type memberGroup struct {
 	region  string
 	members []MemberID
-	zones   []*group // of a region
+	zones   []*memberGroup // of a region
 }
 
-// rank orders the members of a group evenly for any scheme of IDs, with the source first.
+// rank returns the sort key of a member within its group. It hashes the ID, so that any scheme of
+// IDs gives an even order, and puts the source first.
 func rank(id, source MemberID) uint64 {
 	if id == source {
 		return 0
@@ -47,7 +50,8 @@
 	return xxhash.Sum64(b[:]) | 1
 }
 
-// NewTree computes the tree. The source need not be a member: then all heads of regions have no parent until it is.
+// NewTree computes the tree. The source need not be a member; the heads of the regions then have a
+// parent that is not a member.
 func NewTree(members []Member, source MemberID, fanOut int) *Tree {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int {
@@ -55,52 +59,52 @@
 	})
 	t := &Tree{
 		source: source, parent: make(map[MemberID]MemberID, len(members)),
-		zoneOf: make(map[MemberID]*group, len(members)), regions: make(map[string]*group),
+		zoneOf: make(map[MemberID]*memberGroup, len(members)), regions: make(map[string]*memberGroup),
 	}
-	zones := make(map[string]*group)
+	zones := make(map[string]*memberGroup)
 	for _, m := range sorted {
 		zone, region := zones[m.Zone], t.regions[m.Region]
 		if region == nil {
-			region = &group{region: m.Region}
+			region = &memberGroup{region: m.Region}
 			t.regions[m.Region] = region
 		}
 		if zone == nil {
-			zone = &group{region: m.Region}
+			zone = &memberGroup{region: m.Region}
 			zones[m.Zone] = zone
 			region.zones = append(region.zones, zone)
 		}
 		t.zoneOf[m.ID] = zone
 		zone.members = append(zone.members, m.ID)
 		region.members = append(region.members, m.ID)
-		t.all = append(t.all, m.ID)
+		t.members = append(t.members, m.ID)
 	}
-	for _, region := range t.regions { // any order: each sets its own members
-		t.hang(region, fanOut)
+	for _, region := range t.regions { // in any order: each region sets its own members
+		t.setParents(region, fanOut)
 	}
 	delete(t.parent, source)
 	return t
 }
 
-// hang sets the parents of a region's members.
-func (t *Tree) hang(region *group, fanOut int) {
-	head := region.members[0]
+// setParents sets the parents of a region's members.
+func (t *Tree) setParents(region *memberGroup, fanOut int) {
+	regionHead := region.members[0]
 	for _, zone := range region.zones {
-		first := zone.members[0]
-		t.parent[first] = head
-		heads := 0 // of zones and regions below the zone's head
-		if first == head {
-			t.parent[head] = t.source
-			heads = len(region.zones) - 1
-			if head == t.source {
-				heads += len(t.regions) - 1
+		zoneHead := zone.members[0]
+		t.parent[zoneHead] = regionHead
+		subordinateHeads := 0 // heads of zones and regions below the zone's head
+		if zoneHead == regionHead {
+			t.parent[regionHead] = t.source
+			subordinateHeads = len(region.zones) - 1
+			if regionHead == t.source {
+				subordinateHeads += len(t.regions) - 1
 			}
 		}
-		// The zone's head has fewer children of its zone the more heads it has.
-		own := max(fanOut-heads, 1)
+		// The more heads are below the zone's head, the fewer children it has in its zone.
+		ownZoneChildren := max(fanOut-subordinateHeads, 1)
 		for i, id := range zone.members[1:] {
-			t.parent[id] = first
-			if i >= own {
-				t.parent[id] = zone.members[1+(i-own)/fanOut]
+			t.parent[id] = zoneHead
+			if i >= ownZoneChildren {
+				t.parent[id] = zone.members[1+(i-ownZoneChildren)/fanOut]
 			}
 		}
 	}
@@ -109,13 +113,14 @@
 // Source returns the root.
 func (t *Tree) Source() MemberID { return t.source }
 
-// Parent returns a member's parent; ok is false for the source and for who is no member.
+// Parent returns the parent of a member. ok is false for the source and for an ID that is not a
+// member.
 func (t *Tree) Parent(id MemberID) (parent MemberID, ok bool) {
 	parent, ok = t.parent[id]
 	return parent, ok
 }
 
-// Depth is the number of steps from a member up to the root.
+// Depth returns the number of steps from a member up to the root.
 func (t *Tree) Depth(id MemberID) int {
 	depth := 0
 	for p, ok := t.Parent(id); ok; p, ok = t.Parent(p) {
@@ -124,46 +129,51 @@
 	return depth
 }
 
-// Attempts from which others are asked than the parent and its parent: members of the own zone, of the own region, any, and the source.
+// First attempts at which members other than the parent and the grandparent are asked: members of
+// the same zone, of the same region, any member, and the source.
 const (
-	zoneAfter   = 2
-	regionAfter = 6
-	anyAfter    = 10
-	sourceAfter = 16
+	firstZoneAttempt   = 2
+	firstRegionAttempt = 6
+	firstAnyAttempt    = 10
+	sourceAttempt      = 16
 )
 
-// sourceAskers is about how many members of all ask the source when all have come to that attempt, as after a start of all at once.
-const sourceAskers = 32
+// expectedSourceRequests is the approximate number of members, out of all, that ask the source when
+// all have reached that attempt, as after a simultaneous start of all processes.
+const expectedSourceRequests = 32
 
-// Neighbour returns whom to ask on the nth attempt in a row, 0 being the first: the parent; its parent; then members that are drawn from ever
-// farther away; the source last, and then from the beginning. ok is false if there is nobody this time.
-func (t *Tree) Neighbour(id MemberID, attempt int, rng *rand.Rand) (neighbour MemberID, ok bool) {
+// RequestTarget returns the member to ask on the nth consecutive attempt, where 0 is the first: the
+// parent; the grandparent; then random members of ever larger groups; the source last; and then
+// from the beginning again. ok is false if there is nobody to ask on this attempt.
+func (t *Tree) RequestTarget(id MemberID, attempt int, rng *rand.Rand) (target MemberID, ok bool) {
 	parent, ok := t.Parent(id)
-	if !ok && len(t.all) == 0 {
+	if !ok && len(t.members) == 0 {
 		return 0, false
 	}
-	if !ok { // it is named as the source, and asks since it is none
-		parent = t.all[rng.IntN(len(t.all))]
+	if !ok {
+		// The tree names the member as its source, but the member asks because it is not the
+		// source.
+		parent = t.members[rng.IntN(len(t.members))]
 		return parent, parent != id
 	}
 	zone := t.zoneOf[id]
-	from := zone.members
-	switch attempt %= sourceAfter + 1; {
-	case attempt < zoneAfter:
-		if grand, ok := t.Parent(parent); ok && attempt == 1 {
-			return grand, true
+	candidates := zone.members
+	switch attempt %= sourceAttempt + 1; {
+	case attempt < firstZoneAttempt:
+		if grandparent, ok := t.Parent(parent); ok && attempt == 1 {
+			return grandparent, true
 		}
 		return parent, true
-	case attempt == sourceAfter && rng.IntN(len(t.all)) < sourceAskers:
+	case attempt == sourceAttempt && rng.IntN(len(t.members)) < expectedSourceRequests:
 		return t.source, true
-	case attempt >= anyAfter:
-		from = t.all
-	case attempt >= regionAfter:
-		from = t.regions[zone.region].members
+	case attempt >= firstAnyAttempt:
+		candidates = t.members
+	case attempt >= firstRegionAttempt:
+		candidates = t.regions[zone.region].members
 	}
-	const draws = 4
-	for range draws {
-		if drawn := from[rng.IntN(len(from))]; drawn != id && drawn != t.source {
+	const maxDraws = 4
+	for range maxDraws {
+		if drawn := candidates[rng.IntN(len(candidates))]; drawn != id && drawn != t.source {
 			return drawn, true
 		}
 	}
