--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -21,8 +21,8 @@
 type FleetConfig struct {
 	Mesh           mesh.Config        // New sets Loop and the callbacks; a given OnEvent is called as well
 	SameAddresses  bool               // targets have the same addresses for all proxies
-	Verdicts       *VerdictConfig // nil: each proxy judges targets alone
-	Limits         *LimitsConfig  // nil: no limits on all proxies together
+	Verdicts       *VerdictConfig     // nil: each proxy judges targets alone
+	Limits         *LimitsConfig      // nil: no limits on all proxies together
 	Retries        *limit.RetryBudget // budget of all proxies together; nil: none
 	MovesPerSecond float64            // rate at which the owner of the duty paces moves; 0: not paced
 }
