--- a/internal/instance/fleet.go
+++ b/internal/instance/fleet.go
@@ -19,12 +19,13 @@
 
 // FleetConfig configures the work that a proxy shares with other proxies.
 type FleetConfig struct {
-	Mesh           mesh.Config        // New sets Loop and the callbacks; a given OnEvent is called as well
+	// New sets Loop and the callbacks of Mesh; a given OnEvent is called as well.
+	Mesh           mesh.Config
 	SameAddresses  bool               // targets have the same addresses for all proxies
 	Verdicts       *VerdictConfig     // nil: each proxy judges targets alone
 	Limits         *LimitsConfig      // nil: no limits on all proxies together
 	Retries        *limit.RetryBudget // budget of all proxies together; nil: none
-	MovesPerSecond float64            // rate at which the owner of the duty paces moves; 0: not paced
+	MovesPerSecond float64            // rate at which the duty's owner paces moves; 0: not paced
 }
 
 // fleet connects a proxy with the other proxies: it carries out the duties that this process owns,
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -23,7 +23,7 @@
 type LimitChange struct {
 	Limit     limit.Limit
 	Refusing  bool
-	InUse     int // connections of this proxy, or its admissions within Limit.Within if that is set
+	InUse     int // connections of this proxy, or its admissions within Limit.Period if that is set
 	Available int // known to be free at the last tick, see limitState.available; 0 or less: nothing
 }
 
@@ -45,13 +45,13 @@
 	// tenant have index -1, so that only a limit for all tenants covers them.
 	class, tenant    int
 	inUse            int         // connections that are open or being opened
-	admittedAt       []time.Time // times of admissions, of which those within Within count
+	admittedAt       []time.Time // times of admissions, of which those within Period count
 	refusedSinceTick int         // clients refused since the last tick
 	refusing         bool
 	gate             limit.Gate
 	slices           *limit.Slices
 	// available is what was known to be free at the last tick, in connections (or in admissions
-	// within Within): of a soft limit in the whole fleet, 0 or more; of a strict one in the slices
+	// within Period): of a soft limit in the whole fleet, 0 or more; of a strict one in the slices
 	// of this process, below 0 if clients beyond them have still to move. It is 0 before the first
 	// tick.
 	available int
--- a/internal/keeper/core.go
+++ b/internal/keeper/core.go
@@ -272,9 +272,9 @@
 	return k.propose(now, &Command{Request: r}, from)
 }
 
-// RequestFloors proposes a request for the latest token of each lease. Its response goes to from.
-// The errors are those of HandleLeaseRequest.
-func (k *Core) RequestFloors(now time.Time, from netip.AddrPort, r *FloorsRequest) error {
+// HandleFloorsRequest proposes a request for the latest token of each lease. Its response goes to
+// from. The errors are those of HandleLeaseRequest.
+func (k *Core) HandleFloorsRequest(now time.Time, from netip.AddrPort, r *FloorsRequest) error {
 	if r.Session == 0 {
 		return ErrInvalidRequest
 	}
--- a/internal/lab/capacity/plan.go
+++ b/internal/lab/capacity/plan.go
@@ -377,7 +377,7 @@
 			Text: "maxFragments = 256", File: "internal/mesh/fragment.go", Remedy: listRemedy},
 		{ID: "B5", What: "servers in a word", Need: planServers, Bound: 10_000, Text: "mostTargets = 10000", File: "internal/duty/discovery.go",
 			Remedy: listRemedy},
-		{ID: "B6", What: "processes that tell what they saw of servers", Need: planProxies, Bound: 1024, Text: "MostWriters: 1_024",
+		{ID: "B6", What: "processes that tell what they saw of servers", Need: planProxies, Bound: 1024, Text: "MaxWriters: 1_024",
 			File: "internal/shared/evidence/evidence.go", Remedy: "verdicts by zone"},
 		{ID: "B7", What: "seconds until all watches of discovery are open after an outage, at the 17 calls a second seen at 80 processes",
 			Need: planProxies / callsAt80, Bound: planChangeWithin, Text: "ListLease = 6 * time.Second", File: "internal/routes/lease.go",
--- a/internal/lab/shared/judge.go
+++ b/internal/lab/shared/judge.go
@@ -16,7 +16,7 @@
 	cured      [targets]time.Duration
 	falseSince map[string]time.Duration // verdicts without a cause, by process and target
 	admissions []time.Duration          // to the soft limit
-	peak       int                      // most admissions within a Stale since the use was last within the limit
+	peak       int                      // most admissions within a StaleAfter since the use was last within the limit
 	excused    time.Duration            // until then ages are not bounded: a clock was set ahead
 	err        error
 }
@@ -90,8 +90,8 @@
 	}
 }
 
-// ageBound is how old the evidence of a verdict may truly be: Fresh since the end of its window, the window itself, and what clocks
-// that are 2 % apart make of both.
+// ageBound is how old the evidence of a verdict may truly be: verdict.Config.MaxAge since the end of its window,
+// the window itself, and what clocks that are 2 % apart make of both.
 const ageBound = (3*time.Second + 250*time.Millisecond) * 102 / 100
 
 // verdicts checks what a process holds.
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -192,7 +192,7 @@
 	}
 }
 
-// Jumped: what a clock that was set ahead says of ages is not bounded until others have learnt anew; see evidence.Store.Learn.
+// Jumped: what a clock that was set ahead says of ages is not bounded until others have learnt anew; see evidence.Store.LearnStart.
 func (g *guest) Jumped(int) { g.judge.excused = g.world.Elapsed() + 20*time.Second }
 
 func (g *guest) Healed() {
--- a/internal/mesh/keeperclient.go
+++ b/internal/mesh/keeperclient.go
@@ -157,7 +157,7 @@
 		n.send(k.Addr, &envelope{FloorsRequest: request})
 		return
 	}
-	if n.keeperCore.RequestFloors(now, n.Addr(), request) != nil {
+	if n.keeperCore.HandleFloorsRequest(now, n.Addr(), request) != nil {
 		n.tryAnotherKeeper()
 	}
 }
--- a/internal/mesh/keeperlink.go
+++ b/internal/mesh/keeperlink.go
@@ -90,7 +90,7 @@
 
 // handleFloorsRequest passes a floors request of another process to the local keeper.
 func (n *Node) handleFloorsRequest(now time.Time, from netip.AddrPort, request *keeper.FloorsRequest) {
-	if n.keeperCore != nil && n.keeperCore.RequestFloors(now, from, request) != nil {
+	if n.keeperCore != nil && n.keeperCore.HandleFloorsRequest(now, from, request) != nil {
 		n.sendRedirect(from)
 	}
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -28,7 +28,7 @@
 	Log        Log
 
 	KeeperAddresses []mesh.KeeperAddress // decoded from Keepers.Members
-	KeeperID        uint64               // ID of the keeper that this process runs; 0 if it runs none
+	KeeperID        uint64               // ID of the keeper that this process runs; 0: none
 	Seeds           []netip.AddrPort     // decoded from Fleet.Seeds
 }
 
