--- a/cmd/ospreyspan/bed_test.go
+++ b/cmd/ospreyspan/bed_test.go
@@ -18,115 +18,117 @@
 	"ospreyspan/internal/line"
 )
 
-// bed is the program in a process of its own between servers, a discovery and clients that the test plays. What they receive is
-// what its verdicts count.
-type bed struct {
+// testbed runs the program in a process of its own, with servers, a discovery service and clients
+// that are part of the test. Tests assert only on what these receive.
+type testbed struct {
 	t         *testing.T
 	process   *process
 	discovery *testDiscovery
 	servers   []*testServer
-	book      *attemptBook
+	recorder  *attemptRecorder
 }
 
-// attemptBook sees the attempts of all servers as they arrive.
-type attemptBook struct {
-	lock     sync.Mutex
-	out      map[string][]net.Conn // by request
-	overlaps []string              // requests of which an attempt arrived while another was out
+// attemptRecorder records the attempts at all servers in the order in which they arrive.
+type attemptRecorder struct {
+	lock         sync.Mutex
+	openAttempts map[string][]net.Conn // by request ID
+	overlaps     []string              // request IDs of attempts that arrived while one was open
 }
 
-// arrives notes an attempt. An earlier one that was given up has its end in its connection by then, whether its server has read that yet
-// or not.
-func (b *attemptBook) arrives(id string, conn net.Conn) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	for _, earlier := range b.out[id] {
-		if !endIsThere(earlier) {
-			b.overlaps = append(b.overlaps, id)
+// record adds an attempt. If the program has abandoned an earlier attempt of the request, the end
+// of that connection has arrived by now, even if its server has not read it yet.
+func (r *attemptRecorder) record(id string, conn net.Conn) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	for _, previous := range r.openAttempts[id] {
+		if !peerClosed(previous) {
+			r.overlaps = append(r.overlaps, id)
 		}
 	}
-	b.out[id] = append(b.out[id], conn)
+	r.openAttempts[id] = append(r.openAttempts[id], conn)
 }
 
-// endIsThere tells whether the far side's end of a connection has arrived.
-func endIsThere(conn net.Conn) bool {
+// peerClosed reports whether a connection is over: its peer's end or reset has arrived, or it is
+// closed on this side.
+func peerClosed(conn net.Conn) bool {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
-		return true // closed here
+		return true // closed on this side
 	}
-	over := false
+	closed := false
 	err = raw.Control(func(fd uintptr) {
 		var next [1]byte
 		n, _, err := unix.Recvfrom(int(fd), next[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		over = n == 0 && err == nil || err != nil && !errors.Is(err, unix.EAGAIN)
+		closed = n == 0 && err == nil || err != nil && !errors.Is(err, unix.EAGAIN)
 	})
-	return over || err != nil
+	return closed || err != nil
 }
 
-// bedConfig is what a bed is made of.
-type bedConfig struct {
+// testbedConfig describes a testbed.
+type testbedConfig struct {
 	servers   int
-	waits     map[string]time.Duration // deadlines of classes, where they differ from the example's
+	deadlines map[string]time.Duration // by class name; others keep those of the example
 	configure func(settings map[string]any)
 	env       []string
-	names     int // of servers in the list, of which several share a listener; 0: each has one of its own
+	hostCount int // hosts in the list; 0: one per server, more: they share servers
 }
 
-// newBed starts servers, a discovery that names them and the program, and waits until that answers PONG.
-func newBed(t *testing.T, c bedConfig) *bed {
+// newTestbed starts servers, a discovery service that lists them, and the program, and waits until
+// the program serves.
+func newTestbed(t *testing.T, c testbedConfig) *testbed {
 	t.Helper()
-	b := &bed{t: t, book: &attemptBook{out: make(map[string][]net.Conn)}}
+	b := &testbed{t: t, recorder: &attemptRecorder{openAttempts: make(map[string][]net.Conn)}}
 	for i := range c.servers {
 		s := newTestServer(t, fmt.Sprint("s", i))
-		s.book = b.book
+		s.recorder = b.recorder
 		b.servers = append(b.servers, s)
 	}
 	b.discovery = newTestDiscovery(t, b.servers)
-	b.discovery.names = max(c.names, c.servers)
-	b.process = startProcessIn(t, 1024, c.env, func(config map[string]any) {
-		config["discovery"] = b.discovery.at
+	b.discovery.hostCount = max(c.hostCount, c.servers)
+	b.process = startProcessWithEnv(t, 1024, c.env, func(config map[string]any) {
+		config["discovery"] = b.discovery.addr
 		config["known"] = json.RawMessage(b.discovery.list())
-		set := config["settings"].(map[string]any)
-		for _, class := range set["Classes"].([]any) {
+		settings := config["settings"].(map[string]any)
+		for _, class := range settings["Classes"].([]any) {
 			class := class.(map[string]any)
-			if wait := c.waits[class["Name"].(string)]; wait > 0 {
-				class["HardLimitUs"] = wait.Microseconds()
-				class["TargetUs"] = min(wait.Microseconds()/2, int64(class["TargetUs"].(float64)))
+			if deadline := c.deadlines[class["Name"].(string)]; deadline > 0 {
+				class["HardLimitUs"] = deadline.Microseconds()
+				class["TargetUs"] = min(deadline.Microseconds()/2, int64(class["TargetUs"].(float64)))
 			}
 		}
 		if c.configure != nil {
-			c.configure(set)
+			c.configure(settings)
 		}
 	})
 	return b
 }
 
-// testServer takes all connections that it is sent and echoes their lines.
+// testServer is a server that accepts all requests and echoes the lines of its connections.
 type testServer struct {
-	name     string
-	at       string
-	book     *attemptBook // nil: it keeps none
-	lock     sync.Mutex
-	bornMS   int64
-	health   string
-	hung     bool // it answers nothing any more, whatever it is sent
-	full     bool // it turns requests away, and answers probes as before
-	attempts []attempt
-	accepted int
-}
-
-// connections is how many were made to it.
-func (s *testServer) connections() int {
+	name          string
+	addr          string
+	recorder      *attemptRecorder // nil: attempts are not recorded
+	lock          sync.Mutex
+	startMS       int64
+	health        string
+	unresponsive  bool // does not answer anything that it receives
+	rejecting     bool // rejects requests, but still answers probes
+	attempts      []attempt
+	acceptedCount int
+}
+
+// connectionCount returns the number of connections that the server has accepted.
+func (s *testServer) connectionCount() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.accepted
+	return s.acceptedCount
 }
 
-// attempt is a request's line as a server received it.
+// attempt is an OPEN line that a server received.
 type attempt struct {
-	id    string
-	class string
-	at    time.Time
+	id         string
+	className  string
+	receivedAt time.Time
 }
 
 func newTestServer(t *testing.T, name string) *testServer {
@@ -136,7 +138,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	s := &testServer{name: name, at: l.Addr().String(), health: "SERVING"}
+	s := &testServer{name: name, addr: l.Addr().String(), health: "SERVING"}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -144,7 +146,7 @@
 				return
 			}
 			s.lock.Lock()
-			s.accepted++
+			s.acceptedCount++
 			s.lock.Unlock()
 			go s.serve(c)
 		}
@@ -161,24 +163,24 @@
 		case strings.HasPrefix(text, "OPEN "):
 			id := strings.Fields(text)[1]
 			reply := "UP " + s.name
-			if s.book != nil {
-				s.book.arrives(id, c)
+			if s.recorder != nil {
+				s.recorder.record(id, c)
 			}
 			s.lock.Lock()
 			open, _ := line.ParseOpen([]byte(text))
-			s.attempts = append(s.attempts, attempt{id: id, class: open.Class, at: time.Now()})
-			hung := s.hung
-			if s.full {
+			s.attempts = append(s.attempts, attempt{id: id, className: open.Class, receivedAt: time.Now()})
+			unresponsive := s.unresponsive
+			if s.rejecting {
 				reply = "BUSY"
 			}
 			s.lock.Unlock()
-			if !hung {
+			if !unresponsive {
 				fmt.Fprint(c, reply+"\r\n")
 			}
 			if reply == "BUSY" {
 				return
 			}
-		case s.hangs():
+		case s.isUnresponsive():
 		case text == "STATS":
 			fmt.Fprint(c, "PONG cpu=0.1,x0=0.1,rps=1\r\n")
 		default:
@@ -187,60 +189,61 @@
 	}
 }
 
-// drain has the server take nothing new.
-func (s *testServer) drain() {
+// startDraining makes the server reject all new requests.
+func (s *testServer) startDraining() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.full, s.health = true, "DRAINING"
+	s.rejecting, s.health = true, "DRAINING"
 }
 
-// hang has the server answer nothing any more.
-func (s *testServer) hang() {
+// stopResponding makes the server ignore everything that it receives from now on.
+func (s *testServer) stopResponding() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.hung = true
+	s.unresponsive = true
 }
 
-func (s *testServer) hangs() bool {
+func (s *testServer) isUnresponsive() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.hung
+	return s.unresponsive
 }
 
-// received are the attempts so far.
-func (s *testServer) received() []attempt {
+// receivedAttempts returns a copy of the attempts received so far.
+func (s *testServer) receivedAttempts() []attempt {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return append([]attempt(nil), s.attempts...)
 }
 
-// testDiscovery answers with the servers' present state. A watch waits for a change.
+// testDiscovery is a discovery service that answers with the current state of the servers. A call
+// that knows the current version waits for a change.
 type testDiscovery struct {
-	at      string
-	lock    sync.Mutex
-	servers []*testServer
-	version int
-	asked   int
-	names   int    // of servers; those beyond the listeners share them
-	told    int    // bytes of lists
-	patch   string // the last change, if it was of one server only
-	busy    bool   // it refuses all calls, since too many wait
-	changed chan struct{}
-}
-
-// refuse has it refuse all calls from now on, and ends the watches that are open.
-func (d *testDiscovery) refuse() {
+	addr         string
+	lock         sync.Mutex
+	servers      []*testServer
+	version      int
+	callCount    int
+	hostCount    int    // hosts in the list, which share servers if there are more of them
+	listBytes    int    // total size of the lists sent
+	changedEntry string // the entry that the last change announced; empty: the whole list
+	refusing     bool   // refuses all calls, as if too many were waiting
+	changed      chan struct{}
+}
+
+// startRefusing makes discovery refuse all calls from now on, including those that are waiting.
+func (d *testDiscovery) startRefusing() {
 	d.lock.Lock()
-	d.busy = true
+	d.refusing = true
 	d.lock.Unlock()
-	d.change()
+	d.announceWholeList()
 }
 
-// calls is how many calls there have been.
+// calls returns the number of calls received.
 func (d *testDiscovery) calls() int {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return d.asked
+	return d.callCount
 }
 
 func newTestDiscovery(t *testing.T, servers []*testServer) *testDiscovery {
@@ -249,32 +252,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &testDiscovery{at: l.Addr().String(), servers: servers, version: 1, changed: make(chan struct{})}
+	d := &testDiscovery{addr: l.Addr().String(), servers: servers, version: 1, changed: make(chan struct{})}
 	server := &http.Server{Handler: d}
 	go server.Serve(l)
 	t.Cleanup(func() { server.Close() })
 	return d
 }
 
-// accept has it answer again.
-func (d *testDiscovery) accept() {
+// stopRefusing makes discovery answer calls again.
+func (d *testDiscovery) stopRefusing() {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	d.busy = false
+	d.refusing = false
 }
 
-// list is the whole list.
+// list returns the whole list.
 func (d *testDiscovery) list() string {
 	var hosts []string
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	for i := range max(d.names, len(d.servers)) {
+	for i := range max(d.hostCount, len(d.servers)) {
 		hosts = append(hosts, d.entry(i))
 	}
 	return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[%s]}`, d.version, strings.Join(hosts, ","))
 }
 
-// entry is a server's part of the list.
+// entry returns the list entry of host i.
 func (d *testDiscovery) entry(i int) string {
 	s := d.servers[i%len(d.servers)]
 	s.lock.Lock()
@@ -283,52 +286,53 @@
 	if i >= len(d.servers) {
 		name = fmt.Sprint(s.name, "-", i)
 	}
-	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"here","class":"m","block":0,"health":%q,"share":1,"born_ms":%d}`, name, s.at, s.health, s.bornMS)
+	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"here","class":"m","block":0,"health":%q,"share":1,"born_ms":%d}`, name, s.addr, s.health, s.startMS)
 }
 
-// repeat tells watches of a change of one server, which stays as it is.
-func (d *testDiscovery) repeat(i int) {
+// announceEntry announces a change of host i alone, with its unchanged entry.
+func (d *testDiscovery) announceEntry(i int) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.announce(d.entry(i))
 }
 
-// bytes are those of all lists that it has told.
-func (d *testDiscovery) bytes() int {
+// sentListBytes returns the total size of the lists sent.
+func (d *testDiscovery) sentListBytes() int {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return d.told
+	return d.listBytes
 }
 
-// add has the list name another server.
-func (d *testDiscovery) add(s *testServer) {
+// addServer adds a server to the list and announces it.
+func (d *testDiscovery) addServer(s *testServer) {
 	d.lock.Lock()
 	d.servers = append(d.servers, s)
 	d.lock.Unlock()
-	d.change()
+	d.announceWholeList()
 }
 
-// change tells all watches of what has changed in the servers.
-func (d *testDiscovery) change() {
+// announceWholeList announces the current state of all servers.
+func (d *testDiscovery) announceWholeList() {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	d.announce("")
 }
 
-// announce ends the watches with a new version of the list; patch is its one changed entry, empty for the whole list.
-func (d *testDiscovery) announce(patch string) {
+// announce answers the waiting calls with a new version of the list. changedEntry is its only
+// changed entry; if it is empty, the whole list is sent.
+func (d *testDiscovery) announce(changedEntry string) {
 	d.version++
-	d.patch = patch
+	d.changedEntry = changedEntry
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
 func (d *testDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.lock.Lock()
-	d.asked++
+	d.callCount++
 	known, changed := r.FormValue("index") == fmt.Sprint(d.version), d.changed
 	d.lock.Unlock()
-	if known && !d.refuses() {
+	if known && !d.isRefusing() {
 		wait, _ := time.ParseDuration(r.FormValue("wait") + "ms")
 		select {
 		case <-changed:
@@ -339,72 +343,75 @@
 			return
 		}
 	}
-	if d.refuses() {
+	if d.isRefusing() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	list := d.list()
 	d.lock.Lock()
-	if known && d.patch != "" {
-		list = fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[%s]}`, d.version, d.patch)
+	if known && d.changedEntry != "" {
+		list = fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[%s]}`, d.version, d.changedEntry)
 	}
-	d.told += len(list)
+	d.listBytes += len(list)
 	d.lock.Unlock()
 	io.WriteString(w, list)
 }
 
-func (d *testDiscovery) refuses() bool {
+func (d *testDiscovery) isRefusing() bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
-	return d.busy
+	return d.refusing
 }
 
-// testClient is one client's connection to the program.
+// testClient is a client's connection to the program.
 type testClient struct {
-	id    string
-	conn  net.Conn
-	lines *bufio.Reader
-	sent  time.Time // its request's last byte
+	id     string
+	conn   net.Conn
+	reader *bufio.Reader
+	sentAt time.Time // when the request was written
 }
 
-// dial connects without a request.
-func (b *bed) dial() (*testClient, error) {
-	conn, err := net.DialTimeout("tcp", b.process.at, 2*time.Second)
+// dial connects a client that has not sent a request yet.
+func (b *testbed) dial() (*testClient, error) {
+	conn, err := net.DialTimeout("tcp", b.process.addr, 2*time.Second)
 	if err != nil {
 		return nil, err
 	}
-	return &testClient{conn: conn, lines: bufio.NewReader(conn)}, nil
+	return &testClient{conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// ask sends the request's line.
-func (c *testClient) ask(id, class string, wait time.Duration) error {
+// sendOpen sends the OPEN line of a request.
+func (c *testClient) sendOpen(id, class string, deadline time.Duration) error {
 	c.id = id
-	_, err := fmt.Fprintf(c.conn, "OPEN %s k%s c=%s,d=%d,g=g%s\r\n", id, id, class, wait.Milliseconds(), id)
-	c.sent = time.Now()
+	_, err := fmt.Fprintf(c.conn, "OPEN %s k%s c=%s,d=%d,g=g%s\r\n", id, id, class, deadline.Milliseconds(), id)
+	c.sentAt = time.Now()
 	return err
 }
 
-// next reads a line, without its end. io.EOF and resets come as errors.
-func (c *testClient) next(within time.Duration) (string, error) {
-	_ = c.conn.SetReadDeadline(time.Now().Add(within))
-	text, err := c.lines.ReadString('\n')
+// readLine returns the next line without its line ending. The end of the connection and resets are
+// returned as errors.
+func (c *testClient) readLine(timeout time.Duration) (string, error) {
+	_ = c.conn.SetReadDeadline(time.Now().Add(timeout))
+	text, err := c.reader.ReadString('\n')
 	return strings.TrimRight(text, "\r\n"), err
 }
 
-// answerLatest is how long after a client's time its final answer may come, by the standing pages.
-const answerLatest = 500 * time.Millisecond
+// answerMargin is how long after the deadline of a request its final answer may arrive, by the
+// specification.
+const answerMargin = 500 * time.Millisecond
 
-// answerTo sends a request on a connection of its own and returns the first word of its answer.
-func (b *bed) answerTo(id, class string, wait time.Duration) (c *testClient, word string, err error) {
+// request sends a request on a connection of its own and returns the first word of its answer if
+// that is UP or BUSY, otherwise the whole line.
+func (b *testbed) request(id, class string, deadline time.Duration) (c *testClient, word string, err error) {
 	if c, err = b.dial(); err != nil {
 		return nil, "", err
 	}
-	if err = c.ask(id, class, wait); err != nil {
+	if err = c.sendOpen(id, class, deadline); err != nil {
 		return c, "", err
 	}
-	text, err := c.next(wait + answerLatest)
+	text, err := c.readLine(deadline + answerMargin)
 	if err != nil {
-		return c, "", fmt.Errorf("no answer after %v: %w", time.Since(c.sent).Round(time.Millisecond), err)
+		return c, "", fmt.Errorf("no answer after %v: %w", time.Since(c.sentAt).Round(time.Millisecond), err)
 	}
 	first, _ := line.ParseWord([]byte(text))
 	switch first {
@@ -416,12 +423,12 @@
 	return c, text, nil
 }
 
-// oneAttemptAtATime checks that no request had two attempts out together.
-func (b *bed) oneAttemptAtATime() {
+// checkNoOverlappingAttempts checks that no request had two attempts open at the same time.
+func (b *testbed) checkNoOverlappingAttempts() {
 	b.t.Helper()
-	b.book.lock.Lock()
-	defer b.book.lock.Unlock()
-	for _, id := range b.book.overlaps {
-		b.t.Errorf("request %s: an attempt arrived while another was out", id)
+	b.recorder.lock.Lock()
+	defer b.recorder.lock.Unlock()
+	for _, id := range b.recorder.overlaps {
+		b.t.Errorf("request %s: an attempt arrived while another was open", id)
 	}
 }
--- a/cmd/ospreyspan/config.go
+++ b/cmd/ospreyspan/config.go
@@ -12,24 +12,26 @@
 	"ospreyspan/internal/settings"
 )
 
-// config is what the program is told at its start.
+// config is the configuration that the platform gives the program: the JSON file that EDGE_CONFIG
+// names, with the overrides from the environment.
 type config struct {
-	Name      string          `json:"name"`
-	Listen    netip.AddrPort  `json:"listen"`
-	Discovery netip.AddrPort  `json:"discovery"`
-	Seed      seed            `json:"seed"`
-	Limits    limits          `json:"limits"`
-	Known     routes.List     `json:"known"`
-	Settings  json.RawMessage `json:"settings"`
-	settings  *settings.Settings
+	Name       string          `json:"name"`
+	Listen     netip.AddrPort  `json:"listen"`
+	Discovery  netip.AddrPort  `json:"discovery"`
+	RandomSeed seed            `json:"seed"`
+	Limits     limits          `json:"limits"`
+	Known      routes.List     `json:"known"`
+	Settings   json.RawMessage `json:"settings"`
+	settings   *settings.Settings
 }
 
+// limits are the resources that the process may use.
 type limits struct {
-	MemoryMB int64 `json:"memory_mb"`
-	Sockets  int   `json:"sockets"`
+	MemoryMB int64 `json:"memory_mb"` // 0: not limited
+	Sockets  int   `json:"sockets"`   // most open descriptors of any kind; 0: no limit is known
 }
 
-// seed is written in hexadecimal.
+// seed is a 64-bit random seed, written in hexadecimal in the configuration.
 type seed uint64
 
 func (s *seed) UnmarshalText(text []byte) error {
@@ -41,14 +43,15 @@
 	return nil
 }
 
-// loadConfig reads the configuration that the environment names. What the environment itself says of the
-// addresses goes first.
+// loadConfig reads the configuration file that the environment names. Addresses and the name that
+// are set in the environment take precedence over the file.
 func loadConfig(env func(string) string) (*config, error) {
 	return readConfig(env)
 }
 
-// reloadConfig reads the file again for a program that serves. EDGE_DISCOVERY tells where discovery was at the
-// start: the file is what has been replaced, so its address wins now.
+// reloadConfig reads the configuration file again while the program serves. It ignores
+// EDGE_DISCOVERY, which holds the address of discovery at the start: the file has been replaced
+// since, so its address takes precedence.
 func reloadConfig(env func(string) string) (*config, error) {
 	return readConfig(func(name string) string {
 		if name == "EDGE_DISCOVERY" {
@@ -58,6 +61,7 @@
 	})
 }
 
+// readConfig reads and parses the file that EDGE_CONFIG names.
 func readConfig(env func(string) string) (*config, error) {
 	path := env("EDGE_CONFIG")
 	if path == "" {
@@ -74,63 +78,66 @@
 	return c, nil
 }
 
+// parseConfig decodes a configuration, applies the overrides from the environment and validates the
+// result.
 func parseConfig(text []byte, env func(string) string) (*config, error) {
-	var c config
-	if err := json.Unmarshal(text, &c); err != nil {
-		return nil, field(text, err)
+	var cfg config
+	if err := json.Unmarshal(text, &cfg); err != nil {
+		return nil, locateFieldError(text, err)
 	}
 	if name := env("EDGE_NAME"); name != "" {
-		c.Name = name
+		cfg.Name = name
 	}
-	for _, a := range []struct {
+	for _, address := range []struct {
 		name, env string
-		to        *netip.AddrPort
-	}{{"listen", "EDGE_LISTEN", &c.Listen}, {"discovery", "EDGE_DISCOVERY", &c.Discovery}} {
-		if v := env(a.env); v != "" {
+		dest      *netip.AddrPort
+	}{{"listen", "EDGE_LISTEN", &cfg.Listen}, {"discovery", "EDGE_DISCOVERY", &cfg.Discovery}} {
+		if v := env(address.env); v != "" {
 			addr, err := netip.ParseAddrPort(v)
 			if err != nil {
-				return nil, fmt.Errorf("%s: %w", a.env, err)
+				return nil, fmt.Errorf("%s: %w", address.env, err)
 			}
-			*a.to = addr
+			*address.dest = addr
 		}
-		if !a.to.IsValid() {
-			return nil, fmt.Errorf("%s: missing", a.name)
+		if !address.dest.IsValid() {
+			return nil, fmt.Errorf("%s: missing", address.name)
 		}
 	}
-	if c.Limits.Sockets < 0 || c.Limits.MemoryMB < 0 {
-		return nil, errors.New("limits: a figure below 0")
+	if cfg.Limits.Sockets < 0 || cfg.Limits.MemoryMB < 0 {
+		return nil, errors.New("limits: memory_mb and sockets must not be below 0")
 	}
-	if err := c.Known.Check(); err != nil {
+	if err := cfg.Known.Check(); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
-	if len(c.Settings) == 0 {
+	if len(cfg.Settings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
 	var err error
-	if c.settings, err = settings.Decode(c.Settings); err == nil {
-		err = c.settings.Check()
+	if cfg.settings, err = settings.Decode(cfg.Settings); err == nil {
+		err = cfg.settings.Check()
 	}
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return &c, nil
+	return &cfg, nil
 }
 
-// field finds the field at fault: a type's own decoding fails without naming it.
-func field(text []byte, err error) error {
-	var all map[string]json.RawMessage
-	if json.Unmarshal(text, &all) != nil {
+// locateFieldError adds the name of the invalid field to a decoding error, if it can be found:
+// errors from a type's own decoding method do not name the field.
+func locateFieldError(text []byte, err error) error {
+	var fields map[string]json.RawMessage
+	if json.Unmarshal(text, &fields) != nil {
 		return err
 	}
 	for _, f := range []struct {
 		name string
-		to   any
+		dest any
 	}{
 		{"name", new(string)}, {"listen", new(netip.AddrPort)}, {"discovery", new(netip.AddrPort)}, {"seed", new(seed)},
 		{"limits", new(limits)}, {"known", new(routes.List)},
 	} {
-		if raw, ok := all[f.name]; ok {
-			if e := json.Unmarshal(raw, f.to); e != nil {
+		if raw, ok := fields[f.name]; ok {
+			if e := json.Unmarshal(raw, f.dest); e != nil {
 				return fmt.Errorf("%s: %w", f.name, e)
 			}
 		}
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost runs the balancers of many relays on the simulator's wire: one Balancer for each
-// instance, with nothing shared between them.
+// Command simhost connects package balance to the simulator: it reads events from standard input
+// and writes the resulting actions to standard output. It runs one Balancer for each simulated
+// relay; the relays share no state.
 package main
 
 import (
@@ -19,7 +20,7 @@
 	}
 }
 
-// run answers batches from in until it ends.
+// run reads batches of events from in and writes one reply for each to out, until in ends.
 func run(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), wire.NewWriter(out)
 	balancers := make(map[int]*balance.Balancer)
@@ -34,19 +35,20 @@
 		}
 		if e.Kind == wire.YourTurn {
 			if err := w.Finish(); err != nil {
-				return fmt.Errorf("reply: %w", err)
+				return fmt.Errorf("write reply: %w", err)
 			}
 			continue
 		}
-		deliver(balancers, w, &e)
+		dispatch(balancers, w, &e)
 	}
 }
 
-// deliver hands one event to its instance. A panic there is told to the simulator as an internal error.
-func deliver(balancers map[int]*balance.Balancer, w *wire.Writer, e *wire.Event) {
+// dispatch passes one event to the balancer of its relay. A panic in the balancer is reported to
+// the simulator as an internal error.
+func dispatch(balancers map[int]*balance.Balancer, w *wire.Writer, e *wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			w.Fault(e.Relay, fmt.Sprint("panic: ", p))
+			w.InternalError(e.Relay, fmt.Sprint("panic: ", p))
 		}
 	}()
 	switch e.Kind {
@@ -58,7 +60,7 @@
 	case wire.Configure:
 		b, err := balance.New(e.Config, e.Seed, w.Host(e.Relay))
 		if err != nil {
-			w.Fault(e.Relay, err.Error())
+			w.InternalError(e.Relay, err.Error())
 			return
 		}
 		balancers[e.Relay] = b
@@ -67,27 +69,27 @@
 	}
 	b := balancers[e.Relay]
 	if b == nil {
-		return // its start was answered with an internal error
+		return // the relay failed to start, which was reported as an internal error
 	}
 	switch e.Kind {
 	case wire.Members:
-		b.Members(e.Now, e.List, e.Backends)
+		b.DiscoveryUpdate(e.Now, e.List, e.Backends)
 	case wire.Ingress:
 		b.Request(e.Now, e.Request)
 	case wire.Timer:
 		b.Timer(e.Now, e.Token)
 	case wire.Streaming:
-		b.Started(e.Now, e.Request.ID)
+		b.Established(e.Now, e.Request.ID)
 	case wire.Heartbeat:
-		if e.Known {
-			b.Note(e.Now, e.Request.ID, e.Note, e.Level)
+		if e.MetricKnown {
+			b.ConnectionMeasured(e.Now, e.Request.ID, e.Metric, e.MetricValue)
 		}
 	case wire.Finished:
-		b.Finished(e.Now, e.Request.ID, e.Attempt, e.Settled, e.Outcome, e.Report)
+		b.Finished(e.Now, e.Request.ID, e.Attempt, e.ClientSettled, e.Outcome, e.Report)
 	case wire.ClientGone:
-		b.Gone(e.Now, e.Request.ID)
+		b.ClientGone(e.Now, e.Request.ID)
 	case wire.Handover:
-		b.Open(e.Now, e.Request, e.Backend)
+		b.RestoreConnection(e.Now, e.Request, e.Backend)
 	case wire.Checked:
 		b.Probed(e.Now, e.Backend, e.Outcome, e.Report)
 	}
--- a/internal/changes/follow.go
+++ b/internal/changes/follow.go
@@ -3,341 +3,355 @@
 import "time"
 
 const (
-	// repairSoon is how long a gap may close by itself, by a message that was only late; as long again is drawn.
-	repairSoon = 40 * time.Millisecond
-	// repairPause is the wait after a repair that brought nothing; it doubles with each up to pauseDoublings times, and as long again is
-	// drawn.
-	repairPause    = 200 * time.Millisecond
-	pauseDoublings = 3
-	// longestWait bounds a wait for the budget.
-	longestWait = 2 * time.Second
-	// awayAtMost is how long another than the parent is followed before the parent is tried again.
-	awayAtMost = 10 * time.Second
-	// promptRetries is how many questions in a row that had no answer are followed by another one at once.
-	promptRetries = 3
-	// bucketsPerAudit is how many buckets are counted anew with each question.
+	// repairDelay is how long a gap may remain before it is repaired, since the missing message may
+	// only be late. A random time of up to the same length is added.
+	repairDelay = 40 * time.Millisecond
+	// repairBackoff is the wait after an unsuccessful repair. It doubles with each further failure,
+	// up to maxBackoffDoublings times, and a random time of up to the same length is added.
+	repairBackoff       = 200 * time.Millisecond
+	maxBackoffDoublings = 3
+	// maxBudgetWait bounds the wait for bytes of the budget.
+	maxBudgetWait = 2 * time.Second
+	// parentRetryInterval is how long a member other than the parent is asked before the parent is
+	// tried again.
+	parentRetryInterval = 10 * time.Second
+	// immediateRetries is the number of consecutive requests without a response that are each
+	// followed by another request at once.
+	immediateRetries = 3
+	// bucketsPerAudit is the number of buckets whose digests are recomputed with each request.
 	bucketsPerAudit = 8
-	// tooOldAtMost is how many logs in a row may not reach back until a snapshot is taken.
-	tooOldAtMost = 3
-	// firstStale and staleTurns are the attempts that are tried in turn while the state is stale: all but the source.
-	firstStale = 2
-	staleTurns = sourceAfter - firstStale
+	// maxTooOldResponses is the number of consecutive responses from logs that do not reach back
+	// far enough after which a snapshot is fetched.
+	maxTooOldResponses = 3
+	// firstStaleAttempt and staleAttemptCount give the range of attempts that are tried in turn
+	// while the state is stale: all but the parent, the grandparent and the source.
+	firstStaleAttempt = 2
+	staleAttemptCount = sourceAttempt - firstStaleAttempt
 )
 
-// ask sends the next question.
-func (r *Replica) ask(now time.Time) {
-	r.audit(now)
-	// A source that the tree does not name any more asks too, so that it hears of its successor's epoch.
-	if r.tree == nil || r.leading && r.tree.Source() == r.cfg.Self {
-		r.askAt = now.Add(r.cfg.PullEvery)
+// sendNextRequest sends the request that is due.
+func (r *Replica) sendNextRequest(now time.Time) {
+	r.auditBuckets(now)
+	// A source that the tree no longer names sends requests too, so that it learns its successor's
+	// epoch.
+	if r.tree == nil || r.isSource && r.tree.Source() == r.cfg.Self {
+		r.nextRequestAt = now.Add(r.cfg.PullInterval)
 		return
 	}
-	if r.attempt != 0 && now.After(r.returnAt) && !r.behind() && r.snapshot == nil {
-		r.attempt, r.returnAt = 0, now.Add(awayAtMost)
+	if r.attempt != 0 && now.After(r.returnToParentAt) && !r.isBehind() && r.snapshot == nil {
+		r.attempt, r.returnToParentAt = 0, now.Add(parentRetryInterval)
 	}
 	if r.snapshot != nil {
-		r.askSnapshot(now)
+		r.sendSnapshotRequest(now)
 		return
 	}
-	if !r.behind() {
-		r.question(now, &Message{Kind: Pull, Flags: flagChild})
+	if !r.isBehind() {
+		r.sendRequest(now, &Message{Kind: KindPull, Flags: flagSubscribe})
 		return
 	}
-	if r.waits(now, ClassRepair) {
+	if r.deferForBudget(now, ClassRepair) {
 		return
 	}
-	r.Count.Repairs++
-	m := &Message{Kind: Pull, Flags: flagRepair}
+	r.Counters.Repairs++
+	m := &Message{Kind: KindPull, Flags: flagRepair}
 	if r.attempt == 0 {
-		m.Flags |= flagChild
+		m.Flags |= flagSubscribe
 	}
-	r.question(now, m)
+	r.sendRequest(now, m)
 }
 
-// waits tells whether a class has no bytes left, and has the next question wait for them.
-func (r *Replica) waits(now time.Time, class Class) bool {
+// deferForBudget reports whether a class has no bytes left. If so, it postpones the next request
+// until bytes are available.
+func (r *Replica) deferForBudget(now time.Time, class Class) bool {
 	if r.cfg.Flaws.BudgetExceeded {
 		return false
 	}
-	wait := r.budget.Wait(now, class)
+	wait := r.budget.WaitTime(now, class)
 	if wait == 0 {
 		return false
 	}
-	r.askAt = now.Add(min(wait, longestWait))
+	r.nextRequestAt = now.Add(min(wait, maxBudgetWait))
 	return true
 }
 
-// question sends a question to whom the attempts so far lead to.
-func (r *Replica) question(now time.Time, m *Message) {
-	to, ok := r.tree.Neighbour(r.cfg.Self, r.attempt, r.rng)
+// sendRequest sends a request to the member that the current attempt selects.
+func (r *Replica) sendRequest(now time.Time, m *Message) {
+	to, ok := r.tree.RequestTarget(r.cfg.Self, r.attempt, r.rng)
 	if r.snapshot != nil && r.snapshot.server != 0 {
 		to = r.snapshot.server
 	}
 	if !ok || to == r.cfg.Self {
-		r.askAt = now.Add(r.cfg.PullEvery)
+		r.nextRequestAt = now.Add(r.cfg.PullInterval)
 		return
 	}
 	if to == r.tree.Source() && m.Flags&flagRepair != 0 {
-		r.Count.RepairsAtSource++
+		r.Counters.RepairsAtSource++
 	}
-	r.sequence++
-	m.Sequence = r.sequence
-	r.asked = &question{sequence: r.sequence, to: to, sent: now, flags: m.Flags}
+	r.lastSequence++
+	m.Sequence = r.lastSequence
+	r.pending = &request{sequence: r.lastSequence, to: to, sentAt: now, flags: m.Flags}
 	r.send(now, to, m)
 }
 
-// regular has the next question go out at the usual time.
-func (r *Replica) regular(now time.Time) {
-	r.askAt = now.Add(r.cfg.PullEvery*3/4 + r.draw(r.cfg.PullEvery/2))
+// schedulePull schedules the next request after the usual pull interval.
+func (r *Replica) schedulePull(now time.Time) {
+	r.nextRequestAt = now.Add(r.cfg.PullInterval*3/4 + r.randomUpTo(r.cfg.PullInterval/2))
 }
 
-// pause has the next question wait for a time that grows with the number of failures, and go to somebody else.
-func (r *Replica) pause(now time.Time) {
-	r.another(now)
+// backOff schedules the next request after a wait that grows with the number of failures, and
+// directs it to another member.
+func (r *Replica) backOff(now time.Time) {
+	r.nextAttempt(now)
 	if r.cfg.Flaws.BudgetExceeded {
-		r.askAt = now
+		r.nextRequestAt = now
 		return
 	}
-	wait := repairPause << min(r.fails, pauseDoublings)
-	r.fails++
-	r.askAt = now.Add(wait + r.draw(wait))
+	wait := repairBackoff << min(r.failedRepairs, maxBackoffDoublings)
+	r.failedRepairs++
+	r.nextRequestAt = now.Add(wait + r.randomUpTo(wait))
 }
 
-func (r *Replica) another(now time.Time) {
+func (r *Replica) nextAttempt(now time.Time) {
 	if r.attempt == 0 {
-		r.returnAt = now.Add(awayAtMost)
+		r.returnToParentAt = now.Add(parentRetryInterval)
 	}
 	r.attempt++
 }
 
-// unanswered gives the question up that is out.
-func (r *Replica) unanswered(now time.Time) {
-	r.Count.Unanswered++
-	r.asked = nil
+// handleTimeout gives up the pending request and schedules the next one.
+func (r *Replica) handleTimeout(now time.Time) {
+	r.Counters.Unanswered++
+	r.pending = nil
 	if r.snapshot != nil {
 		r.snapshot.server = 0
 	}
 	switch {
-	case r.attempt < promptRetries:
-		r.another(now)
-		r.askAt = now
-	case r.behind() || r.snapshot != nil:
-		r.pause(now)
+	case r.attempt < immediateRetries:
+		r.nextAttempt(now)
+		r.nextRequestAt = now
+	case r.isBehind() || r.snapshot != nil:
+		r.backOff(now)
 	default:
-		r.another(now)
-		r.regular(now)
+		r.nextAttempt(now)
+		r.schedulePull(now)
 	}
 }
 
-// settleQuestion ends the question that is out if a message answers it that must not be used.
-func (r *Replica) settleQuestion(from MemberID, m *Message) {
-	if r.asked != nil && m.Sequence == r.asked.sequence && from == r.asked.to {
-		r.asked = nil
+// abandonRequest ends the pending request if the message is its response but must not be used.
+func (r *Replica) abandonRequest(from MemberID, m *Message) {
+	if r.pending != nil && m.Sequence == r.pending.sequence && from == r.pending.to {
+		r.pending = nil
 		r.attempt++
 	}
 }
 
-// answered takes an answer to the question that is out.
-func (r *Replica) answered(now time.Time, from MemberID, m *Message) {
-	q := r.asked
-	if q == nil || m.Sequence != q.sequence || from != q.to {
+// handleResponse processes a response to the pending request.
+func (r *Replica) handleResponse(now time.Time, from MemberID, m *Message) {
+	req := r.pending
+	if req == nil || m.Sequence != req.sequence || from != req.to {
 		return
 	}
-	r.asked = nil
+	r.pending = nil
 	if r.snapshot != nil {
-		r.answeredSnapshot(now, q, m)
+		r.handleSnapshotResponse(now, req, m)
 		return
 	}
-	if m.Kind != Answer || r.leading {
-		r.regular(now)
+	if m.Kind != KindPullResponse || r.isSource {
+		r.schedulePull(now)
 		return
 	}
 	switch m.Status {
-	case Same, Newer:
-		r.tooOld = 0
-		r.learn(now, q, m)
-	case TooOld:
-		r.tooOld++
-		if r.tooOld >= tooOldAtMost || r.number == 0 {
+	case StatusSame, StatusNewer:
+		r.tooOldResponses = 0
+		r.handlePositionResponse(now, req, m)
+	case StatusTooOld:
+		r.tooOldResponses++
+		if r.tooOldResponses >= maxTooOldResponses || r.number == 0 {
 			r.beginSnapshot(now)
 			return
 		}
-		r.pause(now)
-	case Diverged:
-		r.realign(now, m)
-	case Busy:
-		r.pause(now)
+		r.backOff(now)
+	case StatusDiverged:
+		r.reconcile(now, m)
+	case StatusBusy:
+		r.backOff(now)
 	default:
-		if r.behind() {
-			r.pause(now)
+		if r.isBehind() {
+			r.backOff(now)
 			return
 		}
-		r.followOn(now)
+		r.choosePullTarget(now)
 	}
 }
 
-// learn takes an answer that says how the own state stands to the answerer's.
-func (r *Replica) learn(now time.Time, q *question, m *Message) {
-	r.target = max(r.target, m.Number, m.Known)
+// handlePositionResponse processes a response that states how the local state compares with the
+// responder's.
+func (r *Replica) handlePositionResponse(now time.Time, req *request, m *Message) {
+	r.targetNumber = max(r.targetNumber, m.Number, m.HighestKnown)
 	if m.Batch != nil {
-		r.take(now, q.to, m)
-	} else if m.Status == Same {
-		r.meet(now, q.to, m)
+		r.applyBatch(now, req.to, m)
+	} else if m.Status == StatusSame {
+		r.comparePosition(now, req.to, m)
 	}
 	if m.AgeMS != AgeUnknown {
-		r.confirm(vouch{m.Number, q.sent.Add(-time.Duration(m.AgeMS) * time.Millisecond)})
+		r.recordFreshness(freshness{m.Number, req.sentAt.Add(-time.Duration(m.AgeMS) * time.Millisecond)})
 	}
 	if r.snapshot != nil {
 		return
 	}
-	if r.behind() {
+	if r.isBehind() {
 		if m.Batch == nil && m.Number == r.number {
-			r.await(now)
+			r.retrySamePeer(now)
 			return
 		}
-		r.fails, r.askAt = 0, now
+		r.failedRepairs, r.nextRequestAt = 0, now
 		return
 	}
-	r.fails = 0
-	if q.flags&flagChild == 0 {
+	r.failedRepairs = 0
+	if req.flags&flagSubscribe == 0 {
 		r.attempt = 0
-		r.askAt = now.Add(r.draw(r.cfg.PullEvery / 4)) // to be pushed to again
+		// The parent is asked soon, to be subscribed to its pushes again.
+		r.nextRequestAt = now.Add(r.randomUpTo(r.cfg.PullInterval / 4))
 		return
 	}
-	r.followOn(now)
+	r.choosePullTarget(now)
 }
 
-// await has the next question go at the usual time to the same one, which is as far as this process and tells it when it has more; if that
-// brought nothing for long, to another one.
-func (r *Replica) await(now time.Time) {
-	if now.Sub(r.steppedAt) > r.cfg.StaleAfter {
-		r.pause(now)
+// retrySamePeer schedules the next request to the same member, at the usual interval. That member
+// is at the same number and pushes further changes as soon as it has them. If nothing has been
+// applied for longer than StaleAfter, another member is asked.
+func (r *Replica) retrySamePeer(now time.Time) {
+	if now.Sub(r.lastAppliedAt) > r.cfg.StaleAfter {
+		r.backOff(now)
 		return
 	}
-	r.regular(now)
+	r.schedulePull(now)
 }
 
-// followOn chooses whom to ask next time: the same one, unless the state is stale. Then others are tried in turn with the parent.
-func (r *Replica) followOn(now time.Time) {
-	r.regular(now)
-	if now.Sub(r.asOf) <= r.cfg.StaleAfter || now.Sub(r.observedAt) <= r.cfg.StaleAfter {
+// choosePullTarget chooses the member to ask next: the same one, unless the state is stale. While
+// it is stale, other members and the parent are asked alternately.
+func (r *Replica) choosePullTarget(now time.Time) {
+	r.schedulePull(now)
+	if now.Sub(r.asOf) <= r.cfg.StaleAfter || now.Sub(r.fenceRaisedAt) <= r.cfg.StaleAfter {
 		return
 	}
 	if r.attempt != 0 {
 		r.attempt = 0
 		return
 	}
-	r.another(now)
-	r.attempt = firstStale + r.staleTurn%staleTurns
-	r.staleTurn++
+	r.nextAttempt(now)
+	r.attempt = firstStaleAttempt + r.staleRotation%staleAttemptCount
+	r.staleRotation++
 }
 
-// pushed takes changes that came unasked, or a position.
-func (r *Replica) pushed(now time.Time, from MemberID, m *Message) {
+// handlePush processes a push, which carries changes or only the sender's position.
+func (r *Replica) handlePush(now time.Time, from MemberID, m *Message) {
 	if m.Batch != nil && m.Batch.To() > m.Number {
-		r.Count.Damaged++
+		r.Counters.Damaged++
 		return
 	}
-	news := m.Number > r.target
-	r.target = max(r.target, m.Number, m.Known)
-	if r.snapshot != nil || r.leading {
+	advanced := m.Number > r.targetNumber
+	r.targetNumber = max(r.targetNumber, m.Number, m.HighestKnown)
+	if r.snapshot != nil || r.isSource {
 		return
 	}
 	if m.Batch != nil {
-		r.take(now, from, m)
+		r.applyBatch(now, from, m)
 	} else {
-		r.meet(now, from, m)
+		r.comparePosition(now, from, m)
 	}
-	if news && r.behind() {
-		r.askBy(now.Add(repairSoon + r.draw(repairSoon)))
+	if advanced && r.isBehind() {
+		r.requestBy(now.Add(repairDelay + r.randomUpTo(repairDelay)))
 	}
 }
 
-// meet compares the own state with a position of the present epoch.
-func (r *Replica) meet(now time.Time, from MemberID, m *Message) {
-	ignored := r.cfg.Flaws.DigestIgnored
+// comparePosition compares the local state with a position of the current epoch.
+func (r *Replica) comparePosition(now time.Time, from MemberID, m *Message) {
+	digestIgnored := r.cfg.Flaws.DigestIgnored
 	switch {
-	case m.Number == r.number && (m.Digest == r.state.Digest() || ignored):
-		if r.line < m.Epoch {
-			r.line, r.base = m.Epoch, m.Base
-			r.confirmPromised()
-			r.push(now, from, nil)
+	case m.Number == r.number && (m.Digest == r.state.Digest() || digestIgnored):
+		if r.stateEpoch < m.Epoch {
+			r.stateEpoch, r.epochBase = m.Epoch, m.EpochBase
+			r.applyPendingFreshness()
+			r.pushToChildren(now, from, nil)
 		}
-	case m.Number == r.number, r.line < m.Epoch && r.number > m.Base:
-		r.realign(now, m)
+	case m.Number == r.number, r.stateEpoch < m.Epoch && r.number > m.EpochBase:
+		r.reconcile(now, m)
 	}
 }
 
-// realign brings a state that is not the source's in line with it. What a former source said after the number at which the present one
-// began is taken back, if the log reaches back so far; then, or if that was not the cause, the state is compared as a whole.
-func (r *Replica) realign(now time.Time, m *Message) {
-	if r.snapshot != nil || r.leading {
+// reconcile brings a state that differs from the source's into line with it. Changes of a former
+// source above the number at which the current epoch began are rolled back, if the log reaches back
+// that far. Otherwise, or if those changes were not the cause, a snapshot is fetched.
+func (r *Replica) reconcile(now time.Time, m *Message) {
+	if r.snapshot != nil || r.isSource {
 		return
 	}
 	from := r.number
-	if r.line < m.Epoch && r.number > m.Base {
-		if undo, ok := r.log.back(m.Base); ok {
+	if r.stateEpoch < m.Epoch && r.number > m.EpochBase {
+		if undo, ok := r.log.rollBack(m.EpochBase); ok {
 			for _, c := range undo {
 				r.state.apply(c)
-				r.changed[c.Key] = struct{}{}
+				r.changedKeys[c.Key] = struct{}{}
 			}
-			r.number = m.Base
-			r.Count.TakenBack += uint64(len(undo))
-			r.step(now, Applied{Epoch: r.line, From: from, To: r.number, Back: true})
-			r.askAt = now
+			r.number = m.EpochBase
+			r.Counters.RolledBack += uint64(len(undo))
+			r.recordApplied(now, AppliedRange{Epoch: r.stateEpoch, From: from, To: r.number, RolledBack: true})
+			r.nextRequestAt = now
 			return
 		}
 	}
 	r.beginSnapshot(now)
 }
 
-// take applies a batch if it goes on from the state, and passes it on.
-func (r *Replica) take(now time.Time, from MemberID, m *Message) {
+// applyBatch applies a batch if it continues the local state, and pushes it on to the children.
+func (r *Replica) applyBatch(now time.Time, from MemberID, m *Message) {
 	b := m.Batch
 	flaws := r.cfg.Flaws
 	if b.To() <= r.number {
-		r.Count.Duplicates++
+		r.Counters.Duplicates++
 		if digest, ok := r.log.digestAt(b.To()); ok && digest != b.After && !flaws.DigestIgnored {
-			r.realign(now, m)
+			r.reconcile(now, m)
 		}
 		return
 	}
 	gap := b.From > r.number
 	if gap && !flaws.GapIgnored {
-		r.Count.Gaps++
-		r.askBy(now.Add(repairSoon + r.draw(repairSoon)))
+		r.Counters.Gaps++
+		r.requestBy(now.Add(repairDelay + r.randomUpTo(repairDelay)))
 		return
 	}
 	if b.From == r.number && b.Before != r.state.Digest() && !flaws.DigestIgnored {
-		r.Count.Mismatches++
-		r.realign(now, m)
+		r.Counters.Mismatches++
+		r.reconcile(now, m)
 		return
 	}
-	rest := b.Changes
+	newChanges := b.Changes
 	if !gap {
-		rest = b.Changes[r.number-b.From:]
+		newChanges = b.Changes[r.number-b.From:]
 	}
-	if !r.apply(rest, b.After, gap || flaws.DigestIgnored) {
-		r.Count.Mismatches++
+	if !r.applyChanges(newChanges, b.After, gap || flaws.DigestIgnored) {
+		r.Counters.Mismatches++
 		r.beginSnapshot(now)
 		return
 	}
-	step := Applied{Epoch: m.Epoch, From: r.number, To: b.To()}
+	step := AppliedRange{Epoch: m.Epoch, From: r.number, To: b.To()}
 	if gap {
 		step.From = b.From
 		r.log.Reset(b.To(), r.state.Digest())
 	}
-	r.number, r.line, r.base = b.To(), m.Epoch, m.Base
-	r.target = max(r.target, r.number)
-	r.step(now, step)
-	r.confirmPromised()
-	if !r.behind() {
-		r.push(now, from, b)
+	r.number, r.stateEpoch, r.epochBase = b.To(), m.Epoch, m.EpochBase
+	r.targetNumber = max(r.targetNumber, r.number)
+	r.recordApplied(now, step)
+	r.applyPendingFreshness()
+	if !r.isBehind() {
+		r.pushToChildren(now, from, b)
 	}
 }
 
-// apply applies changes if they lead to a digest; else the state stays as it was. unchecked has any digest pass.
-func (r *Replica) apply(changes []Change, after uint64, unchecked bool) bool {
+// applyChanges applies changes if the resulting digest equals after; otherwise it leaves the state
+// unchanged. With unchecked set, any digest is accepted.
+func (r *Replica) applyChanges(changes []Change, after uint64, unchecked bool) bool {
 	undo := make([]Change, 0, len(changes))
 	digests := make([]uint64, 0, len(changes))
 	for _, c := range changes {
@@ -352,27 +366,28 @@
 	}
 	for i, c := range changes {
 		r.log.append(c, undo[i], digests[i])
-		r.changed[c.Key] = struct{}{}
+		r.changedKeys[c.Key] = struct{}{}
 	}
 	return true
 }
 
-// audit counts the digests of some buckets anew, in turn, so that a state that was damaged in memory is found before long.
-func (r *Replica) audit(now time.Time) {
+// auditBuckets recomputes the digests of a few buckets, in rotation, so that memory corruption of
+// the state is detected early.
+func (r *Replica) auditBuckets(now time.Time) {
 	if r.snapshot != nil || r.cfg.Flaws.DigestIgnored {
 		return
 	}
-	sound := true
+	intact := true
 	for range bucketsPerAudit {
-		r.auditNext = (r.auditNext + 1) % buckets
-		sound = sound && r.state.audit(r.auditNext)
+		r.nextAuditBucket = (r.nextAuditBucket + 1) % buckets
+		intact = intact && r.state.isBucketIntact(r.nextAuditBucket)
 	}
 	switch {
-	case sound:
-	case r.leading:
-		r.recount()
+	case intact:
+	case r.isSource:
+		r.rebuildDigest()
 	default:
-		r.Count.Mismatches++
+		r.Counters.Mismatches++
 		r.beginSnapshot(now)
 	}
 }
--- a/internal/changes/message.go
+++ b/internal/changes/message.go
@@ -6,91 +6,99 @@
 	"fmt"
 )
 
-// MaxMessage is the longest encoded message, in bytes. With the envelope of whoever carries it it fits a datagram of 1,200 bytes.
+// MaxMessage is the maximum size of an encoded message, in bytes. Together with the envelope of the
+// transport it fits a datagram of 1,200 bytes.
 const MaxMessage = 1100
 
-// payload is how many bytes of changes, entries or digests a message carries, next to its header.
-const payload = 1000
+// maxPayload is the maximum size of the changes, entries or digests in a message, in bytes, without
+// the header.
+const maxPayload = 1000
 
-// Kind is what a message is for.
+// Kind is the type of a message.
 type Kind uint8
 
-// The kinds.
+// The message kinds.
 const (
-	// Push passes changes on to whoever pulled lately. Without changes it tells the sender's position.
-	Push Kind = 1 + iota
-	// Pull tells the sender's position and asks what is newer and how old the rest is.
-	Pull
-	// Answer answers a Pull.
-	Answer
-	// AskDigests asks for the digests of a page of buckets; Digests answers it.
-	AskDigests
-	Digests
-	// AskEntries asks for the entries from one place to another; Entries answers it.
-	AskEntries
-	Entries
-	kinds
+	// KindPush passes changes on to members that pulled recently. Without changes it states the
+	// sender's position only.
+	KindPush Kind = 1 + iota
+	// KindPull states the sender's position and asks for newer changes and the age of the state.
+	KindPull
+	// KindPullResponse is the response to KindPull.
+	KindPullResponse
+	// KindDigestsRequest asks for the digests of one page of buckets. KindDigestsResponse is the
+	// response.
+	KindDigestsRequest
+	KindDigestsResponse
+	// KindEntriesRequest asks for the entries in a range of key hashes. KindEntriesResponse is the
+	// response.
+	KindEntriesRequest
+	KindEntriesResponse
+	kindsEnd
 )
 
-// Status is how a question is answered.
+// Status is the outcome of a request.
 type Status uint8
 
-// The statuses.
+// The response statuses.
 const (
-	// Same: the asker has all that the answerer has.
-	Same Status = 1 + iota
-	// Newer: the answer carries changes that the asker lacks.
-	Newer
-	// TooOld: the answerer's log does not reach back to the asker's position.
-	TooOld
-	// Diverged: the asker's state is not one that led to the answerer's.
-	Diverged
-	// Behind: the answerer knows less than the asker, or does not know yet whether its own state is of the present epoch.
-	Behind
-	// Busy: the answerer has no bytes or no place left for this.
-	Busy
-	statuses
+	// StatusSame means that the requester has all changes that the responder has.
+	StatusSame Status = 1 + iota
+	// StatusNewer means that the response carries changes that the requester lacks.
+	StatusNewer
+	// StatusTooOld means that the responder's log does not reach back to the requester's position.
+	StatusTooOld
+	// StatusDiverged means that the requester's state is not among the predecessors of the
+	// responder's state.
+	StatusDiverged
+	// StatusBehind means that the responder has fewer changes than the requester, or does not know
+	// yet whether its own state belongs to the current epoch.
+	StatusBehind
+	// StatusBusy means that the responder has no bytes of its budget or no client slot left for the
+	// request.
+	StatusBusy
+	statusesEnd
 )
 
-// Flags of a Pull.
+// Flags of a KindPull message.
 const (
-	flagChild  = 1 << iota // the answerer is to push to the sender for a while
-	flagRepair             // asks for missed changes
-	flagReplay             // the sender's digest means nothing: it completes a snapshot
+	flagSubscribe = 1 << iota // subscribes the sender to the responder's pushes for ChildLease
+	flagRepair                // asks for missed changes
+	flagReplay                // the sender's digest is to be ignored: it completes a snapshot
 	flagsEnd
 )
 
-// digestsPerPage is how many digests of buckets a message carries.
-const digestsPerPage = payload / 8 / 64 * 64
+// digestsPerPage is the number of bucket digests in a message.
+const digestsPerPage = maxPayload / 8 / 64 * 64
 
-// Message is what one process tells another. Which fields are set goes by the kind.
+// Message is a message between two processes. The kind determines which fields are set.
 type Message struct {
-	Kind     Kind
-	Status   Status // of answers
-	Flags    uint8  // of a Pull
-	Sequence uint64 // of a question, and of its answer
-	Epoch    uint64 // of the sender's source; in a Pull that which its state belongs to
-	Base     uint64 // number at which that epoch began
-	Number   uint64 // of the sender's latest change
-	Digest   uint64 // of the sender's state
-	Known    uint64 // in Push and Answer: highest number that the sender heard of in this epoch
-	AgeMS    uint64 // of an Answer: the state was the source's so many ms ago, at the most; AgeUnknown
-	Batch    *Batch // of Push and Answer
-	Page     uint64 // of AskDigests and Digests
-	Digests  []uint64
-	Start    uint64 // of AskEntries and Entries: first place
-	End      uint64 // last place
-	Entries  []Entry
+	Kind         Kind
+	Status       Status // of responses
+	Flags        uint8  // of KindPull
+	Sequence     uint64 // of a request, repeated in its response
+	Epoch        uint64 // of the sender's source; in KindPull of the sender's state
+	EpochBase    uint64 // number at which that epoch began
+	Number       uint64 // of the sender's latest change
+	Digest       uint64 // of the sender's state
+	HighestKnown uint64 // of KindPush and KindPullResponse: highest number known in this epoch
+	AgeMS        uint64 // of KindPullResponse: maximum age of the state in ms, or AgeUnknown
+	Batch        *Batch // of KindPush and KindPullResponse
+	Page         uint64 // of KindDigestsRequest and KindDigestsResponse
+	Digests      []uint64
+	Start        uint64 // of KindEntriesRequest and KindEntriesResponse: first key hash
+	End          uint64 // of KindEntriesRequest and KindEntriesResponse: last key hash, inclusive
+	Entries      []Entry
 }
 
-// AgeUnknown says that nobody vouched for the state yet.
+// AgeUnknown is the value of AgeMS while the age of the state has not been confirmed.
 const AgeUnknown = 1<<62 - 1
 
-// mostNumber bounds epochs and numbers, so that sums don't overflow.
-const mostNumber = 1 << 62
+// maxNumber bounds epochs and change numbers, so that sums do not overflow.
+const maxNumber = 1 << 62
 
-// ErrMessage tells of a message that can't be read.
-var ErrMessage = errors.New("changes: a message can't be read")
+// ErrMalformedMessage reports a message that cannot be decoded.
+var ErrMalformedMessage = errors.New("changes: malformed message")
 
 func stringSize(s string) int {
 	size := 1
@@ -126,31 +134,31 @@
 	return b
 }
 
-// Encode writes a message.
+// Encode returns the encoded message.
 func (m *Message) Encode() []byte {
 	b := make([]byte, 0, 128)
 	b = append(b, byte(m.Kind))
 	b = binary.AppendUvarint(b, m.Sequence)
 	b = binary.AppendUvarint(b, m.Epoch)
-	b = binary.AppendUvarint(b, m.Base)
+	b = binary.AppendUvarint(b, m.EpochBase)
 	b = binary.AppendUvarint(b, m.Number)
 	b = binary.BigEndian.AppendUint64(b, m.Digest)
 	switch m.Kind {
-	case Push:
-		b = appendBatch(binary.AppendUvarint(b, m.Known), m.Batch)
-	case Pull:
+	case KindPush:
+		b = appendBatch(binary.AppendUvarint(b, m.HighestKnown), m.Batch)
+	case KindPull:
 		b = append(b, m.Flags)
-	case Answer:
+	case KindPullResponse:
 		b = binary.AppendUvarint(append(b, byte(m.Status)), m.AgeMS)
-		b = appendBatch(binary.AppendUvarint(b, m.Known), m.Batch)
-	case AskDigests:
+		b = appendBatch(binary.AppendUvarint(b, m.HighestKnown), m.Batch)
+	case KindDigestsRequest:
 		b = binary.AppendUvarint(b, m.Page)
-	case Digests:
+	case KindDigestsResponse:
 		b = binary.AppendUvarint(append(b, byte(m.Status)), m.Page)
 		for _, digest := range m.Digests {
 			b = binary.BigEndian.AppendUint64(b, digest)
 		}
-	case AskEntries, Entries:
+	case KindEntriesRequest, KindEntriesResponse:
 		b = append(b, byte(m.Status))
 		b = binary.BigEndian.AppendUint64(b, m.Start)
 		b = binary.BigEndian.AppendUint64(b, m.End)
@@ -161,51 +169,52 @@
 	return b
 }
 
-// reader reads the parts of a message. After the first error all that it returns is zero.
+// reader decodes the fields of a message. After the first error the message is refused, whatever
+// the later fields return.
 type reader struct {
-	rest   []byte
-	failed bool
+	remaining []byte
+	failed    bool
 }
 
 func (r *reader) byte() byte {
-	if len(r.rest) < 1 {
+	if len(r.remaining) < 1 {
 		r.failed = true
 		return 0
 	}
-	b := r.rest[0]
-	r.rest = r.rest[1:]
+	b := r.remaining[0]
+	r.remaining = r.remaining[1:]
 	return b
 }
 
 func (r *reader) uvarint() uint64 {
-	value, size := binary.Uvarint(r.rest)
+	value, size := binary.Uvarint(r.remaining)
 	if size <= 0 {
 		r.failed = true
 		return 0
 	}
-	r.rest = r.rest[size:]
+	r.remaining = r.remaining[size:]
 	return value
 }
 
-func (r *reader) fixed() uint64 {
-	if len(r.rest) < 8 {
+func (r *reader) uint64() uint64 {
+	if len(r.remaining) < 8 {
 		r.failed = true
 		return 0
 	}
-	value := binary.BigEndian.Uint64(r.rest)
-	r.rest = r.rest[8:]
+	value := binary.BigEndian.Uint64(r.remaining)
+	r.remaining = r.remaining[8:]
 	return value
 }
 
-// string reads a string that is no longer than most.
-func (r *reader) string(most int) string {
+// string decodes a string of at most maxLength bytes.
+func (r *reader) string(maxLength int) string {
 	length := r.uvarint()
-	if r.failed || length > uint64(most) || length > uint64(len(r.rest)) {
+	if r.failed || length > uint64(maxLength) || length > uint64(len(r.remaining)) {
 		r.failed = true
 		return ""
 	}
-	s := string(r.rest[:length])
-	r.rest = r.rest[length:]
+	s := string(r.remaining[:length])
+	r.remaining = r.remaining[length:]
 	return s
 }
 
@@ -214,11 +223,12 @@
 	if r.failed || count == 0 {
 		return nil
 	}
-	b := &Batch{From: r.uvarint(), Before: r.fixed(), After: r.fixed()}
-	if b.From > mostNumber {
+	b := &Batch{From: r.uvarint(), Before: r.uint64(), After: r.uint64()}
+	if b.From > maxNumber {
 		r.failed = true
 	}
-	// The list grows by what is there: the count sizes nothing.
+	// The slice grows with the changes that are present. The count, which the sender controls,
+	// sizes no allocation.
 	for uint64(len(b.Changes)) < count && !r.failed {
 		c := Change{Delete: r.byte() == 1, Key: r.string(MaxKey)}
 		if !c.Delete {
@@ -234,45 +244,45 @@
 
 func (r *reader) status() Status {
 	s := Status(r.byte())
-	if s >= statuses {
+	if s >= statusesEnd {
 		r.failed = true
 	}
 	return s
 }
 
-// Decode reads a message. No number in it sizes an allocation.
-func Decode(text []byte) (*Message, error) {
-	if len(text) > MaxMessage {
-		return nil, fmt.Errorf("%w: %d bytes", ErrMessage, len(text))
+// Decode decodes a message. No number in the message determines the size of an allocation.
+func Decode(data []byte) (*Message, error) {
+	if len(data) > MaxMessage {
+		return nil, fmt.Errorf("%w: %d bytes, maximum is %d", ErrMalformedMessage, len(data), MaxMessage)
 	}
-	r := &reader{rest: text}
-	m := &Message{Kind: Kind(r.byte()), Sequence: r.uvarint(), Epoch: r.uvarint(), Base: r.uvarint(), Number: r.uvarint(), Digest: r.fixed()}
+	r := &reader{remaining: data}
+	m := &Message{Kind: Kind(r.byte()), Sequence: r.uvarint(), Epoch: r.uvarint(), EpochBase: r.uvarint(), Number: r.uvarint(), Digest: r.uint64()}
 	switch m.Kind {
-	case Push:
-		m.Known, m.Batch = r.uvarint(), r.batch()
-	case Pull:
+	case KindPush:
+		m.HighestKnown, m.Batch = r.uvarint(), r.batch()
+	case KindPull:
 		m.Flags = r.byte()
 		r.failed = r.failed || m.Flags >= flagsEnd
-	case Answer:
+	case KindPullResponse:
 		m.Status, m.AgeMS = r.status(), r.uvarint()
-		m.Known, m.Batch = r.uvarint(), r.batch()
-	case AskDigests:
+		m.HighestKnown, m.Batch = r.uvarint(), r.batch()
+	case KindDigestsRequest:
 		m.Page = r.uvarint()
-	case Digests:
+	case KindDigestsResponse:
 		m.Status, m.Page = r.status(), r.uvarint()
-		for len(r.rest) > 0 && !r.failed {
-			m.Digests = append(m.Digests, r.fixed())
+		for len(r.remaining) > 0 && !r.failed {
+			m.Digests = append(m.Digests, r.uint64())
 		}
-	case AskEntries, Entries:
-		m.Status, m.Start, m.End = r.status(), r.fixed(), r.fixed()
-		for len(r.rest) > 0 && !r.failed {
+	case KindEntriesRequest, KindEntriesResponse:
+		m.Status, m.Start, m.End = r.status(), r.uint64(), r.uint64()
+		for len(r.remaining) > 0 && !r.failed {
 			m.Entries = append(m.Entries, Entry{r.string(MaxKey), r.string(MaxValue)})
 		}
 	default:
 		r.failed = true
 	}
-	if r.failed || len(r.rest) > 0 || m.Number > mostNumber || m.Known > mostNumber || m.Epoch > mostNumber || m.AgeMS > AgeUnknown {
-		return nil, fmt.Errorf("%w: %d bytes of kind %d", ErrMessage, len(text), m.Kind)
+	if r.failed || len(r.remaining) > 0 || m.Number > maxNumber || m.HighestKnown > maxNumber || m.Epoch > maxNumber || m.AgeMS > AgeUnknown {
+		return nil, fmt.Errorf("%w: %d bytes, kind %d", ErrMalformedMessage, len(data), m.Kind)
 	}
 	return m, nil
 }
--- a/internal/changes/state.go
+++ b/internal/changes/state.go
@@ -10,14 +10,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds on one entry, in bytes: any entry fits a datagram.
+// MaxKey and MaxValue are the maximum sizes of a key and a value, in bytes. Any entry within them
+// fits a datagram.
 const (
 	MaxKey   = 128
 	MaxValue = 640
 )
 
-// ErrEntry tells of a key or value out of bounds.
-var ErrEntry = errors.New("changes: a key or value out of bounds")
+// ErrInvalidEntry reports a key or value that is out of bounds.
+var ErrInvalidEntry = errors.New("changes: key or value out of bounds")
 
 // Entry is a key and its value.
 type Entry struct {
@@ -27,12 +28,12 @@
 
 func (e Entry) check() error {
 	if e.Key == "" || len(e.Key) > MaxKey || len(e.Value) > MaxValue {
-		return fmt.Errorf("%w: a key of %d and a value of %d bytes", ErrEntry, len(e.Key), len(e.Value))
+		return fmt.Errorf("%w: key of %d bytes (allowed: 1 to %d), value of %d bytes (maximum: %d)", ErrInvalidEntry, len(e.Key), MaxKey, len(e.Value), MaxValue)
 	}
 	return nil
 }
 
-// hash stands for the entry in a digest.
+// hash returns the entry's contribution to a digest.
 func (e Entry) hash() uint64 {
 	var d xxhash.Digest
 	var length [4]byte
@@ -44,34 +45,36 @@
 	return d.Sum64()
 }
 
-// place is where a key stands in a snapshot's order.
-func place(key string) uint64 { return xxhash.Sum64String(key) }
+// keyHash returns the hash of a key, by which snapshots are ordered.
+func keyHash(key string) uint64 { return xxhash.Sum64String(key) }
 
-// buckets are equal parts of all places, compared by their digests where two states differ.
+// buckets is the number of equal parts that key hashes are divided into. Two states are compared by
+// the digests of these parts. bucketShift is the number of bits of a key hash below the
+// index of its part.
 const (
 	buckets     = 256
 	bucketShift = 56
 )
 
-func bucketOf(place uint64) int { return int(place >> bucketShift) }
+func bucketOf(hash uint64) int { return int(hash >> bucketShift) }
 
-// State is keyed entries with digests that follow each change in constant time. A digest is the sum of its entries' hashes, so it does
-// not depend on the order in which they came.
+// State is a set of keyed entries with digests that each change updates in constant time. A digest
+// is the sum of the hashes of its entries, so it does not depend on the order of the changes.
 type State struct {
-	entries map[string]string
-	order   []placed // by place, for snapshots and audits; nil until it is asked for
-	digest  uint64
-	parts   [buckets]uint64
-	bytes   int
+	entries       map[string]string
+	byHash        []hashedKey // sorted by key hash, for snapshots and audits; nil until first used
+	digest        uint64
+	bucketDigests [buckets]uint64
+	bytes         int
 }
 
-type placed struct {
-	place uint64
-	key   string
+type hashedKey struct {
+	hash uint64
+	key  string
 }
 
-func (p placed) compare(o placed) int {
-	return cmp.Or(cmp.Compare(p.place, o.place), cmp.Compare(p.key, o.key))
+func (k hashedKey) compare(other hashedKey) int {
+	return cmp.Or(cmp.Compare(k.hash, other.hash), cmp.Compare(k.key, other.key))
 }
 
 // NewState returns an empty state.
@@ -80,13 +83,13 @@
 // Len returns the number of entries.
 func (s *State) Len() int { return len(s.entries) }
 
-// Bytes returns the sum of the lengths of all keys and values.
+// Bytes returns the total length of all keys and values.
 func (s *State) Bytes() int { return s.bytes }
 
 // Digest returns the digest of all entries.
 func (s *State) Digest() uint64 { return s.digest }
 
-// Get returns a key's value.
+// Get returns the value of a key.
 func (s *State) Get(key string) (value string, ok bool) {
 	value, ok = s.entries[key]
 	return value, ok
@@ -102,41 +105,41 @@
 	return all
 }
 
-func (s *State) account(e Entry, sign int) {
+func (s *State) updateDigests(e Entry, sign int) {
 	hash := e.hash()
 	if sign < 0 {
 		hash = -hash
 	}
 	s.digest += hash
-	s.parts[bucketOf(place(e.Key))] += hash
+	s.bucketDigests[bucketOf(keyHash(e.Key))] += hash
 	s.bytes += sign * (len(e.Key) + len(e.Value))
 }
 
 func (s *State) put(e Entry) {
 	old, had := s.entries[e.Key]
 	if had {
-		s.account(Entry{e.Key, old}, -1)
-	} else if s.order != nil {
-		added := placed{place(e.Key), e.Key}
-		at, _ := slices.BinarySearchFunc(s.order, added, placed.compare)
-		s.order = slices.Insert(s.order, at, added)
+		s.updateDigests(Entry{e.Key, old}, -1)
+	} else if s.byHash != nil {
+		added := hashedKey{keyHash(e.Key), e.Key}
+		at, _ := slices.BinarySearchFunc(s.byHash, added, hashedKey.compare)
+		s.byHash = slices.Insert(s.byHash, at, added)
 	}
 	s.entries[e.Key] = e.Value
-	s.account(e, 1)
+	s.updateDigests(e, 1)
 }
 
 func (s *State) remove(key string) {
 	if old, had := s.entries[key]; had {
-		s.account(Entry{key, old}, -1)
+		s.updateDigests(Entry{key, old}, -1)
 		delete(s.entries, key)
-		if s.order != nil {
-			at, _ := slices.BinarySearchFunc(s.order, placed{place(key), key}, placed.compare)
-			s.order = slices.Delete(s.order, at, at+1)
+		if s.byHash != nil {
+			at, _ := slices.BinarySearchFunc(s.byHash, hashedKey{keyHash(key), key}, hashedKey.compare)
+			s.byHash = slices.Delete(s.byHash, at, at+1)
 		}
 	}
 }
 
-// apply makes a change and returns the one that takes it back.
+// apply makes a change and returns the change that reverts it.
 func (s *State) apply(c Change) (undo Change) {
 	old, had := s.entries[c.Key]
 	undo = Change{Key: c.Key, Value: old, Delete: !had}
@@ -150,45 +153,46 @@
 
 func (s *State) clone() *State {
 	c := NewState()
-	for key, value := range s.entries { // any order: digests are sums
+	for key, value := range s.entries { // in any order: digests are sums
 		c.put(Entry{key, value})
 	}
 	return c
 }
 
-func (s *State) index() []placed {
-	if s.order == nil && len(s.entries) > 0 {
+func (s *State) sortedByHash() []hashedKey {
+	if s.byHash == nil && len(s.entries) > 0 {
 		for key := range s.entries { // sorted below
-			s.order = append(s.order, placed{place(key), key})
+			s.byHash = append(s.byHash, hashedKey{keyHash(key), key})
 		}
-		slices.SortFunc(s.order, placed.compare)
+		slices.SortFunc(s.byHash, hashedKey.compare)
 	}
-	return s.order
+	return s.byHash
 }
 
-// between returns the entries from place start to place end, both included, as many as take limit bytes on the wire; next is where the
-// following ones begin, done tells that there are none.
-func (s *State) between(start, end uint64, limit int) (entries []Entry, next uint64, done bool) {
-	order := s.index()
-	at, _ := slices.BinarySearchFunc(order, start, func(p placed, start uint64) int { return cmp.Compare(p.place, start) })
+// entriesBetween returns the entries with key hashes from start to end, both included, as many as
+// fit limit encoded bytes. next is the key hash of the first entry left out; done reports that none
+// was left out.
+func (s *State) entriesBetween(start, end uint64, limit int) (entries []Entry, next uint64, done bool) {
+	order := s.sortedByHash()
+	at, _ := slices.BinarySearchFunc(order, start, func(k hashedKey, start uint64) int { return cmp.Compare(k.hash, start) })
 	size := 0
-	for ; at < len(order) && order[at].place <= end; at++ {
+	for ; at < len(order) && order[at].hash <= end; at++ {
 		e := Entry{order[at].key, s.entries[order[at].key]}
 		size += entrySize(e)
-		if size > limit && len(entries) > 0 && order[at].place != order[at-1].place {
-			return entries, order[at].place, false
+		if size > limit && len(entries) > 0 && order[at].hash != order[at-1].hash {
+			return entries, order[at].hash, false
 		}
 		entries = append(entries, e)
 	}
 	return entries, 0, true
 }
 
-// clear removes the entries from place start to place end, both included.
-func (s *State) clear(start, end uint64) {
-	order := s.index()
-	at, _ := slices.BinarySearchFunc(order, start, func(p placed, start uint64) int { return cmp.Compare(p.place, start) })
+// removeRange removes the entries with key hashes from start to end, both included.
+func (s *State) removeRange(start, end uint64) {
+	order := s.sortedByHash()
+	at, _ := slices.BinarySearchFunc(order, start, func(k hashedKey, start uint64) int { return cmp.Compare(k.hash, start) })
 	var keys []string
-	for ; at < len(order) && order[at].place <= end; at++ {
+	for ; at < len(order) && order[at].hash <= end; at++ {
 		keys = append(keys, order[at].key)
 	}
 	for _, key := range keys {
@@ -196,20 +200,22 @@
 	}
 }
 
-// audit counts a bucket's digest anew and tells whether it is what the changes led to: false means that memory was damaged.
-func (s *State) audit(bucket int) bool {
+// isBucketIntact recomputes the digest of a bucket and reports whether it equals the one maintained
+// by the changes. A difference means that memory was corrupted.
+func (s *State) isBucketIntact(bucket int) bool {
 	start := uint64(bucket) << bucketShift
-	order := s.index()
-	at, _ := slices.BinarySearchFunc(order, start, func(p placed, start uint64) int { return cmp.Compare(p.place, start) })
+	order := s.sortedByHash()
+	at, _ := slices.BinarySearchFunc(order, start, func(k hashedKey, start uint64) int { return cmp.Compare(k.hash, start) })
 	var sum uint64
-	for ; at < len(order) && bucketOf(order[at].place) == bucket; at++ {
+	for ; at < len(order) && bucketOf(order[at].hash) == bucket; at++ {
 		sum += Entry{order[at].key, s.entries[order[at].key]}.hash()
 	}
-	return sum == s.parts[bucket]
+	return sum == s.bucketDigests[bucket]
 }
 
-// Damage overwrites a value without the digest's knowledge, as a fault of memory would. It is for tests.
-func (s *State) Damage(key, value string) {
+// CorruptValue overwrites a value without updating the digest, as a memory fault would. It is for
+// tests.
+func (s *State) CorruptValue(key, value string) {
 	if _, ok := s.entries[key]; ok {
 		s.entries[key] = value
 	}
--- a/internal/inifile/decode.go
+++ b/internal/inifile/decode.go
@@ -11,19 +11,20 @@
 	"time"
 )
 
-// Decode reads a section into a struct, by its fields' tags; a field whose key is not there keeps its value, so that the
-// struct brings the defaults. A section that is missing is as one without keys. Mistakes are kept for Err.
+// Decode stores the keys of a section in the struct that target points to, as its field tags say. A
+// field whose key is absent keeps its value, so the caller sets the defaults beforehand. A missing
+// section is treated as one without keys. Problems are collected and returned by Err.
 //
-//	Rate  float64       `ini:"rate" min:"0"`        // numbers may be written as 12%
-//	Wait  time.Duration `ini:"wait" above:"0"`      // a time needs a unit; without a bound it is not below 0
+//	Rate  float64       `ini:"rate" min:"0"`   // a number may be written as 12%
+//	Wait  time.Duration `ini:"wait" above:"0"` // needs a unit; not negative unless min is set
 //	Kind  string        `ini:"kind" one:"a, b"`
-//	Names []string      `ini:"names"`               // separated by commas
+//	Names []string      `ini:"names"`          // comma-separated
 //
-// Types that implement encoding.TextUnmarshaler read themselves; one that has Bounds() (least, most float64) too is
-// checked against min, max and above.
-func (f *File) Decode(section string, into any) {
-	f.taken[section] = true
-	v := reflect.ValueOf(into).Elem()
+// Types that implement encoding.TextUnmarshaler decode themselves. If such a type also has a method
+// Bounds() (least, most float64), both results are checked against min, max and above.
+func (f *File) Decode(section string, target any) {
+	f.decoded[section] = true
+	v := reflect.ValueOf(target).Elem()
 	known := make(map[string]bool)
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
@@ -36,23 +37,24 @@
 			continue
 		}
 		text := f.ini.Section(section).Key(key).String()
-		if err := set(v.Field(i), field.Tag, text); err != nil {
-			f.Complain(section, key, "%v", err)
+		if err := decodeValue(v.Field(i), field.Tag, text); err != nil {
+			f.AddProblem(section, key, "%v", err)
 		}
 	}
 	for _, key := range f.ini.Section(section).KeyStrings() {
 		if !known[key] {
-			f.Complain(section, key, "unknown key%s", nearest(key, known))
+			f.AddProblem(section, key, "unknown key%s", suggestKey(key, known))
 		}
 	}
 }
 
-// nearest suggests the key that was probably meant.
-func nearest(key string, known map[string]bool) string {
-	best, least := "", 3
+// suggestKey returns a suggestion of the known key that is closest to a misspelt one, or an empty
+// string if no known key is within an edit distance of 2.
+func suggestKey(key string, known map[string]bool) string {
+	best, bestDistance := "", 3
 	for k := range known {
-		if d := distance(key, k); d < least || d == least && k < best {
-			best, least = k, d
+		if d := editDistance(key, k); d < bestDistance || d == bestDistance && k < best {
+			best, bestDistance = k, d
 		}
 	}
 	if best == "" {
@@ -61,22 +63,22 @@
 	return fmt.Sprintf("; perhaps %s", best)
 }
 
-// distance is how many letters must change, come or go to make one word of the other.
-func distance(a, b string) int {
+// editDistance returns the Levenshtein distance between a and b, counted in bytes.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
 	}
 	for i := range len(a) {
-		last := row[0]
+		diagonal := row[0]
 		row[0] = i + 1
 		for j := range len(b) {
-			cost := last
+			cost := diagonal
 			if a[i] != b[j] {
 				cost++
 			}
-			last = row[j+1]
-			row[j+1] = min(cost, row[j]+1, last+1)
+			diagonal = row[j+1]
+			row[j+1] = min(cost, row[j]+1, diagonal+1)
 		}
 	}
 	return row[len(b)]
@@ -84,9 +86,10 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-func set(v reflect.Value, tag reflect.StructTag, text string) error {
+// decodeValue parses text, checks it against the tag and stores it in v.
+func decodeValue(v reflect.Value, tag reflect.StructTag, text string) error {
 	if text == "" && v.Kind() != reflect.String {
-		return fmt.Errorf("empty")
+		return fmt.Errorf("empty value")
 	}
 	if u, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		if err := u.UnmarshalText([]byte(text)); err != nil {
@@ -94,31 +97,31 @@
 		}
 		if b, ok := v.Addr().Interface().(interface{ Bounds() (least, most float64) }); ok {
 			least, most := b.Bounds()
-			if err := within(least, tag, text); err != nil {
+			if err := checkBounds(least, tag, text); err != nil {
 				return err
 			}
-			return within(most, tag, text)
+			return checkBounds(most, tag, text)
 		}
 		return nil
 	}
 	switch {
 	case v.Type() == durationType:
-		d, err := Duration(text)
+		d, err := ParseDuration(text)
 		if err != nil {
 			return err
 		}
 		v.SetInt(int64(d))
-		if err := within(d.Seconds(), tag, text); err != nil {
+		if err := checkBounds(d.Seconds(), tag, text); err != nil {
 			return err
 		}
 		if d < 0 && tag.Get("min") == "" {
-			return fmt.Errorf("%s: a time below 0", text)
+			return fmt.Errorf("%s: a time must not be negative", text)
 		}
 		return nil
 	case v.Kind() == reflect.String:
-		if one := tag.Get("one"); one != "" {
-			if words := strings.Split(one, ", "); !slices.Contains(words, text) {
-				return fmt.Errorf("%q is none of %s", text, one)
+		if allowed := tag.Get("one"); allowed != "" {
+			if values := strings.Split(allowed, ", "); !slices.Contains(values, text) {
+				return fmt.Errorf("%q is none of %s", text, allowed)
 			}
 		}
 		v.SetString(text)
@@ -134,63 +137,64 @@
 			return fmt.Errorf("%q is not a whole number", text)
 		}
 		v.SetInt(int64(n))
-		return within(float64(n), tag, text)
+		return checkBounds(float64(n), tag, text)
 	case v.Kind() == reflect.Float64:
-		n, err := Number(text)
+		n, err := ParseNumber(text)
 		if err != nil {
 			return err
 		}
 		v.SetFloat(n)
-		return within(n, tag, text)
+		return checkBounds(n, tag, text)
 	case v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.String:
-		var words []string
-		for word := range strings.SplitSeq(text, ",") {
-			word = strings.TrimSpace(word)
-			if word == "" {
+		var entries []string
+		for entry := range strings.SplitSeq(text, ",") {
+			entry = strings.TrimSpace(entry)
+			if entry == "" {
 				return fmt.Errorf("an empty entry in %q", text)
 			}
-			if slices.Contains(words, word) {
-				return fmt.Errorf("%q stands there twice", word)
+			if slices.Contains(entries, entry) {
+				return fmt.Errorf("%q stands there twice", entry)
 			}
-			words = append(words, word)
+			entries = append(entries, entry)
 		}
-		v.Set(reflect.ValueOf(words).Convert(v.Type()))
+		v.Set(reflect.ValueOf(entries).Convert(v.Type()))
 	default:
-		panic(fmt.Sprintf("inifile: a field of type %s", v.Type())) // the program's mistake, not the file's
+		panic(fmt.Sprintf("inifile: unsupported field type %s", v.Type())) // a fault of the program, not of the file
 	}
 	return nil
 }
 
-// within checks a figure, of a time its seconds, against the bounds of its tag.
-func within(n float64, tag reflect.StructTag, text string) error {
+// checkBounds checks n against the bounds in the tag. A duration is given in seconds; text is the
+// value as written in the file.
+func checkBounds(n float64, tag reflect.StructTag, text string) error {
 	for _, b := range []struct {
-		name string
-		bad  func(bound float64) bool
-		say  string
+		tagKey      string
+		violated    func(bound float64) bool
+		description string
 	}{
 		{"min", func(bound float64) bool { return n < bound }, "less than"},
 		{"max", func(bound float64) bool { return n > bound }, "more than"},
 		{"above", func(bound float64) bool { return n <= bound }, "not above"},
 	} {
-		word := tag.Get(b.name)
-		if word == "" {
+		boundText := tag.Get(b.tagKey)
+		if boundText == "" {
 			continue
 		}
-		bound, err := strconv.ParseFloat(word, 64)
+		bound, err := strconv.ParseFloat(boundText, 64)
 		if err != nil {
-			panic(fmt.Sprintf("inifile: tag %s:%q", b.name, word))
+			panic(fmt.Sprintf("inifile: bound in tag %s:%q is not a number", b.tagKey, boundText))
 		}
-		if b.bad(bound) {
-			return fmt.Errorf("%s: %s %s", text, b.say, word)
+		if b.violated(bound) {
+			return fmt.Errorf("%s: %s %s", text, b.description, boundText)
 		}
 	}
 	return nil
 }
 
-// Number reads a finite number, which may be a percentage.
-func Number(text string) (float64, error) {
-	word, percent := strings.CutSuffix(text, "%")
-	n, err := strconv.ParseFloat(strings.TrimSpace(word), 64)
+// ParseNumber parses a finite number, which may be written as a percentage.
+func ParseNumber(text string) (float64, error) {
+	number, percent := strings.CutSuffix(text, "%")
+	n, err := strconv.ParseFloat(strings.TrimSpace(number), 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
 		return 0, fmt.Errorf("%q is not a number", text)
 	}
@@ -200,13 +204,13 @@
 	return n, nil
 }
 
-// Duration reads a time with its unit, as in 1.5s, 200ms or 1m30s; 0 needs none.
-func Duration(text string) (time.Duration, error) {
+// ParseDuration parses a duration with its unit, as in 1.5s, 200ms or 1m30s. Only 0 needs no unit.
+func ParseDuration(text string) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
 	if err == nil {
 		return d, nil
 	}
-	if _, bare := strconv.ParseFloat(text, 64); bare == nil {
+	if _, numberErr := strconv.ParseFloat(text, 64); numberErr == nil {
 		return 0, fmt.Errorf("%s: a time needs a unit, as in %ss or %sms", text, text, text)
 	}
 	return 0, fmt.Errorf("%q is not a time, as in 1.5s or 200ms", text)
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -11,263 +11,275 @@
 	"ospreyspan/internal/shared/limit"
 )
 
-// Limits are what all proxies of a fleet together may take; all of them must have the same.
-type Limits struct {
-	Soft limit.Soft
-	List []limit.Limit
-	Tell func(LimitChange) // told when a limit begins to refuse, and when it ends; may be nil
+// LimitsConfig configures the limits on what all proxies of a fleet together may take. All proxies
+// must have the same ones.
+type LimitsConfig struct {
+	Soft     limit.SoftConfig
+	List     []limit.Limit
+	OnChange func(LimitChange) // called when a limit begins or ceases to refuse; may be nil
 }
 
-// LimitChange is a limit that began or ended to refuse.
+// LimitChange reports that a limit began or ceased to refuse.
 type LimitChange struct {
 	Limit     limit.Limit
-	Refuses   bool
-	Use, Room int // of this proxy
+	Refusing  bool
+	InUse     int // connections of this proxy, or its admissions within Limit.Period if that is set
+	Available int // known to be free at the last tick, see limitState.available; 0 or less: nothing
 }
 
-// limits counts what stands here under each limit, and keeps to this process's part of it. What that is, internal/shared/limit
-// decides.
+// limits counts the connections of this process under each limit and keeps them within the
+// process's part. Package internal/shared/limit decides how large that part is.
 type limits struct {
-	f      *fleet
-	conf   Limits
-	list   []*limited
-	begun  time.Time
-	roster limit.Roster
-	duties []string // slices to claim
+	fleet       *fleet
+	config      LimitsConfig
+	states      []*limitState
+	startedAt   time.Time
+	roster      limit.Roster
+	sliceDuties []string // slices of strict limits to claim
 }
 
-type limited struct {
+type limitState struct {
 	limit.Limit
-	key           string // of the evidence
-	class, tenant int    // indices; anyOf: whichever
-	use           int    // connections that stand or are to
-	recent        []time.Time
-	refused       int // since the last look
-	refusing      bool
-	gate          limit.Gate
-	slices        *limit.Slices
-	free          int // that is known, at the last look
+	key string // key of the published evidence
+	// class and tenant are indices in the settings. anyIndex: all; -2: none. Clients without a
+	// tenant have index -1, so that only a limit for all tenants covers them.
+	class, tenant    int
+	inUse            int         // connections that are open or being opened
+	admittedAt       []time.Time // times of admissions, of which those within Period count
+	refusedSinceTick int         // clients refused since the last tick
+	refusing         bool
+	gate             limit.Gate
+	slices           *limit.Slices
+	// available is what was known to be free at the last tick, in connections (or in admissions
+	// within Period): of a soft limit in the whole fleet, 0 or more; of a strict one in the slices
+	// of this process, below 0 if clients beyond them have still to move. It is 0 before the first
+	// tick.
+	available int
 }
 
-const anyOf = math.MaxInt
+const anyIndex = math.MaxInt
 
-func newLimits(f *fleet, c Limits, conf Config) *limits {
-	l := &limits{f: f, conf: c, begun: f.loop.Now()}
-	l.conf.Soft.Expect = max(c.Soft.Expect, conf.Settings.Config.Balancers)
-	for _, x := range c.List {
-		li := &limited{Limit: x, key: evidence.LimitKey(x.Name), class: index(x.Class, conf.Settings.Classes), tenant: index(x.Tenant, conf.Settings.Tenants)}
-		li.gate = limit.Gate{Soft: l.conf.Soft, Limit: &li.Limit}
-		if x.Kind == limit.StrictKind {
-			li.slices = limit.NewSlices(&li.Limit, conf.Fleet.Mesh.Session)
+func newLimits(f *fleet, c LimitsConfig, proxyConfig Config) *limits {
+	l := &limits{fleet: f, config: c, startedAt: f.loop.Now()}
+	l.config.Soft.ExpectedMembers = max(c.Soft.ExpectedMembers, proxyConfig.Settings.Config.Relays)
+	for _, lim := range c.List {
+		state := &limitState{Limit: lim, key: evidence.LimitKey(lim.Name), class: settingsIndex(lim.Class, proxyConfig.Settings.Classes), tenant: settingsIndex(lim.Tenant, proxyConfig.Settings.Tenants)}
+		state.gate = limit.Gate{SoftConfig: l.config.Soft, Limit: &state.Limit}
+		if lim.Kind == limit.StrictKind {
+			state.slices = limit.NewSlices(&state.Limit, proxyConfig.Fleet.Mesh.Session)
 		}
-		l.list = append(l.list, li)
+		l.states = append(l.states, state)
 	}
-	f.i.engine.SetLimits(l)
+	f.instance.engine.SetLimits(l)
 	return l
 }
 
-// index finds a name among the settings'; one that they lack limits nobody.
-func index(name string, all map[string]int) int {
+// settingsIndex returns the index of a name in the settings. A name that the settings do not
+// contain gives an index that matches no client.
+func settingsIndex(name string, all map[string]int) int {
 	if name == "" {
-		return anyOf
+		return anyIndex
 	}
 	if i, ok := all[name]; ok {
 		return i
 	}
-	return -2
+	return -2 // unknown: no client has this index; proxy uses 0 and more, and -1 for no tenant
 }
 
-func (x *limited) covers(class, tenant int) bool {
-	return (x.class == anyOf || x.class == class) && (x.tenant == anyOf || x.tenant == tenant)
+func (lim *limitState) covers(class, tenant int) bool {
+	return (lim.class == anyIndex || lim.class == class) && (lim.tenant == anyIndex || lim.tenant == tenant)
 }
 
-// set changes how much limits hold that go on under their names and kinds. Nobody who stands under a soft one is touched: there is no
-// room until enough have left. Of a strict one the slices are smaller at once, and what is beyond them is moved.
+// set changes the sizes of limits whose name, kind and number of slices stay the same. A soft limit
+// that shrinks affects no existing client: it admits nobody until enough clients have left. The
+// slices of a strict limit shrink at once, and the clients beyond them are moved.
 func (l *limits) set(list []limit.Limit) {
 	for _, to := range list {
-		for _, x := range l.list {
-			if x.Name == to.Name && x.Kind == to.Kind && x.Slices == to.Slices && to.Check() == nil {
-				x.Most = to.Most
+		for _, lim := range l.states {
+			if lim.Name == to.Name && lim.Kind == to.Kind && lim.Slices == to.Slices && to.Check() == nil {
+				lim.Max = to.Max
 			}
 		}
 	}
-	l.yield()
+	l.moveExcess()
 }
 
-// Take is for the engine; see proxy.Limits.
-func (l *limits) Take(class, tenant int, refuse bool) (under uint64, ok bool) {
-	now := l.f.loop.Now()
-	for _, x := range l.list { // all must have room before any is used
-		if refuse && x.covers(class, tenant) && !l.room(now, x) {
-			x.refused++
-			x.gate.Wish(now.Sub(l.begun))
-			if !x.refusing {
-				x.refusing = true
-				l.tell(x)
+// Acquire implements proxy.Limits.
+func (l *limits) Acquire(class, tenant int, refuse bool) (limitBits uint64, ok bool) {
+	now := l.fleet.loop.Now()
+	for _, lim := range l.states { // all limits must have room before any is taken
+		if refuse && lim.covers(class, tenant) && !l.hasRoom(now, lim) {
+			lim.refusedSinceTick++
+			lim.gate.RecordRefused(now.Sub(l.startedAt))
+			if !lim.refusing {
+				lim.refusing = true
+				l.notifyChange(lim)
 			}
 			return 0, false
 		}
 	}
-	for i, x := range l.list {
-		if !x.covers(class, tenant) {
+	for i, lim := range l.states {
+		if !lim.covers(class, tenant) {
 			continue
 		}
-		under |= 1 << i
-		x.use++
-		x.recent = append(x.recent, now)
-		if x.slices == nil {
-			x.gate.Admit(now.Sub(l.begun))
-			l.use(now, x)
+		limitBits |= 1 << i
+		lim.inUse++
+		lim.admittedAt = append(lim.admittedAt, now)
+		if lim.slices == nil {
+			lim.gate.Admit(now.Sub(l.startedAt))
+			l.publishUse(now, lim)
 		}
 	}
-	return under, true
+	return limitBits, true
 }
 
-// room tells whether one more may come in.
-func (l *limits) room(now time.Time, x *limited) bool {
-	if x.slices != nil {
-		return x.use < l.capacity(now, x)
+// hasRoom reports whether the limit admits one more client.
+func (l *limits) hasRoom(now time.Time, lim *limitState) bool {
+	if lim.slices != nil {
+		return lim.inUse < l.capacity(now, lim)
 	}
-	return x.gate.Open()
+	return lim.gate.HasRoom()
 }
 
-// Release is for the engine; see proxy.Limits.
-func (l *limits) Release(under uint64) {
-	for i, x := range l.list {
-		if under&(1<<i) != 0 {
-			x.use--
+// Release implements proxy.Limits.
+func (l *limits) Release(limitBits uint64) {
+	for i, lim := range l.states {
+		if limitBits&(1<<i) != 0 {
+			lim.inUse--
 		}
 	}
 }
 
-// audit compares what is counted with the engine's exchanges.
+// audit compares the counts with the engine's exchanges.
 func (l *limits) audit() error {
-	for i, x := range l.list {
-		if n := l.f.i.engine.Under(1 << i); n != x.use {
-			return fmt.Errorf("limit %s: %d are counted, %d exchanges are under it", x.Name, x.use, n)
+	for i, lim := range l.states {
+		if n := l.fleet.instance.engine.CountUnderLimit(1 << i); n != lim.inUse {
+			return fmt.Errorf("limit %s: counted %d connections, engine has %d exchanges under it", lim.Name, lim.inUse, n)
 		}
 	}
 	return nil
 }
 
-// counted is what counts under a limit here now.
-func (x *limited) counted(now time.Time) int {
-	if x.Within == 0 {
-		return x.use
+// currentUse returns the number of connections, or of recent admissions, that count under the limit
+// in this process now.
+func (lim *limitState) currentUse(now time.Time) int {
+	if lim.Period == 0 {
+		return lim.inUse
 	}
-	for len(x.recent) > 0 && now.Sub(x.recent[0]) > x.Within {
-		x.recent = x.recent[1:]
+	for len(lim.admittedAt) > 0 && now.Sub(lim.admittedAt[0]) > lim.Period {
+		lim.admittedAt = lim.admittedAt[1:]
 	}
-	return len(x.recent)
+	return len(lim.admittedAt)
 }
 
-// use tells the others what is used here.
-func (l *limits) use(now time.Time, x *limited) {
-	l.f.carrier.Store().Use(now, x.key, x.counted(now), x.gate.Wanted(now.Sub(l.begun)))
+// publishUse publishes this process's use of a limit to the other processes.
+func (l *limits) publishUse(now time.Time, lim *limitState) {
+	l.fleet.carrier.Store().RecordUse(now, lim.key, lim.currentUse(now), lim.gate.RecentDemand(now.Sub(l.startedAt)))
 }
 
-// capacity is what the slices that are held here allow.
-func (l *limits) capacity(now time.Time, x *limited) int {
+// capacity returns the sum of the sizes of the slices that this process holds.
+func (l *limits) capacity(now time.Time, lim *limitState) int {
 	n := 0
-	for i := range x.Slices {
-		if _, ok := l.f.node.HoldsAt(now, x.slices.Duty(i)); ok {
-			n += x.slices.Size(i)
+	for i := range lim.Slices {
+		if _, ok := l.fleet.node.HoldsAt(now, lim.slices.DutyName(i)); ok {
+			n += lim.slices.Size(i)
 		}
 	}
 	return n
 }
 
-// yield moves clients of which the slices are gone: at once, whatever else there is to do.
-func (l *limits) yield() {
-	now := l.f.loop.Refresh()
-	for i, x := range l.list {
-		if x.slices == nil {
+// moveExcess moves clients whose slices are lost, at once and before anything else.
+func (l *limits) moveExcess() {
+	now := l.fleet.loop.RefreshNow()
+	for i, lim := range l.states {
+		if lim.slices == nil {
 			continue
 		}
-		if over := x.use - l.capacity(now, x); over > 0 {
-			l.f.i.Count.Yielded += l.f.i.engine.Yield(1<<i, over)
+		if over := lim.inUse - l.capacity(now, lim); over > 0 {
+			l.fleet.instance.Count.Yielded += l.fleet.instance.engine.MoveUnderLimit(1<<i, over)
 		}
 	}
 }
 
-// look takes what has come of the others.
-func (l *limits) look(now time.Time) {
-	var living []limit.Living
-	for _, m := range l.f.node.Members() {
-		living = append(living, limit.Living{Session: m.Session, Name: m.Name})
+// tick evaluates what the other processes have published.
+func (l *limits) tick(now time.Time) {
+	var living []limit.LiveProcess
+	for _, m := range l.fleet.node.Members() {
+		living = append(living, limit.LiveProcess{Session: m.Session, Name: m.Name})
 	}
-	l.roster.Look(now, l.conf.Soft.Hold, living)
-	l.duties = l.duties[:0]
-	for _, x := range l.list {
-		if x.slices == nil {
-			l.soften(now, x)
+	l.roster.Update(now, l.config.Soft.DeadHold, living)
+	l.sliceDuties = l.sliceDuties[:0]
+	for _, lim := range l.states {
+		if lim.slices == nil {
+			l.tickSoft(now, lim)
 		} else {
-			l.slice(now, x)
+			l.tickStrict(now, lim)
 		}
-		if x.refusing && x.refused == 0 && l.room(now, x) {
-			x.refusing = false
-			l.tell(x)
+		if lim.refusing && lim.refusedSinceTick == 0 && l.hasRoom(now, lim) {
+			lim.refusing = false
+			l.notifyChange(lim)
 		}
-		x.refused = 0
+		lim.refusedSinceTick = 0
 	}
-	l.yield()
-	l.f.claim()
+	l.moveExcess()
+	l.fleet.claimDuties()
 }
 
-func (l *limits) soften(now time.Time, x *limited) {
-	l.use(now, x)
+func (l *limits) tickSoft(now time.Time, lim *limitState) {
+	l.publishUse(now, lim)
 	known := make(map[uint64]limit.Member)
-	l.f.carrier.Store().Uses(now, x.key, func(w evidence.Writer, use, want int, age time.Duration) {
+	l.fleet.carrier.Store().EachUse(now, lim.key, func(w evidence.Writer, use, want int, age time.Duration) {
 		known[w.Session] = limit.Member{Session: w.Session, Use: use, Want: want, Age: age}
 	})
-	me := limit.Member{Session: l.f.carrier.Store().Me().Session, Use: x.counted(now), Want: x.gate.Wanted(now.Sub(l.begun))}
-	x.free = x.gate.Look(now.Sub(l.begun), me, l.roster.Members(now, me.Session, known))
+	me := limit.Member{Session: l.fleet.carrier.Store().Self().Session, Use: lim.currentUse(now), Want: lim.gate.RecentDemand(now.Sub(l.startedAt))}
+	lim.available = lim.gate.Update(now.Sub(l.startedAt), me, l.roster.Members(now, me.Session, known))
 }
 
-// slice claims slices for what stands here, and one more while clients are refused or the last one is nearly full.
-func (l *limits) slice(now time.Time, x *limited) {
-	held := func(i int) bool { _, ok := l.f.node.Holds(x.slices.Duty(i)); return ok }
-	taken := func(i int) bool { return l.f.node.HasOwner(x.slices.Duty(i)) }
-	waiting := min(x.refused, x.slices.Unit()) + 1
-	if l.f.leaving {
-		waiting = 0
+// tickStrict claims slices for the existing connections, and one more while clients are refused or
+// the last slice is nearly full.
+func (l *limits) tickStrict(now time.Time, lim *limitState) {
+	held := func(i int) bool { _, ok := l.fleet.node.Holds(lim.slices.DutyName(i)); return ok }
+	taken := func(i int) bool { return l.fleet.node.HasOwner(lim.slices.DutyName(i)) }
+	wanted := min(lim.refusedSinceTick, lim.slices.MinSize()) + 1
+	if l.fleet.draining {
+		wanted = 0
 	}
-	for _, i := range x.slices.Want(now, x.use, waiting, l.f.lease, held, taken) {
-		if len(l.duties) < owner.MostLeases/2 {
-			l.duties = append(l.duties, x.slices.Duty(i))
+	for _, i := range lim.slices.Claims(now, lim.inUse, wanted, l.fleet.leaseDuration, held, taken) {
+		if len(l.sliceDuties) < owner.MaxLeases/2 {
+			l.sliceDuties = append(l.sliceDuties, lim.slices.DutyName(i))
 		}
 	}
-	x.free = l.capacity(now, x) - x.use
+	lim.available = l.capacity(now, lim) - lim.inUse
 }
 
-func (l *limits) tell(x *limited) {
-	if l.conf.Tell != nil {
-		l.conf.Tell(LimitChange{Limit: x.Limit, Refuses: x.refusing, Use: x.counted(l.f.loop.Now()), Room: x.free})
+func (l *limits) notifyChange(lim *limitState) {
+	if l.config.OnChange != nil {
+		l.config.OnChange(LimitChange{Limit: lim.Limit, Refusing: lim.refusing, InUse: lim.currentUse(l.fleet.loop.Now()), Available: lim.available})
 	}
 }
 
-// view tells operators of limits.
+// view returns the state of the limits for operators.
 func (l *limits) view() []mesh.SharedView {
-	now := l.f.loop.Now()
+	now := l.fleet.loop.Now()
 	var all []mesh.SharedView
-	for _, x := range l.list {
-		state, text := "takes", fmt.Sprintf("%v, %d of all; here %d", x.Kind, x.Most, x.counted(now))
-		if x.refusing {
+	for _, lim := range l.states {
+		state, text := "takes", fmt.Sprintf("%v limit of %d for all proxies, %d used here", lim.Kind, lim.Max, lim.currentUse(now))
+		if lim.refusing {
 			state = "refuses"
 		}
 		age, use, heard := time.Duration(0), 0, 0
-		if x.slices == nil {
-			l.f.carrier.Store().Uses(now, x.key, func(_ evidence.Writer, u, _ int, a time.Duration) {
-				if a <= l.conf.Soft.Stale {
+		if lim.slices == nil {
+			l.fleet.carrier.Store().EachUse(now, lim.key, func(_ evidence.Writer, u, _ int, a time.Duration) {
+				if a <= l.config.Soft.StaleAfter {
 					age, use, heard = max(age, a), use+u, heard+1
 				}
 			})
-			text += fmt.Sprintf(", known of %d: %d, room %d; over by no more than came within %v, and by all of it for each further part that is cut off for over %v",
-				heard, use, x.free, l.conf.Soft.Stale, l.conf.Soft.Hold)
+			text += fmt.Sprintf(", %d processes heard use %d, room for %d; exceeded at most by the admissions within %v, and by the whole limit for each further partition that is cut off for over %v",
+				heard, use, lim.available, l.config.Soft.StaleAfter, l.config.Soft.DeadHold)
 		} else {
-			text += fmt.Sprintf(", slices here for %d; over by 0", l.capacity(now, x))
+			text += fmt.Sprintf(", slices held here for %d; exceeded by 0", l.capacity(now, lim))
 		}
-		all = append(all, mesh.SharedView{Matter: "limit", Name: x.Name, State: state, AgeMS: age.Milliseconds(), Text: text})
+		all = append(all, mesh.SharedView{Topic: "limit", Name: lim.Name, State: state, AgeMS: age.Milliseconds(), Text: text})
 	}
 	return all
 }
--- a/internal/instance/verdicts.go
+++ b/internal/instance/verdicts.go
@@ -12,150 +12,154 @@
 	"ospreyspan/internal/shared/verdict"
 )
 
-// Verdicts are the figures of what all proxies hold of targets together; all of a fleet must have the same.
-type Verdicts struct {
+// VerdictConfig configures the verdicts on targets that all proxies of a fleet reach together. All
+// proxies must have the same configuration.
+type VerdictConfig struct {
 	Evidence evidence.Config
 	Judge    verdict.Config
-	Tell     func(Change) // told of each change, for the log; may be nil
+	OnChange func(VerdictChange) // called with each change, for the log; may be nil
 }
 
-// DefaultVerdicts have the figures that serve.
-func DefaultVerdicts() Verdicts {
-	return Verdicts{Evidence: evidence.DefaultConfig(), Judge: verdict.DefaultConfig()}
+// DefaultVerdictConfig returns the default configuration.
+func DefaultVerdictConfig() VerdictConfig {
+	return VerdictConfig{Evidence: evidence.DefaultConfig(), Judge: verdict.DefaultConfig()}
 }
 
-// Change is a verdict that changed.
-type Change struct {
+// VerdictChange is a change of the verdict on a target.
+type VerdictChange struct {
 	verdict.Finding
-	Was verdict.Verdict
+	Previous verdict.Verdict
 }
 
 const (
-	lookEvery = carrier.LookEvery
-	// trialEvery is the length of a turn.
-	trialEvery = time.Second
-	// probers is how many of all probe such a target in that time, in the mean.
-	probers = 2
+	tickInterval = carrier.TickInterval
+	// trialInterval is the length of a turn, in which some of the processes try a target that has a
+	// verdict.
+	trialInterval = time.Second
+	// probersPerTrial is the mean number of processes that probe a target with a verdict in one
+	// turn.
+	probersPerTrial = 2
 )
 
-// verdicts carries the evidence between this proxy's engine and the other proxies, and passes on to the module what the fleet
-// holds of a target. What is decided is decided in internal/shared.
+// verdicts exchanges evidence between this proxy's engine and the other proxies, and passes the
+// fleet's verdicts on targets to the module. The decisions are made in package
+// internal/shared/verdict.
 type verdicts struct {
-	f       *fleet
-	conf    Verdicts
-	store   *evidence.Store
-	known   map[string]verdict.Finding
-	order   []string // of known
-	targets []verdict.Target
-	tried   time.Time
+	fleet        *fleet
+	config       VerdictConfig
+	store        *evidence.Store
+	findings     map[string]verdict.Finding
+	findingOrder []string // target IDs of findings, in the order of the last evaluation
+	targets      []verdict.Target
+	lastTrial    time.Time
 }
 
-func newVerdicts(f *fleet, c Verdicts) *verdicts {
-	v := &verdicts{f: f, conf: c, known: make(map[string]verdict.Finding), store: f.carrier.Store()}
-	f.i.engine.OnOutcome(v.saw)
+func newVerdicts(f *fleet, c VerdictConfig) *verdicts {
+	v := &verdicts{fleet: f, config: c, findings: make(map[string]verdict.Finding), store: f.carrier.Store()}
+	f.instance.engine.OnOutcome(v.onOutcome)
 	return v
 }
 
-// saw takes an outcome of this proxy's own.
-func (v *verdicts) saw(target string, o balance.Outcome, of proxy.Occasion) {
+// onOutcome records the outcome of a hop or probe of this proxy.
+func (v *verdicts) onOutcome(target string, o balance.Outcome, of proxy.OutcomeSource) {
 	var c evidence.Counts
 	switch o {
 	case balance.OK:
 		switch of {
-		case proxy.OfHop:
+		case proxy.OutcomeFromHop:
 			c.OK = 1
-		case proxy.OfProbe:
-			c.Seen = 1
+		case proxy.OutcomeFromProbe:
+			c.ProbeOK = 1
 		default:
-			return // a connection that its client ended tells nothing new
+			return // a connection that its client closed is no evidence
 		}
 	case balance.Error, balance.Broken:
-		if of == proxy.OfProbe {
-			return // it may answer so many probes only
+		if of == proxy.OutcomeFromProbe {
+			return // the target may limit the rate of probes
 		}
 		c.Fail = 1
 	case balance.TimedOut:
 		c.Slow = 1
-		if of == proxy.OfProbe {
+		if of == proxy.OutcomeFromProbe {
 			c.Silent, c.Slow = 1, 0
 		}
 	case balance.NoConnect:
 		c.Silent = 1
 	default:
-		return // full, called off or not sent: that speaks against no target
+		return // full, cancelled or not sent: no evidence against the target
 	}
 	if c.Bad() > 0 {
-		v.f.i.Count.Sightings++
+		v.fleet.instance.Count.Sightings++
 	}
-	v.store.Saw(v.f.loop.Now(), target, c)
+	v.store.Record(v.fleet.loop.Now(), target, c)
 }
 
-// look judges if there is anything to judge.
-func (v *verdicts) look(now time.Time) {
-	if v.store.Disputed() || len(v.order) > 0 {
-		v.judge(now)
+// tick evaluates the verdicts if there is evidence against a target or a verdict to revise.
+func (v *verdicts) tick(now time.Time) {
+	if v.store.Disputed() || len(v.findingOrder) > 0 {
+		v.evaluate(now)
 	}
 }
 
-// judge looks at all targets anew.
-func (v *verdicts) judge(now time.Time) {
+// evaluate computes the verdicts on all targets anew.
+func (v *verdicts) evaluate(now time.Time) {
 	v.targets = v.targets[:0]
-	for _, t := range v.f.i.engine.Table().All() {
-		if !v.f.i.engine.Drains(t.ID) {
+	for _, t := range v.fleet.instance.engine.Table().All() {
+		if !v.fleet.instance.engine.IsDraining(t.ID) {
 			v.targets = append(v.targets, verdict.Target{ID: t.ID, Zone: t.Site})
 		}
 	}
-	list := verdict.Judge(now, v.store, v.store.Me().Zone, v.targets, v.conf.Judge, verdict.Flaws{})
-	before := v.known
-	v.known = make(map[string]verdict.Finding, len(list))
-	trial, members := now.Sub(v.tried) >= trialEvery, v.f.node.Peers().Count()
-	for _, x := range list {
-		v.known[x.Target] = x
-		if was := before[x.Target].Verdict; was != x.Verdict {
-			if x.Condemned() && !was.Condemned() {
-				v.f.i.Count.Condemned++
+	list := verdict.Judge(now, v.store, v.store.Self().Zone, v.targets, v.config.Judge, verdict.Flaws{})
+	previous := v.findings
+	v.findings = make(map[string]verdict.Finding, len(list))
+	trial, members := now.Sub(v.lastTrial) >= trialInterval, v.fleet.node.Peers().Count()
+	for _, finding := range list {
+		v.findings[finding.Target] = finding
+		if was := previous[finding.Target].Verdict; was != finding.Verdict {
+			if finding.Unhealthy() && !was.Unhealthy() {
+				v.fleet.instance.Count.Condemned++
 			}
-			v.tell(Change{x, was})
+			v.notifyChange(VerdictChange{finding, was})
 		}
-		span := now.UnixMilli() / trialEvery.Milliseconds()
-		mine := verdict.Turn(v.store.Me().Session, x.Target, span, verdict.Triers)
-		until := now.Add(2 * lookEvery)
-		if x.Verdict == verdict.Returning && mine && !x.Tried {
+		turn := now.UnixMilli() / trialInterval.Milliseconds()
+		mine := verdict.HasTurn(v.store.Self().Session, finding.Target, turn, verdict.TrialDivisor)
+		until := now.Add(2 * tickInterval)
+		if finding.Verdict == verdict.Returning && mine && !finding.RecentlyTried {
 			until = time.Time{}
 		}
-		v.f.i.engine.Told(x.Target, until)
-		if trial && x.Verdict != verdict.Failing && verdict.Turn(v.store.Me().Session, x.Target, span, members/probers) {
-			v.tried = now
-			v.f.i.Count.Trials++
-			v.f.i.engine.ProbeAlone(x.Target)
+		v.fleet.instance.engine.AvoidUntil(finding.Target, until)
+		if trial && finding.Verdict != verdict.Failing && verdict.HasTurn(v.store.Self().Session, finding.Target, turn, members/probersPerTrial) {
+			v.lastTrial = now
+			v.fleet.instance.Count.Trials++
+			v.fleet.instance.engine.ProbeDirectly(finding.Target)
 		}
 	}
-	for _, id := range v.order {
-		if _, still := v.known[id]; !still {
-			v.f.i.Count.Acquitted++
-			v.f.i.engine.Told(id, time.Time{})
-			v.tell(Change{verdict.Finding{Target: id}, before[id].Verdict})
+	for _, id := range v.findingOrder {
+		if _, still := v.findings[id]; !still {
+			v.fleet.instance.Count.Acquitted++
+			v.fleet.instance.engine.AvoidUntil(id, time.Time{})
+			v.notifyChange(VerdictChange{verdict.Finding{Target: id}, previous[id].Verdict})
 		}
 	}
-	v.order = v.order[:0]
-	for _, x := range list {
-		v.order = append(v.order, x.Target)
+	v.findingOrder = v.findingOrder[:0]
+	for _, finding := range list {
+		v.findingOrder = append(v.findingOrder, finding.Target)
 	}
 }
 
-// view tells operators of verdicts; targets without one are sound.
+// view returns the verdicts for operators. A target without a verdict is sound.
 func (v *verdicts) view() []mesh.SharedView {
 	var all []mesh.SharedView
-	for _, id := range v.order {
-		x := v.known[id]
-		all = append(all, mesh.SharedView{Matter: "verdict", Name: id, State: x.Verdict.String(), AgeMS: x.Age.Milliseconds(),
-			Text: fmt.Sprintf("%d witnesses, %d against", x.Witnesses, x.Against)})
+	for _, id := range v.findingOrder {
+		finding := v.findings[id]
+		all = append(all, mesh.SharedView{Topic: "verdict", Name: id, State: finding.Verdict.String(), AgeMS: finding.Age.Milliseconds(),
+			Text: fmt.Sprintf("%d witnesses, %d against", finding.Witnesses, finding.Opposing)})
 	}
 	return all
 }
 
-func (v *verdicts) tell(c Change) {
-	if v.conf.Tell != nil {
-		v.conf.Tell(c)
+func (v *verdicts) notifyChange(c VerdictChange) {
+	if v.config.OnChange != nil {
+		v.config.OnChange(c)
 	}
 }
--- a/internal/lab/changes/wholelist.go
+++ b/internal/lab/changes/wholelist.go
@@ -84,7 +84,7 @@
 		address := netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)})
 		list[i] = &routes.Target{
 			ID: fmt.Sprintf("server-%05d", i), Addr: netip.AddrPortFrom(address, 9000), Site: fmt.Sprint("zone-", i%8),
-			Block: i % 100, Share: 1, BornMS: 1_790_000_000_000 + int64(i),
+			Block: i % 100, Share: 1, StartUnixMS: 1_790_000_000_000 + int64(i),
 		}
 	}
 	return list
@@ -124,14 +124,14 @@
 	host := f.world.AddHost(config.Name, wholeListAddress(i).Addr(), vnet.Limits{})
 	if i < keepers {
 		disk := host.Disk("log")
-		disk.SetText(keeper.Fresh(uint64(1000 + i)))
+		disk.SetText(keeper.InitialRecord(uint64(1000 + i)))
 		log, err := keeper.Restore(disk.Text())
 		if err != nil {
 			return err
 		}
 		k := keeper.DefaultConfig()
 		k.ID, k.Voters, k.Seed = uint64(i+1), []uint64{1, 2, 3}, seed
-		config.Keeper, config.Log, config.Disk = &k, log, disk
+		config.Keeper, config.RestoredLog, config.Disk = &k, log, disk
 	}
 	return host.Start(func(kernel poll.Kernel) (func() error, error) {
 		config.Loop = poll.NewOn(kernel, func() {})
@@ -155,7 +155,7 @@
 	var sum uint64
 	for _, node := range f.nodes {
 		if node != but {
-			sum += node.Count.BytesReceived
+			sum += node.Counters.BytesReceived
 		}
 	}
 	return sum
--- a/internal/lab/decisions.go
+++ b/internal/lab/decisions.go
@@ -31,10 +31,10 @@
 func NewDecider(relays int) (*Decider, error) {
 	d := &Decider{now: time.Unix(1e9, 0), most: max(relays, 30)}
 	module, err := balance.New(balance.Config{
-		Balancers: 3, Zone: "a", Groups: true, MaxAttempts: 5, MaxAdvice: 2 * time.Second, MayProbe: true, MayCancel: true,
-		Classes: []balance.Class{{Aim: 800 * time.Millisecond, Worth: 3, MessageAim: 60 * time.Millisecond}},
+		Relays: 3, Zone: "a", GroupAffinity: true, MaxAttempts: 5, MaxRetryAfter: 2 * time.Second, MayProbe: true, MayCancel: true,
+		Classes: []balance.Class{{SetupTarget: 800 * time.Millisecond, Worth: 3, MessageTarget: 60 * time.Millisecond}},
 		Rules: balance.Rules{
-			AskWithin: 10 * time.Second, ColdFrom: 0.13, WarmWithin: 24 * time.Second, FallMultiple: 3, FallWithin: 1500 * time.Millisecond,
+			MaxDiscoveryGap: 10 * time.Second, InitialCapacity: 0.13, WarmUpTime: 24 * time.Second, OverloadFactor: 3, OverloadWindow: 1500 * time.Millisecond,
 		},
 		Prices: balance.Prices{CrossZone: 0.022},
 	}, 1, d)
@@ -47,7 +47,7 @@
 	for i := range list {
 		list[i] = balance.Backend{ID: fmt.Sprintf("relay-%05d", i), Zone: string("abc"[i%3]), Size: 1}
 	}
-	module.Members(d.now, balance.ListWhole, list)
+	module.DiscoveryUpdate(d.now, balance.ListWhole, list)
 	for range 2 * d.most {
 		d.Request()
 	}
@@ -61,7 +61,7 @@
 	d.next++
 	d.sent = 0
 	d.module.Request(d.now, balance.Request{
-		ID: d.next, Key: "k", Group: "g" + strconv.Itoa(int(d.next)%97), Left: 4 * time.Second, Tenant: -1,
+		ID: d.next, Key: "k", Group: "g" + strconv.Itoa(int(d.next)%97), Timeout: 4 * time.Second, Tenant: -1,
 	})
 	for len(d.probes) > 0 {
 		id := d.probes[len(d.probes)-1]
@@ -70,7 +70,7 @@
 		d.module.Probed(d.now, id, balance.OK, balance.Report{Load: load, CPU: load, Active: 20, Waiting: math.NaN(), Latency: math.NaN(), Rate: 1, Errors: math.NaN()})
 	}
 	if d.sent != 0 {
-		d.module.Started(d.now, d.sent)
+		d.module.Established(d.now, d.sent)
 		d.stand = append(d.stand, d.sent)
 	}
 	if len(d.stand) > d.most {
@@ -91,7 +91,7 @@
 func (d *Decider) Cancel(balance.RequestID, int)                        {}
 func (d *Decider) Move(balance.RequestID)                               {}
 func (d *Decider) Probe(id string)                                      { d.probes = append(d.probes, id) }
-func (d *Decider) Watch()                                               {}
+func (d *Decider) WatchDiscovery()                                      {}
 func (d *Decider) After(time.Duration, uint64)                          {}
 
 // Decision is what a request costs with so many relays.
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -61,7 +61,7 @@
 	if p.node == nil {
 		return p.former
 	}
-	return p.former.add(&p.node.Count, 1)
+	return p.former.add(&p.node.Counters, 1)
 }
 
 func (p *process) keeper() bool { return p.index < p.cluster.config.Keepers }
@@ -78,13 +78,13 @@
 // member is what others hold of the process.
 func (p *process) member() peers.Member {
 	text, _ := p.address().MarshalBinary() // of a valid address it can't fail
-	return peers.Member{Session: p.session, Name: p.name, Zone: p.zoneName(), Addr: p.address(), At: text}
+	return peers.Member{Session: p.session, Name: p.name, Zone: p.zoneName(), Addr: p.address(), EncodedAddr: text}
 }
 
 func (p *process) makeDisk() {
 	d := p.host.Disk("keeper")
 	d.SetFaults(vnet.DiskFaults{Delay: time.Millisecond, Jitter: 2 * time.Millisecond})
-	d.SetText(keeper.Fresh(p.cluster.sessions.Uint64() | 1))
+	d.SetText(keeper.InitialRecord(p.cluster.sessions.Uint64() | 1))
 }
 
 // start begins a life, if none runs. Lives after the first one have a session of their own.
@@ -145,8 +145,8 @@
 	loop := poll.NewOn(k, func() { p.instance.Drain() })
 	m := mesh.Config{
 		Cluster: clusterName, Name: p.name, Zone: p.zoneName(), Listen: p.address(), Session: p.session, Keepers: c.keepers,
-		Terms: owner.Terms{Lease: c.config.Lease, Margin: c.config.Lease / marginPart}, Seed: c.config.Seed ^ p.session, MostMembers: c.config.MostMembers,
-		Duties: []string{duty.Discovery, duty.Probes, duty.Moves}, Tell: func(e mesh.Event) { c.verdicts.see(p, e) },
+		Terms: owner.LeaseTerms{Lease: c.config.Lease, Margin: c.config.Lease / marginPart}, Seed: c.config.Seed ^ p.session, MaxMembers: c.config.MostMembers,
+		Duties: []string{duty.Discovery, duty.Probes, duty.Moves}, OnEvent: func(e mesh.Event) { c.verdicts.see(p, e) },
 	}
 	if p.lives == 1 {
 		m.Known = c.knownMembers()
@@ -159,11 +159,11 @@
 			return err
 		}
 	}
-	shared := instance.DefaultVerdicts()
+	shared := instance.DefaultVerdictConfig()
 	i, err := instance.New(loop, instance.Config{
 		Name: p.name, Listen: netip.AddrPortFrom(p.host.Addr(), proxyPort), Discovery: c.discovery.address(), Seed: c.config.Seed ^ p.session,
-		Known: c.known, Settings: c.settings, Log: log.New(io.Discard, "", 0),
-		Fleet: &instance.Fleet{Mesh: m, SameAddresses: true, MovesPerS: movesPerSecond, Verdicts: &shared},
+		KnownList: c.known, Settings: c.settings, Log: log.New(io.Discard, "", 0),
+		Fleet: &instance.FleetConfig{Mesh: m, SameAddresses: true, MovesPerSecond: movesPerSecond, Verdicts: &shared},
 	})
 	if err != nil {
 		return err
@@ -185,7 +185,7 @@
 	for _, at := range p.cluster.keepers {
 		k.Voters = append(k.Voters, at.ID)
 	}
-	m.Keeper, m.Log, m.Disk = &k, restored, disk
+	m.Keeper, m.RestoredLog, m.Disk = &k, restored, disk
 	return nil
 }
 
--- a/internal/lab/owners/run.go
+++ b/internal/lab/owners/run.go
@@ -59,7 +59,7 @@
 var duties = []string{"discovery", "moves", "probes/0"}
 
 // terms are shorter than those that serve, so that a run sees more hand-overs.
-var terms = owner.Terms{Lease: 1200 * time.Millisecond, Margin: 60 * time.Millisecond}
+var terms = owner.LeaseTerms{Lease: 1200 * time.Millisecond, Margin: 60 * time.Millisecond}
 
 type run struct {
 	o          Options
@@ -73,7 +73,7 @@
 	over       bool    // no faults any more
 	cuts       []*vnet.Partition
 	lost       map[int]bool // keepers whose disk was lost
-	terms      owner.Terms
+	terms      owner.LeaseTerms
 	quietWords bool // members say no words
 	guest      Guest
 }
@@ -177,7 +177,7 @@
 			r.at = append(r.at, mesh.KeeperAddress{ID: uint64(i + 1), Addr: netip.AddrPortFrom(h.Addr(), meshPort)})
 			d := h.Disk("keeper")
 			d.SetFaults(vnet.DiskFaults{Delay: time.Millisecond, Jitter: 6 * time.Millisecond, Torn: 0.7, Scrambled: 0.3})
-			d.SetText(keeper.Fresh(r.ids.Uint64() | 1))
+			d.SetText(keeper.InitialRecord(r.ids.Uint64() | 1))
 		}
 	}
 	for _, m := range r.members {
@@ -212,15 +212,15 @@
 	c := mesh.Config{
 		Loop: loop, Cluster: "lab", Name: m.host.Name(), Listen: netip.AddrPortFrom(m.host.Addr(), meshPort),
 		Session: r.ids.Uint64() | 1, Keepers: r.at, Terms: r.terms, Duties: duties, Seed: r.world.Seed(),
-		Flaws:          owner.Flaws{LeaseFromAnswer: plant == "lease-from-answer", NoFence: plant == "no-fence"},
+		Flaws:          owner.Flaws{LeaseFromResponse: plant == "lease-from-answer", NoFence: plant == "no-fence"},
 		ForgetFloors:   plant == "forgetful-receiver" || plant == "no-fence",
 		Seeds:          []netip.AddrPort{r.at[0].Addr, r.at[1].Addr},
 		OnAnnouncement: func(w mesh.Announcement) { r.judge.take(m.host.Name(), w.Lease, w.Token) },
 		OnRequest:      func(a *owner.LeaseRequest) { r.judge.ask(r.world.Elapsed(), a) },
 		OnResponse:     func(a *owner.LeaseResponse) { r.judge.answer(r.world.Elapsed(), a) },
 	}
-	c.Tell = func(e mesh.Event) {
-		switch e.What {
+	c.OnEvent = func(e mesh.Event) {
+		switch e.Kind {
 		case "own":
 			r.overlap()
 		case "keeper-stopped":
@@ -271,7 +271,7 @@
 		k.Voters = append(k.Voters, at.ID)
 	}
 	k.Flaws = keeper.Flaws{EarlyGrant: r.o.Plant == "early-grant", AckBeforeSync: r.o.Plant == "ack-before-sync"}
-	c.Keeper, c.Log, c.Disk = &k, log, d
+	c.Keeper, c.RestoredLog, c.Disk = &k, log, d
 	return nil
 }
 
@@ -338,9 +338,9 @@
 	if m.node == nil {
 		return
 	}
-	m.run.judge.StaleRefused += int(m.node.Count.AnnouncementsStale)
-	m.run.judge.Refuted += int(m.node.Peers().Tally.Refuted)
-	m.run.judge.Twins += int(m.node.Peers().Tally.Twins)
+	m.run.judge.StaleRefused += int(m.node.Counters.AnnouncementsStale)
+	m.run.judge.Refuted += int(m.node.Peers().Counters.Refuted)
+	m.run.judge.Twins += int(m.node.Peers().Counters.NameConflicts)
 	if k := m.node.Keeper(); k != nil {
 		m.run.judge.Snapshots += int(k.Count.Snapshots)
 	}
@@ -372,7 +372,7 @@
 	for _, m := range r.members {
 		// A datagram that a link held for 30 s may name a life that is over; one that lives must not be missing.
 		for _, o := range r.members {
-			me := o.node.Peers().Me().Session
+			me := o.node.Peers().Self().Session
 			if !slices.ContainsFunc(m.node.Members(), func(p peers.Member) bool { return p.Session == me }) {
 				r.world.Fail(fmt.Errorf("%s does not know that %s lives, %v after the last fault", m.host.Name(), o.host.Name(), r.o.Quiet))
 				return
@@ -399,7 +399,7 @@
 		}
 		for _, m := range r.members {
 			if w, _, ok := m.node.Latest(d); !ok || w.Token != token {
-				r.world.Fail(fmt.Errorf("duty %s: %s has the word of token %d, the owner %s has token %d; fence closed: %v; %v", d, m.host.Name(), w.Token, owner, token, m.node.Fence().Closed(), m.node.Figures()))
+				r.world.Fail(fmt.Errorf("duty %s: %s has the word of token %d, the owner %s has token %d; fence closed: %v; %v", d, m.host.Name(), w.Token, owner, token, m.node.Fence().Closed(), m.node.CounterValues()))
 				return
 			}
 		}
--- a/internal/lab/owners/scale.go
+++ b/internal/lab/owners/scale.go
@@ -32,7 +32,7 @@
 // other, and tells what that took.
 func Measure(seed uint64, n int, lease time.Duration, deaths, kills int) (*Scale, error) {
 	r := &run{o: Options{Members: n, Keepers: 3, NoFaults: true}, lost: make(map[int]bool)}
-	r.terms = owner.Terms{Lease: lease, Margin: lease / 20}
+	r.terms = owner.LeaseTerms{Lease: lease, Margin: lease / 20}
 	r.world = vnet.New(seed, func(from, to *vnet.Host) vnet.Link {
 		return vnet.Link{Delay: time.Millisecond, Jitter: 4 * time.Millisecond}
 	})
@@ -69,8 +69,8 @@
 func (r *run) sent() (datagrams, bytes uint64) {
 	for _, m := range r.members {
 		if m.node != nil {
-			datagrams += m.node.Count.Sent
-			bytes += m.node.Count.BytesSent
+			datagrams += m.node.Counters.Sent
+			bytes += m.node.Counters.BytesSent
 		}
 	}
 	return datagrams, bytes
@@ -82,7 +82,7 @@
 	for x == nil || x.keeper || !x.host.Running() || r.ownsAny(x) {
 		x = r.any()
 	}
-	session := x.node.Peers().Me().Session
+	session := x.node.Peers().Self().Session
 	x.kill()
 	begin := r.world.Elapsed()
 	for r.world.Elapsed()-begin < 5*time.Minute {
@@ -91,7 +91,7 @@
 		}
 		known := true
 		for _, m := range r.members {
-			if m.node != nil && m.node.Peers().Lives(session) {
+			if m.node != nil && m.node.Peers().IsLive(session) {
 				known = false
 				break
 			}
--- a/internal/lab/shared/judge.go
+++ b/internal/lab/shared/judge.go
@@ -16,7 +16,7 @@
 	cured      [targets]time.Duration
 	falseSince map[string]time.Duration // verdicts without a cause, by process and target
 	admissions []time.Duration          // to the soft limit
-	peak       int                      // most admissions within a Stale since the use was last within the limit
+	peak       int                      // most admissions within a StaleAfter since the use was last within the limit
 	excused    time.Duration            // until then ages are not bounded: a clock was set ahead
 	err        error
 }
@@ -63,8 +63,8 @@
 		"sound targets condemned for over 2 s: %d; soft limit: admitted %d, refused %d, of them with room left %d, in use %.2f of it, "+
 		"most over by %d, largest part of the bound %.2f; strict limit: admitted %d, refused %d, of them with room left %d, in use %.2f of it, "+
 		"most in use %d of %d, over by %d, with connections of stopped processes %d, moved when slices ended %d",
-		c.Faults, c.Poisoned, c.Wasted, c.Verdicts, c.AgeOfBound, c.FalseLong, c.Admitted[0], c.Refused[0], c.RefusedWithRoom[0], c.part(0, softL.Most),
-		c.MostExcess, c.ExcessOfBound, c.Admitted[1], c.Refused[1], c.RefusedWithRoom[1], c.part(1, strictL.Most), c.MostStrict, strictL.Most, max(c.MostStrict-strictL.Most, 0), c.MostStrictHeld, c.Yielded)
+		c.Faults, c.Poisoned, c.Wasted, c.Verdicts, c.AgeOfBound, c.FalseLong, c.Admitted[0], c.Refused[0], c.RefusedWithRoom[0], c.part(0, softL.Max),
+		c.MostExcess, c.ExcessOfBound, c.Admitted[1], c.Refused[1], c.RefusedWithRoom[1], c.part(1, strictL.Max), c.MostStrict, strictL.Max, max(c.MostStrict-strictL.Max, 0), c.MostStrictHeld, c.Yielded)
 }
 
 // part is how much of a limit was in use in the mean.
@@ -90,8 +90,8 @@
 	}
 }
 
-// ageBound is how old the evidence of a verdict may truly be: Fresh since the end of its window, the window itself, and what clocks
-// that are 2 % apart make of both.
+// ageBound is how old the evidence of a verdict may truly be: verdict.Config.MaxAge since the end of its window,
+// the window itself, and what clocks that are 2 % apart make of both.
 const ageBound = (3*time.Second + 250*time.Millisecond) * 102 / 100
 
 // verdicts checks what a process holds.
@@ -104,7 +104,7 @@
 	holds := make(map[int]bool)
 	for _, x := range list {
 		var t int
-		if _, err := fmt.Sscanf(x.Target, "t%d", &t); err != nil || !x.Condemned() {
+		if _, err := fmt.Sscanf(x.Target, "t%d", &t); err != nil || !x.Unhealthy() {
 			continue
 		}
 		holds[t] = true
@@ -138,20 +138,20 @@
 			return
 		}
 	}
-	most := verdict.Most(judging.Part, targets/len(zones))
+	most := verdict.MaxUnhealthy(judging.MaxFraction, targets/len(zones))
 	for z, n := range byZone {
 		if n > most {
 			j.fail("%s condemns %d targets of zone %s; at most %d may be", m.name, n, zones[z], most)
 			return
 		}
 	}
-	if condemned > verdict.Most(judging.Part, targets) {
+	if condemned > verdict.MaxUnhealthy(judging.MaxFraction, targets) {
 		j.fail("%s condemns %d of %d targets", m.name, condemned, targets)
 	}
 	for t := range targets {
 		key := fmt.Sprint(m.name, t)
 		f := j.g.truth[t]
-		sound := f.kind == verdict.Sound && now-j.cured[t] > ageBound+judging.Fresh || f.kind != verdict.Sound && f.zone != "" && f.zone != m.zone
+		sound := f.kind == verdict.Sound && now-j.cured[t] > ageBound+judging.MaxAge || f.kind != verdict.Sound && f.zone != "" && f.zone != m.zone
 		since, was := j.falseSince[key]
 		switch {
 		case !holds[t] || !sound:
@@ -186,16 +186,16 @@
 		by := make(map[uint64]*member)
 		for _, k := range j.g.order {
 			if o := j.g.members[k]; o.node != nil && o != m {
-				by[o.carrier.Store().Me().Session] = o
+				by[o.carrier.Store().Self().Session] = o
 			}
 		}
-		m.carrier.Store().Each(m.loop.Now(), 2*time.Second, func(x evidence.Sighting) {
+		m.carrier.Store().Each(m.loop.Now(), 2*time.Second, func(x evidence.Observation) {
 			o := by[x.Session]
 			if o == nil {
 				return
 			}
 			// What its writer has dropped as old may still be held by one that is stopped.
-			if own := o.carrier.Store().Own(x.Target, x.Window); own != (evidence.Counts{}) && own.OK < x.OK || own != (evidence.Counts{}) && own.Bad() < x.Bad() {
+			if own := o.carrier.Store().OwnCounts(x.Target, x.Window); own != (evidence.Counts{}) && own.OK < x.OK || own != (evidence.Counts{}) && own.Bad() < x.Bad() {
 				j.fail("%s holds %v of what %s saw of %q in a window, who saw %v", m.name, x.Counts, o.name, x.Target, own)
 			}
 		})
@@ -208,7 +208,7 @@
 	if now/tick%10 == 0 {
 		j.merged()
 	}
-	within := soft.Stale*102/100 + 500*time.Millisecond // a look, a window and what clocks differ
+	within := soft.StaleAfter*102/100 + 500*time.Millisecond // a look, a window and what clocks differ
 	for len(j.admissions) > 0 && now-j.admissions[0] > within {
 		j.admissions = j.admissions[1:]
 	}
@@ -216,17 +216,17 @@
 		j.g.count.Used[k] += j.use(name)
 		j.g.count.Looks[k]++
 	}
-	excess := j.use(softL.Name) - softL.Most
+	excess := j.use(softL.Name) - softL.Max
 	if excess <= 0 {
 		j.peak = 0
 	}
 	j.peak = max(j.peak, len(j.admissions))
 	if excess > 0 && now >= j.excused {
-		bound := limit.Bound(&softL, 1, j.peak)
+		bound := limit.MaxExcess(&softL, 1, j.peak)
 		j.g.count.MostExcess = max(j.g.count.MostExcess, excess)
 		j.g.count.ExcessOfBound = max(j.g.count.ExcessOfBound, float64(excess)/float64(max(bound, 1)))
 		if excess > bound {
-			j.fail("soft limit: %d over %d; the bound is %d", excess, softL.Most, bound)
+			j.fail("soft limit: %d over %d; the bound is %d", excess, softL.Max, bound)
 		}
 	}
 	// What slices allow by their holders' own clocks never exceeds the limit; who can't look at his clock may hold more until he can.
@@ -242,7 +242,7 @@
 	}
 	j.g.count.MostStrict = max(j.g.count.MostStrict, allowed)
 	j.g.count.MostStrictHeld = max(j.g.count.MostStrictHeld, held)
-	if allowed > strictL.Most {
-		j.fail("strict limit: %d in use of %d", allowed, strictL.Most)
+	if allowed > strictL.Max {
+		j.fail("strict limit: %d in use of %d", allowed, strictL.Max)
 	}
 }
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -38,11 +38,11 @@
 
 // figures of the run: shorter than those that serve, so that a run sees more.
 var (
-	judging = verdict.Config{Fresh: 3 * time.Second, Forget: 8 * time.Second, Witnesses: 2, Part: 0.34}
-	soft    = limit.Soft{Stale: 3 * time.Second, Hold: 25 * time.Second}
+	judging = verdict.Config{MaxAge: 3 * time.Second, ForgetAfter: 8 * time.Second, MinWitnesses: 2, MaxFraction: 0.34}
+	soft    = limit.SoftConfig{StaleAfter: 3 * time.Second, DeadHold: 25 * time.Second}
 	softKey = evidence.LimitKey("soft")
-	softL   = limit.Limit{Name: "soft", Most: 90}
-	strictL = limit.Limit{Name: "strict", Kind: limit.StrictKind, Most: 26, Slices: 12}
+	softL   = limit.Limit{Name: "soft", Max: 90}
+	strictL = limit.Limit{Name: "strict", Kind: limit.StrictKind, Max: 26, Slices: 12}
 )
 
 // Play plays one seed.
@@ -165,17 +165,17 @@
 	m.refused = make(map[string]int)
 	m.roster = limit.Roster{}
 	conf := evidence.DefaultConfig()
-	conf.Width, conf.Keep = 250*time.Millisecond, 10*time.Second
+	conf.WindowLength, conf.Retention = 250*time.Millisecond, 10*time.Second
 	if g.o.Plant == "no-age" {
-		conf.Keep = time.Hour
+		conf.Retention = time.Hour
 	}
 	me := evidence.Writer{Session: c.Session, Name: m.name, Zone: m.zone}
 	m.carrier = carrier.New(loop.Now(), me, conf, evidence.Flaws{MergeAdds: g.o.Plant == "merge-adds"})
-	m.gate = limit.Gate{Soft: soft, Limit: &softL, Flaws: limit.Flaws{ForgetLost: g.o.Plant == "forget-lost"}}
-	m.gate.Expect = 5
+	m.gate = limit.Gate{SoftConfig: soft, Limit: &softL, Flaws: limit.Flaws{ForgetLost: g.o.Plant == "forget-lost"}}
+	m.gate.ExpectedMembers = 5
 	m.slices = limit.NewSlices(&strictL, c.Session)
 	c.Zone = m.zone
-	c.Shared = func(from netip.AddrPort, s *mesh.Shared) { m.carrier.Take(loop.Now(), from, s) }
+	c.OnSharedMessage = func(from netip.AddrPort, s *mesh.SharedMessage) { m.carrier.Receive(loop.Now(), from, s) }
 	m.timer = poll.Timer{Fire: m.act}
 	loop.After(&m.timer, tick)
 }
@@ -192,7 +192,7 @@
 	}
 }
 
-// Jumped: what a clock that was set ahead says of ages is not bounded until others have learnt anew; see evidence.Store.Learn.
+// Jumped: what a clock that was set ahead says of ages is not bounded until others have learnt anew; see evidence.Store.LearnStart.
 func (g *guest) Jumped(int) { g.judge.excused = g.world.Elapsed() + 20*time.Second }
 
 func (g *guest) Healed() {
@@ -217,7 +217,7 @@
 	now := m.loop.Now()
 	m.try(now)
 	m.clients(now)
-	if now.Sub(m.looked) >= carrier.LookEvery {
+	if now.Sub(m.looked) >= carrier.TickInterval {
 		m.looked = now
 		m.look(now)
 	}
@@ -230,7 +230,7 @@
 		return
 	}
 	t := g.rng.IntN(targets)
-	if x, ok := m.found[id(t)]; ok && (x.Condemned() || x.Tried || !verdict.Turn(m.carrier.Store().Me().Session, id(t), now.Unix(), verdict.Triers)) {
+	if x, ok := m.found[id(t)]; ok && (x.Unhealthy() || x.RecentlyTried || !verdict.HasTurn(m.carrier.Store().Self().Session, id(t), now.Unix(), verdict.TrialDivisor)) {
 		return
 	}
 	f := g.truth[t]
@@ -247,7 +247,7 @@
 	case f.kind == verdict.Silent:
 		c = evidence.Counts{Silent: 1}
 	}
-	m.carrier.Store().Saw(now, id(t), c)
+	m.carrier.Store().Record(now, id(t), c)
 	if c.Bad() > 0 {
 		g.judge.saw(t, m.name)
 		if f.kind != verdict.Sound {
@@ -296,9 +296,9 @@
 
 func mostOf(name string) int {
 	if name == softL.Name {
-		return softL.Most
+		return softL.Max
 	}
-	return strictL.Most
+	return strictL.Max
 }
 
 // yield moves clients of which the slices are gone: it does not wait for anything.
@@ -313,7 +313,7 @@
 func (m *member) capacity(now time.Time) int {
 	n := 0
 	for i := range strictL.Slices {
-		if _, ok := m.node.HoldsAt(now, m.slices.Duty(i)); ok {
+		if _, ok := m.node.HoldsAt(now, m.slices.DutyName(i)); ok {
 			n += m.slices.Size(i)
 		}
 	}
@@ -321,21 +321,21 @@
 }
 
 func (m *member) tellUse(now time.Time) {
-	m.carrier.Store().Use(now, softKey, len(m.open[softL.Name]), m.gate.Wanted(now.Sub(m.began)))
+	m.carrier.Store().RecordUse(now, softKey, len(m.open[softL.Name]), m.gate.RecentDemand(now.Sub(m.began)))
 }
 
 // look does what a process does every now and then.
 func (m *member) look(now time.Time) {
 	store := m.carrier.Store()
 	m.tellUse(now)
-	m.carrier.Look(now)
+	m.carrier.Tick(now)
 	list := make([]verdict.Target, targets)
 	for t := range list {
 		list[t] = verdict.Target{ID: id(t), Zone: zones[t%len(zones)]}
 	}
 	conf := judging
 	if m.g.o.Plant == "cap-ignored" {
-		conf.Part = 1
+		conf.MaxFraction = 1
 	}
 	found := verdict.Judge(now, store, m.zone, list, conf, verdict.Flaws{OneWitness: m.g.o.Plant == "one-witness", NoAge: m.g.o.Plant == "no-age"})
 	clear(m.found)
@@ -348,25 +348,25 @@
 
 func (m *member) limits(now time.Time) {
 	store := m.carrier.Store()
-	var living []limit.Living
+	var living []limit.LiveProcess
 	for _, p := range m.node.Members() {
-		living = append(living, limit.Living{Session: p.Session, Name: p.Name})
+		living = append(living, limit.LiveProcess{Session: p.Session, Name: p.Name})
 	}
-	m.roster.Look(now, soft.Hold, living)
+	m.roster.Update(now, soft.DeadHold, living)
 	known := make(map[uint64]limit.Member)
-	store.Uses(now, softKey, func(w evidence.Writer, use, want int, age time.Duration) {
+	store.EachUse(now, softKey, func(w evidence.Writer, use, want int, age time.Duration) {
 		known[w.Session] = limit.Member{Session: w.Session, Use: use, Want: want, Age: age}
 	})
-	me := limit.Member{Session: store.Me().Session, Use: len(m.open[softL.Name]), Want: known[store.Me().Session].Want}
-	m.gate.Look(now.Sub(m.began), me, m.roster.Members(now, me.Session, known))
+	me := limit.Member{Session: store.Self().Session, Use: len(m.open[softL.Name]), Want: known[store.Self().Session].Want}
+	m.gate.Update(now.Sub(m.began), me, m.roster.Members(now, me.Session, known))
 	// Slices are duties like others.
-	held := func(i int) bool { _, ok := m.node.Holds(m.slices.Duty(i)); return ok }
-	taken := func(i int) bool { return m.node.HasOwner(m.slices.Duty(i)) }
-	want := m.slices.Want(now, len(m.open[strictL.Name]), min(m.refused[strictL.Name], 2), time.Second, held, taken)
+	held := func(i int) bool { _, ok := m.node.Holds(m.slices.DutyName(i)); return ok }
+	taken := func(i int) bool { return m.node.HasOwner(m.slices.DutyName(i)) }
+	want := m.slices.Claims(now, len(m.open[strictL.Name]), min(m.refused[strictL.Name], 2), time.Second, held, taken)
 	m.refused[strictL.Name] = 0
 	duties := []string{"discovery", "moves", "probes/0"}
 	for _, i := range want {
-		duties = append(duties, m.slices.Duty(i))
+		duties = append(duties, m.slices.DutyName(i))
 	}
 	m.node.SetDuties(duties)
 }
@@ -376,7 +376,7 @@
 	for _, i := range g.order {
 		m := g.members[i]
 		for target, x := range m.found {
-			if x.Condemned() {
+			if x.Unhealthy() {
 				return fmt.Errorf("%s holds %s to be %v, 20 s after the last trouble of any target", m.name, target, x.Verdict)
 			}
 		}
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -18,7 +18,7 @@
 const meshPort = 7946
 
 // shares is what a proxy needs that shares work with the others, nil where the scenario has no keepers.
-func (s *stage) shares(p *proxyNode) (*instance.Fleet, error) {
+func (s *stage) shares(p *proxyNode) (*instance.FleetConfig, error) {
 	n := s.s.Proxies.Keepers
 	if n == 0 || s.real != nil {
 		return nil, nil
@@ -43,17 +43,17 @@
 			return nil, err
 		}
 	}
-	f := &instance.Fleet{Mesh: m, SameAddresses: true, MovesPerS: s.s.Proxies.PerS}
+	f := &instance.FleetConfig{Mesh: m, SameAddresses: true, MovesPerSecond: s.s.Proxies.PerS}
 	if s.s.Proxies.Verdicts {
-		v := instance.DefaultVerdicts()
-		v.Tell = func(c instance.Change) { s.judged(p, c) }
+		v := instance.DefaultVerdictConfig()
+		v.OnChange = func(c instance.VerdictChange) { s.judged(p, c) }
 		f.Verdicts = &v
 	}
 	if part := s.s.Proxies.Retries; part > 0 {
-		f.Retries = &limit.Retries{Part: part, Within: 10 * time.Second, Least: 10}
+		f.Retries = &limit.RetryBudget{Fraction: part, Period: 10 * time.Second, Min: 10}
 	}
 	if l := s.limit(); l != nil {
-		f.Limits = &instance.Limits{Soft: limit.DefaultSoft(), List: []limit.Limit{*l}}
+		f.Limits = &instance.LimitsConfig{Soft: limit.DefaultSoftConfig(), List: []limit.Limit{*l}}
 	}
 	return f, nil
 }
@@ -65,9 +65,9 @@
 		return nil
 	}
 	if s.slices == 0 {
-		s.slices = min(most, 2*s.s.Proxies.Count, limit.MostSlices)
+		s.slices = min(most, 2*s.s.Proxies.Count, limit.MaxSlices)
 	}
-	l := &limit.Limit{Name: "all", Most: most, Slices: s.slices, Within: s.s.Proxies.LimitWithin}
+	l := &limit.Limit{Name: "all", Max: most, Slices: s.slices, Period: s.s.Proxies.LimitWithin}
 	if s.s.Proxies.LimitKind == "strict" {
 		l.Kind = limit.StrictKind
 	}
@@ -122,7 +122,7 @@
 	d := p.virtual().Disk("keeper")
 	if len(d.Text()) == 0 {
 		d.SetFaults(vnet.DiskFaults{Delay: 1e6, Jitter: 4e6, Torn: 0.7, Scrambled: 0.3})
-		d.SetText(keeper.Fresh(p.rng.Uint64() | 1))
+		d.SetText(keeper.InitialRecord(p.rng.Uint64() | 1))
 	}
 	log, err := keeper.Restore(d.Text())
 	if err != nil {
@@ -134,13 +134,13 @@
 	for _, a := range m.Keepers {
 		k.Voters = append(k.Voters, a.ID)
 	}
-	m.Keeper, m.Log, m.Disk = &k, log, d
+	m.Keeper, m.RestoredLog, m.Disk = &k, log, d
 	return nil
 }
 
 // judged takes a verdict that a proxy has come to, and counts those against relays to which nothing had happened.
-func (s *stage) judged(p *proxyNode, c instance.Change) {
-	if !c.Condemned() || c.Was.Condemned() {
+func (s *stage) judged(p *proxyNode, c instance.VerdictChange) {
+	if !c.Unhealthy() || c.Previous.Unhealthy() {
 		return
 	}
 	for _, n := range s.nodes {
@@ -148,7 +148,7 @@
 			s.shared.False++
 			if s.o.Log != nil {
 				fmt.Fprintf(s.o.Log, "%v %s: without a cause: %s is %v, was %v, age %v, %d witnesses, %d against\n",
-					s.world.Elapsed(), p.name, c.Target, c.Verdict, c.Was, c.Age, c.Witnesses, c.Against)
+					s.world.Elapsed(), p.name, c.Target, c.Verdict, c.Previous, c.Age, c.Witnesses, c.Opposing)
 			}
 		}
 	}
@@ -177,10 +177,10 @@
 
 func (s *Shared) add(n *mesh.Node) {
 	if n != nil {
-		s.Datagrams += n.Count.Sent
-		s.Bytes += n.Count.BytesSent
-		s.Words += n.Count.AnnouncementsAccepted
-		s.Refused += n.Count.AnnouncementsStale
+		s.Datagrams += n.Counters.Sent
+		s.Bytes += n.Counters.BytesSent
+		s.Words += n.Counters.AnnouncementsAccepted
+		s.Refused += n.Counters.AnnouncementsStale
 	}
 }
 
--- a/internal/peers/merge.go
+++ b/internal/peers/merge.go
@@ -6,134 +6,143 @@
 	"time"
 )
 
-// merge takes what another process says of a member. The order in which things are told does not matter: of two records the
-// one with the higher incarnation holds, of equal ones the worse state; who has left does not come back.
-func (p *Peers) merge(now time.Time, r *Member) {
-	if !valid(r) {
-		p.Tally.Dropped++
+// merge updates the table with a record that another process sent. The result does not depend on
+// the order in which records arrive: of two records of a member, the one with the higher
+// incarnation takes precedence, and at equal incarnations the one with the greater state. A member
+// that has left does not return.
+func (p *Peers) merge(now time.Time, record *Member) {
+	if !isValidRecord(record) {
+		p.Counters.Dropped++
 		return
 	}
-	if r.Session == p.self.Session {
-		p.refute(r)
+	if record.Session == p.self.Session {
+		p.refute(record)
 		return
 	}
 	var addr netip.AddrPort
-	if addr.UnmarshalBinary(r.At) != nil || !addr.IsValid() {
-		p.Tally.Dropped++
+	if addr.UnmarshalBinary(record.EncodedAddr) != nil || !addr.IsValid() {
+		p.Counters.Dropped++
 		return
 	}
-	m := p.members.find(r.Session)
+	m := p.members.find(record.Session)
 	switch {
-	case m == nil && r.live() && len(p.members.list) < p.cfg.MostMembers:
-		p.add(now, r, addr)
-	case m == nil: // one that is gone and was never known is no news
-	case m.supersededBy(r):
-		p.update(now, m, r)
-	case m.State == Dead && r.State == Alive:
-		p.notify(now, m) // others say that it lives: two that took each other for dead would never speak again
+	case m == nil && record.live() && len(p.members.others) < p.cfg.MaxMembers:
+		p.add(now, record, addr)
+	case m == nil: // not live, or the table is full
+	case m.supersededBy(record):
+		p.update(now, m, record)
+	case m.State == Dead && record.State == Alive:
+		// Others see the member as alive. Without a notification, two members that declared each
+		// other dead would never communicate again.
+		p.notify(now, m)
 	}
 }
 
-// valid tells whether a record keeps the bounds.
-func valid(r *Member) bool {
-	return r.Session != 0 && r.State <= Dead && len(r.Name) <= mostName && len(r.Zone) <= mostName
+// isValidRecord reports whether the fields of a record are within their bounds.
+func isValidRecord(record *Member) bool {
+	return record.Session != 0 && record.State <= Dead && len(record.Name) <= maxNameBytes && len(record.Zone) <= maxNameBytes
 }
 
-// supersededBy tells whether another record of the member is newer.
-func (m *member) supersededBy(r *Member) bool {
+// supersededBy reports whether the given record of the member takes precedence over the known one.
+func (m *member) supersededBy(record *Member) bool {
 	if m.State == Left {
 		return false
 	}
-	return r.Incarnation > m.Incarnation || r.Incarnation == m.Incarnation && r.State > m.State
+	return record.Incarnation > m.Incarnation || record.Incarnation == m.Incarnation && record.State > m.State
 }
 
-// update takes a newer record of a member.
-func (p *Peers) update(now time.Time, m *member, r *Member) {
-	m.Incarnation = r.Incarnation
-	m.Zone = r.Zone
-	if m.State != r.State {
-		p.setState(now, m, r.State)
+// update applies a record that takes precedence over the known one.
+func (p *Peers) update(now time.Time, m *member, record *Member) {
+	m.Incarnation = record.Incarnation
+	m.Zone = record.Zone
+	if m.State != record.State {
+		p.setState(now, m, record.State)
 	} else {
 		p.updates.add(m)
 	}
 }
 
-// add takes a member that was not known.
-func (p *Peers) add(now time.Time, r *Member, addr netip.AddrPort) {
-	m := &member{Member: *r, since: now}
-	m.Addr, m.At = addr, slices.Clone(r.At)
+// add inserts a member that was not known.
+func (p *Peers) add(now time.Time, record *Member, addr netip.AddrPort) {
+	m := &member{Member: *record, stateSince: now}
+	m.Addr, m.EncodedAddr = addr, slices.Clone(record.EncodedAddr)
 	p.members.insert(m)
 	p.detector.round.insert(m.Session, p.rng)
 	if m.State == Suspect {
-		m.deadAt = now.Add(p.suspicionTimeout())
+		m.suspicionDeadline = now.Add(p.suspicionTimeout())
 	}
 	p.updates.add(m)
-	p.changed++
-	p.events = append(p.events, Event{Member: m.Member, New: true, Twin: p.isTwin(m)})
+	p.changeCount++
+	p.events = append(p.events, Event{Member: m.Member, New: true, NameConflict: p.hasNameConflict(m)})
 }
 
-// isTwin tells whether another live member has this one's name at another address. One at the same address is its former
-// life: two can't listen there at once.
-func (p *Peers) isTwin(m *member) bool {
+// hasNameConflict reports whether another live member has the same name at a different address, and
+// counts the conflict. A member of the same name at the same address is an earlier run of the
+// process, since two processes cannot listen at the same address at once.
+func (p *Peers) hasNameConflict(m *member) bool {
 	found := false
-	for _, other := range p.members.namesakes(m.Name) {
+	for _, other := range p.members.withName(m.Name) {
 		if other != m && (other == p.self || other.live()) && other.Addr != m.Addr {
 			found = true
 		}
 	}
 	if found {
-		p.Tally.Twins++
+		p.Counters.NameConflicts++
 	}
 	return found
 }
 
-// setState changes a member's state, tells it on and reports it.
-func (p *Peers) setState(now time.Time, m *member, s State) {
-	was, lived := m.State, m.live()
-	m.State, m.since = s, now
-	if s == Suspect {
-		m.deadAt = now.Add(p.suspicionTimeout())
+// setState sets a member's state, queues it for dissemination and, for other members, reports an
+// event.
+func (p *Peers) setState(now time.Time, m *member, state State) {
+	previous, wasLive := m.State, m.live()
+	m.State, m.stateSince = state, now
+	if state == Suspect {
+		m.suspicionDeadline = now.Add(p.suspicionTimeout())
 	}
-	if s == Dead && was != Dead {
-		p.Tally.Died++
+	if state == Dead && previous != Dead {
+		p.Counters.Died++
 	}
 	p.updates.add(m)
 	if m == p.self {
 		return
 	}
-	if m.live() != lived {
+	if m.live() != wasLive {
 		p.noteLiveChange(m)
 	}
-	if was != s {
-		p.events = append(p.events, Event{Member: m.Member, Was: was})
+	if previous != state {
+		p.events = append(p.events, Event{Member: m.Member, Previous: previous})
 	}
 }
 
-// noteLiveChange counts a member that came back to life, or ended.
+// noteLiveChange updates the counts after a member became live or ceased to be live.
 func (p *Peers) noteLiveChange(m *member) {
-	p.changed++
+	p.changeCount++
 	if m.live() {
-		p.members.alive++
+		p.members.liveOthers++
 	} else {
-		p.members.alive--
+		p.members.liveOthers--
 	}
 }
 
-// refute answers what others say of this process: only it may raise its incarnation.
-func (p *Peers) refute(r *Member) {
-	if p.left || r.State == Alive && r.Incarnation == p.self.Incarnation {
+// refute handles a record about this process itself. If the record contradicts the own one, it
+// raises the own incarnation, which no other process may do, and queues the own record for
+// dissemination.
+func (p *Peers) refute(record *Member) {
+	if p.left || record.State == Alive && record.Incarnation == p.self.Incarnation {
 		return
 	}
-	if r.Incarnation < p.self.Incarnation {
-		p.updates.add(p.self) // refuted before, on a way that lost it: whoever still says so has not heard
+	if record.Incarnation < p.self.Incarnation {
+		// Already refuted, but the refutation was lost: the sender has not received it.
+		p.updates.add(p.self)
 		return
 	}
-	if r.Incarnation > mostIncarnation {
-		p.Tally.Dropped++
+	if record.Incarnation > maxIncarnation {
+		p.Counters.Dropped++
 		return
 	}
-	p.Tally.Refuted++
+	p.Counters.Refuted++
 	p.health.worsen()
-	p.self.Incarnation = r.Incarnation + 1
+	p.self.Incarnation = record.Incarnation + 1
 	p.updates.add(p.self)
 }
--- a/internal/proxy/alloc_test.go
+++ b/internal/proxy/alloc_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// Memory is scarce and lines are many: passing one on must not allocate.
+// Memory is limited and there are many lines: forwarding a line must not allocate.
 func TestNoAllocationPerLine(t *testing.T) {
-	b := newRealBed(t, 1, false)
-	client, target := b.stands("a")
+	b := newSocketTestBed(t, 1, false)
+	client, target := b.establish("a")
 	s := b.session()
 	h := s.hop
 	text := []byte("reading 7.25\r\n")
@@ -15,10 +15,10 @@
 		_, _ = client.sock.Write(text)
 		s.read()
 	}
-	step() // the client's line arms a timer, once
+	step() // the first line of the client arms a timer
 	if n := testing.AllocsPerRun(100, step); n > 0 {
 		t.Errorf("%v allocations for a line each way", n)
 	}
-	b.until("all lines", func() bool { return len(client.got) == 102*len(text) && len(target.got) == 102*len(text) })
-	b.over(client)
+	b.waitFor("all lines", func() bool { return len(client.received) == 102*len(text) && len(target.received) == 102*len(text) })
+	b.checkReleased(client)
 }
--- a/internal/proxy/effects_test.go
+++ b/internal/proxy/effects_test.go
@@ -12,58 +12,64 @@
 	"ospreyspan/internal/routes"
 )
 
-// The model of the rules on effects: for each kind of class, each state of a request's hops and each one who may answer, what the
-// client may be told; and where a further hop may be sent. It is written down from the protocol, not computed: asserted at the
-// client's and the targets' ends of real connections. The test plays the module, which knows of no target.
+// These tests check the rules on effects: for each class, each state of a request's hops and each
+// source of an answer, what the client may be told; and to which targets another hop may be sent.
+// The expectations are written down from the protocol, not computed, and are checked at the
+// client's and the targets' ends of real connections. The test takes the place of the module, which
+// knows no target.
 
-var effectKinds = map[string]string{
-	"free":        `"Repeat":"free"`,
-	"single_shot": `"Repeat":"single_shot"`,
-	"all":         `"Repeat":"guarded","DedupScope":"all","WindowUs":60000000`,
-	"all, over":   `"Repeat":"guarded","DedupScope":"all","WindowUs":60000000`,
-	"zone":        `"Repeat":"guarded","DedupScope":"zone","WindowUs":60000000`,
-	"zone, over":  `"Repeat":"guarded","DedupScope":"zone","WindowUs":60000000`,
-	"cell":        `"Repeat":"guarded","DedupScope":"cell","WindowUs":60000000`,
-	"cell, over":  `"Repeat":"guarded","DedupScope":"cell","WindowUs":60000000`,
-	"unknown":     `"Repeat":"seldom"`,
+// effectClasses are the settings of each class. A class whose name ends in ", expired" has its
+// window expired.
+var effectClasses = map[string]string{
+	"free":          `"Repeat":"free"`,
+	"single_shot":   `"Repeat":"single_shot"`,
+	"all":           `"Repeat":"guarded","DedupScope":"all","WindowUs":60000000`,
+	"all, expired":  `"Repeat":"guarded","DedupScope":"all","WindowUs":60000000`,
+	"zone":          `"Repeat":"guarded","DedupScope":"zone","WindowUs":60000000`,
+	"zone, expired": `"Repeat":"guarded","DedupScope":"zone","WindowUs":60000000`,
+	"cell":          `"Repeat":"guarded","DedupScope":"cell","WindowUs":60000000`,
+	"cell, expired": `"Repeat":"guarded","DedupScope":"cell","WindowUs":60000000`,
+	"unknown":       `"Repeat":"seldom"`,
 }
 
-// hopStates are what may have come of a request's hops; ran tells those after which it may have run.
+// hopStates are the possible states of a request's hops. ran marks those after which the request
+// may have run.
 var hopStates = []struct {
-	name string
-	word string // of the target; empty: it says nothing
-	out  bool   // the hop is out
-	ran  bool
+	name   string
+	answer string // from the target; empty: none
+	active bool   // the hop has not ended
+	ran    bool
 }{
-	{name: "held"},
-	{name: "dialling", out: true},
-	{name: "asking", out: true, ran: true},
-	{name: "turned away", word: "BUSY\r\n"},
-	{name: "error", word: "ERR\r\n", ran: true},
-	{name: "moved", word: "MOVE\r\n", ran: true},
-	{name: "garbled", word: "frob\r\n", ran: true},
-	{name: "too long", word: strings.Repeat("x", 5000), ran: true},
-	{name: "half a word and the end", word: "BU", ran: true},
-	{name: "reset", word: "reset", ran: true},
-	{name: "no word and the end", word: "end", ran: true},
+	{name: "no hop"},
+	{name: "dialing", active: true},
+	{name: "sent", active: true, ran: true},
+	{name: "refused", answer: "BUSY\r\n"},
+	{name: "error", answer: "ERR\r\n", ran: true},
+	{name: "moved", answer: "MOVE\r\n", ran: true},
+	{name: "unknown answer", answer: "frob\r\n", ran: true},
+	{name: "line too long", answer: strings.Repeat("x", 5000), ran: true},
+	{name: "partial line and close", answer: "BU", ran: true},
+	{name: "reset", answer: "reset", ran: true},
+	{name: "close", answer: "end", ran: true},
 }
 
-// refusable are the kinds that may be refused after a hop that may have run.
-var refusable = []string{"free", "all"}
+// refusableClasses are the classes that may be refused after a hop that may have run.
+var refusableClasses = []string{"free", "all"}
 
-// placed are the targets, by kind of class, to which a further hop may go after one that may have run at the first: it is of zone
-// z and cell 0, the others of z and 1, of y and 0, of y and 1.
-var placed = map[string][]int{"free": {0, 1, 2, 3}, "all": {0, 1, 2, 3}, "zone": {0, 1}, "cell": {0, 2}}
+// allowedTargets lists, by class, the targets to which another hop may go after one that may have
+// run at target 0. Target 0 is in zone z and cell 0, the others in z and 1, y and 0, y and 1.
+var allowedTargets = map[string][]int{"free": {0, 1, 2, 3}, "all": {0, 1, 2, 3}, "zone": {0, 1}, "cell": {0, 2}}
 
-// effectBed is a proxy whose table names four targets of which the module does not know.
-func effectBed(t *testing.T, kind string) *bed {
+// newEffectTestBed returns a proxy whose route table has four targets that the module does not
+// know.
+func newEffectTestBed(t *testing.T, kind string) *testBed {
 	t.Helper()
-	b := newRealBedWith(t, 0, changed(t, `"Repeat":"free"`, effectKinds[kind], `"Cancel":true`, `"Cancel":false`))
+	b := newSocketTestBedWithSettings(t, 0, settingsWith(t, `"Repeat":"free"`, effectClasses[kind], `"Cancel":true`, `"Cancel":false`))
 	list := &routes.List{Seq: 1}
 	for i := range 4 {
 		l, err := b.loop.Listen(b.local, func(s *poll.Socket, _ bool) poll.Handler {
-			h := &end{sock: s}
-			b.hops = append(b.hops, h)
+			h := &testConn{sock: s}
+			b.targetConns = append(b.targetConns, h)
 			return h
 		})
 		if err != nil {
@@ -73,141 +79,143 @@
 		list.Hosts = append(list.Hosts, &routes.Target{ID: fmt.Sprint("s", i), Addr: l.Addr(), Site: string("zy"[i/2]), Block: i % 2})
 	}
 	b.engine.table.Merge(list)
-	b.base = b.loop.Open()
+	b.baseSockets = b.loop.Open()
 	return b
 }
 
-// brought has the first target bring a request into a state.
-func (b *bed) brought(x *Exchange, state int) {
+// driveTo brings a request into a state of hopStates at target 0.
+func (b *testBed) driveTo(x *Exchange, state int) {
 	b.t.Helper()
 	s := hopStates[state]
-	if s.name == "held" {
+	if s.name == "no hop" {
 		return
 	}
-	b.engine.send(x, &action{target: "s0", span: time.Second})
-	if s.name == "dialling" {
+	b.engine.send(x, &action{target: "s0", duration: time.Second})
+	if s.name == "dialing" {
 		return
 	}
-	var h *end
-	b.until("the hop", func() bool { h = b.asked("a"); return h != nil })
+	var h *testConn
+	b.waitFor("the hop", func() bool { h = b.requestConn("a"); return h != nil })
 	switch {
-	case s.out:
+	case s.active:
 		return
-	case s.word == "reset":
+	case s.answer == "reset":
 		h.reset = true
 		h.sock.Reset()
-	case s.word == "end":
+	case s.answer == "end":
 		h.sock.Close()
 	default:
-		h.say(b.t, s.word)
-		if s.name == "half a word and the end" {
+		h.write(b.t, s.answer)
+		if s.name == "partial line and close" {
 			h.sock.Close()
 		}
 	}
-	b.until("the end of the hop", func() bool { return !x.out })
+	b.waitFor("the end of the hop", func() bool { return !x.hopActive })
 }
 
-// age has the window be over where the kind says so.
-func age(kind string, x *Exchange) {
-	if strings.HasSuffix(kind, ", over") {
-		x.ranAt, x.sentAt = x.ranAt.Add(-time.Minute), x.sentAt.Add(-time.Minute)
+// expireWindow lets the window of an expired class end.
+func expireWindow(kind string, x *Exchange) {
+	if strings.HasSuffix(kind, ", expired") {
+		x.maybeRanSentAt, x.sentAt = x.maybeRanSentAt.Add(-time.Minute), x.sentAt.Add(-time.Minute)
 	}
 }
 
-// Who answers: the module by either word, the engine when time is over, and a planned stop.
+// The answer may come from the module, as a refusal or a failure, from the engine at the deadline,
+// from a planned stop, or from the client's half-close.
 func TestEffectsOfAnswers(t *testing.T) {
-	for kind := range effectKinds {
+	for kind := range effectClasses {
 		for state, s := range hopStates {
-			for _, who := range []string{"refuse", "fail", "overdue", "stop", "client ends its sending"} {
-				if s.out && (who == "refuse" || who == "fail") {
+			for _, who := range []string{"refuse", "fail", "overdue", "stop", "client half-closes"} {
+				if s.active && (who == "refuse" || who == "fail") {
 					continue // the module answers once its hop has ended
 				}
 				t.Run(fmt.Sprintf("%s/%s/%s", kind, s.name, who), func(t *testing.T) {
-					b := effectBed(t, kind)
-					c := b.client()
-					x := b.open(c, "a")
-					b.brought(x, state)
-					age(kind, x)
+					b := newEffectTestBed(t, kind)
+					c := b.dialClient()
+					x := b.openExchange(c, "a")
+					b.driveTo(x, state)
+					expireWindow(kind, x)
 					switch who {
 					case "refuse":
-						b.engine.carryOut(&action{kind: acRefuse, id: x.id})
+						b.engine.execute(&action{kind: acRefuse, id: x.id})
 					case "fail":
-						b.engine.carryOut(&action{kind: acFail, id: x.id})
+						b.engine.execute(&action{kind: acFail, id: x.id})
 					case "overdue":
-						b.engine.overdue(x)
+						b.engine.answerOverdue(x)
 					case "stop":
 						b.engine.Shutdown(0)
 					default:
 						c.sock.CloseWrite()
 					}
-					b.until("an answer", func() bool { return c.eof || c.reset })
+					b.waitFor("an answer", func() bool { return c.eof || c.reset })
 					want := "BUSY\r\n"
-					if who == "fail" || s.ran && !slices.Contains(refusable, kind) {
+					if who == "fail" || s.ran && !slices.Contains(refusableClasses, kind) {
 						want = "ERR\r\n"
 					}
-					if string(c.got) != want || c.reset {
-						t.Errorf("the client got %q, want %q", c.got, want)
+					if string(c.received) != want || c.reset {
+						t.Errorf("the client got %q, want %q", c.received, want)
 					}
-					for i, h := range b.hops { // nothing more is sent, and what was dialling is not sent either
-						if n := strings.Count(string(h.got), "OPEN"); n > 1 || n == 1 && s.name == "dialling" {
-							t.Errorf("connection %d was sent %q", i, h.got)
+					// at most one hop is sent, and none that was dialing
+					for i, h := range b.targetConns {
+						if n := strings.Count(string(h.received), "OPEN"); n > 1 || n == 1 && s.name == "dialing" {
+							t.Errorf("connection %d was sent %q", i, h.received)
 						}
 					}
-					b.over(c)
+					b.checkReleased(c)
 				})
 			}
 		}
 	}
 }
 
-// To which targets a request may go again.
+// A further hop is sent only to targets that drop repeats of what may have run.
 func TestEffectsOfFurtherHops(t *testing.T) {
-	for kind := range effectKinds {
+	for kind := range effectClasses {
 		for state, s := range hopStates {
-			if s.out {
+			if s.active {
 				continue
 			}
 			want := []int{0, 1, 2, 3}
 			if s.ran {
-				want = placed[kind]
+				want = allowedTargets[kind]
 			}
 			var got []int
 			for to := range 4 {
-				b := effectBed(t, kind)
-				c := b.client()
-				x := b.open(c, "a")
-				b.brought(x, state)
-				age(kind, x)
-				before := len(b.hops)
-				b.engine.carryOut(&action{kind: acSend, id: x.id, target: fmt.Sprint("s", to), span: time.Second})
+				b := newEffectTestBed(t, kind)
+				c := b.dialClient()
+				x := b.openExchange(c, "a")
+				b.driveTo(x, state)
+				expireWindow(kind, x)
+				before := len(b.targetConns)
+				b.engine.execute(&action{kind: acSend, id: x.id, target: fmt.Sprint("s", to), duration: time.Second})
 				b.settle()
-				if x.out {
-					b.until("the hop", func() bool { return len(b.hops) > before && len(b.hops[before].got) > 0 })
+				if x.hopActive {
+					b.waitFor("the hop", func() bool { return len(b.targetConns) > before && len(b.targetConns[before].received) > 0 })
 					got = append(got, to)
 				}
-				b.over(c)
+				b.checkReleased(c)
 			}
 			if !slices.Equal(got, want) {
-				t.Errorf("%s, %s: sent on to %v, want %v", kind, s.name, got, want)
+				t.Errorf("%s, %s: sent to %v, want %v", kind, s.name, got, want)
 			}
 		}
 	}
 }
 
-// Advice that ends beyond the window invites a repeat that the targets no longer drop.
-func TestAdviceEndsWithinTheWindow(t *testing.T) {
+// A retry delay that ends after the window would invite a repeat that the targets no longer drop.
+func TestRetryDelayEndsWithinTheWindow(t *testing.T) {
 	for after, want := range map[time.Duration]string{59 * time.Second: "BUSY 59000\r\n", time.Minute: "ERR\r\n"} {
-		b := effectBed(t, "all")
-		c := b.client()
-		x := b.open(c, "a")
-		b.brought(x, 4)
-		b.engine.carryOut(&action{kind: acRefuse, id: x.id, span: after})
-		b.until("an answer", func() bool { return c.eof })
-		if string(c.got) != want {
-			t.Errorf("%v: got %q", after, c.got)
+		b := newEffectTestBed(t, "all")
+		c := b.dialClient()
+		x := b.openExchange(c, "a")
+		b.driveTo(x, 4)
+		b.engine.execute(&action{kind: acRefuse, id: x.id, duration: after})
+		b.waitFor("an answer", func() bool { return c.eof })
+		if string(c.received) != want {
+			t.Errorf("%v: got %q", after, c.received)
 		}
 	}
-	if hop, shed := permits(balance.Class{Repeat: balance.RepeatKeyed, Window: time.Second}, true, time.Second, true); hop || shed {
-		t.Error("the window's last instant counts as within it")
+	if hop, refuse := permitted(balance.Class{Idempotency: balance.IdempotentByKey, DedupWindow: time.Second}, true, time.Second, true); hop || refuse {
+		t.Error("the end of the window counts as within the window")
 	}
 }
--- a/internal/proxy/model_test.go
+++ b/internal/proxy/model_test.go
@@ -6,17 +6,17 @@
 	"testing"
 )
 
-// peerModel is what a client's connection must be, whatever has happened to it.
-type peerModel struct {
-	id     string
-	client *end
-	target *end // once it stands
-	state  modelState
-	opened string // what the client got before its answer
-	down   string // lines of the target that the client must have
-	up     string // lines of the client that the target must have
-	tail   string // part of a line that the target has begun
-	moved  bool
+// connectionModel is the expected state of one client's connection.
+type connectionModel struct {
+	id           string
+	client       *testConn
+	target       *testConn // nil until the connection is established
+	state        modelState
+	beforeAnswer string // what the client received before the answer to its request
+	toClient     string // what the client must have received
+	toTarget     string // what the target must have received
+	partialLine  string // unfinished line that the target has written
+	moved        bool
 }
 
 type modelState uint8
@@ -24,13 +24,13 @@
 const (
 	mOpening modelState = iota
 	mAsked
-	mStanding
-	mOver // one side ended it, or the proxy did
+	mEstablished
+	mEnded // ended by one side or by the proxy
 )
 
-// FuzzConnections takes random steps with several clients and two targets and checks each connection against
-// the model: one final answer, lines unchanged and in order, MOVE between whole lines, one hop at a time, and
-// everything given back in the end.
+// FuzzConnections takes random steps with several clients and two targets and checks each
+// connection against the model: one final answer, lines unchanged and in order, MOVE between whole
+// lines, one hop at a time, and everything released in the end.
 func FuzzConnections(f *testing.F) {
 	f.Add([]byte{0, 0, 1, 0, 3, 0, 5, 0, 6, 0, 7, 0, 5, 0, 10, 0})
 	f.Add([]byte{0, 1, 1, 1, 0, 2, 1, 2, 3, 2, 3, 1, 6, 1, 5, 2, 8, 1, 9, 2})
@@ -39,137 +39,138 @@
 	f.Add([]byte{0, 0, 1, 0, 3, 0, 17, 0, 0, 1, 1, 1, 17, 1, 3, 1, 10, 0, 8, 1, 0, 2, 1, 2, 9, 2})
 	f.Add([]byte{0, 0, 1, 0, 9, 0, 0, 1, 1, 1, 12, 1, 0, 2, 1, 2, 3, 2, 12, 2, 0, 3, 13, 3})
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		b := newBed(t, 2, false)
-		silent := newDiscovery(b) // reloads point the watch here and away again
-		b.watchAt(silent.l.Addr())
-		var all []*end
-		models := map[byte]*peerModel{}
+		b := newTestBed(t, 2, false)
+		silent := newFakeDiscovery(b) // reloads move the watch to this address and away again
+		b.watchAt(silent.listener.Addr())
+		var all []*testConn
+		models := map[byte]*connectionModel{}
 		for n := 0; n+1 < len(steps) && n < 120; n += 2 {
 			who := steps[n+1] % 4
 			m := models[who]
-			if m == nil || m.state == mOver {
+			if m == nil || m.state == mEnded {
 				if steps[n]%18 != 0 {
 					continue
 				}
-				m = &peerModel{id: fmt.Sprintf("%d-%d", who, n), client: b.client()}
+				m = &connectionModel{id: fmt.Sprintf("%d-%d", who, n), client: b.dialClient()}
 				models[who], all = m, append(all, m.client)
 				continue
 			}
 			m.step(b, steps[n]%18, n)
 			b.settle()
 			m.check(b)
-			b.until("one hop at a time", func() bool {
+			b.waitFor("one hop at a time", func() bool {
 				n := 0
-				for _, h := range b.hops {
-					if strings.HasPrefix(string(h.got), "OPEN "+m.id+" ") && !h.eof && !h.reset {
+				for _, h := range b.targetConns {
+					if strings.HasPrefix(string(h.received), "OPEN "+m.id+" ") && !h.eof && !h.reset {
 						n++
 					}
 				}
 				return n <= 1
 			})
-			b.counts()
+			b.checkCounts()
 		}
 		b.engine.watch.Stop()
 		silent.close()
-		b.over(all...)
-		if b.engine.count.Overdue > 0 {
+		b.checkReleased(all...)
+		if b.engine.counters.Overdue > 0 {
 			t.Fatal("the engine answered in the module's place")
 		}
 	})
 }
 
-// step does one thing to a connection and tells the model what must come of it.
-func (m *peerModel) step(b *bed, what byte, n int) {
-	h := b.asked(m.id)
+// step performs one operation on the connection and updates the model.
+func (m *connectionModel) step(b *testBed, what byte, n int) {
+	h := b.requestConn(m.id)
 	switch {
 	case what == 1 && m.state == mOpening:
-		m.client.say(b.t, "OPEN "+m.id+" k c=c,d=2000,g=1\r\n")
+		m.client.write(b.t, "OPEN "+m.id+" k c=c,d=2000,g=1\r\n")
 		m.state = mAsked
 	case what == 2 && m.state == mOpening:
-		m.client.say(b.t, "PING\r\n")
-		if strings.Count(m.opened, "PONG") == openingLines {
-			m.opened, m.state = m.opened+"ERR\r\n", mOver
+		m.client.write(b.t, "PING\r\n")
+		if strings.Count(m.beforeAnswer, "PONG") == maxOpeningLines {
+			m.beforeAnswer, m.state = m.beforeAnswer+"ERR\r\n", mEnded
 			return
 		}
-		m.opened += "PONG\r\n"
+		m.beforeAnswer += "PONG\r\n"
 	case what == 3 && m.state == mAsked && h != nil && !h.eof:
-		m.target, m.state = h, mStanding
-		m.up, m.down = string(h.got), m.opened+"UP "+m.id+"\r\n"
-		h.say(b.t, "UP "+m.id+"\r\n")
+		m.target, m.state = h, mEstablished
+		m.toTarget, m.toClient = string(h.received), m.beforeAnswer+"UP "+m.id+"\r\n"
+		h.write(b.t, "UP "+m.id+"\r\n")
 	case what == 4 && m.state == mAsked && h != nil && !h.eof:
-		h.say(b.t, "BUSY cpu=0.9\r\n")
-	case what == 5 && m.state == mStanding:
-		text := fmt.Sprintf("%sreading %d\r\nLOAD %d\r\n", m.tail, n, n)
-		m.target.say(b.t, strings.TrimPrefix(text, m.tail))
-		m.down, m.tail = m.down+text, ""
-	case what == 6 && m.state == mStanding:
+		h.write(b.t, "BUSY cpu=0.9\r\n")
+	case what == 5 && m.state == mEstablished:
+		text := fmt.Sprintf("%sreading %d\r\nLOAD %d\r\n", m.partialLine, n, n)
+		m.target.write(b.t, strings.TrimPrefix(text, m.partialLine))
+		m.toClient, m.partialLine = m.toClient+text, ""
+	case what == 6 && m.state == mEstablished:
 		text := fmt.Sprintf("beat %d\r\nagain\r\n", n)
-		m.client.say(b.t, text[:5])
+		m.client.write(b.t, text[:5])
 		b.settle()
-		m.client.say(b.t, text[5:])
-		m.up += text
-	case what == 7 && m.state == mStanding && m.tail == "":
-		m.tail = "half "
-		m.target.say(b.t, m.tail)
-	case what == 8 && m.state == mStanding: // the target says good-bye
-		text := m.tail + "BYE\r\n"
-		m.target.say(b.t, strings.TrimPrefix(text, m.tail))
+		m.client.write(b.t, text[5:])
+		m.toTarget += text
+	case what == 7 && m.state == mEstablished && m.partialLine == "":
+		m.partialLine = "half "
+		m.target.write(b.t, m.partialLine)
+	case what == 8 && m.state == mEstablished: // the target ends the connection with BYE
+		text := m.partialLine + "BYE\r\n"
+		m.target.write(b.t, strings.TrimPrefix(text, m.partialLine))
 		m.target.sock.CloseWrite()
-		m.down, m.state = m.down+text, mOver
-	case what == 9 && m.state != mOver: // the client ends its sending
+		m.toClient, m.state = m.toClient+text, mEnded
+	case what == 9 && m.state != mEnded: // the client half-closes
 		m.client.sock.CloseWrite()
-		m.state = mOver
-	case what == 10 && m.state == mStanding:
+		m.state = mEnded
+	case what == 10 && m.state == mEstablished:
 		for id, x := range b.engine.exchanges {
 			if s := x.client.(*session); s.open.ID == m.id {
 				(*host)(b.engine).Move(id)
 			}
 		}
-		m.down, m.state, m.moved = m.down+"MOVE\r\n", mOver, true
-	case what == 11 && m.state == mStanding: // the target breaks: all else is void
+		m.toClient, m.state, m.moved = m.toClient+"MOVE\r\n", mEnded, true
+	case what == 11 && m.state == mEstablished: // the target resets: unforwarded lines are lost
 		m.target.reset = true
 		m.target.sock.Reset()
-		b.until("the reset", func() bool { return m.client.reset })
-		m.state = mOver
-	case what == 12 && m.state != mOver:
+		b.waitFor("the reset", func() bool { return m.client.reset })
+		m.state = mEnded
+	case what == 12 && m.state != mEnded:
 		m.client.reset = true
 		m.client.sock.Reset()
-		m.state = mOver
+		m.state = mEnded
 	case what == 13 && m.state == mOpening:
-		m.client.say(b.t, "nonsense\r\n")
-		m.opened, m.state = m.opened+"ERR\r\n", mOver
-		b.until("ERR", func() bool { return m.client.eof && string(m.client.got) == m.opened })
+		m.client.write(b.t, "nonsense\r\n")
+		m.beforeAnswer, m.state = m.beforeAnswer+"ERR\r\n", mEnded
+		b.waitFor("ERR", func() bool { return m.client.eof && string(m.client.received) == m.beforeAnswer })
 	case what == 14 && m.state == mOpening:
-		m.client.say(b.t, rude[n%len(rude)]+"\r\n")
-		m.state = mOver
-		b.until("ERR", func() bool { return m.client.eof && strings.HasSuffix(string(m.client.got), "ERR\r\n") })
-	case what == 15 && m.state == mAsked && !m.client.eof: // it does not wait for its answer
-		m.client.say(b.t, "early\r\n")
-		m.state = mOver
-		b.until("an answer", func() bool { return m.client.eof })
-	case what == 16 && m.state == mStanding: // another client has the same id
-		c := b.client()
-		c.say(b.t, "OPEN "+m.id+" k c=c,d=2000,g=1\r\n")
-		b.until("ERR", func() bool { return c.eof && string(c.got) == "ERR\r\n" })
+		m.client.write(b.t, malformedFirstLines[n%len(malformedFirstLines)]+"\r\n")
+		m.state = mEnded
+		b.waitFor("ERR", func() bool { return m.client.eof && strings.HasSuffix(string(m.client.received), "ERR\r\n") })
+	// the client sends a line before its answer
+	case what == 15 && m.state == mAsked && !m.client.eof:
+		m.client.write(b.t, "early\r\n")
+		m.state = mEnded
+		b.waitFor("an answer", func() bool { return m.client.eof })
+	case what == 16 && m.state == mEstablished: // another client uses the same id
+		c := b.dialClient()
+		c.write(b.t, "OPEN "+m.id+" k c=c,d=2000,g=1\r\n")
+		b.waitFor("ERR", func() bool { return c.eof && string(c.received) == "ERR\r\n" })
 		c.sock.Close()
-	case what == 17: // a reload: nothing may change for any connection
+	case what == 17: // a reload must not affect any connection
 		b.engine.SetDiscovery(b.servers[n%2].Addr())
-		b.engine.SetDiscovery(b.front.listener.Addr())
+		b.engine.SetDiscovery(b.frontend.listener.Addr())
 	}
 }
 
-// counts compares what the module believes to be out or standing at each target with the hops that are.
-func (b *bed) counts() {
+// checkCounts compares the module's count of connections at each target with the hops that exist.
+func (b *testBed) checkCounts() {
 	b.t.Helper()
-	b.until("the module to count what the sockets have", func() bool {
+	b.waitFor("the counts of the module to match the hops", func() bool {
 		hops := map[string]int{}
-		for _, s := range b.front.sessions {
+		for _, s := range b.frontend.sessions {
 			if s.hop != nil {
-				hops[s.hop.peer.id]++
+				hops[s.hop.target.id]++
 			}
 		}
-		for id := range b.front.peers {
-			if b.engine.module.Held(id) != hops[id] {
+		for id := range b.frontend.targetStates {
+			if b.engine.module.ConnectionCount(id) != hops[id] {
 				return false
 			}
 		}
@@ -177,27 +178,28 @@
 	})
 }
 
-func (m *peerModel) check(b *bed) {
-	got := string(m.client.got)
+// check compares what both ends received with the model.
+func (m *connectionModel) check(b *testBed) {
+	got := string(m.client.received)
 	switch {
 	case m.target == nil:
-		rest := strings.TrimPrefix(got, m.opened)
-		if rest != "" && rest != "BUSY\r\n" && m.state != mOver {
-			b.t.Fatalf("%s: before it stands the client got %q", m.id, got)
+		rest := strings.TrimPrefix(got, m.beforeAnswer)
+		if rest != "" && rest != "BUSY\r\n" && m.state != mEnded {
+			b.t.Fatalf("%s: the client got %q before its connection was established", m.id, got)
 		}
 		if rest != "" {
-			m.state = mOver
+			m.state = mEnded
 		}
-	case m.state == mStanding || m.moved:
-		b.until(fmt.Sprintf("%s: %q at the client, %q at the target", m.id, m.down, m.up), func() bool {
-			return string(m.client.got) == m.down && string(m.target.got) == m.up
+	case m.state == mEstablished || m.moved:
+		b.waitFor(fmt.Sprintf("%s: %q at the client, %q at the target", m.id, m.toClient, m.toTarget), func() bool {
+			return string(m.client.received) == m.toClient && string(m.target.received) == m.toTarget
 		})
 		if m.moved {
-			b.until("both ends closed", func() bool {
+			b.waitFor("both ends closed", func() bool {
 				return m.client.eof && (m.target.eof || m.target.reset)
 			})
 		}
-	case !m.client.reset && !strings.HasPrefix(m.down, got):
-		b.t.Fatalf("%s: the client got %q, which is not of %q", m.id, got, m.down)
+	case !m.client.reset && !strings.HasPrefix(m.toClient, got):
+		b.t.Fatalf("%s: the client got %q, want a prefix of %q", m.id, got, m.toClient)
 	}
 }
--- a/internal/proxy/standing.go
+++ b/internal/proxy/standing.go
@@ -8,170 +8,179 @@
 )
 
 const (
-	// silentLast is how long a line may stay without an answer where other connections of the target still give signs.
-	silentLast = 4 * time.Second
-	// lateCheck is by how much a check may be late and still count: a process that did not run has to read
-	// first what came meanwhile.
-	lateCheck = 50 * time.Millisecond
-	// noteEvery is how often the module is told of slow messages, on one connection of each target.
-	noteEvery = time.Second
-	// noteFrom is the part of the shortest aim for a message from which it is told.
-	noteFrom = 3
+	// maxSilence is how long a client's line may stay unanswered while the target still sends data
+	// on other connections.
+	maxSilence = 4 * time.Second
+	// lateCheckTolerance is by how much a check may be late and still be valid: a process that did
+	// not run has to read first what arrived meanwhile.
+	lateCheckTolerance = 50 * time.Millisecond
+	// delayNoteInterval is the least time between two notes to the module about slow messages at a
+	// target.
+	delayNoteInterval = time.Second
+	// delayNoteDivisor: a message is slow if it takes longer than settings.MessageLatencyTarget
+	// (the shortest target for a message) divided by it.
+	delayNoteDivisor = 3
 )
 
-// forward passes lines of the client on to the target.
-func (h *hop) forward(lines []byte) {
-	s := h.s
+// forwardToTarget sends lines of the client to the target.
+func (h *hop) forwardToTarget(lines []byte) {
+	s := h.session
 	if err := h.link.write(lines); err != nil {
-		h.broke()
+		h.handleFailure()
 		return
 	}
-	s.front.count.Lines++
-	if h.asked.IsZero() {
-		h.asked = s.front.loop.Now()
+	s.frontend.counters.Lines++
+	if h.pendingSince.IsZero() {
+		h.pendingSince = s.frontend.loop.Now()
 		if !h.timer.Armed() {
-			h.checkAfter(s.front.engine.tuning.SilentAfter / 2)
+			h.scheduleCheck(s.frontend.engine.tuning.SilentAfter / 2)
 		}
 	}
-	if h.link.behind() {
-		s.listen(false)
+	if h.link.backlogged() {
+		s.setReading(false)
 	}
 }
 
-// pass hands lines of the target on to the client, unchanged, and looks at those that tell something.
-func (h *hop) pass(lines []byte) {
-	s := h.s
+// forwardToClient sends lines of the target to the client, unchanged, and interprets LOAD, BYE and
+// MOVE.
+func (h *hop) forwardToClient(lines []byte) {
+	s := h.session
 	if len(lines) == 0 {
 		return
 	}
-	h.heard = s.front.loop.Now()
-	h.peer.sign(h.heard)
+	h.lastHeard = s.frontend.loop.Now()
+	h.target.markAlive(h.lastHeard)
 	for rest := lines; len(rest) > 0; {
 		var first []byte
 		first, rest = line.Next(rest)
-		switch word, value := line.ParseWord(line.Text(first)); word {
+		switch word, value := line.ParseWord(line.TrimLineEnd(first)); word {
 		case line.Load:
-			if level, ok := line.Figure(value); ok && s.front.set.TellsLoad {
-				s.x.Load(level)
+			if level, ok := line.ParseNumber(value); ok && s.frontend.settings.WantsLoadMetric {
+				s.exchange.Load(level)
 			}
 		case line.Bye:
-			h.bye, h.said = balance.OK, true
+			h.targetOutcome, h.endAnnounced = balance.OK, true
 		case line.Move:
-			h.bye, h.said = balance.Cancelled, true
+			h.targetOutcome, h.endAnnounced = balance.Cancelled, true
 		default:
-			h.answered()
+			h.measureDelay()
 		}
 	}
-	s.front.count.Lines++
+	s.frontend.counters.Lines++
 	if err := s.link.write(lines); err != nil {
-		s.broke()
+		s.handleFailure()
 		return
 	}
-	if s.link.behind() {
-		h.listen(false)
+	if s.link.backlogged() {
+		h.setReading(false)
 	}
 }
 
-// gatherMost is how often a target is read before its side is closed: what is kept for the client stays bounded.
-const gatherMost = 4
+// maxPendingReads is how often a target is read before its link is closed. It bounds what is kept
+// for the client.
+const maxPendingReads = 4
 
-// gather passes on the whole lines that have arrived from the target, before its side is closed: left in the kernel they would
-// be lost to the client. What it tells of an end is left to the caller.
-func (h *hop) gather() {
-	for range gatherMost {
-		if h.link.sock == nil || h.link.ended {
+// forwardPending forwards the complete lines that have arrived from the target, before its link is
+// closed: lines left in the kernel would be lost to the client. An error or the end of the stream
+// is left to the caller.
+func (h *hop) forwardPending() {
+	for range maxPendingReads {
+		if h.link.sock == nil || h.link.eof {
 			return
 		}
-		lines, err := h.link.fill(h.s.front.scratch)
+		lines, err := h.link.readLines(h.session.frontend.scratch)
 		if err != nil || len(lines) == 0 {
 			return
 		}
-		h.pass(lines)
+		h.forwardToClient(lines)
 	}
 }
 
-// answered measures how long the target took for the client's line.
-func (h *hop) answered() {
-	if h.asked.IsZero() {
+// measureDelay measures how long the target took to answer the client's line.
+func (h *hop) measureDelay() {
+	if h.pendingSince.IsZero() {
 		return
 	}
-	took := h.s.front.loop.Now().Sub(h.asked)
-	h.asked = time.Time{}
-	h.tell(took)
+	took := h.session.frontend.loop.Now().Sub(h.pendingSince)
+	h.pendingSince = time.Time{}
+	h.reportDelay(took)
 }
 
-// tell tells the module how long messages take at the target: at most once a second while that is over a part
-// of the shortest aim, and once more when it is back under.
-func (h *hop) tell(took time.Duration) {
-	f, p := h.s.front, h.peer
-	if !f.set.TellsDelay || f.set.MessageAim <= 0 {
+// reportDelay tells the module how long messages take at the target: at most once a second (see
+// delayNoteInterval) while they are slow (see delayNoteDivisor), and once more when they are fast
+// again.
+func (h *hop) reportDelay(took time.Duration) {
+	f, p := h.session.frontend, h.target
+	if !f.settings.WantsDelayMetric || f.settings.MessageLatencyTarget <= 0 {
 		return
 	}
-	now, slow := f.loop.Now(), took > f.set.MessageAim/noteFrom
-	if slow && now.Sub(p.told) < noteEvery || !slow && !p.slow {
+	now, slow := f.loop.Now(), took > f.settings.MessageLatencyTarget/delayNoteDivisor
+	if slow && now.Sub(p.lastDelayNote) < delayNoteInterval || !slow && !p.slow {
 		return
 	}
-	p.slow, p.told = slow, now
-	h.s.x.Delay(took)
+	p.slow, p.lastDelayNote = slow, now
+	h.session.exchange.Delay(took)
 }
 
-// quiet looks after a line of the client that has no answer yet: half-way the module is told, and has the target
-// probed.
-func (h *hop) quiet() {
-	if h.asked.IsZero() {
+// checkSilence checks a client's line that has no answer yet. Half-way to Tuning.SilentAfter it
+// reports the delay to the module, which has the target probed; a silent target's client is moved.
+func (h *hop) checkSilence() {
+	if h.pendingSince.IsZero() {
 		return
 	}
-	f := h.s.front
+	f := h.session.frontend
 	now := f.loop.Now()
-	took := now.Sub(h.asked)
-	late := now.Sub(h.check) > lateCheck
-	if !late && h.heard.Before(h.asked) && (took >= silentLast || took >= f.engine.tuning.SilentAfter && h.peer.heard.Before(h.asked)) {
-		f.count.Silent++
-		if !h.peer.silent {
-			h.peer.silent = true
-			f.log.Printf("egress target %s: silent for %v; its clients are moved", h.peer.id, took.Round(time.Millisecond))
+	took := now.Sub(h.pendingSince)
+	late := now.Sub(h.checkAt) > lateCheckTolerance
+	if !late && h.lastHeard.Before(h.pendingSince) && (took >= maxSilence || took >= f.engine.tuning.SilentAfter && h.target.lastHeard.Before(h.pendingSince)) {
+		f.counters.Silent++
+		if !h.target.silent {
+			h.target.silent = true
+			f.log.Printf("egress target %s: no data for %v; moving its clients", h.target.id, took.Round(time.Millisecond))
 		}
-		h.s.abandon(balance.Broken)
+		h.session.endGracefully(balance.Broken)
 		return
 	}
-	h.tell(took)
-	h.checkAfter(f.engine.tuning.SilentAfter / 2)
+	h.reportDelay(took)
+	h.scheduleCheck(f.engine.tuning.SilentAfter / 2)
 }
 
-// checkAfter looks after the client's line again later.
-func (h *hop) checkAfter(d time.Duration) {
-	loop := h.s.front.loop
-	h.check = loop.Now().Add(d)
-	loop.Arm(&h.timer, h.check)
+// scheduleCheck sets the timer for the next checkSilence.
+func (h *hop) scheduleCheck(d time.Duration) {
+	loop := h.session.frontend.loop
+	h.checkAt = loop.Now().Add(d)
+	loop.Arm(&h.timer, h.checkAt)
 }
 
-// finished deals with a target that ended the connection; the client's side ends the same way.
-func (h *hop) finished() {
-	s, o := h.s, h.ending(balance.Broken)
+// handleEOF handles a target that closed an established connection without a reset; the connection
+// to the client is closed in the same way.
+func (h *hop) handleEOF() {
+	s, o := h.session, h.outcome(balance.Broken)
 	s.endHop()
-	s.x.Ended(o, noReport)
-	s.last(nil)
+	s.exchange.Ended(o, noReport)
+	s.closeAfter(nil)
 }
 
-// ending is how the connection ended: by the target's word if it gave one.
-func (h *hop) ending(otherwise balance.Outcome) balance.Outcome {
+// outcome returns how the connection ended: what the target announced with BYE or MOVE, Cancelled
+// if the client has closed its sending side, and the given outcome otherwise.
+func (h *hop) outcome(otherwise balance.Outcome) balance.Outcome {
 	switch {
-	case h.said:
-		return h.bye
-	case h.s.gone:
+	case h.endAnnounced:
+		return h.targetOutcome
+	case h.session.clientEOF:
 		return balance.Cancelled
 	}
 	return otherwise
 }
 
-// listen reads the target, or stops while the client is behind.
-func (h *hop) listen(on bool) {
-	h.link.deaf = !on
-	h.link.want()
+// setReading resumes reading the target, or pauses it while the client is behind.
+func (h *hop) setReading(on bool) {
+	h.link.readPaused = !on
+	h.link.updateInterest()
 }
 
-// listen reads the client, or stops while the target is behind.
-func (s *session) listen(on bool) {
-	s.link.deaf = !on
-	s.link.want()
+// setReading resumes reading the client, or pauses it while the target is behind.
+func (s *session) setReading(on bool) {
+	s.link.readPaused = !on
+	s.link.updateInterest()
 }
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -75,7 +75,7 @@
 // link is a process's public socket: what the others send to it comes in here, and what it sends goes out of it.
 type link struct {
 	p    *proc
-	sock *poll.Packets
+	sock *poll.UDPSocket
 	in   bool // what comes in is lost
 	out  bool // what it sends is lost
 	held []heldWord
@@ -123,7 +123,7 @@
 		r.procs = append(r.procs, p)
 		r.byListen[p.listen] = p
 		l := &link{p: p}
-		if l.sock, err = loop.OpenPackets(p.public, l); err != nil {
+		if l.sock, err = loop.OpenUDP(p.public, l); err != nil {
 			r.Close()
 			return nil, fmt.Errorf("rig: %w", err)
 		}
@@ -269,7 +269,7 @@
 func (r *Rig) pass(from, to *link, data []byte) {
 	r.Count.Datagrams++
 	r.Count.Bytes += len(data)
-	mark, isWord := mesh.Peek(data, cluster)
+	mark, isWord := mesh.PeekAnnouncementID(data, cluster)
 	if isWord && mark.Lease == duty {
 		r.keep(from, to, mark, data)
 	}
@@ -298,7 +298,7 @@
 	if r.over {
 		return
 	}
-	if m, ok := mesh.Peek(data, cluster); ok && m.Lease == duty && m.Token < r.granted {
+	if m, ok := mesh.PeekAnnouncementID(data, cluster); ok && m.Lease == duty && m.Token < r.granted {
 		r.Count.StaleSent++
 	}
 	_ = from.sock.Send(data, to.p.listen) // nobody may be there
