--- a/internal/routes/watch.go
+++ b/internal/routes/watch.go
@@ -12,194 +12,210 @@
 )
 
 const (
-	// answerGrace is how long after its wait a watch is given up: news that it should have told counts as told 2 s after that wait,
-	// and a new watch has to be answered by then.
+	// answerGrace is how long after the end of its wait an open watch is given up. A change that it
+	// should have delivered counts as delivered 2 s after the end of the wait, and a new watch has
+	// to be answered by then.
 	answerGrace = 800 * time.Millisecond
-	// openWait is the wait of the call that opens a watch: its answer proves at once that discovery is there, with all that was
-	// missed, and costs discovery one call where a whole list and a watch behind it cost two.
-	openWait = 50 * time.Millisecond
-	// leadWait is the wait of a watch on behalf of others, who rely on how lately discovery has answered it.
-	leadWait = 2 * time.Second
-	// dialWait is how long a connection may take to come up, and openGrace how long the answer to the call that opens a watch may: a
-	// connection that comes up a second late, a silence and another such connection take 3.3 s.
-	dialWait  = 1200 * time.Millisecond
-	openGrace = 1200 * time.Millisecond
-	// queueGrace is the same where a call may wait in discovery's queue: the first one of a process, one behind a refusal, and one
-	// behind a second failure. A call that is given up there has taken its turn for nothing.
+	// openingWait is the wait of the request that opens a watch. Its answer proves at once that
+	// discovery is reachable and brings all missed changes. It costs discovery one request, whereas
+	// a whole list followed by a watch costs two.
+	openingWait = 50 * time.Millisecond
+	// leaderWait is the wait of a watch on behalf of other processes, which depend on how recently
+	// discovery has answered it.
+	leaderWait = 2 * time.Second
+	// dialTimeout bounds the time until a connection is established, openingGrace the time until
+	// the request that opens a watch is answered. A connection that takes 1 s to establish, an
+	// unanswered request and another such connection take 3.3 s together.
+	dialTimeout  = 1200 * time.Millisecond
+	openingGrace = 1200 * time.Millisecond
+	// queueGrace replaces openingGrace where a request may wait in discovery's queue: for the first
+	// request of a process, after a refusal, and after a second failure. A request that is given up
+	// while it waits there has taken its place in the queue for nothing.
 	queueGrace = 3 * time.Second
-	// Where lists are pushed, what discovery has counts as told whether or not it was asked, and the rules leave 0.5 s: it is tried
-	// at short intervals, as nobody else's calls are in the way. One try and one pause are over in 0.45 s at the most.
-	pushedDial = 300 * time.Millisecond
-	// ownFaultRetry is the mean pause after a call that this machine could not begin, for want of memory, a port or a path: such
-	// moments are short, and the lease of the list runs on. After ownFaultTries of them in a row the usual pauses hold.
-	ownFaultRetry = 50 * time.Millisecond
-	ownFaultTries = 20
-	// A new address counts as having told all its news 4 s after it was given, reached or not: for so long the
-	// pauses between tries don't grow.
-	hurryFor = 4 * time.Second
+	// pushedDialTimeout replaces dialTimeout where lists are pushed. There, what discovery has
+	// counts as delivered whether or not it was asked, and the rules allow 0.5 s, so that attempts
+	// are made at short intervals; requests of other processes do not compete. One attempt and one
+	// pause take at most 0.45 s.
+	pushedDialTimeout = 300 * time.Millisecond
+	// localFailureRetryMean is the mean pause after a request that this machine could not start for
+	// lack of memory, a port or a route. Such failures are short, and the lease of the list
+	// continues meanwhile. After maxLocalFailureRetries of them in a row the usual pauses apply.
+	localFailureRetryMean  = 50 * time.Millisecond
+	maxLocalFailureRetries = 20
+	// shortRetryPeriod is how long after a change of discovery's address the pauses between
+	// attempts do not grow: 4 s after the change all that the new address has counts as delivered,
+	// whether or not it was reached.
+	shortRetryPeriod = 4 * time.Second
 )
 
-// FromNothing is the version to go on from where none is known: the whole list is asked for.
-const FromNothing = -1
+// NoVersion is the version of a list that is not known yet: the whole list is requested.
+const NoVersion = -1
 
-// Watch keeps up with discovery by a watch: the next call follows each answer at once, on the same connection where that stays
-// open. Discovery takes such a call for the same watch, which costs it next to nothing; one that is opened anew takes its turn
-// in the queue of all processes' calls. The Watch owns its connection, its timer and its buffers.
+// Watch follows the changes of discovery's list with a long-polling watch: the next request follows
+// each answer at once, on the same connection if that stays open. Discovery treats such a request
+// as part of the same watch, which costs it next to nothing, whereas a newly opened watch takes its
+// turn in the queue of the requests of all processes. The Watch owns its connection, its timer and
+// its buffers.
 type Watch struct {
-	loop     *poll.Loop
-	addr     netip.AddrPort
-	pace     pace
-	lease    Lease
-	seq      int64
-	news     func(*List, error)
-	sock     *poll.Socket
-	timer    poll.Timer
-	out      []byte
-	in       []byte
-	state    watchState
-	restEnds time.Time // the next call is made then, in watchResting
-	stands   bool      // the last call was answered: the next one goes on with the watch
-	again    bool      // the connection has answered a call before
-	tries    int       // calls that failed in a row
-	crowded  bool      // others may ask at the same time: no call was answered yet, or the last one was refused
-	hurry    time.Time // until then the pauses stay short
-	pushed   bool      // lists are pushed
-	calls    *int      // counts them
-	guide    Guide
-	pressed  bool // it is to ask soon, whatever the guide says
-	eased    bool // it rests because the guide said so
+	loop             *poll.Loop
+	addr             netip.AddrPort
+	pacer            requestPacer
+	lease            Lease
+	seq              int64 // version of the last list, or NoVersion
+	onResult         func(*List, error)
+	socket           *poll.Socket
+	timer            poll.Timer
+	writeBuffer      []byte
+	readBuffer       []byte
+	state            watchState
+	nextRequestAt    time.Time // time of the next request, in watchWaiting
+	established      bool      // the last request was answered: the next continues the watch
+	reused           bool      // the connection has carried an answered request
+	failures         int       // consecutive failed requests; 0 after an answer
+	mayQueue         bool      // others may ask too: no request answered yet, or the last refused
+	shortRetryUntil  time.Time // pauses do not grow before this time
+	pushed           bool      // lists are pushed: a change counts as delivered at once
+	requestCount     *int      // number of requests; owned by the caller
+	policy           QueryPolicy
+	expedited        bool // the next request is made whatever the policy says
+	deferredByPolicy bool // the next request was deferred by the policy
 }
 
-// WatchConfig is what a Watch needs.
+// WatchConfig configures a Watch.
 type WatchConfig struct {
 	Loop      *poll.Loop
 	Addr      netip.AddrPort
-	Seq       int64         // version to go on from, or FromNothing
-	Processes int           // that share discovery; a few need not draw their first calls apart
-	AskWithin time.Duration // longest time between two questions by the settings; 0: they name none
-	Pushed    bool          // what discovery has counts as told whether or not a watch is open
+	Seq       int64         // version to continue from, or NoVersion
+	Processes int           // that share discovery; a small fleet does not spread first requests
+	AskWithin time.Duration // longest time between two requests by the settings; 0: none given
+	Pushed    bool          // what discovery has counts as delivered whether or not a watch is open
 	Rand      *rand.Rand
-	Calls     *int               // counts the calls
-	News      func(*List, error) // gets each list, or why a call failed
+	Requests  *int               // incremented with each request
+	OnResult  func(*List, error) // receives each list, or the error of a failed request
 }
 
-// Guide tells how a watch is to ask where another process may ask in its place. lead has it watch without a pause, on
-// behalf of the others; else it need not ask before rest, and draws its first question over lapse after that.
-type Guide func() (lead bool, rest time.Time, lapse time.Duration)
+// QueryPolicy decides how a watch asks discovery where another process may ask in its place. If
+// lead is true, it watches without a pause, on behalf of the others. Otherwise it need not ask
+// before deferUntil, and makes its first request at a random time within spread after that.
+type QueryPolicy func() (lead bool, deferUntil time.Time, spread time.Duration)
 
 type watchState uint8
 
 const (
 	watchOff watchState = iota
 	watchDialing
-	watchAsking
-	watchResting // after a failure, until the next try
+	watchRequesting
+	watchWaiting // until the next request
 )
 
-// ErrBusy is why a call failed that discovery answered 503: it waited there for too long, or discovery is down.
+// ErrBusy reports a request that discovery answered with status 503: the request waited there for
+// too long, or discovery is down.
 var ErrBusy = errors.New("status 503")
 
 var (
-	errSilent = errors.New("no answer in time")
-	errHalf   = errors.New("connection ended before the answer")
+	errNoAnswer  = errors.New("no answer in time")
+	errTruncated = errors.New("connection closed before the answer was complete")
 )
 
-var errOldVersion = errors.New("the versions of the list went back")
+var errVersionWentBack = errors.New("list version went back")
 
-// NewWatch returns a Watch, which makes no call before Start.
+// NewWatch returns a Watch that makes no request before Start.
 func NewWatch(c WatchConfig) *Watch {
 	w := &Watch{
-		loop: c.Loop, addr: c.Addr, seq: c.Seq, pushed: c.Pushed, calls: c.Calls, news: c.News, crowded: !c.Pushed,
-		pace: newPace(c.Processes, c.AskWithin, c.Rand), lease: NewLease(c.Loop.Now(), c.Pushed),
+		loop: c.Loop, addr: c.Addr, seq: c.Seq, pushed: c.Pushed, requestCount: c.Requests, onResult: c.OnResult, mayQueue: !c.Pushed,
+		pacer: newRequestPacer(c.Processes, c.AskWithin, c.Rand), lease: NewLease(c.Loop.Now(), c.Pushed),
 	}
-	w.timer.Fire = w.due
+	w.timer.Fire = w.onTimer
 	return w
 }
 
-// Start makes a call unless one is out or about to be made. The first calls of many processes come at drawn times: they
-// may all have started together, and know a list.
+// Start makes a request unless one is in progress or scheduled. The first request is delayed at
+// random where many processes share discovery and this one already has a list, as all of them may
+// have started together.
 func (w *Watch) Start() {
 	if w.state != watchOff {
 		return
 	}
-	if pause := w.pace.start(); pause > 0 && w.seq != FromNothing && !w.pushed {
-		w.rest(pause)
+	if pause := w.pacer.startDelay(); pause > 0 && w.seq != NoVersion && !w.pushed {
+		w.scheduleRequest(pause)
 		return
 	}
-	w.call()
+	w.startRequest()
 }
 
-// ListEnds returns the time from which on a change that this process does not know of may count as told to it, by its own calls.
-// ok is false where it has never been asked to call.
-func (w *Watch) ListEnds() (at time.Time, ok bool) { return w.lease.Ends(), w.state != watchOff }
+// LeaseExpiry returns the time from which a change that this process does not know may count as
+// delivered to it, as far as its own requests go. ok is false if the watch was never started.
+func (w *Watch) LeaseExpiry() (at time.Time, ok bool) { return w.lease.Expiry(), w.state != watchOff }
 
-// Urge has a call made soon, since requests wait for it.
-func (w *Watch) Urge() {
-	if w.state == watchResting && w.restEnds.Sub(w.loop.Now()) > busyRetry {
-		w.eased, w.pressed = false, true
-		w.rest(w.pace.around(busyRetry / 2))
+// Expedite brings the next request forward because client requests wait for its answer.
+func (w *Watch) Expedite() {
+	if w.state == watchWaiting && w.nextRequestAt.Sub(w.loop.Now()) > busyRetryMean {
+		w.deferredByPolicy, w.expedited = false, true
+		w.scheduleRequest(w.pacer.jitter(busyRetryMean / 2))
 	}
 }
 
-// SetGuide has a guide asked before each call; nil: none.
-func (w *Watch) SetGuide(g Guide) { w.guide = g }
+// SetQueryPolicy sets the policy that is evaluated before each request; nil means none.
+func (w *Watch) SetQueryPolicy(policy QueryPolicy) { w.policy = policy }
 
-// Nudge has the watch look at its guide at once: it may lead now.
-func (w *Watch) Nudge() {
-	if lead, _, _ := w.guided(); lead && w.state == watchResting {
-		w.eased = false
-		w.call()
+// ReevaluatePolicy evaluates the policy at once and makes a request if this process leads now.
+func (w *Watch) ReevaluatePolicy() {
+	if lead, _, _ := w.evaluatePolicy(); lead && w.state == watchWaiting {
+		w.deferredByPolicy = false
+		w.startRequest()
 	}
 }
 
-// Soon has it ask itself soon, at a drawn time: what it was told is not enough.
-func (w *Watch) Soon() {
-	if w.state == watchResting && !w.pressed {
-		w.eased, w.pressed = false, true
-		w.seq = FromNothing
-		w.rest(time.Duration(w.pace.rng.Float64() * float64(time.Second)))
+// RefetchSoon schedules a request for the whole list at a random time within 1 s, because a list
+// that another process passed on was not sufficient.
+func (w *Watch) RefetchSoon() {
+	if w.state == watchWaiting && !w.expedited {
+		w.deferredByPolicy, w.expedited = false, true
+		w.seq = NoVersion
+		w.scheduleRequest(time.Duration(w.pacer.rng.Float64() * float64(time.Second)))
 	}
 }
 
-func (w *Watch) guided() (lead bool, rest time.Time, lapse time.Duration) {
-	if w.guide == nil {
+func (w *Watch) evaluatePolicy() (lead bool, deferUntil time.Time, spread time.Duration) {
+	if w.policy == nil {
 		return false, time.Time{}, 0
 	}
-	return w.guide()
+	return w.policy()
 }
 
-// leads tells whether it asks on behalf of others.
-func (w *Watch) leads() bool {
-	lead, _, _ := w.guided()
+// isLeader reports whether the watch asks on behalf of other processes.
+func (w *Watch) isLeader() bool {
+	lead, _, _ := w.evaluatePolicy()
 	return lead
 }
 
-// rest makes the next call after a while.
-func (w *Watch) rest(d time.Duration) {
-	w.state = watchResting
-	w.restEnds = w.loop.Now().Add(d)
-	w.loop.Arm(&w.timer, w.restEnds)
+// scheduleRequest schedules the next request after a pause.
+func (w *Watch) scheduleRequest(d time.Duration) {
+	w.state = watchWaiting
+	w.nextRequestAt = w.loop.Now().Add(d)
+	w.loop.Arm(&w.timer, w.nextRequestAt)
 }
 
-// Point moves the watch to another address, at once. Nothing that the old one may still say counts: its
-// connection goes, and what was read of an answer with it. The new one's versions need not continue the old
-// one's, so that it is asked for the whole list first. The address that it has already is only tried anew.
-func (w *Watch) Point(to netip.AddrPort) {
-	w.hurry, w.tries = w.loop.Now().Add(hurryFor), 0
+// SetAddr changes the address of discovery at once. The connection to the old address is closed,
+// and a partly received answer is discarded. The versions of the new address need not continue
+// those of the old one, so that the whole list is requested first. If the address is unchanged, a
+// scheduled request is made at once.
+func (w *Watch) SetAddr(to netip.AddrPort) {
+	w.shortRetryUntil, w.failures = w.loop.Now().Add(shortRetryPeriod), 0
 	if to != w.addr {
-		w.hangUp()
-		w.addr, w.seq, w.stands = to, FromNothing, false
-	} else if w.state != watchResting {
+		w.closeConnection()
+		w.addr, w.seq, w.established = to, NoVersion, false
+	} else if w.state != watchWaiting {
 		return
 	}
 	if w.state != watchOff {
-		w.call()
+		w.startRequest()
 	}
 }
 
-// Sockets is how many the watch has open.
-func (w *Watch) Sockets() int {
-	if w.sock == nil {
+// SocketCount returns the number of sockets that the watch has open.
+func (w *Watch) SocketCount() int {
+	if w.socket == nil {
 		return 0
 	}
 	return 1
@@ -207,56 +223,57 @@
 
 // Stop ends the watch.
 func (w *Watch) Stop() {
-	w.hangUp()
+	w.closeConnection()
 	w.loop.Disarm(&w.timer)
 	w.state = watchOff
 }
 
-func (w *Watch) hangUp() {
-	if w.sock != nil {
-		w.sock.Close()
-		w.sock = nil
+func (w *Watch) closeConnection() {
+	if w.socket != nil {
+		w.socket.Close()
+		w.socket = nil
 	}
-	w.in, w.out, w.again = w.in[:0], w.out[:0], false
+	w.readBuffer, w.writeBuffer, w.reused = w.readBuffer[:0], w.writeBuffer[:0], false
 	w.lease.Failed()
 }
 
-func (w *Watch) call() {
-	*w.calls++
-	if w.sock == nil {
+func (w *Watch) startRequest() {
+	*w.requestCount++
+	if w.socket == nil {
 		sock, err := w.loop.Dial(w.addr, w)
 		if err != nil {
 			w.fail(err)
 			return
 		}
-		// After a pause of the process news may lie there together with hops that have come up meanwhile: one to a
-		// target that drains must be given up, not sent.
-		sock.Urgent()
-		w.sock, w.state = sock, watchDialing
+		// After a stall of the process an answer may be readable together with hops whose
+		// connections were established meanwhile. It must be read first: a hop to a draining target
+		// has to be cancelled instead of sent.
+		sock.SetUrgent()
+		w.socket, w.state = sock, watchDialing
 		if w.pushed {
-			w.loop.After(&w.timer, pushedDial)
+			w.loop.After(&w.timer, pushedDialTimeout)
 		} else {
-			w.loop.After(&w.timer, dialWait)
+			w.loop.After(&w.timer, dialTimeout)
 		}
 		return
 	}
-	w.ask()
+	w.sendRequest()
 }
 
-func (w *Watch) ask() {
-	w.state = watchAsking
-	w.in = w.in[:0]
-	wait, grace := openWait, openGrace
+func (w *Watch) sendRequest() {
+	w.state = watchRequesting
+	w.readBuffer = w.readBuffer[:0]
+	wait, grace := openingWait, openingGrace
 	switch {
-	case w.stands && w.leads():
-		wait, grace = leadWait, answerGrace
-	case w.stands:
-		wait, grace = w.pace.wait(), answerGrace
-	case w.tries > 1 || w.crowded:
+	case w.established && w.isLeader():
+		wait, grace = leaderWait, answerGrace
+	case w.established:
+		wait, grace = w.pacer.drawWait(), answerGrace
+	case w.failures > 1 || w.mayQueue:
 		grace = queueGrace
 	}
-	w.out = appendCall(w.out[:0], w.addr.String(), w.seq, wait.Milliseconds())
-	if w.stands {
+	w.writeBuffer = appendRequest(w.writeBuffer[:0], w.addr.String(), w.seq, wait.Milliseconds())
+	if w.established {
 		w.lease.Watching(w.loop.Now(), wait)
 	}
 	w.loop.After(&w.timer, wait+grace)
@@ -264,28 +281,28 @@
 }
 
 func (w *Watch) write() {
-	n, err := w.sock.Write(w.out)
+	n, err := w.socket.Write(w.writeBuffer)
 	if err != nil {
-		w.broke(err)
+		w.connectionEnded(err)
 		return
 	}
-	w.out = w.out[n:]
-	w.sock.Want(true, len(w.out) > 0)
+	w.writeBuffer = w.writeBuffer[n:]
+	w.socket.Want(true, len(w.writeBuffer) > 0)
 }
 
-// Ready is called by the loop.
+// Ready implements poll.Handler.
 func (w *Watch) Ready(r poll.Ready) {
 	if w.state == watchDialing {
-		if err := w.sock.Established(); err != nil {
+		if err := w.socket.DialError(); err != nil {
 			w.lease.Unreachable(w.loop.Now())
 			w.fail(err)
 			return
 		}
-		w.ask()
+		w.sendRequest()
 		return
 	}
-	if r.Write && len(w.out) > 0 {
-		if w.write(); w.state != watchAsking {
+	if r.Write && len(w.writeBuffer) > 0 {
+		if w.write(); w.state != watchRequesting {
 			return
 		}
 	}
@@ -294,33 +311,35 @@
 	}
 }
 
-// read takes all that is there: the rest of a long list would be read a turn later, after hops were sent.
+// read reads all available data: the rest of a long list would otherwise be read one loop turn
+// later, after hops were sent.
 func (w *Watch) read() {
 	const step = 16 << 10
 	var err error
-	for err == nil && len(w.in) <= maxHead+2*maxBody {
-		if cap(w.in)-len(w.in) < step {
-			w.in = append(make([]byte, 0, 2*cap(w.in)+step), w.in...)
+	for err == nil && len(w.readBuffer) <= maxHeadBytes+2*maxBodyBytes {
+		if cap(w.readBuffer)-len(w.readBuffer) < step {
+			w.readBuffer = append(make([]byte, 0, 2*cap(w.readBuffer)+step), w.readBuffer...)
 		}
 		var n int
-		n, err = w.sock.Read(w.in[len(w.in):cap(w.in)])
-		w.in = w.in[:len(w.in)+n]
+		n, err = w.socket.Read(w.readBuffer[len(w.readBuffer):cap(w.readBuffer)])
+		w.readBuffer = w.readBuffer[:len(w.readBuffer)+n]
 	}
 	if errors.Is(err, poll.ErrAgain) {
 		err = nil
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
-		if len(w.in) > 0 { // what was read of it may be of news that counts as told now
-			err = fmt.Errorf("%w: %w", errHalf, err)
+		// the partial answer may be a change that counts as delivered now
+		if len(w.readBuffer) > 0 {
+			err = fmt.Errorf("%w: %w", errTruncated, err)
 		}
-		w.broke(err)
+		w.connectionEnded(err)
 		return
 	}
-	r, parseErr := parseResponse(w.in, err != nil)
+	r, parseErr := parseResponse(w.readBuffer, err != nil)
 	switch {
-	case errors.Is(parseErr, errMore) && err != nil:
-		w.broke(errHalf)
-	case errors.Is(parseErr, errMore):
+	case errors.Is(parseErr, errIncomplete) && err != nil:
+		w.connectionEnded(errTruncated)
+	case errors.Is(parseErr, errIncomplete):
 	case parseErr != nil:
 		w.fail(parseErr)
 	case r.status == 503:
@@ -328,105 +347,110 @@
 	case r.status != 200:
 		w.fail(fmt.Errorf("status %d", r.status))
 	default:
-		w.answer(r, err == nil)
+		w.handleAnswer(r, err == nil)
 	}
 }
 
-func (w *Watch) answer(r *response, open bool) {
+func (w *Watch) handleAnswer(r *response, open bool) {
 	list, err := Decode(r.body)
 	if err != nil {
 		w.fail(err)
 		return
 	}
-	if list.Seq < w.seq && !list.Whole { // another process answers, whose versions don't continue those that are known
-		w.fail(errOldVersion)
+	if list.Seq < w.seq && !list.Whole { // from another process with its own versions
+		w.fail(errVersionWentBack)
 		return
 	}
-	w.seq, w.tries, w.stands, w.crowded = list.Seq, 0, true, false
+	w.seq, w.failures, w.established, w.mayQueue = list.Seq, 0, true, false
 	w.lease.Answered(w.loop.Now())
-	w.pace.answered()
-	if r.keep && open {
-		w.again = true
+	w.pacer.onAnswer()
+	if r.keepAlive && open {
+		w.reused = true
 	} else {
-		w.hangUp()
+		w.closeConnection()
 	}
-	if lead, until, _ := w.guided(); !lead && until.After(w.loop.Now()) {
-		w.hangUp()
-		w.eased, w.stands = true, false
-		w.rest(until.Sub(w.loop.Now()))
+	if lead, deferUntil, _ := w.evaluatePolicy(); !lead && deferUntil.After(w.loop.Now()) {
+		w.closeConnection()
+		w.deferredByPolicy, w.established = true, false
+		w.scheduleRequest(deferUntil.Sub(w.loop.Now()))
 	} else {
-		// The watch goes on only if the next call follows within 200 ms: it is made before the news is used.
-		w.call()
+		// The watch continues only if the next request follows within 200 ms, so that it is made
+		// before the list is used.
+		w.startRequest()
 	}
-	w.news(list, nil)
+	w.onResult(list, nil)
 }
 
-// broke deals with a connection that ended. One that was kept from an earlier call may have been closed as
-// idle just then, which is no failure of the call: it is made again at once, on a new connection.
-func (w *Watch) broke(err error) {
-	if w.again && len(w.in) == 0 {
-		w.hangUp()
-		w.call()
+// connectionEnded handles a connection that has ended. A connection that was kept open after an
+// earlier answer may have been closed as idle at this moment, which is not a failure of the
+// request: it is made again at once on a new connection.
+func (w *Watch) connectionEnded(err error) {
+	if w.reused && len(w.readBuffer) == 0 {
+		w.closeConnection()
+		w.startRequest()
 		return
 	}
 	w.fail(err)
 }
 
-// fail ends a call that brought no list and has the next one made after a pause, which is short whenever the list's lease is
-// about to end: there is no call that makes up for one that comes late.
+// fail ends a request that brought no list and schedules the next one after a pause. The pause is
+// short if the list's lease is about to expire, as no later request makes up for a late one.
 func (w *Watch) fail(err error) {
-	busy, silent := errors.Is(err, ErrBusy), errors.Is(err, errSilent) && len(w.in) == 0
-	if !busy && !silent && !ownFault(err) {
-		// What answers next may be another process, whose versions don't continue those that are known.
-		w.seq = FromNothing
+	busy, unanswered := errors.Is(err, ErrBusy), errors.Is(err, errNoAnswer) && len(w.readBuffer) == 0
+	if !busy && !unanswered && !isLocalFailure(err) {
+		// The next answer may come from another process, whose versions do not continue the known
+		// ones.
+		w.seq = NoVersion
 	}
-	w.hangUp()
-	w.stands, w.crowded = false, busy
+	w.closeConnection()
+	w.established, w.mayQueue = false, busy
 	pause := w.pauseAfter(err)
-	w.tries++
-	w.rest(pause)
-	w.news(nil, err)
+	w.failures++
+	w.scheduleRequest(pause)
+	w.onResult(nil, err)
 }
 
-// ownFault tells whether a call failed since this machine could not begin a connection, which says nothing of discovery.
-func ownFault(err error) bool {
+// isLocalFailure reports whether a request failed because this machine could not open a connection,
+// which says nothing about discovery.
+func isLocalFailure(err error) bool {
 	return errors.Is(err, poll.ErrNoSocket) || errors.Is(err, poll.ErrNoPath)
 }
 
-// pauseAfter draws the pause after a call that failed.
+// pauseAfter draws the pause after a failed request.
 func (w *Watch) pauseAfter(err error) time.Duration {
-	silent := errors.Is(err, errSilent) || errors.Is(err, errHalf)
+	interrupted := errors.Is(err, errNoAnswer) || errors.Is(err, errTruncated)
 	switch {
-	case ownFault(err) && w.tries < ownFaultTries:
-		return w.pace.around(ownFaultRetry)
-	case silent && w.tries < 2:
-		return 0 // the watch is opened anew at once: what it may have missed counts as told soon
+	case isLocalFailure(err) && w.failures < maxLocalFailureRetries:
+		return w.pacer.jitter(localFailureRetryMean)
+	case interrupted && w.failures < 2:
+		return 0 // reopen at once: what the watch may have missed soon counts as delivered
 	case w.pushed:
-		return w.pace.around(pushedRetry)
-	case w.loop.Now().Before(w.hurry):
-		return w.pace.around(retryFrom)
+		return w.pacer.jitter(pushedRetryMean)
+	case w.loop.Now().Before(w.shortRetryUntil):
+		return w.pacer.jitter(retryMean)
 	case errors.Is(err, ErrBusy):
-		return w.pace.busy(w.tries, w.lease.Ends().Sub(w.loop.Now()))
+		return w.pacer.busyPause(w.failures, w.lease.Expiry().Sub(w.loop.Now()))
 	}
-	return w.pace.failed(w.tries)
+	return w.pacer.failurePause(w.failures)
 }
 
-func (w *Watch) due() {
-	if w.state != watchResting {
-		w.fail(errSilent)
+func (w *Watch) onTimer() {
+	if w.state != watchWaiting {
+		w.fail(errNoAnswer)
 		return
 	}
-	lead, until, lapse := w.guided()
+	lead, deferUntil, spread := w.evaluatePolicy()
 	switch now := w.loop.Now(); {
-	case !lead && until.After(now) && !w.pressed:
-		w.eased = true
-		w.rest(until.Sub(now))
-	case !lead && w.eased:
-		// The word of whoever asked for all has lapsed, here and elsewhere at once.
-		w.eased = false
-		w.rest(time.Duration(w.pace.rng.Float64() * float64(lapse)))
+	case !lead && deferUntil.After(now) && !w.expedited:
+		w.deferredByPolicy = true
+		w.scheduleRequest(deferUntil.Sub(now))
+	case !lead && w.deferredByPolicy:
+		// The process that asked on behalf of all has not been heard for too long, and other
+		// processes notice it at the same time.
+		w.deferredByPolicy = false
+		w.scheduleRequest(time.Duration(w.pacer.rng.Float64() * float64(spread)))
 	default:
-		w.eased, w.pressed = false, false
-		w.call()
+		w.deferredByPolicy, w.expedited = false, false
+		w.startRequest()
 	}
 }
--- a/internal/vnet/vnet_test.go
+++ b/internal/vnet/vnet_test.go
@@ -29,7 +29,7 @@
 
 func (s *side) Ready(r poll.Ready) {
 	if !s.up {
-		if s.err = s.sock.Established(); s.err != nil {
+		if s.err = s.sock.DialError(); s.err != nil {
 			s.sock.Close()
 			return
 		}
@@ -145,8 +145,8 @@
 	s.sock.CloseWrite()
 	a.run(10 * ms)
 	far := b.taken[0]
-	if string(far.got) != "hello" || far.err != io.EOF || far.sock.Peer().Addr() != a.host.Addr() {
-		t.Fatalf("got %q, %v from %v", far.got, far.err, far.sock.Peer())
+	if string(far.got) != "hello" || far.err != io.EOF || far.sock.RemoteAddr().Addr() != a.host.Addr() {
+		t.Fatalf("got %q, %v from %v", far.got, far.err, far.sock.RemoteAddr())
 	}
 	far.sock.Close()
 	a.run(10 * ms)
@@ -343,8 +343,8 @@
 	w = New(1, func(_, _ *Host) Link { return Link{Delay: ms, Loss: 0.5} })
 	a, b = newMachine(t, w, "a", 1, Limits{}), newMachine(t, w, "b", 2, Limits{})
 	got := 0
-	var in *poll.Packets
-	in, err := b.loop.OpenPackets(b.at(53), ready(func(poll.Ready) {
+	var in *poll.UDPSocket
+	in, err := b.loop.OpenUDP(b.at(53), ready(func(poll.Ready) {
 		var buf [16]byte
 		for {
 			if _, from, err := in.Receive(buf[:]); err != nil || from.Addr() != a.host.Addr() {
@@ -356,7 +356,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := a.loop.OpenPackets(a.at(0), ready(func(poll.Ready) {}))
+	out, err := a.loop.OpenUDP(a.at(0), ready(func(poll.Ready) {}))
 	if err != nil {
 		t.Fatal(err)
 	}
