--- a/cmd/ospreylab/fuzz.go
+++ b/cmd/ospreylab/fuzz.go
@@ -37,7 +37,7 @@
 			}
 			until := time.Now().Add(time.Duration(minutes * float64(time.Minute)))
 			show := terminal(a.errs)
-			found, played, err := lab.Fuzz(lab.FuzzDays{MakeUp: makeUp, Set: set}, first, seeds, until, func(seed uint64) {
+			found, played, err := lab.Fuzz(lab.FuzzConfig{Generate: makeUp, Set: set}, first, seeds, until, func(seed uint64) {
 				if show {
 					fmt.Fprintf(a.errs, "\rseed %d ", seed)
 				}
@@ -58,7 +58,7 @@
 			}
 			found.Shrink(time.Now().Add(shrink))
 			fmt.Fprintf(a.out, "%d smaller scenarios tried; the smallest has %d troubles, %d proxies, %d relays, %v:\n",
-				found.Tried, len(found.Small.Troubles), found.Small.Proxies.Count, found.Small.Relays.Count, found.Small.Run.Length)
+				found.Tried, len(found.Small.Faults), found.Small.Proxies.Count, found.Small.Relays.Count, found.Small.Run.Length)
 			if err := a.keep(out, fmt.Sprintf("fuzz-%d-small.ini", found.Seed), found.Small, found.Seed); err != nil {
 				return err
 			}
--- a/cmd/ospreylab/shared.go
+++ b/cmd/ospreylab/shared.go
@@ -74,7 +74,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	r, err := lab.PlayReal(s, seed, program, dir, 6*time.Minute, lab.Options{MostReal: 200})
+	r, err := lab.PlayReal(s, seed, program, dir, 6*time.Minute, lab.Options{MaxRealProxies: 200})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -114,7 +114,7 @@
 func (d *day) plan() {
 	r := stream(d.seed, "relays")
 	extra := 0
-	for _, t := range d.s.Troubles {
+	for _, t := range d.s.Faults {
 		if t.Kind == "grow" {
 			extra += t.Count * (t.Again + 1)
 		}
--- a/internal/lab/fleet_test.go
+++ b/internal/lab/fleet_test.go
@@ -86,11 +86,11 @@
 		t.Fatal(err)
 	}
 	small := s.Scale(20)
-	if small.Proxies.Count != 20 || small.Relays.Count != 15 || small.Traffic.Rate != 7.5 || small.Troubles[0].Count != 9 {
-		t.Errorf("scaled to %v, %+v", small, small.Troubles[0])
+	if small.Proxies.Count != 20 || small.Relays.Count != 15 || small.Traffic.Rate != 7.5 || small.Faults[0].Count != 9 {
+		t.Errorf("scaled to %v, %+v", small, small.Faults[0])
 	}
-	span := func(s *Scenario) time.Duration { return time.Duration(s.Troubles[0].Count) * s.Troubles[0].Every }
-	if span(small) != span(s) || s.Troubles[0].Count != 36 {
+	span := func(s *Scenario) time.Duration { return time.Duration(s.Faults[0].Count) * s.Faults[0].Every }
+	if span(small) != span(s) || s.Faults[0].Count != 36 {
 		t.Errorf("the release takes %v, before %v", span(small), span(s))
 	}
 	list, err := Grow(must(t, "[run]\nlength = 3s\nwarm_up = 3s\n[relays]\ncount = 4\n"), []int{3, 6}, 1, Options{})
--- a/internal/lab/fuzz.go
+++ b/internal/lab/fuzz.go
@@ -45,8 +45,8 @@
 	for _, w := range s.Waves {
 		inifile.Encode(&b, "wave "+w.Name, w, nil)
 	}
-	for _, t := range s.Troubles {
-		inifile.Encode(&b, "trouble "+t.Name, t, Trouble{})
+	for _, t := range s.Faults {
+		inifile.Encode(&b, "trouble "+t.Name, t, Fault{})
 	}
 	return b.String()
 }
@@ -84,15 +84,15 @@
 // MakeScenario makes up a scenario from a seed.
 type MakeScenario func(seed uint64) *Scenario
 
-// FuzzDays are what Fuzz plays.
-type FuzzDays struct {
-	MakeUp MakeScenario
-	Set    []string // section.key=value pairs that go before what is made up
+// FuzzConfig are what Fuzz plays.
+type FuzzConfig struct {
+	Generate MakeScenario
+	Set      []string // section.key=value pairs that go before what is made up
 }
 
 // scenario makes up a day. It is what a file of it says, so that the file repeats it.
-func (d *FuzzDays) scenario(seed uint64) (*Scenario, error) {
-	return Parse(fmt.Sprintf("fuzz-%d.ini", seed), d.MakeUp(seed).Text(), d.Set...)
+func (d *FuzzConfig) scenario(seed uint64) (*Scenario, error) {
+	return Parse(fmt.Sprintf("fuzz-%d.ini", seed), d.Generate(seed).Text(), d.Set...)
 }
 
 // MadeUp are the kinds of made-up days, by their names.
@@ -132,11 +132,11 @@
 		"late-connects", "leaving",
 	}
 	for i := range 1 + r.IntN(6) {
-		t := Trouble{Name: fmt.Sprintf("t%d", i), Kind: kinds[r.IntN(len(kinds))]}
+		t := Fault{Name: fmt.Sprintf("t%d", i), Kind: kinds[r.IntN(len(kinds))]}
 		t.At = span(0, s.Run.Length)
 		t.For = span(200*time.Millisecond, 8*time.Second)
 		s.fill(&t, r, one, span)
-		s.Troubles = append(s.Troubles, t)
+		s.Faults = append(s.Faults, t)
 	}
 	s.customer(r, span)
 	return &s
@@ -160,7 +160,7 @@
 	if r.IntN(3) == 0 { // connections that take long to come up, and are waited for
 		s.Allow.Dial = span(300*time.Millisecond, 1200*time.Millisecond).From
 		part := round(fleet.Range{From: 0.2, To: 0.8}.Draw(r))
-		s.Troubles = append(s.Troubles, Trouble{
+		s.Faults = append(s.Faults, Fault{
 			Name: "late", Kind: "late-connects", For: fleet.Spans{From: s.Run.Length, To: s.Run.Length},
 			Size: fleet.Range{From: part, To: part}, Away: span(200*time.Millisecond, 1200*time.Millisecond),
 		})
@@ -168,7 +168,7 @@
 }
 
 // fill gives a trouble the figures that its kind needs.
-func (s *Scenario) fill(t *Trouble, r *rand.Rand, one func(from, to float64) fleet.Range, span func(from, to time.Duration) fleet.Spans) {
+func (s *Scenario) fill(t *Fault, r *rand.Rand, one func(from, to float64) fleet.Range, span func(from, to time.Duration) fleet.Spans) {
 	second := time.Second
 	switch t.Kind {
 	case "silence", "isolate":
@@ -256,7 +256,7 @@
 
 // Fuzz plays scenarios that are made up from seeds from first on, until one breaks a rule, n were played or the time is over; it
 // returns the lowest such seed of those that were begun, and how many were played. done is called after each.
-func Fuzz(days FuzzDays, first uint64, n int, until time.Time, done func(seed uint64)) (*Found, int, error) {
+func Fuzz(days FuzzConfig, first uint64, n int, until time.Time, done func(seed uint64)) (*Found, int, error) {
 	var (
 		one    sync.Mutex
 		next   = first
@@ -324,19 +324,19 @@
 	var list []*Scenario
 	try := func(change func(c *Scenario) bool) {
 		c := *s
-		c.Troubles, c.Waves = slices.Clone(s.Troubles), slices.Clone(s.Waves)
+		c.Faults, c.Waves = slices.Clone(s.Faults), slices.Clone(s.Waves)
 		if change(&c) {
 			list = append(list, &c)
 		}
 	}
-	for i := range s.Troubles {
-		try(func(c *Scenario) bool { c.Troubles = slices.Delete(c.Troubles, i, i+1); return true })
+	for i := range s.Faults {
+		try(func(c *Scenario) bool { c.Faults = slices.Delete(c.Faults, i, i+1); return true })
 	}
 	for i := range s.Waves {
 		try(func(c *Scenario) bool { c.Waves = slices.Delete(c.Waves, i, i+1); return true })
 	}
-	for i := range s.Troubles {
-		try(func(c *Scenario) bool { t := &c.Troubles[i]; was := t.Again; t.Again = 0; return was > 0 })
+	for i := range s.Faults {
+		try(func(c *Scenario) bool { t := &c.Faults[i]; was := t.Again; t.Again = 0; return was > 0 })
 	}
 	try(func(c *Scenario) bool { was := c.Network.Loss; c.Network.Loss = 0; return was > 0 })
 	try(func(c *Scenario) bool { was := c.Proxies.EventCost; c.Proxies.EventCost = 0; return was > 0 })
--- a/internal/lab/growth.go
+++ b/internal/lab/growth.go
@@ -34,13 +34,13 @@
 	times := func(n int) int { return max(int(math.Round(float64(n)*by)), 1) }
 	to.Proxies.Count, to.Relays.Count = proxies, times(s.Relays.Count)
 	to.Traffic.Rate *= by
-	to.Troubles = nil
-	for _, t := range s.Troubles {
+	to.Faults = nil
+	for _, t := range s.Faults {
 		if t.Count > 0 {
 			n := times(t.Count)
 			t.Count, t.Every = n, t.Every*time.Duration(t.Count)/time.Duration(n) // in the same time
 		}
-		to.Troubles = append(to.Troubles, t)
+		to.Faults = append(to.Faults, t)
 	}
 	return &to
 }
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -37,12 +37,12 @@
 // PlayReal plays a day on real loopback sockets against the program, in real time: the same fleet, the same draws, but no
 // delay of a network, and no judge on the wire. It takes as long as the day and a few seconds; until bounds it.
 func PlayReal(sc *Scenario, seed uint64, program, dir string, until time.Duration, o Options) (*Result, error) {
-	for _, t := range sc.Troubles {
+	for _, t := range sc.Faults {
 		if why := notReal[t.Kind]; why != "" {
 			return nil, fmt.Errorf("trouble %s: %s can't be played on real sockets: %s", t.Name, t.Kind, why)
 		}
 	}
-	if most := cmp.Or(o.MostReal, 16); sc.Proxies.Count > most || len(sc.Sites) > 100 {
+	if most := cmp.Or(o.MaxRealProxies, 16); sc.Proxies.Count > most || len(sc.Sites) > 100 {
 		return nil, fmt.Errorf("more than %d proxies or 100 sites are too many for one machine's real sockets", most)
 	}
 	d, err := newDay(sc, seed)
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -30,7 +30,7 @@
 	Front     Front
 	Rules     Rules
 	Allow     Allow
-	Troubles  []Trouble
+	Faults    []Fault
 }
 
 // Run is how long a day takes and what of it counts.
@@ -185,8 +185,8 @@
 	Pushed    bool          `ini:"pushed"` // lists are pushed: what discovery has counts as told, asked or not
 }
 
-// Trouble is something that goes wrong.
-type Trouble struct {
+// Fault is something that goes wrong.
+type Fault struct {
 	Name  string
 	Kind  string        `ini:"kind" one:"silence, slow, failing, relimit, neighbour, costly, drain, lose, grow, proxy-restart, proxy-kill, partition, isolate, stall, late-clock, descriptors, ports, rude, late-connects, leaving, discovery-down, discovery-hang, discovery-late, discovery-queue, watches-silent"`
 	At    fleet.Spans   `ini:"at"`
@@ -329,7 +329,7 @@
 		s.Waves = append(s.Waves, w)
 	}
 	for _, n := range f.Kind("trouble") {
-		s.Troubles = append(s.Troubles, s.trouble(f, n))
+		s.Faults = append(s.Faults, s.trouble(f, n))
 	}
 	s.check(f)
 	if err := f.Err(); err != nil {
@@ -339,9 +339,9 @@
 }
 
 // trouble reads one trouble. What its kind needs and the file does not give is a mistake.
-func (s *Scenario) trouble(f *inifile.File, name string) Trouble {
+func (s *Scenario) trouble(f *inifile.File, name string) Fault {
 	section := "trouble " + name
-	t := Trouble{Name: name}
+	t := Fault{Name: name}
 	f.Decode(section, &t)
 	s.known(f, section, t.Sites)
 	needs := map[string][]string{
--- a/internal/lab/stage.go
+++ b/internal/lab/stage.go
@@ -16,8 +16,8 @@
 type Options struct {
 	// Log gets the proxies' logs, with the virtual time; nil: nobody does.
 	Log io.Writer
-	// MostReal is how many proxies may be played on real sockets; 0: 16.
-	MostReal int
+	// MaxRealProxies is how many proxies may be played on real sockets; 0: 16.
+	MaxRealProxies int
 	// Progress is called about every virtual second.
 	Progress func(at, total time.Duration)
 }
@@ -91,8 +91,8 @@
 	}
 	s.watchLimit()
 	s.watchClock()
-	for i := range d.s.Troubles {
-		s.plot(&d.s.Troubles[i])
+	for i := range d.s.Faults {
+		s.plot(&d.s.Faults[i])
 	}
 	s.samples.init(s)
 	return nil
--- a/internal/lab/throng.go
+++ b/internal/lab/throng.go
@@ -24,25 +24,25 @@
 	s.Waves = []Wave{{Name: "burst", At: d.span(s.Run.WarmUp+8*time.Second, s.Run.WarmUp+12*time.Second), For: d.span(5*time.Second, 9*time.Second), Times: d.one(2.5, 4)}}
 	s.Discovery = Discovery{Call: d.span(170*time.Millisecond, 220*time.Millisecond).From, Line: s.Discovery.Line, Timeout: 2 * time.Second, Resets: 0.5}
 	s.Rules.ColdBudget, s.Rules.AskAgain = true, s.Rules.NewsWithin
-	s.Troubles = d.throngTroubles(s.Run.Length)
+	s.Faults = d.throngTroubles(s.Run.Length)
 	return &s
 }
 
 // throngTroubles are the days' troubles; some of them come on part of the days only.
-func (d *draws) throngTroubles(length time.Duration) []Trouble {
+func (d *draws) throngTroubles(length time.Duration) []Fault {
 	second := time.Second
-	list := []Trouble{
+	list := []Fault{
 		{Name: "replaced", Kind: "drain", At: d.span(4*second, 7*second), Count: 3 + d.r.IntN(3), Every: d.span(second, 2500*time.Millisecond).From, For: d.span(8*second, 11*second), Away: forGood()},
 		{Name: "joined", Kind: "grow", At: d.span(6*second, 10*second), Count: 2 + d.r.IntN(3)},
 		{Name: "back", Kind: "drain", At: d.span(3*second, 8*second), Count: 2 + d.r.IntN(3), Every: d.span(second, 2*second).From, For: d.span(3*second, 6*second), Away: d.span(300*time.Millisecond, second)},
 		{Name: "nonsense", Kind: "rude", At: d.span(second, 3*second), For: fleet.Spans{From: length, To: length}, Size: d.one(2, 8)},
 	}
-	list = append(list, Trouble{Name: "asked", Kind: "discovery-queue", At: d.span(3*second, 8*second), For: d.span(2*second, 3*second), Again: 1, After: d.span(8*second, 12*second)})
+	list = append(list, Fault{Name: "asked", Kind: "discovery-queue", At: d.span(3*second, 8*second), For: d.span(2*second, 3*second), Again: 1, After: d.span(8*second, 12*second)})
 	if d.r.IntN(3) == 0 {
-		list = append(list, Trouble{Name: "errors", Kind: "failing", At: d.span(8*second, 16*second), For: d.span(2*second, 6*second), Part: d.one(0.05, 0.2), Size: d.one(0.1, 0.5)})
+		list = append(list, Fault{Name: "errors", Kind: "failing", At: d.span(8*second, 16*second), For: d.span(2*second, 6*second), Part: d.one(0.05, 0.2), Size: d.one(0.1, 0.5)})
 	}
 	if d.r.IntN(3) == 0 {
-		list = append(list, Trouble{Name: "vanished", Kind: "silence", At: d.span(2*second, 6*second), For: d.span(8*second, 12*second), Count: 1})
+		list = append(list, Fault{Name: "vanished", Kind: "silence", At: d.span(2*second, 6*second), For: d.span(8*second, 12*second), Count: 1})
 	}
 	return list
 }
--- a/internal/lab/throng_test.go
+++ b/internal/lab/throng_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	days := FuzzDays{MakeUp: RandomThrong}
+	days := FuzzConfig{Generate: RandomThrong}
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -39,7 +39,7 @@
 // that answer as before see TestDrainWhileDiscoveryRefusesCalls of the program.
 func TestThrongOfManyProxies(t *testing.T) {
 	slow(t)
-	days := FuzzDays{MakeUp: RandomThrong}
+	days := FuzzConfig{Generate: RandomThrong}
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -14,7 +14,7 @@
 )
 
 // plot puts a trouble's events in the day's queue. All its draws come now, from a stream of its own.
-func (s *stage) plot(t *Trouble) {
+func (s *stage) plot(t *Fault) {
 	r := stream(s.seed, "trouble "+t.Name)
 	at := s.s.Run.WarmUp + t.At.Draw(r)
 	for range t.Again + 1 {
@@ -24,7 +24,7 @@
 }
 
 // once plots one time of a trouble.
-func (s *stage) once(t *Trouble, at time.Duration, r *rand.Rand) {
+func (s *stage) once(t *Fault, at time.Duration, r *rand.Rand) {
 	span := t.For.Draw(r)
 	size := t.Size.Draw(r)
 	away := t.Away.Draw(r)
@@ -201,7 +201,7 @@
 }
 
 // number is how many of n a trouble strikes: its count, or its part and one at least; all if it gives neither.
-func (t *Trouble) number(n int, r *rand.Rand) int {
+func (t *Fault) number(n int, r *rand.Rand) int {
 	switch part := t.Part.Draw(r); {
 	case t.Count > 0:
 		return min(t.Count, n)
@@ -211,7 +211,7 @@
 	return n
 }
 
-func some[T any](t *Trouble, list []T, r *rand.Rand) []T {
+func some[T any](t *Fault, list []T, r *rand.Rand) []T {
 	picked := make([]T, 0, len(list))
 	for _, i := range r.Perm(len(list))[:t.number(len(list), r)] {
 		picked = append(picked, list[i])
@@ -219,7 +219,7 @@
 	return picked
 }
 
-func (s *stage) someRelays(t *Trouble, r *rand.Rand) []*relayNode {
+func (s *stage) someRelays(t *Fault, r *rand.Rand) []*relayNode {
 	var list []*relayNode
 	for _, n := range s.nodes {
 		if !n.plan.late && listed(t.Sites, n.plan.site) {
@@ -238,7 +238,7 @@
 // coldAfter is how long a relay may go on to look bad after its trouble: the news of it is late, and it is back cold.
 const coldAfter = 30 * time.Second
 
-func (s *stage) someProxies(t *Trouble, r *rand.Rand) []*proxyNode {
+func (s *stage) someProxies(t *Fault, r *rand.Rand) []*proxyNode {
 	var list []*proxyNode
 	for _, p := range s.proxies {
 		if listed(t.Sites, p.site) {
@@ -341,7 +341,7 @@
 }
 
 // grow switches on relays that were not there.
-func (s *stage) grow(t *Trouble, at time.Duration, r *rand.Rand) {
+func (s *stage) grow(t *Fault, at time.Duration, r *rand.Rand) {
 	back := make([]time.Duration, t.Count)
 	for i := range back {
 		back[i] = s.s.Relays.Return.Draw(r)
@@ -420,7 +420,7 @@
 }
 
 // badClients has clients come that break the protocol.
-func (s *stage) badClients(t *Trouble, at, span time.Duration, rate float64) {
+func (s *stage) badClients(t *Fault, at, span time.Duration, rate float64) {
 	s.rude++
 	name := fmt.Sprintf("rude-%d", s.rude)
 	n := &rudeNode{host: s.machine(name, at2(s.rude), vnet.Limits{})}
--- a/internal/lab/unheard_drain_test.go
+++ b/internal/lab/unheard_drain_test.go
@@ -16,7 +16,7 @@
 // Mend: proxy/proofs.go. Only a request that a server took proves it, from its write on, and the module places among such servers.
 func TestThrongWhereDrainingServersAnswerProbes(t *testing.T) {
 	slow(t)
-	days := FuzzDays{MakeUp: RandomThrong}
+	days := FuzzConfig{Generate: RandomThrong}
 	// Three hundred processes need a minute to open their watches at five calls a second, and who has none may send to proven servers
 	// only: the operators' third binds there, more where discovery can serve them all.
 	for proxies, least := range map[int]float64{24: 0.5, 100: 0.5, 300: 1.0 / 3} {
