--- a/cmd/ospreylab/fuzz.go
+++ b/cmd/ospreylab/fuzz.go
@@ -31,7 +31,7 @@
 			if seeds < 1 || minutes <= 0 {
 				return wrong{fmt.Errorf("--seeds %d, --minutes %g: not above 0", seeds, minutes)}
 			}
-			makeUp := lab.MadeUp()[days]
+			makeUp := lab.ScenarioGenerators()[days]
 			if makeUp == nil {
 				return wrong{fmt.Errorf("--days %s: neither any nor throng", days)}
 			}
--- a/internal/lab/chart.go
+++ b/internal/lab/chart.go
@@ -13,20 +13,22 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// palette has colours that are told apart also without seeing red or green (Okabe and Ito's).
+// palette holds colours that readers with red-green colour blindness can tell apart (those of Okabe
+// and Ito).
 var palette = []color.Color{
 	color.RGBA{0, 114, 178, 255}, color.RGBA{213, 94, 0, 255}, color.RGBA{0, 158, 115, 255}, color.RGBA{204, 121, 167, 255},
 	color.RGBA{230, 159, 0, 255}, color.RGBA{86, 180, 233, 255}, color.RGBA{120, 120, 120, 255},
 }
 
 const (
-	chartWide = 20 * vg.Centimeter
-	chartHigh = 9 * vg.Centimeter
-	// fewRelays is how many are drawn one by one; of more, their quantiles are.
-	fewRelays = 16
+	chartWidth  = 20 * vg.Centimeter
+	chartHeight = 9 * vg.Centimeter
+	// maxRelayCurves is the number of relays up to which each gets a curve of its own; above it,
+	// the quantiles over all relays are drawn.
+	maxRelayCurves = 16
 )
 
-// Charts are the pictures of a day: their names, and what writes each as SVG.
+// Charts returns the charts of a day: by file name, the function that writes the chart as SVG.
 func (r *Result) Charts() map[string]func(w io.Writer) error {
 	return map[string]func(w io.Writer) error{
 		"service.svg":     func(w io.Writer) error { return r.serviceChart(w) },
@@ -44,8 +46,8 @@
 	return p
 }
 
-func writeSVG(p *plot.Plot, w io.Writer, wide, high vg.Length) error {
-	to, err := p.WriterTo(wide, high, "svg")
+func writeSVG(p *plot.Plot, w io.Writer, width, height vg.Length) error {
+	to, err := p.WriterTo(width, height, "svg")
 	if err != nil {
 		return err
 	}
@@ -53,25 +55,25 @@
 	return err
 }
 
-// curve adds a line to a chart; figures that are NaN break it.
-func curve(p *plot.Plot, name string, from int, ys []float64, c color.Color, wide vg.Length) error {
-	var part plotter.XYs
-	named := false
+// addLine adds a line to a chart whose first value is at x = from. Values that are NaN leave gaps.
+func addLine(p *plot.Plot, name string, from int, ys []float64, colour color.Color, width vg.Length) error {
+	var segment plotter.XYs
+	inLegend := false
 	flush := func() error {
-		if len(part) == 0 {
+		if len(segment) == 0 {
 			return nil
 		}
-		l, err := plotter.NewLine(part)
+		l, err := plotter.NewLine(segment)
 		if err != nil {
 			return err
 		}
-		l.Color, l.Width = c, wide
+		l.Color, l.Width = colour, width
 		p.Add(l)
-		if !named && name != "" {
+		if !inLegend && name != "" {
 			p.Legend.Add(name, l)
-			named = true
+			inLegend = true
 		}
-		part = nil
+		segment = nil
 		return nil
 	}
 	for i, y := range ys {
@@ -81,7 +83,7 @@
 			}
 			continue
 		}
-		part = append(part, plotter.XY{X: float64(from + i), Y: y})
+		segment = append(segment, plotter.XY{X: float64(from + i), Y: y})
 	}
 	return flush()
 }
@@ -90,47 +92,50 @@
 	p := newChart(r.Title()+": service", "s", "service")
 	p.Y.Min, p.Y.Max = 0, 1
 	for c := range r.Classes {
-		if err := curve(p, r.Classes[c].Name, 0, r.series.service[c], palette[c%len(palette)], vg.Points(1.5)); err != nil {
+		if err := addLine(p, r.Classes[c].Name, 0, r.series.service[c], palette[c%len(palette)], vg.Points(1.5)); err != nil {
 			return err
 		}
 	}
-	return writeSVG(p, w, chartWide, chartHigh)
+	return writeSVG(p, w, chartWidth, chartHeight)
 }
 
 func (r *Result) relayChart(w io.Writer, what string, curves [][]float64) error {
 	p := newChart(r.Title()+": "+what+" of the relays", "s", what)
 	p.Y.Min = 0
 	from := -r.series.warm
-	if len(curves) <= fewRelays {
+	if len(curves) <= maxRelayCurves {
 		for i, ys := range curves {
-			// One colour for a kind, so that what the kinds do shows; names of a dozen relays would hide the curves.
-			k := slices.Index(r.kindNames(), r.series.kinds[i])
+			// One colour for each kind of relay: the kinds can be compared, and the legend stays short.
+			// The names of a dozen relays would cover the curves.
+			kind := slices.Index(r.kindNames(), r.series.kinds[i])
 			name := ""
 			if slices.Index(r.series.kinds, r.series.kinds[i]) == i {
 				name = r.series.kinds[i]
 			}
-			if err := curve(p, name, from, ys, palette[k%len(palette)], vg.Points(1)); err != nil {
+			if err := addLine(p, name, from, ys, palette[kind%len(palette)], vg.Points(1)); err != nil {
 				return err
 			}
 		}
-		return writeSVG(p, w, chartWide, chartHigh)
+		return writeSVG(p, w, chartWidth, chartHeight)
 	}
 	for i, q := range []float64{0, 0.05, 0.5, 0.95, 1} {
 		name := fmt.Sprintf("%g %% of the relays are below", 100*q)
-		if err := curve(p, name, from, quantiles(curves, q), palette[i], vg.Points(1.5)); err != nil {
+		if err := addLine(p, name, from, quantiles(curves, q), palette[i], vg.Points(1.5)); err != nil {
 			return err
 		}
 	}
-	return writeSVG(p, w, chartWide, chartHigh)
+	return writeSVG(p, w, chartWidth, chartHeight)
 }
 
+// kindNames returns the names of the kinds of relays, sorted and each once.
 func (r *Result) kindNames() []string {
 	names := slices.Clone(r.series.kinds)
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-// quantiles takes a quantile over the curves at each second, of those that have a figure there.
+// quantiles returns, for each second, the quantile q over the curves that have a value there; NaN
+// if none has.
 func quantiles(curves [][]float64, q float64) []float64 {
 	n := 0
 	for _, c := range curves {
@@ -138,15 +143,15 @@
 	}
 	out := make([]float64, n)
 	for i := range out {
-		var at []float64
+		var values []float64
 		for _, c := range curves {
 			if i < len(c) && !math.IsNaN(c[i]) {
-				at = append(at, c[i])
+				values = append(values, c[i])
 			}
 		}
-		slices.Sort(at)
-		if out[i] = math.NaN(); len(at) > 0 {
-			out[i] = at[int(q*float64(len(at)-1))]
+		slices.Sort(values)
+		if out[i] = math.NaN(); len(values) > 0 {
+			out[i] = values[int(q*float64(len(values)-1))]
 		}
 	}
 	return out
@@ -160,13 +165,13 @@
 		values[i] = float64(n)
 	}
 	if len(values) == 0 {
-		return writeSVG(p, w, chartWide, chartHigh)
+		return writeSVG(p, w, chartWidth, chartHeight)
 	}
-	bars, err := plotter.NewBarChart(values, chartWide/vg.Length(len(values)+6)*3/4)
+	bars, err := plotter.NewBarChart(values, chartWidth/vg.Length(len(values)+6)*3/4)
 	if err != nil {
 		return err
 	}
 	bars.Color, bars.LineStyle = palette[0], draw.LineStyle{}
 	p.Add(bars)
-	return writeSVG(p, w, chartWide, chartHigh)
+	return writeSVG(p, w, chartWidth, chartHeight)
 }
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -23,14 +23,14 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// Side is one of the two things that are compared.
+// Side is one of the two configurations that a Comparison plays.
 type Side struct {
 	Name     string
 	Scenario *Scenario
-	Program  string // another build of ospreylab, which plays this side; empty: this one does
+	Program  string // ospreylab binary of another build that plays this side; empty: the running program
 }
 
-// play plays a day of the side.
+// play plays one day of the side with the given seed.
 func (s *Side) play(seed uint64) (*Result, error) {
 	if s.Program == "" {
 		return Play(s.Scenario, seed, Options{})
@@ -59,7 +59,7 @@
 	return &r, nil
 }
 
-// Comparison is two sides, played for the same seeds.
+// Comparison holds the figures of two sides that were played with the same seeds.
 type Comparison struct {
 	A       string    `json:"a"`
 	B       string    `json:"b"`
@@ -67,21 +67,22 @@
 	Figures []Compare `json:"figures"`
 }
 
-// Compare is one figure of a Comparison. The interval is Student's, of the paired differences.
+// FigureComparison compares one figure of the two sides. Its interval is Student's 95 % confidence
+// interval of the paired differences.
 type Compare struct {
 	Name  string    `json:"name"`
-	A     []float64 `json:"a"` // by seed
-	B     []float64 `json:"b"`
+	A     []float64 `json:"a"` // by seed, in the order of Comparison.Seeds
+	B     []float64 `json:"b"` // likewise
 	MeanA float64   `json:"mean_a"`
 	MeanB float64   `json:"mean_b"`
-	Mean  float64   `json:"mean_difference"` // of B less A
-	Half  float64   `json:"half_interval"`   // the 95 % interval is Mean ± Half
+	Mean  float64   `json:"mean_difference"` // mean of B - A
+	Half  float64   `json:"half_interval"`   // the 95 % interval is MeanDifference ± HalfInterval
 }
 
-// Clear tells whether the interval leaves 0 out.
+// Significant reports whether the 95 % interval of the difference excludes 0.
 func (c *Compare) Clear() bool { return math.Abs(c.Mean) > c.Half }
 
-// figures are what is compared of a day.
+// figures returns the names and the values of the figures of a day that a Comparison compares.
 func (r *Result) figures() (names []string, values []float64) {
 	add := func(name string, v float64) { names, values = append(names, name), append(values, v) }
 	for _, c := range r.Classes {
@@ -101,55 +102,56 @@
 	add("hops a request", per(k.Hops, k.Exchanges))
 	add("answered with an error by relays that fail, a request", per(r.Clients.Failing, k.Exchanges))
 	add("verdicts against relays, a proxy", round(float64(k.Condemned)/float64(r.Proxies)))
-	wrong := 0
+	falseVerdicts := 0
 	if r.Shared != nil {
-		wrong = r.Shared.False
+		falseVerdicts = r.Shared.False
 	}
-	add("of them without a cause", round(float64(wrong)/float64(r.Proxies)))
+	add("of them without a cause", round(float64(falseVerdicts)/float64(r.Proxies)))
 	add("probes a request", per(k.Probes, k.Exchanges))
 	for _, s := range []time.Duration{1, 3, 10} {
 		add(fmt.Sprintf("hops by a list under %d s old", s), round(k.ListAgeFraction(s*time.Second)))
 	}
 	add("age of a hop's list, median, at most s", k.ListAgeQuantile(0.5).Seconds())
 	add("age of a hop's list, 99 %, at most s", k.ListAgeQuantile(0.99).Seconds())
-	sent := 0.0
+	kbSent := 0.0
 	if r.Shared != nil {
-		sent = float64(r.Shared.Bytes) / 1024 / (r.WarmUp + r.Length) / float64(r.Proxies)
+		kbSent = float64(r.Shared.Bytes) / 1024 / (r.WarmUp + r.Length) / float64(r.Proxies)
 	}
-	standing, held := 0, 0.0
+	peakConnections, meanConnections := 0, 0.0
 	if r.Shared != nil {
-		standing, held = r.Shared.Standing, round(r.Shared.Held/r.Length)
+		peakConnections, meanConnections = r.Shared.Standing, round(r.Shared.Held/r.Length)
 	}
-	add("most connections under a limit, by the relays' count", float64(standing))
-	add("connections under a limit, in the mean", held)
+	add("most connections under a limit, by the relays' count", float64(peakConnections))
+	add("connections under a limit, in the mean", meanConnections)
 	add("refused by a limit, a request", per(k.Beyond, k.Exchanges))
-	add("KB a second that a proxy sends to others", round(sent))
+	add("KB a second that a proxy sends to others", round(kbSent))
 	return names, values
 }
 
-// RunPairs plays both sides for each seed, several days at a time. done is called after each day. The first broken rule,
-// by seed, is the error.
+// RunPairs plays both sides with each seed, several days at a time. done, if not nil, is called
+// after each day, one call at a time. If days break rules, the error is that of the lowest seed in
+// the order of seeds.
 func RunPairs(a, b Side, seeds []uint64, done func()) (*Comparison, error) {
 	type outcome struct {
 		r   *Result
 		err error
 	}
 	sides := [2]Side{a, b}
-	all := make([][2]outcome, len(seeds))
+	outcomes := make([][2]outcome, len(seeds))
 	jobs := make(chan [2]int)
 	var wait sync.WaitGroup
-	var one sync.Mutex
+	var doneMu sync.Mutex
 	for range min(runtime.GOMAXPROCS(0), 2*len(seeds)) {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
 			for j := range jobs {
 				r, err := sides[j[1]].play(seeds[j[0]])
-				all[j[0]][j[1]] = outcome{r, err}
+				outcomes[j[0]][j[1]] = outcome{r, err}
 				if done != nil {
-					one.Lock()
+					doneMu.Lock()
 					done()
-					one.Unlock()
+					doneMu.Unlock()
 				}
 			}
 		}()
@@ -162,8 +164,8 @@
 	close(jobs)
 	wait.Wait()
 	c := &Comparison{A: a.Name, B: b.Name, Seeds: seeds}
-	for i := range all {
-		for side, o := range all[i] {
+	for i := range outcomes {
+		for side, o := range outcomes[i] {
 			if o.err != nil {
 				return nil, fmt.Errorf("%s: %w", sides[side].Name, o.err)
 			}
@@ -186,27 +188,27 @@
 		}
 	}
 	for i := range c.Figures {
-		c.Figures[i].sum()
+		c.Figures[i].computeStatistics()
 	}
 	return c, nil
 }
 
-// sum works out the means and the interval.
-func (c *Compare) sum() {
-	d := make([]float64, len(c.A))
-	for i := range d {
-		d[i] = c.B[i] - c.A[i]
+// computeStatistics computes the means and the 95 % interval from the values by seed.
+func (c *Compare) computeStatistics() {
+	differences := make([]float64, len(c.A))
+	for i := range differences {
+		differences[i] = c.B[i] - c.A[i]
 	}
 	c.MeanA, c.MeanB = round(stat.Mean(c.A, nil)), round(stat.Mean(c.B, nil))
-	mean, dev := stat.MeanStdDev(d, nil)
+	mean, dev := stat.MeanStdDev(differences, nil)
 	c.Mean = round(mean)
-	if n := float64(len(d)); n > 1 {
+	if n := float64(len(differences)); n > 1 {
 		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975)
 		c.Half = round(t * dev / math.Sqrt(n))
 	}
 }
 
-// Markdown writes the table of a comparison.
+// Markdown writes the comparison as a Markdown table.
 func (c *Comparison) Markdown(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s against %s\n\n%d pairs of days, seeds %d to %d. The difference is that of the second less the first, with its 95 %% interval.\n\n",
@@ -215,18 +217,18 @@
 	var rows [][]string
 	for i := range c.Figures {
 		g := &c.Figures[i]
-		word := "no clear difference"
+		verdict := "no clear difference"
 		if g.Clear() {
-			word = "clear"
+			verdict = "clear"
 		}
-		rows = append(rows, []string{g.Name, f(g.MeanA), f(g.MeanB), fmt.Sprintf("%+.4f", g.Mean), "± " + f(g.Half), word})
+		rows = append(rows, []string{g.Name, f(g.MeanA), f(g.MeanB), fmt.Sprintf("%+.4f", g.Mean), "± " + f(g.Half), verdict})
 	}
 	table(&b, []string{"figure", "first", "second", "difference", "95 %", ""}, rows)
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-// Save writes results.json, table.md, table.csv and forest.svg into a folder.
+// Save writes results.json, table.md, table.csv and forest.svg into the directory dir.
 func (c *Comparison) Save(dir string) error {
 	return saveAll(dir, map[string]func(w io.Writer) error{
 		"results.json": func(w io.Writer) error {
@@ -255,14 +257,14 @@
 	return out.Error()
 }
 
-// forest draws the differences with their intervals.
+// forest writes a forest plot of the mean differences with their intervals as SVG.
 func (c *Comparison) forest(w io.Writer) error {
 	p := newChart(c.A+" against "+c.B, "difference, with its 95 % interval", "")
 	var names []string
 	var points plotter.XYs
 	var bars plotter.XErrors
 	for i := range c.Figures {
-		f := &c.Figures[len(c.Figures)-1-i] // the first one on top
+		f := &c.Figures[len(c.Figures)-1-i] // the first figure is at the top
 		names = append(names, f.Name)
 		points = append(points, plotter.XY{X: f.Mean, Y: float64(i)})
 		bars = append(bars, struct{ Low, High float64 }{-f.Half, f.Half})
@@ -287,5 +289,5 @@
 	zero.Color, zero.Dashes = color.Gray{100}, []vg.Length{vg.Points(3), vg.Points(3)}
 	p.Add(zero, errs, scatter)
 	p.NominalY(names...)
-	return writeSVG(p, w, chartWide, vg.Length(len(names)+3)*0.9*vg.Centimeter)
+	return writeSVG(p, w, chartWidth, vg.Length(len(names)+3)*0.9*vg.Centimeter)
 }
--- a/internal/lab/decisions.go
+++ b/internal/lab/decisions.go
@@ -15,22 +15,24 @@
 	"ospreyspan/balance"
 )
 
-// Decider drives a decision module alone, without sockets: a host that answers each probe at once and lets connections
-// stand for a while. It is for measuring what a request costs.
+// DecisionHarness drives a balance.Balancer without sockets in order to measure the cost of a
+// request. As the balancer's host it answers each probe at once and closes the oldest connection
+// when there are more than maxOpen.
 type Decider struct {
-	module *balance.Balancer
-	now    time.Time
-	next   balance.RequestID
-	stand  []balance.RequestID // oldest first
-	sent   balance.RequestID   // placed, and not told yet
-	probes []string
-	most   int
+	balancer *balance.Balancer
+	now      time.Time
+	lastID   balance.RequestID
+	open     []balance.RequestID // ids of open connections, oldest first
+	placed   balance.RequestID   // request that was just placed and not reported as established yet; 0: none
+	probes   []string            // backends whose probes are not answered yet
+	maxOpen  int                 // open connections beyond which the oldest one is closed
 }
 
-// NewDecider returns one with so many relays, on three sites, and as many standing connections as relays.
+// NewDecisionHarness returns a harness with the given number of relays, in three zones, and as many
+// open connections as relays, at least 30.
 func NewDecider(relays int) (*Decider, error) {
-	d := &Decider{now: time.Unix(1e9, 0), most: max(relays, 30)}
-	module, err := balance.New(balance.Config{
+	d := &Decider{now: time.Unix(1e9, 0), maxOpen: max(relays, 30)}
+	balancer, err := balance.New(balance.Config{
 		Relays: 3, Zone: "a", GroupAffinity: true, MaxAttempts: 5, MaxRetryAfter: 2 * time.Second, MayProbe: true, MayCancel: true,
 		Classes: []balance.Class{{SetupTarget: 800 * time.Millisecond, Worth: 3, MessageTarget: 60 * time.Millisecond}},
 		Rules: balance.Rules{
@@ -41,51 +43,52 @@
 	if err != nil {
 		return nil, err
 	}
-	d.module = module
-	module.Start(d.now)
+	d.balancer = balancer
+	balancer.Start(d.now)
 	list := make([]balance.Backend, relays)
 	for i := range list {
 		list[i] = balance.Backend{ID: fmt.Sprintf("relay-%05d", i), Zone: string("abc"[i%3]), Size: 1}
 	}
-	module.DiscoveryUpdate(d.now, balance.ListWhole, list)
-	for range 2 * d.most {
+	balancer.DiscoveryUpdate(d.now, balance.ListWhole, list)
+	for range 2 * d.maxOpen {
 		d.Request()
 	}
 	return d, nil
 }
 
-// Request takes one request through the module: its arrival, the probes that it causes, its placement, and the end of an
-// older connection.
+// Request takes one request through the balancer: its arrival, the probes that it causes, its
+// placement, and the end of the oldest connection.
 func (d *Decider) Request() {
 	d.now = d.now.Add(20 * time.Millisecond)
-	d.next++
-	d.sent = 0
-	d.module.Request(d.now, balance.Request{
-		ID: d.next, Key: "k", Group: "g" + strconv.Itoa(int(d.next)%97), Timeout: 4 * time.Second, Tenant: -1,
+	d.lastID++
+	d.placed = 0
+	d.balancer.Request(d.now, balance.Request{
+		ID: d.lastID, Key: "k", Group: "g" + strconv.Itoa(int(d.lastID)%97), Timeout: 4 * time.Second, Tenant: -1,
 	})
 	for len(d.probes) > 0 {
 		id := d.probes[len(d.probes)-1]
 		d.probes = d.probes[:len(d.probes)-1]
 		load := 0.3 + 0.2*float64(len(id)%7)/7
-		d.module.Probed(d.now, id, balance.OK, balance.Report{Load: load, CPU: load, Active: 20, Waiting: math.NaN(), Latency: math.NaN(), Rate: 1, Errors: math.NaN()})
+		d.balancer.Probed(d.now, id, balance.OK, balance.Report{Load: load, CPU: load, Active: 20, Waiting: math.NaN(), Latency: math.NaN(), Rate: 1, Errors: math.NaN()})
 	}
-	if d.sent != 0 {
-		d.module.Established(d.now, d.sent)
-		d.stand = append(d.stand, d.sent)
+	if d.placed != 0 {
+		d.balancer.Established(d.now, d.placed)
+		d.open = append(d.open, d.placed)
 	}
-	if len(d.stand) > d.most {
-		id := d.stand[0]
-		d.stand = d.stand[1:]
-		d.module.Finished(d.now, id, 0, true, balance.OK, balance.Report{Load: -1, CPU: -1})
+	if len(d.open) > d.maxOpen {
+		id := d.open[0]
+		d.open = d.open[1:]
+		d.balancer.Finished(d.now, id, 0, true, balance.OK, balance.Report{Load: -1, CPU: -1})
 	}
 }
 
-// Standing tells how many connections stand: a module that places none would be cheap.
-func (d *Decider) Standing() int { return len(d.stand) }
+// OpenConnections returns the number of open connections. A caller checks it because a balancer
+// that places no requests would measure as cheap.
+func (d *Decider) Standing() int { return len(d.open) }
 
-// The rest is balance.Host.
+// The methods below implement balance.Host.
 
-func (d *Decider) Send(id balance.RequestID, _ string, _ time.Duration) { d.sent = id }
+func (d *Decider) Send(id balance.RequestID, _ string, _ time.Duration) { d.placed = id }
 func (d *Decider) Refuse(balance.RequestID, time.Duration)              {}
 func (d *Decider) Fail(balance.RequestID)                               {}
 func (d *Decider) Cancel(balance.RequestID, int)                        {}
@@ -94,13 +97,15 @@
 func (d *Decider) Watch()                                               {}
 func (d *Decider) After(time.Duration, uint64)                          {}
 
-// Decision is what a request costs with so many relays.
+// DecisionCost is the mean time that the balancer takes for a request with the given number of
+// relays.
 type Decision struct {
 	Relays int
 	Cost   time.Duration
 }
 
-// Decisions measures the module's cost for a request at each number of relays, for about span each.
+// MeasureDecisions measures the cost of a request at each number of relays in sizes, for about span
+// each.
 func Decisions(sizes []int, span time.Duration) ([]Decision, error) {
 	var list []Decision
 	for _, n := range sizes {
@@ -121,7 +126,7 @@
 	return list, nil
 }
 
-// SaveDecisions writes decisions.md and decisions.svg into a folder.
+// SaveDecisions writes decisions.md and decisions.svg into the directory dir.
 func SaveDecisions(dir string, list []Decision) error {
 	return saveAll(dir, map[string]func(w io.Writer) error{
 		"decisions.md":  func(w io.Writer) error { return DecisionTable(w, list) },
@@ -129,7 +134,7 @@
 	})
 }
 
-// DecisionTable writes the measurements as a table.
+// DecisionTable writes the measurements as a Markdown table.
 func DecisionTable(w io.Writer, list []Decision) error {
 	var b strings.Builder
 	var rows [][]string
@@ -155,5 +160,5 @@
 	}
 	l.Color, l.Width, dots.Color, dots.Radius = palette[0], vg.Points(1.5), palette[0], vg.Points(3)
 	p.Add(l, dots)
-	return writeSVG(p, w, chartWide, chartHigh)
+	return writeSVG(p, w, chartWidth, chartHeight)
 }
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -75,22 +75,22 @@
 	}
 	t := &s.Traffic
 	d.traffic = fleet.Traffic{
-		Rate: t.Rate, Swing: t.Swing.Draw(r), Period: t.Period.Draw(r), Life: t.Life.Draw(r), GroupSize: t.Group.Draw(r),
-		GroupCost: s.Relays.Group, Every: t.Every, Retries: t.Retries, Backoff: t.Backoff, Honour: t.Honour.Draw(r),
+		Rate: t.Rate, Swing: t.Swing.Draw(r), Period: t.Period.Draw(r), Life: t.Life.Draw(r), GroupSize: t.GroupSize.Draw(r),
+		GroupCost: s.Relays.GroupCost, Every: t.MessagePeriod, Retries: t.Retries, Backoff: t.Backoff, Honour: t.HonourAdvice.Draw(r),
 		Rejoin: t.Rejoin, Impatient: t.Impatient.Draw(r),
 	}
 	d.skew, d.phase = s.Run.Skew.Draw(r), 2*math.Pi*r.Float64()
 	d.usual = 1 / s.Relays.PerCore.Draw(r)
-	d.same, d.jitter = s.Network.Same.Draw(r), s.Network.Jitter.Draw(r)
+	d.same, d.jitter = s.Network.SameSite.Draw(r), s.Network.Jitter.Draw(r)
 	for i, a := range s.Sites {
 		d.client[a] = s.Network.Client.Draw(r)
 		for _, b := range s.Sites[i+1:] {
-			w := s.Network.Cross.Draw(r)
+			w := s.Network.CrossSite.Draw(r)
 			d.cross[[2]string{a, b}], d.cross[[2]string{b, a}] = w, w
 		}
 	}
-	d.buffer, d.most = s.Relays.Buffer.Draw(r), s.Relays.Most.Draw(r)
-	d.noise, d.service = s.Relays.Noise.Draw(r), s.Relays.Service.Draw(r)
+	d.buffer, d.most = s.Relays.WorkBuffer.Draw(r), s.Relays.MaxPerCore.Draw(r)
+	d.noise, d.service = s.Relays.ReportNoise.Draw(r), s.Relays.MessageWork.Draw(r)
 	// Little's law gives how many are there at a time; so many groups have that many members.
 	life := 0.0
 	for _, c := range d.classes {
@@ -116,7 +116,7 @@
 	extra := 0
 	for _, t := range d.s.Faults {
 		if t.Kind == "grow" {
-			extra += t.Count * (t.Again + 1)
+			extra += t.Count * (t.Repeats + 1)
 		}
 	}
 	for i := range d.s.Relays.Count + extra {
@@ -125,7 +125,7 @@
 			x -= d.s.Kinds[k].Share
 		}
 		site := d.s.Sites[i%len(d.s.Sites)]
-		if lot := r.IntN(len(d.s.Sites)); r.Float64() < d.s.Relays.Spread {
+		if lot := r.IntN(len(d.s.Sites)); r.Float64() < d.s.Relays.RandomSites {
 			site = d.s.Sites[lot]
 		}
 		d.relays = append(d.relays, relayPlan{
@@ -181,25 +181,25 @@
 		aims = append(aims, us(c.Message))
 	}
 	discovery := "subscribe"
-	if s.Allow.Pushed {
+	if s.Permissions.ListsPushed {
 		discovery = "automatic"
 	}
 	return json.Marshal(object{
 		"Balancers": s.Proxies.Count, "Discovery": discovery, "Classes": classes,
 		"Domain": object{
-			"Groups": s.Relays.Group > 0, "TellsLoad": true, "TellsDelay": s.Relays.Clients, "MessageAimUs": aims,
+			"Groups": s.Relays.GroupCost > 0, "TellsLoad": true, "TellsDelay": s.Relays.TellsDelay, "MessageAimUs": aims,
 			"ReportX0": "load asked of the server over what it can do",
 		},
 		"Invariants": object{
-			"AskWithinUs": us(s.Allow.AskWithin), "ColdFrom": s.Rules.ColdFrom, "DrainGraceUs": us(s.Rules.DrainGrace),
+			"AskWithinUs": us(s.Permissions.AskWithin), "ColdFrom": s.Rules.ColdFrom, "DrainGraceUs": us(s.Rules.DrainGrace),
 			"FallUs": us(s.Rules.FallWithin), "TipMultiple": s.Rules.FallMultiple, "WarmWithinUs": us(s.Rules.WarmWithin),
 			"AnswerSlackUs": us(s.Rules.AnswerSlack),
 		},
 		"Permissions": object{
-			"AttemptsCap": s.Allow.Attempts, "Cancel": s.Allow.Cancel, "Probing": s.Allow.Probes, "DialTimeoutUs": us(s.Allow.Dial),
-			"ConnIdleUs": us(s.Allow.Idle), "RetryAfter": s.Allow.Advice > 0, "MaxRetryAfterUs": us(s.Allow.Advice),
+			"AttemptsCap": s.Permissions.Attempts, "Cancel": s.Permissions.Cancel, "Probing": s.Permissions.Probes, "DialTimeoutUs": us(s.Permissions.DialTimeout),
+			"ConnIdleUs": us(s.Permissions.ConnIdle), "RetryAfter": s.Permissions.MaxAdvice > 0, "MaxRetryAfterUs": us(s.Permissions.MaxAdvice),
 		},
-		"Prices": object{"CrossZone": s.Allow.Crossing},
+		"Prices": object{"CrossZone": s.Permissions.CrossingCost},
 		"Report": object{"Fields": []string{"util", "x0", "qps"}, "How": "pull"},
 	})
 }
@@ -241,14 +241,14 @@
 
 // relay is what a relay is made of.
 func (d *day) relay(p *relayPlan, cold bool, r *rand.Rand) fleet.RelayConfig {
-	errs := d.s.Relays.Errors
+	errs := d.s.Relays.ErrorShare
 	if p.kind.Errors.To > 0 {
 		errs = p.kind.Errors.Draw(r)
 	}
 	return fleet.RelayConfig{
 		ID: p.id, Site: p.site, Kind: p.kind.Name, Machine: d.machine(p, cold, r), Classes: d.classes,
-		Reports: fleet.Reports{Period: d.s.Relays.Period, Delay: d.s.Relays.Delay, Noise: d.noise, Work: d.s.Relays.Probe},
-		Usual:   d.usual, Group: d.s.Relays.Group, Most: int(d.most * float64(p.kind.Cores)), Buffer: d.buffer, Errors: errs, Leaving: d.s.Relays.Leaving,
+		Reports: fleet.Reports{Period: d.s.Relays.ReportPeriod, Delay: d.s.Relays.ReportDelay, Noise: d.noise, Work: d.s.Relays.ProbeWork},
+		Usual:   d.usual, Group: d.s.Relays.GroupCost, Most: int(d.most * float64(p.kind.Cores)), Buffer: d.buffer, Errors: errs, Leaving: d.s.Relays.DrainingFailsProbes,
 		Seed: d.seed,
 	}
 }
--- a/internal/lab/fuzz.go
+++ b/internal/lab/fuzz.go
@@ -28,7 +28,7 @@
 	inifile.Encode(&b, "discovery", s.Discovery, d.Discovery)
 	inifile.Encode(&b, "front", s.Front, d.Front)
 	inifile.Encode(&b, "rules", s.Rules, d.Rules)
-	inifile.Encode(&b, "allow", s.Allow, d.Allow)
+	inifile.Encode(&b, "allow", s.Permissions, d.Permissions)
 	kinds, classes := s.Kinds, s.Classes
 	if reflect.DeepEqual(kinds, defaultKinds()) {
 		kinds = nil
@@ -81,12 +81,12 @@
 	return fleet.Range{From: x, To: x}
 }
 
-// MakeScenario makes up a scenario from a seed.
-type MakeScenario func(seed uint64) *Scenario
+// ScenarioGenerator makes up a scenario from a seed.
+type ScenarioGenerator func(seed uint64) *Scenario
 
 // FuzzConfig are what Fuzz plays.
 type FuzzConfig struct {
-	Generate MakeScenario
+	Generate ScenarioGenerator
 	Set      []string // section.key=value pairs that go before what is made up
 }
 
@@ -95,9 +95,9 @@
 	return Parse(fmt.Sprintf("fuzz-%d.ini", seed), d.Generate(seed).Text(), d.Set...)
 }
 
-// MadeUp are the kinds of made-up days, by their names.
-func MadeUp() map[string]MakeScenario {
-	return map[string]MakeScenario{"any": Random, "throng": RandomThrong}
+// ScenarioGenerators are the kinds of made-up days, by their names.
+func ScenarioGenerators() map[string]ScenarioGenerator {
+	return map[string]ScenarioGenerator{"any": Random, "throng": RandomThrong}
 }
 
 // Random makes up a scenario: a small fleet, and a few troubles of any kind that may overlap in any way.
@@ -107,7 +107,7 @@
 	s := defaults()
 	s.Kinds, s.Classes = defaultKinds(), defaultClasses()
 	s.Name = fmt.Sprintf("fuzz-%d", seed)
-	s.Run.Text = "made up"
+	s.Run.About = "made up"
 	s.Run.Length, s.Run.WarmUp = span(12*time.Second, 30*time.Second).From, span(3*time.Second, 8*time.Second).From
 	s.Sites = s.Run.Sites[:1+r.IntN(3)]
 	s.Run.Sites = s.Sites
@@ -121,7 +121,7 @@
 		s.Network.Loss = one(0, 0.02).From
 	}
 	if r.IntN(3) == 0 {
-		s.Proxies.Sockets = 100 + r.IntN(400)
+		s.Proxies.MaxDescriptors = 100 + r.IntN(400)
 	}
 	if r.IntN(4) == 0 {
 		s.Waves = append(s.Waves, Wave{Name: "surge", At: span(4*time.Second, 15*time.Second), For: span(time.Second, 6*time.Second), Times: one(3, 10)})
@@ -156,9 +156,9 @@
 			c.GiveUp = span(c.SetUp, c.GiveUp).From
 		}
 	}
-	s.Allow.Cancel, s.Allow.Probes, s.Allow.Pushed = r.IntN(3) > 0, r.IntN(6) > 0, r.IntN(4) == 0
+	s.Permissions.Cancel, s.Permissions.Probes, s.Permissions.ListsPushed = r.IntN(3) > 0, r.IntN(6) > 0, r.IntN(4) == 0
 	if r.IntN(3) == 0 { // connections that take long to come up, and are waited for
-		s.Allow.Dial = span(300*time.Millisecond, 1200*time.Millisecond).From
+		s.Permissions.DialTimeout = span(300*time.Millisecond, 1200*time.Millisecond).From
 		part := round(fleet.Range{From: 0.2, To: 0.8}.Draw(r))
 		s.Faults = append(s.Faults, Fault{
 			Name: "late", Kind: "late-connects", For: fleet.Spans{From: s.Run.Length, To: s.Run.Length},
@@ -192,7 +192,7 @@
 	case "partition":
 		t.Sites = []string{s.Sites[r.IntN(len(s.Sites))]}
 	case "stall":
-		t.For, t.Again, t.After = span(20*time.Millisecond, 900*time.Millisecond), r.IntN(4), span(second, 4*second)
+		t.For, t.Repeats, t.RepeatAfter = span(20*time.Millisecond, 900*time.Millisecond), r.IntN(4), span(second, 4*second)
 	case "late-clock":
 		t.Away = span(5*time.Millisecond, 400*time.Millisecond)
 	case "descriptors":
@@ -336,11 +336,15 @@
 		try(func(c *Scenario) bool { c.Waves = slices.Delete(c.Waves, i, i+1); return true })
 	}
 	for i := range s.Faults {
-		try(func(c *Scenario) bool { t := &c.Faults[i]; was := t.Again; t.Again = 0; return was > 0 })
+		try(func(c *Scenario) bool { t := &c.Faults[i]; was := t.Repeats; t.Repeats = 0; return was > 0 })
 	}
 	try(func(c *Scenario) bool { was := c.Network.Loss; c.Network.Loss = 0; return was > 0 })
 	try(func(c *Scenario) bool { was := c.Proxies.EventCost; c.Proxies.EventCost = 0; return was > 0 })
-	try(func(c *Scenario) bool { was := c.Proxies.Sockets; c.Proxies.Sockets = 1024; return was != 1024 })
+	try(func(c *Scenario) bool {
+		was := c.Proxies.MaxDescriptors
+		c.Proxies.MaxDescriptors = 1024
+		return was != 1024
+	})
 	for _, by := range []int{2, 1} {
 		less := func(n *int) bool {
 			was := *n
--- a/internal/lab/growth.go
+++ b/internal/lab/growth.go
@@ -133,5 +133,5 @@
 		p.Add(l, dots)
 		p.Legend.Add(name, l)
 	}
-	return writeSVG(p, w, chartWide, chartHigh)
+	return writeSVG(p, w, chartWidth, chartHeight)
 }
--- a/internal/lab/hard_test.go
+++ b/internal/lab/hard_test.go
@@ -158,7 +158,7 @@
 	s := must(t, "[run]\nlength = 15s\nwarm_up = 5s\n[relays]\ndrain_notice = 3s..3s\nerrors = 0\n[kind a]\n"+
 		"[trouble drains]\nkind = drain\nat = 1s\ncount = 5\nevery = 1s\nfor = 6s\naway = 1s\n")
 	as := play(t, s, 8).Counters
-	fails := play(t, s.with(func(s *Scenario) { s.Relays.Leaving = true }), 8).Counters
+	fails := play(t, s.with(func(s *Scenario) { s.Relays.DrainingFailsProbes = true }), 8).Counters
 	if as.ProbesRefused > 0 || fails.ProbesRefused < 10 {
 		t.Errorf("%d probes were answered with an error, where they are to be %d", as.ProbesRefused, fails.ProbesRefused)
 	}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -117,7 +117,7 @@
 
 // A scenario survives being written and read: what Fuzz finds is repeated from its file.
 func TestTextRepeats(t *testing.T) {
-	for name, makeUp := range MadeUp() {
+	for name, makeUp := range ScenarioGenerators() {
 		for seed := range uint64(30) {
 			s := makeUp(seed)
 			again := must(t, s.Text())
--- a/internal/lab/news.go
+++ b/internal/lab/news.go
@@ -23,8 +23,8 @@
 	return n.host.Start(func(k poll.Kernel) (func() error, error) {
 		loop := n.on(k, s)
 		c := fleet.DiscoveryConfig{
-			Call: s.s.Discovery.Call, Line: s.s.Discovery.Line, Timeout: s.s.Discovery.Timeout,
-			Resets: s.s.Discovery.Resets,
+			Call: s.s.Discovery.CallTime, Line: s.s.Discovery.LineTime, Timeout: s.s.Discovery.Timeout,
+			Resets: s.s.Discovery.ResetShare,
 		}
 		d, err := fleet.NewDiscovery(loop, netip.AddrPortFrom(n.host.Addr(), discoveryPort), c, s.registry, s.ledger)
 		if err != nil {
@@ -53,7 +53,7 @@
 // agents takes down, where lists are pushed, that all proxies were told what discovery has, whether or not they asked. One that can't be
 // reached, or whose news may be held up on its way, is not counted: what reaches it then counts when it arrives.
 func (s *stage) agents(after time.Duration) {
-	if !s.s.Allow.Pushed || s.judge == nil || s.s.Network.Loss > 0 {
+	if !s.s.Permissions.ListsPushed || s.judge == nil || s.s.Network.Loss > 0 {
 		return
 	}
 	s.after(after, func() {
--- a/internal/lab/newsclock.go
+++ b/internal/lab/newsclock.go
@@ -70,12 +70,12 @@
 	idle          bool          // a call was answered, and no other made
 }
 
-func newNewsClock(w *vnet.World, rules *Rules, allow *Allow) *newsClock {
+func newNewsClock(w *vnet.World, rules *Rules, allow *Permissions) *newsClock {
 	n := &newsClock{
 		world: w, newsWithin: rules.NewsWithin, askWithin: allow.AskWithin, callers: make(map[netip.Addr]*caller),
 		changes: make(map[string]listChange), gone: make(map[notice]time.Time), started: make(map[notice]int64),
 	}
-	if allow.Pushed { // all that discovery has counts as told at once
+	if allow.ListsPushed { // all that discovery has counts as told at once
 		n.newsWithin = 0
 	}
 	return n
--- a/internal/lab/newsclock_test.go
+++ b/internal/lab/newsclock_test.go
@@ -39,7 +39,7 @@
 // The clock tells calls that are answered from such that fail, by the bytes alone.
 func TestCallsOnTheWire(t *testing.T) {
 	w := vnet.New(1, func(_, _ *vnet.Host) vnet.Link { return vnet.Link{} })
-	n := newNewsClock(w, &Rules{NewsWithin: 6 * time.Second}, &Allow{AskWithin: 10 * time.Second})
+	n := newNewsClock(w, &Rules{NewsWithin: 6 * time.Second}, &Permissions{AskWithin: 10 * time.Second})
 	proxy := at(0, atProxy, 1)
 	n.begins(proxy)
 	c, d := n.callers[proxy], &discoveryConn{}
@@ -127,7 +127,7 @@
 // A server that drains counts as told by the clock, until it runs anew.
 func TestClockUntilTheServerReturns(t *testing.T) {
 	w := vnet.New(1, func(_, _ *vnet.Host) vnet.Link { return vnet.Link{} })
-	n := newNewsClock(w, &Rules{NewsWithin: 6 * time.Second}, &Allow{AskWithin: 10 * time.Second})
+	n := newNewsClock(w, &Rules{NewsWithin: 6 * time.Second}, &Permissions{AskWithin: 10 * time.Second})
 	proxy := at(0, atProxy, 1)
 	n.begins(proxy)
 	n.look(proxy, true)
--- a/internal/lab/proxies.go
+++ b/internal/lab/proxies.go
@@ -31,7 +31,7 @@
 	site := i % len(s.s.Sites)
 	name := fmt.Sprintf("proxy-%03d", i)
 	h := s.machine(name, at(site, atProxy, i), vnet.Limits{
-		Descriptors: s.s.Proxies.Sockets, EventCost: s.s.Proxies.EventCost,
+		Descriptors: s.s.Proxies.MaxDescriptors, EventCost: s.s.Proxies.EventCost,
 	})
 	s.is(h, roleProxy, "")
 	p := &proxyNode{name: name, site: s.s.Sites[site], host: h, rng: stream(s.seed, "proxy "+name)}
@@ -50,7 +50,7 @@
 	}
 	c := instance.Config{
 		Name: p.name, Listen: p.addr(), Discovery: netip.AddrPortFrom(s.discovery.host.Addr(), discoveryPort),
-		Seed: p.rng.Uint64(), MaxDescriptors: s.s.Proxies.Sockets, KnownList: s.known(), Settings: set, Tuning: s.s.Tuning(),
+		Seed: p.rng.Uint64(), MaxDescriptors: s.s.Proxies.MaxDescriptors, KnownList: s.known(), Settings: set, Tuning: s.s.Tuning(),
 		Log: log.New(logTo{s, p.name}, "", 0),
 	}
 	if c.Fleet, err = s.shares(p); err != nil {
@@ -85,7 +85,7 @@
 		return vnet.ErrExit
 	}
 	if now := s.world.Now(); !now.Before(p.audit) {
-		p.audit = now.Add(s.s.Run.Audit)
+		p.audit = now.Add(s.s.Run.AuditPeriod)
 		s.judge.audit(p.name, inst.Audit())
 	}
 	return nil
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -261,7 +261,7 @@
 	}
 	text, err := json.Marshal(map[string]any{
 		"name": p.name, "listen": p.addr().String(), "discovery": netip.AddrPortFrom(s.discovery.host.Addr(), discoveryPort).String(),
-		"seed": fmt.Sprintf("%x", p.rng.Uint64()), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": s.s.Proxies.Sockets},
+		"seed": fmt.Sprintf("%x", p.rng.Uint64()), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": s.s.Proxies.MaxDescriptors},
 		"known": map[string]any{"seq": 0, "whole": true, "hosts": hosts}, "settings": json.RawMessage(settings),
 	})
 	if err != nil {
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -45,7 +45,7 @@
 		}
 	}
 	p.Y.Max *= math.Pow(legendRoom, float64(len(curves)))
-	return writeSVG(p, w, chartWide, chartHigh)
+	return writeSVG(p, w, chartWidth, chartHeight)
 }
 
 // legendRoom is the factor by which the logarithmic axis is longer for each line of the legend, so that no curve is hidden.
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -108,7 +108,7 @@
 func (s *stage) result() *Result {
 	l := s.ledger
 	r := &Result{
-		Scenario: s.s.Name, About: s.s.Run.Text, Seed: s.seed, Length: s.s.Run.Length.Seconds(), WarmUp: s.s.Run.WarmUp.Seconds(),
+		Scenario: s.s.Name, About: s.s.Run.About, Seed: s.seed, Length: s.s.Run.Length.Seconds(), WarmUp: s.s.Run.WarmUp.Seconds(),
 		Proxies: len(s.proxies), Relays: len(s.nodes), Goal: round(l.Goal()), Service: round(l.Service(-1, 0, l.Seconds())),
 		Clients: l.Count, Counters: s.ended,
 	}
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -16,43 +16,43 @@
 
 // Scenario is what a scenario file says. Its figures may be ranges, from which a day draws.
 type Scenario struct {
-	Name      string
-	Run       Run
-	Sites     []string
-	Proxies   Proxies
-	Relays    Relays
-	Kinds     []fleet.Kind
-	Classes   []Class
-	Network   Network
-	Traffic   Traffic
-	Waves     []Wave
-	Discovery Discovery
-	Front     Front
-	Rules     Rules
-	Allow     Allow
-	Faults    []Fault
+	Name        string
+	Run         Run
+	Sites       []string
+	Proxies     Proxies
+	Relays      Relays
+	Kinds       []fleet.Kind
+	Classes     []Class
+	Network     Network
+	Traffic     Traffic
+	Waves       []Wave
+	Discovery   Discovery
+	Front       Front
+	Rules       Rules
+	Permissions Permissions
+	Faults      []Fault
 }
 
 // Run is how long a day takes and what of it counts.
 type Run struct {
-	Length   time.Duration `ini:"length" above:"0" max:"3600"`
-	WarmUp   time.Duration `ini:"warm_up"`              // before that
-	CoolDown time.Duration `ini:"cool_down"`            // after it, without clients: what was taken must be given back
-	Audit    time.Duration `ini:"audit"`                // between two looks at a proxy's books; 0: after every turn
-	Text     string        `ini:"about"`                // what the scenario is for
-	Sites    []string      `ini:"sites"`                // where proxies, relays and clients are
-	Skew     fleet.Range   `ini:"skew" min:"0" max:"1"` // part of the traffic that is moved to the first site
+	Length      time.Duration `ini:"length" above:"0" max:"3600"`
+	WarmUp      time.Duration `ini:"warm_up"`              // before that
+	CoolDown    time.Duration `ini:"cool_down"`            // after it, without clients: what was taken must be given back
+	AuditPeriod time.Duration `ini:"audit"`                // between two looks at a proxy's books; 0: after every turn
+	About       string        `ini:"about"`                // what the scenario is for
+	Sites       []string      `ini:"sites"`                // where proxies, relays and clients are
+	Skew        fleet.Range   `ini:"skew" min:"0" max:"1"` // part of the traffic that is moved to the first site
 }
 
 // Proxies are the instances of the program.
 type Proxies struct {
-	Count        int           `ini:"count" min:"1" max:"1000"`
-	Sockets      int           `ini:"sockets" min:"0"` // descriptors of each; 0: without limit
-	EventCost    time.Duration `ini:"event_cost"`      // of the processor, for each event of the loop
-	AnswerMargin time.Duration `ini:"answer_margin" above:"0"`
-	SilentAfter  time.Duration `ini:"silent_after" min:"0.01"`
-	MovesSpan    time.Duration `ini:"moves_span" min:"0.02"`
-	MovesDone    time.Duration `ini:"moves_done" min:"0.35"`
+	Count          int           `ini:"count" min:"1" max:"1000"`
+	MaxDescriptors int           `ini:"sockets" min:"0"` // descriptors of each; 0: without limit
+	EventCost      time.Duration `ini:"event_cost"`      // of the processor, for each event of the loop
+	AnswerMargin   time.Duration `ini:"answer_margin" above:"0"`
+	SilentAfter    time.Duration `ini:"silent_after" min:"0.01"`
+	MovesSpan      time.Duration `ini:"moves_span" min:"0.02"`
+	MovesDone      time.Duration `ini:"moves_done" min:"0.35"`
 	// Keepers is how many of the proxies agree on who owns the fleet's duties, 3 or 5; 0: proxies share nothing.
 	Keepers int      `ini:"keepers" min:"0" max:"5"`
 	Duties  []string `ini:"duties"` // with keepers, what all of them take: discovery, probes, moves
@@ -66,29 +66,29 @@
 	// BadLinks has what real processes say to each other led over links that lose, delay, repeat and cut one way. Needs keepers.
 	BadLinks bool `ini:"bad_links"`
 	// Verdicts says that the proxies judge relays by what all of them saw. Needs keepers.
-	Verdicts bool    `ini:"verdicts"`
-	PerS     float64 `ini:"moves_per_second" min:"0"` // at which the owner of moves paces them; 0: nobody does
+	Verdicts       bool    `ini:"verdicts"`
+	MovesPerSecond float64 `ini:"moves_per_second" min:"0"` // at which the owner of moves paces them; 0: nobody does
 }
 
 // Relays are the egress targets.
 type Relays struct {
-	Count   int         `ini:"count" min:"1" max:"10000"`
-	PerCore fleet.Range `ini:"per_core" above:"0"`     // usual connections that fill a standard core
-	Most    fleet.Range `ini:"most_per_core" min:"0"`  // connections that a core of a relay holds at the most; 0: any number
-	Buffer  fleet.Spans `ini:"buffer"`                 // work that may pile up before connections are dropped
-	Service fleet.Spans `ini:"message_work" above:"0"` // of a message, on a standard core
-	Group   float64     `ini:"group_cost" min:"0"`     // usual loads for each group that a relay holds any of
-	Period  fleet.Spans `ini:"report_every" above:"0"` // between two load reports
-	Delay   fleet.Spans `ini:"report_late"`            // until one can be read
-	Noise   fleet.Range `ini:"report_noise" min:"0"`   // relative
-	Probe   fleet.Spans `ini:"probe_work"`             // on a standard core
-	Return  fleet.Spans `ini:"return_notice"`          // until discovery names one that has started
-	Notice  fleet.Spans `ini:"drain_notice"`           // until it tells that one drains or was stopped
-	Silent  fleet.Spans `ini:"silent_notice"`          // until it drops one that fell silent
-	Errors  float64     `ini:"errors" min:"0" max:"1"` // part of the connections answered with an error, where a kind gives none
-	Spread  float64     `ini:"spread" min:"0" max:"1"` // part of the relays that are placed on sites by lot
-	Leaving bool        `ini:"draining_fails_probes"`  // one that drains answers probes with an error; else as one that serves
-	Clients bool        `ini:"tell_delay"`             // the proxies are told to watch how long messages take
+	Count               int         `ini:"count" min:"1" max:"10000"`
+	PerCore             fleet.Range `ini:"per_core" above:"0"`     // usual connections that fill a standard core
+	MaxPerCore          fleet.Range `ini:"most_per_core" min:"0"`  // connections that a core of a relay holds at the most; 0: any number
+	WorkBuffer          fleet.Spans `ini:"buffer"`                 // work that may pile up before connections are dropped
+	MessageWork         fleet.Spans `ini:"message_work" above:"0"` // of a message, on a standard core
+	GroupCost           float64     `ini:"group_cost" min:"0"`     // usual loads for each group that a relay holds any of
+	ReportPeriod        fleet.Spans `ini:"report_every" above:"0"` // between two load reports
+	ReportDelay         fleet.Spans `ini:"report_late"`            // until one can be read
+	ReportNoise         fleet.Range `ini:"report_noise" min:"0"`   // relative
+	ProbeWork           fleet.Spans `ini:"probe_work"`             // on a standard core
+	StartNotice         fleet.Spans `ini:"return_notice"`          // until discovery names one that has started
+	DrainNotice         fleet.Spans `ini:"drain_notice"`           // until it tells that one drains or was stopped
+	SilenceNotice       fleet.Spans `ini:"silent_notice"`          // until it drops one that fell silent
+	ErrorShare          float64     `ini:"errors" min:"0" max:"1"` // part of the connections answered with an error, where a kind gives none
+	RandomSites         float64     `ini:"spread" min:"0" max:"1"` // part of the relays that are placed on sites by lot
+	DrainingFailsProbes bool        `ini:"draining_fails_probes"`  // one that drains answers probes with an error; else as one that serves
+	TellsDelay          bool        `ini:"tell_delay"`             // the proxies are told to watch how long messages take
 }
 
 // Class is fleet.Class as the file has it.
@@ -112,8 +112,8 @@
 
 // Network is the way between the machines, one way.
 type Network struct {
-	Same      fleet.Spans `ini:"same_site"`
-	Cross     fleet.Spans `ini:"cross_site"`
+	SameSite  fleet.Spans `ini:"same_site"`
+	CrossSite fleet.Spans `ini:"cross_site"`
 	Client    fleet.Spans `ini:"client"`                 // from a client's machine to its site
 	Jitter    fleet.Range `ini:"jitter" min:"0" max:"2"` // part of a delay that is added at the most
 	Loss      float64     `ini:"loss" min:"0" max:"0.9"`
@@ -122,17 +122,17 @@
 
 // Traffic is fleet.Traffic as the file has it.
 type Traffic struct {
-	Rate      float64       `ini:"rate" min:"0"` // new clients a second, at all sites
-	Swing     fleet.Range   `ini:"swing" min:"0" max:"1"`
-	Period    fleet.Spans   `ini:"period" above:"0"`
-	Life      fleet.Spans   `ini:"life" above:"0"`
-	Group     fleet.Range   `ini:"group_size" above:"0"`
-	Every     time.Duration `ini:"message_every" above:"0"`
-	Retries   int           `ini:"retries" min:"0" max:"20"`
-	Backoff   fleet.Spans   `ini:"backoff" above:"0"`
-	Honour    fleet.Range   `ini:"honour" min:"0" max:"1"`
-	Rejoin    fleet.Spans   `ini:"rejoin" above:"0"`
-	Impatient fleet.Range   `ini:"impatient" min:"0" max:"1"`
+	Rate          float64       `ini:"rate" min:"0"` // new clients a second, at all sites
+	Swing         fleet.Range   `ini:"swing" min:"0" max:"1"`
+	Period        fleet.Spans   `ini:"period" above:"0"`
+	Life          fleet.Spans   `ini:"life" above:"0"`
+	GroupSize     fleet.Range   `ini:"group_size" above:"0"`
+	MessagePeriod time.Duration `ini:"message_every" above:"0"`
+	Retries       int           `ini:"retries" min:"0" max:"20"`
+	Backoff       fleet.Spans   `ini:"backoff" above:"0"`
+	HonourAdvice  fleet.Range   `ini:"honour" min:"0" max:"1"`
+	Rejoin        fleet.Spans   `ini:"rejoin" above:"0"`
+	Impatient     fleet.Range   `ini:"impatient" min:"0" max:"1"`
 }
 
 // Wave is a time in which more clients come, or fewer.
@@ -146,17 +146,17 @@
 
 // Discovery is the service that names the relays.
 type Discovery struct {
-	Call    time.Duration `ini:"call"`
-	Line    time.Duration `ini:"line"`
-	Timeout time.Duration `ini:"timeout"`
-	Resets  float64       `ini:"resets" min:"0" max:"1"` // part of the calls that waited too long whose connection is reset
+	CallTime   time.Duration `ini:"call"`
+	LineTime   time.Duration `ini:"line"`
+	Timeout    time.Duration `ini:"timeout"`
+	ResetShare float64       `ini:"resets" min:"0" max:"1"` // part of the calls that waited too long whose connection is reset
 }
 
 // Front hands clients to proxies.
 type Front struct {
-	Every  time.Duration `ini:"every" above:"0"`
-	Notice fleet.Spans   `ini:"notice"`
-	Late   fleet.Spans   `ini:"late_clients"` // how long clients still come to a proxy that was told to stop
+	CheckPeriod time.Duration `ini:"every" above:"0"`
+	Notice      fleet.Spans   `ini:"notice"`
+	LateClients fleet.Spans   `ini:"late_clients"` // how long clients still come to a proxy that was told to stop
 }
 
 // Rules are what runs are judged by, and what proxies are told of it.
@@ -173,33 +173,33 @@
 }
 
 // Allow is what proxies may do.
-type Allow struct {
-	Attempts  int           `ini:"attempts" min:"0"`
-	Dial      time.Duration `ini:"dial" above:"0"`
-	Idle      time.Duration `ini:"idle"`
-	AskWithin time.Duration `ini:"ask_within" above:"0"`
-	Advice    time.Duration `ini:"advice"`
-	Crossing  float64       `ini:"crossing" min:"0"`
-	Cancel    bool          `ini:"cancel"` // giving up a hop that may run
-	Probes    bool          `ini:"probes"`
-	Pushed    bool          `ini:"pushed"` // lists are pushed: what discovery has counts as told, asked or not
+type Permissions struct {
+	Attempts     int           `ini:"attempts" min:"0"`
+	DialTimeout  time.Duration `ini:"dial" above:"0"`
+	ConnIdle     time.Duration `ini:"idle"`
+	AskWithin    time.Duration `ini:"ask_within" above:"0"`
+	MaxAdvice    time.Duration `ini:"advice"`
+	CrossingCost float64       `ini:"crossing" min:"0"`
+	Cancel       bool          `ini:"cancel"` // giving up a hop that may run
+	Probes       bool          `ini:"probes"`
+	ListsPushed  bool          `ini:"pushed"` // lists are pushed: what discovery has counts as told, asked or not
 }
 
 // Fault is something that goes wrong.
 type Fault struct {
-	Name  string
-	Kind  string        `ini:"kind" one:"silence, slow, failing, relimit, neighbour, costly, drain, lose, grow, proxy-restart, proxy-kill, partition, isolate, stall, late-clock, descriptors, ports, rude, late-connects, leaving, discovery-down, discovery-hang, discovery-late, discovery-queue, watches-silent"`
-	At    fleet.Spans   `ini:"at"`
-	For   fleet.Spans   `ini:"for"`
-	Part  fleet.Range   `ini:"part" min:"0" max:"1"` // of the relays, proxies or connections
-	Count int           `ini:"count" min:"0"`        // in place of part
-	Size  fleet.Range   `ini:"size" min:"0"`         // times as slow, times as costly, share of the machine, descriptors, clients a second
-	Away  fleet.Spans   `ini:"away"`                 // until what was stopped starts again
-	Every time.Duration `ini:"every"`                // between one proxy's or relay's turn and the next's
-	Class string        `ini:"class"`
-	Sites []string      `ini:"sites"`
-	Again int           `ini:"again" min:"0" max:"100"` // further times
-	After fleet.Spans   `ini:"after"`                   // between these
+	Name        string
+	Kind        string        `ini:"kind" one:"silence, slow, failing, relimit, neighbour, costly, drain, lose, grow, proxy-restart, proxy-kill, partition, isolate, stall, late-clock, descriptors, ports, rude, late-connects, leaving, discovery-down, discovery-hang, discovery-late, discovery-queue, watches-silent"`
+	At          fleet.Spans   `ini:"at"`
+	For         fleet.Spans   `ini:"for"`
+	Part        fleet.Range   `ini:"part" min:"0" max:"1"` // of the relays, proxies or connections
+	Count       int           `ini:"count" min:"0"`        // in place of part
+	Size        fleet.Range   `ini:"size" min:"0"`         // times as slow, times as costly, share of the machine, descriptors, clients a second
+	Away        fleet.Spans   `ini:"away"`                 // until what was stopped starts again
+	Every       time.Duration `ini:"every"`                // between one proxy's or relay's turn and the next's
+	Class       string        `ini:"class"`
+	Sites       []string      `ini:"sites"`
+	Repeats     int           `ini:"again" min:"0" max:"100"` // further times
+	RepeatAfter fleet.Spans   `ini:"after"`                   // between these
 }
 
 // defaults are the figures of a calm day, from the ranges that were seen in service.
@@ -208,30 +208,30 @@
 	t := proxy.DefaultTuning()
 	return Scenario{
 		Run:     Run{Length: 55 * s, WarmUp: 30 * s, CoolDown: 10 * s, Sites: []string{"winterthur", "lausanne", "chur"}, Skew: fleet.Range{From: 0.1, To: 0.25}},
-		Proxies: Proxies{Count: 3, Sockets: 1024, AnswerMargin: t.AnswerMargin, SilentAfter: t.SilentAfter, MovesSpan: t.MovesSpan, MovesDone: t.MovesDone},
+		Proxies: Proxies{Count: 3, MaxDescriptors: 1024, AnswerMargin: t.AnswerMargin, SilentAfter: t.SilentAfter, MovesSpan: t.MovesSpan, MovesDone: t.MovesDone},
 		Relays: Relays{
-			Count: 10, PerCore: fleet.Range{From: 8.1, To: 21}, Most: fleet.Range{From: 50, To: 75}, Buffer: fleet.Spans{From: s / 2, To: 3 * s},
-			Service: fleet.Spans{From: 2 * ms, To: 7 * ms}, Group: 3,
-			Period: fleet.Spans{From: 43 * ms, To: 370 * ms}, Delay: fleet.Spans{From: 19 * ms, To: 140 * ms}, Noise: fleet.Range{From: 0.08, To: 0.18},
-			Probe:  fleet.Spans{From: 1100 * time.Microsecond, To: 2300 * time.Microsecond},
-			Return: fleet.Spans{From: 1100 * ms, To: 2400 * ms}, Notice: fleet.Spans{From: 580 * ms, To: 3500 * ms},
-			Silent: fleet.Spans{From: 6600 * ms, To: 12 * s}, Spread: 0.5, Clients: true,
+			Count: 10, PerCore: fleet.Range{From: 8.1, To: 21}, MaxPerCore: fleet.Range{From: 50, To: 75}, WorkBuffer: fleet.Spans{From: s / 2, To: 3 * s},
+			MessageWork: fleet.Spans{From: 2 * ms, To: 7 * ms}, GroupCost: 3,
+			ReportPeriod: fleet.Spans{From: 43 * ms, To: 370 * ms}, ReportDelay: fleet.Spans{From: 19 * ms, To: 140 * ms}, ReportNoise: fleet.Range{From: 0.08, To: 0.18},
+			ProbeWork:   fleet.Spans{From: 1100 * time.Microsecond, To: 2300 * time.Microsecond},
+			StartNotice: fleet.Spans{From: 1100 * ms, To: 2400 * ms}, DrainNotice: fleet.Spans{From: 580 * ms, To: 3500 * ms},
+			SilenceNotice: fleet.Spans{From: 6600 * ms, To: 12 * s}, RandomSites: 0.5, TellsDelay: true,
 		},
 		Network: Network{
-			Same: fleet.Spans{From: 180 * time.Microsecond, To: 320 * time.Microsecond}, Cross: fleet.Spans{From: 5600 * time.Microsecond, To: 10 * ms},
+			SameSite: fleet.Spans{From: 180 * time.Microsecond, To: 320 * time.Microsecond}, CrossSite: fleet.Spans{From: 5600 * time.Microsecond, To: 10 * ms},
 			Client: fleet.Spans{From: 290 * time.Microsecond, To: 950 * time.Microsecond}, Jitter: fleet.Range{From: 0.05, To: 0.35},
 		},
 		Traffic: Traffic{
 			Rate: 5.1, Swing: fleet.Range{From: 0.2, To: 0.4}, Period: fleet.Spans{From: 15 * s, To: 40 * s}, Life: fleet.Spans{From: 22 * s, To: 48 * s},
-			Group: fleet.Range{From: 32, To: 59}, Every: 2 * s, Retries: 2, Backoff: fleet.Spans{From: 16 * ms, To: 130 * ms},
-			Honour: fleet.Range{From: 0.63, To: 0.92}, Rejoin: fleet.Spans{From: 67 * ms, To: 1100 * ms}, Impatient: fleet.Range{To: 0.03},
+			GroupSize: fleet.Range{From: 32, To: 59}, MessagePeriod: 2 * s, Retries: 2, Backoff: fleet.Spans{From: 16 * ms, To: 130 * ms},
+			HonourAdvice: fleet.Range{From: 0.63, To: 0.92}, Rejoin: fleet.Spans{From: 67 * ms, To: 1100 * ms}, Impatient: fleet.Range{To: 0.03},
 		},
-		Discovery: Discovery{Call: 4 * ms, Line: ms / 4, Timeout: s},
-		Front:     Front{Every: 500 * ms, Notice: fleet.Spans{From: 1300 * ms, To: 3300 * ms}, Late: fleet.Spans{From: 200 * ms, To: 400 * ms}},
+		Discovery: Discovery{CallTime: 4 * ms, LineTime: ms / 4, Timeout: s},
+		Front:     Front{CheckPeriod: 500 * ms, Notice: fleet.Spans{From: 1300 * ms, To: 3300 * ms}, LateClients: fleet.Spans{From: 200 * ms, To: 400 * ms}},
 		Rules: Rules{
 			AnswerSlack: 50 * ms, DrainGrace: 500 * ms, ColdFrom: 0.13, WarmWithin: 24 * s, FallMultiple: 3, FallWithin: 1500 * ms, NewsWithin: 6 * s,
 		},
-		Allow: Allow{Attempts: 5, Dial: 200 * ms, Idle: 60 * s, AskWithin: 10 * s, Advice: 2 * s, Crossing: 0.022, Cancel: true, Probes: true},
+		Permissions: Permissions{Attempts: 5, DialTimeout: 200 * ms, ConnIdle: 60 * s, AskWithin: 10 * s, MaxAdvice: 2 * s, CrossingCost: 0.022, Cancel: true, Probes: true},
 	}
 }
 
@@ -305,7 +305,7 @@
 	f.Decode("discovery", &s.Discovery)
 	f.Decode("front", &s.Front)
 	f.Decode("rules", &s.Rules)
-	f.Decode("allow", &s.Allow)
+	f.Decode("allow", &s.Permissions)
 	for _, n := range f.Kind("kind") {
 		k := kind{Share: 1, Cores: 1, Speed: fleet.Range{From: 1, To: 1}, ColdFrom: fleet.Range{From: 0.2, To: 0.2}, Cold: fleet.Spans{From: 15 * time.Second, To: 15 * time.Second}}
 		f.Decode("kind "+n, &k)
@@ -374,7 +374,7 @@
 	if (t.Kind == "failing" || t.Kind == "late-connects" || t.Kind == "leaving") && t.Size.To > 1 {
 		f.Complain(section, "size", "more than all")
 	}
-	if t.Again > 0 && t.After.To <= 0 {
+	if t.Repeats > 0 && t.RepeatAfter.To <= 0 {
 		f.Complain(section, "again", "needs after: the time between")
 	}
 	return t
@@ -414,8 +414,8 @@
 	if least > 1.02 || most < 0.98 {
 		f.Complain("class "+s.Classes[0].Name, "share", "the classes' shares add up to %.3f..%.3f, without 1", least, most)
 	}
-	if s.Proxies.Sockets > 0 && s.Proxies.Sockets < 100 {
-		f.Complain("proxies", "sockets", "%d: fewer than 100, which a proxy keeps free for itself", s.Proxies.Sockets)
+	if s.Proxies.MaxDescriptors > 0 && s.Proxies.MaxDescriptors < 100 {
+		f.Complain("proxies", "sockets", "%d: fewer than 100, which a proxy keeps free for itself", s.Proxies.MaxDescriptors)
 	}
 	for _, c := range s.Classes {
 		if strings.ContainsAny(c.Name, " ,=") {
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -43,7 +43,7 @@
 			return nil, err
 		}
 	}
-	f := &instance.FleetConfig{Mesh: m, SameAddresses: true, MovesPerSecond: s.s.Proxies.PerS}
+	f := &instance.FleetConfig{Mesh: m, SameAddresses: true, MovesPerSecond: s.s.Proxies.MovesPerSecond}
 	if s.s.Proxies.Verdicts {
 		v := instance.DefaultVerdictConfig()
 		v.OnChange = func(c instance.VerdictChange) { s.judged(p, c) }
--- a/internal/lab/shares_test.go
+++ b/internal/lab/shares_test.go
@@ -108,7 +108,7 @@
 func TestOwnerPacesMoves(t *testing.T) {
 	text := strings.Replace(shared, "for = 4s..5s", "for = 8s..9s", 1)
 	cut := func(duties ...string) (paced, moved, cut int) {
-		r := play(t, must(t, text).with(func(s *Scenario) { s.Proxies.Duties, s.Proxies.PerS = duties, 4 }), 1)
+		r := play(t, must(t, text).with(func(s *Scenario) { s.Proxies.Duties, s.Proxies.MovesPerSecond = duties, 4 }), 1)
 		return r.Counters.MovesPaced, r.Counters.MovesDrain, r.Clients.Cut
 	}
 	_, _, without := cut("discovery")
--- a/internal/lab/stage.go
+++ b/internal/lab/stage.go
@@ -54,7 +54,7 @@
 	s.world = vnet.New(d.seed, s.link)
 	s.ledger = fleet.NewLedger(s.world.Now().Add(d.s.Run.WarmUp), d.s.Run.Length, d.classes)
 	s.ledger.Shared = d.s.Proxies.Keepers > 0
-	s.judge = newJudge(s.world, s.ledger, &d.s.Rules, newNewsClock(s.world, &d.s.Rules, &d.s.Allow))
+	s.judge = newJudge(s.world, s.ledger, &d.s.Rules, newNewsClock(s.world, &d.s.Rules, &d.s.Permissions))
 	s.registry.Changed = s.judge.clock.changed
 	if d.s.Rules.ColdBudget {
 		s.judge.cold, s.judge.relay = newColdBudget(d), s.coldRelay
--- a/internal/lab/throng_test.go
+++ b/internal/lab/throng_test.go
@@ -47,7 +47,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			made.Proxies.Count, made.Relays.Leaving = 100, true
+			made.Proxies.Count, made.Relays.DrainingFailsProbes = 100, true
 			if r := play(t, made, seed); r.Requests < 200 || r.Service < 0.5 {
 				t.Errorf("%d requests, service %.2f", r.Requests, r.Service)
 			}
--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -17,9 +17,9 @@
 func (s *stage) plot(t *Fault) {
 	r := stream(s.seed, "trouble "+t.Name)
 	at := s.s.Run.WarmUp + t.At.Draw(r)
-	for range t.Again + 1 {
+	for range t.Repeats + 1 {
 		s.once(t, at, r)
-		at += t.After.Draw(r)
+		at += t.RepeatAfter.Draw(r)
 	}
 }
 
@@ -72,7 +72,7 @@
 		s.grow(t, at, r)
 	case "proxy-restart":
 		for i, p := range s.someProxies(t, r) {
-			s.restart(p, at+time.Duration(i)*t.Every, away, s.s.Front.Late.Draw(r))
+			s.restart(p, at+time.Duration(i)*t.Every, away, s.s.Front.LateClients.Draw(r))
 		}
 	case "proxy-kill":
 		for i, p := range s.someProxies(t, r) {
@@ -124,7 +124,7 @@
 					p.virtual().SetDescriptors(p.virtual().Open() + int(size))
 				}
 			},
-				func() { p.virtual().SetDescriptors(s.s.Proxies.Sockets) })
+				func() { p.virtual().SetDescriptors(s.s.Proxies.MaxDescriptors) })
 		}
 	case "ports":
 		for _, p := range s.someProxies(t, r) {
@@ -263,7 +263,7 @@
 
 // silence has a relay's machine vanish and come back cold, with a new process under its id.
 func (s *stage) silence(n *relayNode, at, span time.Duration, r *rand.Rand) {
-	notice, back := s.s.Relays.Silent.Draw(r), s.s.Relays.Return.Draw(r)
+	notice, back := s.s.Relays.SilenceNotice.Draw(r), s.s.Relays.StartNotice.Draw(r)
 	s.after(at, func() {
 		if n.relay == nil {
 			return
@@ -306,7 +306,7 @@
 
 // drain has a relay take nothing new, stop and come back cold under its id.
 func (s *stage) drain(n *relayNode, at, span, away time.Duration, r *rand.Rand) {
-	told, gone, back := s.s.Relays.Notice.Draw(r), s.s.Relays.Notice.Draw(r), s.s.Relays.Return.Draw(r)
+	told, gone, back := s.s.Relays.DrainNotice.Draw(r), s.s.Relays.DrainNotice.Draw(r), s.s.Relays.StartNotice.Draw(r)
 	s.after(at, func() {
 		if n.relay == nil {
 			return
@@ -332,7 +332,7 @@
 
 // lose has a relay's machine die for good.
 func (s *stage) lose(n *relayNode, at time.Duration, r *rand.Rand) {
-	notice := s.s.Relays.Notice.Draw(r)
+	notice := s.s.Relays.DrainNotice.Draw(r)
 	s.after(at, func() {
 		n.host.Kill()
 		n.relay, n.gone = nil, true
@@ -344,7 +344,7 @@
 func (s *stage) grow(t *Fault, at time.Duration, r *rand.Rand) {
 	back := make([]time.Duration, t.Count)
 	for i := range back {
-		back[i] = s.s.Relays.Return.Draw(r)
+		back[i] = s.s.Relays.StartNotice.Draw(r)
 	}
 	s.after(at, func() {
 		for _, n := range s.nodes {
--- a/internal/lab/unheard_drain_test.go
+++ b/internal/lab/unheard_drain_test.go
@@ -27,7 +27,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				made.Proxies.Count, made.Relays.Leaving = proxies, false
+				made.Proxies.Count, made.Relays.DrainingFailsProbes = proxies, false
 				if r := play(t, made, seed); r.Requests < 200 || r.Service < least {
 					t.Errorf("%d requests, service %.2f", r.Requests, r.Service)
 				}
