--- a/cmd/ospreylab/decisions.go
+++ b/cmd/ospreylab/decisions.go
@@ -15,7 +15,7 @@
 		Short: "Measure what a request costs the decision module at 10 to 10,000 relays",
 		Args:  files(0, 0),
 		RunE: func(*cobra.Command, []string) error {
-			list, err := lab.Decisions([]int{10, 30, 100, 300, 1000, 3000, 10000}, time.Second)
+			list, err := lab.MeasureDecisions([]int{10, 30, 100, 300, 1000, 3000, 10000}, time.Second)
 			if err != nil {
 				return err
 			}
--- a/cmd/ospreylab/fuzz.go
+++ b/cmd/ospreylab/fuzz.go
@@ -58,8 +58,8 @@
 			}
 			found.Shrink(time.Now().Add(shrink))
 			fmt.Fprintf(a.out, "%d smaller scenarios tried; the smallest has %d troubles, %d proxies, %d relays, %v:\n",
-				found.Tried, len(found.Small.Faults), found.Small.Proxies.Count, found.Small.Relays.Count, found.Small.Run.Length)
-			if err := a.keep(out, fmt.Sprintf("fuzz-%d-small.ini", found.Seed), found.Small, found.Seed); err != nil {
+				found.Tried, len(found.Minimized.Faults), found.Minimized.Proxies.Count, found.Minimized.Relays.Count, found.Minimized.Run.Length)
+			if err := a.keep(out, fmt.Sprintf("fuzz-%d-small.ini", found.Seed), found.Minimized, found.Seed); err != nil {
 				return err
 			}
 			return found.Err
--- a/cmd/ospreylab/run.go
+++ b/cmd/ospreylab/run.go
@@ -171,7 +171,7 @@
 					fmt.Fprintf(a.out, "%-28s can't be read: see ospreylab check %s\n", filepath.Base(path), path)
 					continue
 				}
-				fmt.Fprintf(a.out, "%-28s %s\n", filepath.Base(path), s.Run.Text)
+				fmt.Fprintf(a.out, "%-28s %s\n", filepath.Base(path), s.Run.About)
 			}
 			return nil
 		},
--- a/internal/lab/address.go
+++ b/internal/lab/address.go
@@ -16,38 +16,38 @@
 
 // siteOf is the site of a machine, by its address: the second byte counts the sites from 1, and 0 is none.
 func (s *stage) siteOf(a netip.Addr) string {
-	if i := int(a.As4()[1]); i > 0 && i <= len(s.s.Sites) {
-		return s.s.Sites[i-1]
+	if i := int(a.As4()[1]); i > 0 && i <= len(s.scenario.Sites) {
+		return s.scenario.Sites[i-1]
 	}
 	return ""
 }
 
 // at is the address of a machine: its site, what it is and its number.
-func at(site, what, n int) netip.Addr {
+func machineAddr(site, what, n int) netip.Addr {
 	return netip.AddrFrom4([4]byte{10, byte(site + 1), byte(what<<4 + n>>8), byte(n)})
 }
 
 // What a machine is, in its address.
 const (
-	atRelay = iota
-	atProxy
-	atClients
-	atRude
+	addrRelay = iota
+	addrProxy
+	addrClients
+	addrBadClients
 )
 
 func (s *stage) link(from, to *vnet.Host) vnet.Link {
 	a, b := s.siteOf(from.Addr()), s.siteOf(to.Addr())
-	d := s.same
+	d := s.sameSiteDelay
 	if a != b && a != "" && b != "" {
-		d = s.cross[[2]string{a, b}]
+		d = s.crossSiteDelay[[2]string{a, b}]
 	}
 	for _, h := range []*vnet.Host{from, to} {
 		if s.judge != nil && s.judge.roles[h] == roleClient {
-			d += s.client[s.siteOf(h.Addr())]
+			d += s.clientDelay[s.siteOf(h.Addr())]
 		}
 	}
 	return vnet.Link{
-		Delay: d, Jitter: time.Duration(s.jitter * float64(d)), Loss: s.s.Network.Loss, Bandwidth: s.s.Network.Bandwidth,
+		Delay: d, Jitter: time.Duration(s.jitter * float64(d)), Loss: s.scenario.Network.Loss, Bandwidth: s.scenario.Network.Bandwidth,
 	}
 }
 
--- a/internal/lab/all_cold_test.go
+++ b/internal/lab/all_cold_test.go
@@ -41,7 +41,7 @@
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprintf("%d/%d", proxies, seed), func(t *testing.T) {
 				t.Parallel()
-				play(t, must(t, fmt.Sprintf(allCold, proxies)), seed)
+				play(t, mustParse(t, fmt.Sprintf(allCold, proxies)), seed)
 			})
 		}
 	}
--- a/internal/lab/coldbudget_test.go
+++ b/internal/lab/coldbudget_test.go
@@ -16,11 +16,11 @@
 		return fleet.NewMachine(now, fleet.MachineConfig{Cores: 4, Speed: 1, ColdFrom: 0.25, WarmIn: time.Hour})
 	}
 	budget := func() *coldBudget {
-		return &coldBudget{multiple: 2, within: 2 * time.Second, mean: 1, work: map[string]float64{"half": 0.5}, servers: make(map[string]*coldServer)}
+		return &coldBudget{fallMultiple: 2, fallWithin: 2 * time.Second, meanWork: 1, work: map[string]float64{"half": 0.5}, servers: make(map[string]*coldServer)}
 	}
 	send := func(b *coldBudget, m *fleet.Machine, n int, every time.Duration, class string, told func(i int) bool) *coldFall {
 		for i := range n {
-			if f := b.sent(now.Add(time.Duration(i)*every), "s", 1, m, class, told(i)); f != nil {
+			if f := b.recordRequest(now.Add(time.Duration(i)*every), "s", 1, m, class, told(i)); f != nil {
 				return f
 			}
 		}
@@ -45,13 +45,13 @@
 		{"nine of fourteen know", 14, time.Millisecond, "one", func(i int) bool { return i >= 5 }, true, false},
 	} {
 		f := send(budget(), machine(), tt.n, tt.every, tt.class, tt.told)
-		if (f != nil) != tt.falls || f != nil && f.broken() != tt.broken {
+		if (f != nil) != tt.falls || f != nil && f.breaksRule() != tt.broken {
 			t.Errorf("%s: %+v", tt.name, f)
 		}
 	}
 	// Another life of the server starts with nothing.
 	b := budget()
-	if send(b, machine(), 13, time.Millisecond, "one", all) != nil || b.sent(now.Add(time.Second), "s", 2, machine(), "one", true) != nil {
+	if send(b, machine(), 13, time.Millisecond, "one", all) != nil || b.recordRequest(now.Add(time.Second), "s", 2, machine(), "one", true) != nil {
 		t.Error("what an earlier life got counts")
 	}
 	// A large one: N = 2 x 16 x 2 s / 1 s = 64, and it bears 64 + 16 + 2.
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -61,26 +61,26 @@
 
 // Comparison holds the figures of two sides that were played with the same seeds.
 type Comparison struct {
-	A       string    `json:"a"`
-	B       string    `json:"b"`
-	Seeds   []uint64  `json:"seeds"`
-	Figures []Compare `json:"figures"`
+	A       string             `json:"a"`
+	B       string             `json:"b"`
+	Seeds   []uint64           `json:"seeds"`
+	Figures []FigureComparison `json:"figures"`
 }
 
 // FigureComparison compares one figure of the two sides. Its interval is Student's 95 % confidence
 // interval of the paired differences.
-type Compare struct {
-	Name  string    `json:"name"`
-	A     []float64 `json:"a"` // by seed, in the order of Comparison.Seeds
-	B     []float64 `json:"b"` // likewise
-	MeanA float64   `json:"mean_a"`
-	MeanB float64   `json:"mean_b"`
-	Mean  float64   `json:"mean_difference"` // mean of B - A
-	Half  float64   `json:"half_interval"`   // the 95 % interval is MeanDifference ± HalfInterval
+type FigureComparison struct {
+	Name           string    `json:"name"`
+	A              []float64 `json:"a"` // by seed, in the order of Comparison.Seeds
+	B              []float64 `json:"b"` // likewise
+	MeanA          float64   `json:"mean_a"`
+	MeanB          float64   `json:"mean_b"`
+	MeanDifference float64   `json:"mean_difference"` // mean of B - A
+	Half           float64   `json:"half_interval"`   // the 95 % interval is MeanDifference ± HalfInterval
 }
 
 // Significant reports whether the 95 % interval of the difference excludes 0.
-func (c *Compare) Clear() bool { return math.Abs(c.Mean) > c.Half }
+func (c *FigureComparison) Clear() bool { return math.Abs(c.MeanDifference) > c.Half }
 
 // figures returns the names and the values of the figures of a day that a Comparison compares.
 func (r *Result) figures() (names []string, values []float64) {
@@ -171,7 +171,7 @@
 			}
 			names, values := o.r.figures()
 			if c.Figures == nil {
-				c.Figures = make([]Compare, len(names))
+				c.Figures = make([]FigureComparison, len(names))
 			}
 			if len(names) != len(c.Figures) {
 				return nil, fmt.Errorf("%s and %s have different classes", a.Name, b.Name)
@@ -194,14 +194,14 @@
 }
 
 // computeStatistics computes the means and the 95 % interval from the values by seed.
-func (c *Compare) computeStatistics() {
+func (c *FigureComparison) computeStatistics() {
 	differences := make([]float64, len(c.A))
 	for i := range differences {
 		differences[i] = c.B[i] - c.A[i]
 	}
 	c.MeanA, c.MeanB = round(stat.Mean(c.A, nil)), round(stat.Mean(c.B, nil))
 	mean, dev := stat.MeanStdDev(differences, nil)
-	c.Mean = round(mean)
+	c.MeanDifference = round(mean)
 	if n := float64(len(differences)); n > 1 {
 		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975)
 		c.Half = round(t * dev / math.Sqrt(n))
@@ -221,7 +221,7 @@
 		if g.Clear() {
 			verdict = "clear"
 		}
-		rows = append(rows, []string{g.Name, f(g.MeanA), f(g.MeanB), fmt.Sprintf("%+.4f", g.Mean), "± " + f(g.Half), verdict})
+		rows = append(rows, []string{g.Name, f(g.MeanA), f(g.MeanB), fmt.Sprintf("%+.4f", g.MeanDifference), "± " + f(g.Half), verdict})
 	}
 	table(&b, []string{"figure", "first", "second", "difference", "95 %", ""}, rows)
 	_, err := io.WriteString(w, b.String())
@@ -266,7 +266,7 @@
 	for i := range c.Figures {
 		f := &c.Figures[len(c.Figures)-1-i] // the first figure is at the top
 		names = append(names, f.Name)
-		points = append(points, plotter.XY{X: f.Mean, Y: float64(i)})
+		points = append(points, plotter.XY{X: f.MeanDifference, Y: float64(i)})
 		bars = append(bars, struct{ Low, High float64 }{-f.Half, f.Half})
 	}
 	scatter, err := plotter.NewScatter(points)
--- a/internal/lab/crowded_queue_test.go
+++ b/internal/lab/crowded_queue_test.go
@@ -11,7 +11,7 @@
 // Mend: Watch.sendRequest waits for 3 s where others may ask at the same time, and requestPacer.busyPause has processes
 // whose lease ends soon ask first.
 func TestCallsInDiscoverysQueueAreWaitedFor(t *testing.T) {
-	c := play(t, must(t, `
+	c := play(t, mustParse(t, `
 [run]
 length = 20s
 warm_up = 15s
--- a/internal/lab/crowds.go
+++ b/internal/lab/crowds.go
@@ -17,22 +17,22 @@
 }
 
 func (s *stage) addCrowd(i int, site string) error {
-	h := s.machine("clients-"+site, at(i, atClients, i), vnet.Limits{})
-	s.is(h, roleClient, "")
+	h := s.addMachine("clients-"+site, machineAddr(i, addrClients, i), vnet.Limits{})
+	s.setRole(h, roleClient, "")
 	n := &crowdNode{site: site, host: h}
 	s.crowds = append(s.crowds, n)
 	return h.Start(func(k poll.Kernel) (func() error, error) {
-		loop := n.on(k, s)
-		n.front = fleet.NewFront(loop, fleet.FrontConfig{Every: s.s.Front.CheckPeriod, Notice: s.s.Front.Notice}, stream(s.seed, "front "+site))
+		loop := n.newLoop(k, s)
+		n.front = fleet.NewFront(loop, fleet.FrontConfig{Every: s.scenario.Front.CheckPeriod, Notice: s.scenario.Front.Notice}, randomStream(s.seed, "front "+site))
 		for _, p := range s.proxies {
 			n.front.Add(p.addr(), p.site == site)
 		}
 		start := loop.Now()
 		n.crowd = fleet.NewCrowd(loop, fleet.CrowdConfig{
-			Site: site, Traffic: s.traffic, Classes: s.classes, Groups: s.groups, Seed: s.seed,
-			Rate: func(now time.Time) float64 { return s.rate(site, now.Sub(start)) },
-		}, n.front, stream(s.seed, "arrivals "+site), s.ledger)
-		s.owns(h, n.crowd.Stop, nil)
+			Site: site, Traffic: s.traffic, Classes: s.classes, Groups: s.groupsPerSite, Seed: s.seed,
+			Rate: func(now time.Time) float64 { return s.arrivalRate(site, now.Sub(start)) },
+		}, n.front, randomStream(s.seed, "arrivals "+site), s.ledger)
+		s.setProcess(h, n.crowd.Stop, nil)
 		return func() error { return loop.Turn(true) }, nil
 	})
 }
--- a/internal/lab/decisions.go
+++ b/internal/lab/decisions.go
@@ -18,7 +18,7 @@
 // DecisionHarness drives a balance.Balancer without sockets in order to measure the cost of a
 // request. As the balancer's host it answers each probe at once and closes the oldest connection
 // when there are more than maxOpen.
-type Decider struct {
+type DecisionHarness struct {
 	balancer *balance.Balancer
 	now      time.Time
 	lastID   balance.RequestID
@@ -30,8 +30,8 @@
 
 // NewDecisionHarness returns a harness with the given number of relays, in three zones, and as many
 // open connections as relays, at least 30.
-func NewDecider(relays int) (*Decider, error) {
-	d := &Decider{now: time.Unix(1e9, 0), maxOpen: max(relays, 30)}
+func NewDecider(relays int) (*DecisionHarness, error) {
+	d := &DecisionHarness{now: time.Unix(1e9, 0), maxOpen: max(relays, 30)}
 	balancer, err := balance.New(balance.Config{
 		Relays: 3, Zone: "a", GroupAffinity: true, MaxAttempts: 5, MaxRetryAfter: 2 * time.Second, MayProbe: true, MayCancel: true,
 		Classes: []balance.Class{{SetupTarget: 800 * time.Millisecond, Worth: 3, MessageTarget: 60 * time.Millisecond}},
@@ -58,7 +58,7 @@
 
 // Request takes one request through the balancer: its arrival, the probes that it causes, its
 // placement, and the end of the oldest connection.
-func (d *Decider) Request() {
+func (d *DecisionHarness) Request() {
 	d.now = d.now.Add(20 * time.Millisecond)
 	d.lastID++
 	d.placed = 0
@@ -84,30 +84,30 @@
 
 // OpenConnections returns the number of open connections. A caller checks it because a balancer
 // that places no requests would measure as cheap.
-func (d *Decider) Standing() int { return len(d.open) }
+func (d *DecisionHarness) Standing() int { return len(d.open) }
 
 // The methods below implement balance.Host.
 
-func (d *Decider) Send(id balance.RequestID, _ string, _ time.Duration) { d.placed = id }
-func (d *Decider) Refuse(balance.RequestID, time.Duration)              {}
-func (d *Decider) Fail(balance.RequestID)                               {}
-func (d *Decider) Cancel(balance.RequestID, int)                        {}
-func (d *Decider) Move(balance.RequestID)                               {}
-func (d *Decider) Probe(id string)                                      { d.probes = append(d.probes, id) }
-func (d *Decider) Watch()                                               {}
-func (d *Decider) After(time.Duration, uint64)                          {}
+func (d *DecisionHarness) Send(id balance.RequestID, _ string, _ time.Duration) { d.placed = id }
+func (d *DecisionHarness) Refuse(balance.RequestID, time.Duration)              {}
+func (d *DecisionHarness) Fail(balance.RequestID)                               {}
+func (d *DecisionHarness) Cancel(balance.RequestID, int)                        {}
+func (d *DecisionHarness) Move(balance.RequestID)                               {}
+func (d *DecisionHarness) Probe(id string)                                      { d.probes = append(d.probes, id) }
+func (d *DecisionHarness) Watch()                                               {}
+func (d *DecisionHarness) After(time.Duration, uint64)                          {}
 
 // DecisionCost is the mean time that the balancer takes for a request with the given number of
 // relays.
-type Decision struct {
+type DecisionCost struct {
 	Relays int
 	Cost   time.Duration
 }
 
 // MeasureDecisions measures the cost of a request at each number of relays in sizes, for about span
 // each.
-func Decisions(sizes []int, span time.Duration) ([]Decision, error) {
-	var list []Decision
+func MeasureDecisions(sizes []int, span time.Duration) ([]DecisionCost, error) {
+	var list []DecisionCost
 	for _, n := range sizes {
 		d, err := NewDecider(n)
 		if err != nil {
@@ -121,13 +121,13 @@
 			}
 			done += 64
 		}
-		list = append(list, Decision{n, time.Since(begin) / time.Duration(done)})
+		list = append(list, DecisionCost{n, time.Since(begin) / time.Duration(done)})
 	}
 	return list, nil
 }
 
 // SaveDecisions writes decisions.md and decisions.svg into the directory dir.
-func SaveDecisions(dir string, list []Decision) error {
+func SaveDecisions(dir string, list []DecisionCost) error {
 	return saveAll(dir, map[string]func(w io.Writer) error{
 		"decisions.md":  func(w io.Writer) error { return DecisionTable(w, list) },
 		"decisions.svg": func(w io.Writer) error { return decisionChart(w, list) },
@@ -135,7 +135,7 @@
 }
 
 // DecisionTable writes the measurements as a Markdown table.
-func DecisionTable(w io.Writer, list []Decision) error {
+func DecisionTable(w io.Writer, list []DecisionCost) error {
 	var b strings.Builder
 	var rows [][]string
 	for _, d := range list {
@@ -146,7 +146,7 @@
 	return err
 }
 
-func decisionChart(w io.Writer, list []Decision) error {
+func decisionChart(w io.Writer, list []DecisionCost) error {
 	p := newChart("the module's cost for a request", "relays", "µs")
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{}, plot.LogTicks{}
--- a/internal/lab/decisions_test.go
+++ b/internal/lab/decisions_test.go
@@ -33,7 +33,7 @@
 	if d.Standing() < 40 {
 		t.Errorf("%d of 50 connections stand", d.Standing())
 	}
-	list, err := Decisions([]int{10, 40}, 1e6)
+	list, err := MeasureDecisions([]int{10, 40}, 1e6)
 	if err != nil || len(list) != 2 || list[1].Relays != 40 || list[0].Cost <= 0 {
 		t.Errorf("%v, %v", list, err)
 	}
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -16,32 +16,32 @@
 
 // day is a scenario with everything drawn that is drawn once.
 type day struct {
-	s        *Scenario
-	seed     uint64
-	classes  []fleet.Class
-	traffic  fleet.Traffic
-	skew     float64
-	waves    []drawnWave
-	relays   []relayPlan
-	usual    float64 // load of a usual connection, in standard cores
-	same     time.Duration
-	cross    map[[2]string]time.Duration
-	client   map[string]time.Duration
-	jitter   float64
-	buffer   time.Duration
-	most     float64
-	noise    float64
-	service  time.Duration
-	groups   int
-	phase    float64
-	total    time.Duration // warm-up and length
-	settings []byte
+	scenario       *Scenario
+	seed           uint64
+	classes        []fleet.Class
+	traffic        fleet.Traffic
+	skew           float64
+	waves          []drawnWave
+	relays         []relayPlan
+	usualLoad      float64 // load of a usual connection, in standard cores
+	sameSiteDelay  time.Duration
+	crossSiteDelay map[[2]string]time.Duration
+	clientDelay    map[string]time.Duration
+	jitter         float64
+	workBuffer     time.Duration
+	maxPerCore     float64
+	reportNoise    float64
+	messageWork    time.Duration
+	groupsPerSite  int
+	swingPhase     float64
+	total          time.Duration // warm-up and length
+	settingsJSON   []byte
 }
 
 type drawnWave struct {
-	from, until time.Duration // since the start
-	times       float64
-	sites       []string
+	from, until  time.Duration // since the start
+	rateMultiple float64
+	sites        []string
 }
 
 // relayPlan is one relay of the day.
@@ -54,14 +54,14 @@
 }
 
 // stream is the draws of one concern of a seed.
-func stream(seed uint64, concern string) *rand.Rand {
+func randomStream(seed uint64, concern string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(concern)))
 }
 
 // newDay draws a day.
 func newDay(s *Scenario, seed uint64) (*day, error) {
-	d := &day{s: s, seed: seed, total: s.Run.WarmUp + s.Run.Length, cross: make(map[[2]string]time.Duration), client: make(map[string]time.Duration)}
-	r := stream(seed, "day")
+	d := &day{scenario: s, seed: seed, total: s.Run.WarmUp + s.Run.Length, crossSiteDelay: make(map[[2]string]time.Duration), clientDelay: make(map[string]time.Duration)}
+	r := randomStream(seed, "day")
 	share := 0.0
 	for _, c := range s.Classes {
 		share += (c.Share.From + c.Share.To) / 2
@@ -79,31 +79,31 @@
 		GroupCost: s.Relays.GroupCost, Every: t.MessagePeriod, Retries: t.Retries, Backoff: t.Backoff, Honour: t.HonourAdvice.Draw(r),
 		Rejoin: t.Rejoin, Impatient: t.Impatient.Draw(r),
 	}
-	d.skew, d.phase = s.Run.Skew.Draw(r), 2*math.Pi*r.Float64()
-	d.usual = 1 / s.Relays.PerCore.Draw(r)
-	d.same, d.jitter = s.Network.SameSite.Draw(r), s.Network.Jitter.Draw(r)
+	d.skew, d.swingPhase = s.Run.Skew.Draw(r), 2*math.Pi*r.Float64()
+	d.usualLoad = 1 / s.Relays.PerCore.Draw(r)
+	d.sameSiteDelay, d.jitter = s.Network.SameSite.Draw(r), s.Network.Jitter.Draw(r)
 	for i, a := range s.Sites {
-		d.client[a] = s.Network.Client.Draw(r)
+		d.clientDelay[a] = s.Network.Client.Draw(r)
 		for _, b := range s.Sites[i+1:] {
 			w := s.Network.CrossSite.Draw(r)
-			d.cross[[2]string{a, b}], d.cross[[2]string{b, a}] = w, w
+			d.crossSiteDelay[[2]string{a, b}], d.crossSiteDelay[[2]string{b, a}] = w, w
 		}
 	}
-	d.buffer, d.most = s.Relays.WorkBuffer.Draw(r), s.Relays.MaxPerCore.Draw(r)
-	d.noise, d.service = s.Relays.ReportNoise.Draw(r), s.Relays.MessageWork.Draw(r)
+	d.workBuffer, d.maxPerCore = s.Relays.WorkBuffer.Draw(r), s.Relays.MaxPerCore.Draw(r)
+	d.reportNoise, d.messageWork = s.Relays.ReportNoise.Draw(r), s.Relays.MessageWork.Draw(r)
 	// Little's law gives how many are there at a time; so many groups have that many members.
 	life := 0.0
 	for _, c := range d.classes {
 		life += c.Share * c.Life * d.traffic.Life.Seconds()
 	}
-	d.groups = max(int(math.Round(t.Rate*life/d.traffic.GroupSize/float64(len(s.Sites)))), 1)
+	d.groupsPerSite = max(int(math.Round(t.Rate*life/d.traffic.GroupSize/float64(len(s.Sites)))), 1)
 	for _, w := range s.Waves {
 		at := w.At.Draw(r)
 		d.waves = append(d.waves, drawnWave{at, at + w.For.Draw(r), w.Times.Draw(r), w.Sites})
 	}
-	d.plan()
+	d.planRelays()
 	var err error
-	if d.settings, err = d.platformSettings(); err != nil {
+	if d.settingsJSON, err = d.platformSettings(); err != nil {
 		return nil, err
 	}
 	return d, nil
@@ -111,49 +111,49 @@
 
 // plan draws the relays: kinds by their shares, sites in turn but for the part that is placed by lot. Relays that a
 // trouble of kind grow adds are planned with the others, so that their draws do not depend on it.
-func (d *day) plan() {
-	r := stream(d.seed, "relays")
+func (d *day) planRelays() {
+	r := randomStream(d.seed, "relays")
 	extra := 0
-	for _, t := range d.s.Faults {
+	for _, t := range d.scenario.Faults {
 		if t.Kind == "grow" {
 			extra += t.Count * (t.Repeats + 1)
 		}
 	}
-	for i := range d.s.Relays.Count + extra {
+	for i := range d.scenario.Relays.Count + extra {
 		x, k := r.Float64(), 0
-		for ; k < len(d.s.Kinds)-1 && x >= d.s.Kinds[k].Share; k++ {
-			x -= d.s.Kinds[k].Share
+		for ; k < len(d.scenario.Kinds)-1 && x >= d.scenario.Kinds[k].Share; k++ {
+			x -= d.scenario.Kinds[k].Share
 		}
-		site := d.s.Sites[i%len(d.s.Sites)]
-		if lot := r.IntN(len(d.s.Sites)); r.Float64() < d.s.Relays.RandomSites {
-			site = d.s.Sites[lot]
+		site := d.scenario.Sites[i%len(d.scenario.Sites)]
+		if lot := r.IntN(len(d.scenario.Sites)); r.Float64() < d.scenario.Relays.RandomSites {
+			site = d.scenario.Sites[lot]
 		}
 		d.relays = append(d.relays, relayPlan{
-			id: fmt.Sprintf("relay-%03d", i), site: site, kind: &d.s.Kinds[k], speed: d.s.Kinds[k].Speed.Draw(r),
-			late: i >= d.s.Relays.Count,
+			id: fmt.Sprintf("relay-%03d", i), site: site, kind: &d.scenario.Kinds[k], speed: d.scenario.Kinds[k].Speed.Draw(r),
+			late: i >= d.scenario.Relays.Count,
 		})
 	}
 }
 
 // rate is the new clients a second of a site, by the time since the start.
-func (d *day) rate(site string, at time.Duration) float64 {
-	part := 1 / float64(len(d.s.Sites))
-	if site == d.s.Sites[0] {
+func (d *day) arrivalRate(site string, at time.Duration) float64 {
+	part := 1 / float64(len(d.scenario.Sites))
+	if site == d.scenario.Sites[0] {
 		part += d.skew * (1 - part)
 	} else {
 		part -= d.skew * part
 	}
-	r := d.traffic.Rate * part * (1 + d.traffic.Swing*math.Sin(d.phase+2*math.Pi*at.Seconds()/d.traffic.Period.Seconds()))
+	r := d.traffic.Rate * part * (1 + d.traffic.Swing*math.Sin(d.swingPhase+2*math.Pi*at.Seconds()/d.traffic.Period.Seconds()))
 	for _, w := range d.waves {
-		if at >= w.from && at < w.until && listed(w.sites, site) {
-			r *= w.times
+		if at >= w.from && at < w.until && siteListed(w.sites, site) {
+			r *= w.rateMultiple
 		}
 	}
 	return r
 }
 
 // listed tells whether a list names a site; an empty one stands for all.
-func listed(sites []string, site string) bool {
+func siteListed(sites []string, site string) bool {
 	for _, s := range sites {
 		if s == site {
 			return true
@@ -169,7 +169,7 @@
 // platformSettings is the settings object that the platform gives its proxies on such a day.
 func (d *day) platformSettings() ([]byte, error) {
 	us := func(t time.Duration) int64 { return t.Microseconds() }
-	s := d.s
+	s := d.scenario
 	type object = map[string]any
 	var classes []object
 	var aims []int64
@@ -220,7 +220,7 @@
 // settingsText is the same as JSON.
 func (d *day) settingsText(site string) ([]byte, error) {
 	var all map[string]any
-	if err := json.Unmarshal(d.settings, &all); err != nil {
+	if err := json.Unmarshal(d.settingsJSON, &all); err != nil {
 		return nil, err
 	}
 	all["Zone"] = site
@@ -228,10 +228,10 @@
 }
 
 // machine is what a relay computes with; a cold one has just started.
-func (d *day) machine(p *relayPlan, cold bool, r *rand.Rand) fleet.MachineConfig {
+func (d *day) machineConfig(p *relayPlan, cold bool, r *rand.Rand) fleet.MachineConfig {
 	m := fleet.MachineConfig{
-		Cores: p.kind.Cores, Speed: p.speed, Service: d.service.Seconds(),
-		FallMultiple: d.s.Rules.FallMultiple, FallWithin: d.s.Rules.FallWithin,
+		Cores: p.kind.Cores, Speed: p.speed, Service: d.messageWork.Seconds(),
+		FallMultiple: d.scenario.Rules.FallMultiple, FallWithin: d.scenario.Rules.FallWithin,
 	}
 	if cold {
 		m.ColdFrom, m.WarmIn = p.kind.ColdFrom.Draw(r), p.kind.Cold.Draw(r)
@@ -240,15 +240,15 @@
 }
 
 // relay is what a relay is made of.
-func (d *day) relay(p *relayPlan, cold bool, r *rand.Rand) fleet.RelayConfig {
-	errs := d.s.Relays.ErrorShare
+func (d *day) relayConfig(p *relayPlan, cold bool, r *rand.Rand) fleet.RelayConfig {
+	errs := d.scenario.Relays.ErrorShare
 	if p.kind.Errors.To > 0 {
 		errs = p.kind.Errors.Draw(r)
 	}
 	return fleet.RelayConfig{
-		ID: p.id, Site: p.site, Kind: p.kind.Name, Machine: d.machine(p, cold, r), Classes: d.classes,
-		Reports: fleet.Reports{Period: d.s.Relays.ReportPeriod, Delay: d.s.Relays.ReportDelay, Noise: d.noise, Work: d.s.Relays.ProbeWork},
-		Usual:   d.usual, Group: d.s.Relays.GroupCost, Most: int(d.most * float64(p.kind.Cores)), Buffer: d.buffer, Errors: errs, Leaving: d.s.Relays.DrainingFailsProbes,
+		ID: p.id, Site: p.site, Kind: p.kind.Name, Machine: d.machineConfig(p, cold, r), Classes: d.classes,
+		Reports: fleet.Reports{Period: d.scenario.Relays.ReportPeriod, Delay: d.scenario.Relays.ReportDelay, Noise: d.reportNoise, Work: d.scenario.Relays.ProbeWork},
+		Usual:   d.usualLoad, Group: d.scenario.Relays.GroupCost, Most: int(d.maxPerCore * float64(p.kind.Cores)), Buffer: d.workBuffer, Errors: errs, Leaving: d.scenario.Relays.DrainingFailsProbes,
 		Seed: d.seed,
 	}
 }
--- a/internal/lab/fuzz.go
+++ b/internal/lab/fuzz.go
@@ -37,7 +37,7 @@
 		classes = nil
 	}
 	for _, k := range kinds {
-		inifile.Encode(&b, "kind "+k.Name, kind{k.Share, k.Cores, k.Speed, k.ColdFrom, k.Cold, k.Errors}, nil)
+		inifile.Encode(&b, "kind "+k.Name, kindSection{k.Share, k.Cores, k.Speed, k.ColdFrom, k.Cold, k.Errors}, nil)
 	}
 	for _, c := range classes {
 		inifile.Encode(&b, "class "+c.Name, c, nil)
@@ -97,12 +97,12 @@
 
 // ScenarioGenerators are the kinds of made-up days, by their names.
 func ScenarioGenerators() map[string]ScenarioGenerator {
-	return map[string]ScenarioGenerator{"any": Random, "throng": RandomThrong}
+	return map[string]ScenarioGenerator{"any": RandomScenario, "throng": RandomThrong}
 }
 
-// Random makes up a scenario: a small fleet, and a few troubles of any kind that may overlap in any way.
-func Random(seed uint64) *Scenario {
-	d := newDraws(stream(seed, "fuzz"))
+// RandomScenario makes up a scenario: a small fleet, and a few troubles of any kind that may overlap in any way.
+func RandomScenario(seed uint64) *Scenario {
+	d := newDraws(randomStream(seed, "fuzz"))
 	r, span, one := d.r, d.span, d.one
 	s := defaults()
 	s.Kinds, s.Classes = defaultKinds(), defaultClasses()
@@ -219,14 +219,14 @@
 	return names
 }
 
-// Found is a broken rule that Fuzz came upon.
-type Found struct {
-	Seed     uint64
-	Rule     string
-	Err      error
-	Scenario *Scenario // as it was made up
-	Small    *Scenario // after shrinking; breaks the same rule with the same seed
-	Tried    int       // scenarios tried in shrinking
+// Finding is a broken rule that Fuzz came upon.
+type Finding struct {
+	Seed      uint64
+	Rule      string
+	Err       error
+	Scenario  *Scenario // as it was made up
+	Minimized *Scenario // after shrinking; breaks the same rule with the same seed
+	Tried     int       // scenarios tried in shrinking
 }
 
 // rule is the name of the rule that an error of Play tells of; empty if it is none.
@@ -256,12 +256,12 @@
 
 // Fuzz plays scenarios that are made up from seeds from first on, until one breaks a rule, n were played or the time is over; it
 // returns the lowest such seed of those that were begun, and how many were played. done is called after each.
-func Fuzz(days FuzzConfig, first uint64, n int, until time.Time, done func(seed uint64)) (*Found, int, error) {
+func Fuzz(days FuzzConfig, first uint64, n int, until time.Time, done func(seed uint64)) (*Finding, int, error) {
 	var (
 		one    sync.Mutex
 		next   = first
 		played int
-		found  *Found
+		found  *Finding
 		failed error
 		wait   sync.WaitGroup
 	)
@@ -285,7 +285,7 @@
 				one.Lock()
 				played++
 				if r := rule(err); r != "" && (found == nil || seed < found.Seed) {
-					found = &Found{Seed: seed, Rule: r, Err: err, Scenario: s}
+					found = &Finding{Seed: seed, Rule: r, Err: err, Scenario: s}
 				} else if err != nil && r == "" {
 					failed = err
 				}
@@ -302,17 +302,17 @@
 
 // Shrink looks for a smaller scenario that breaks the same rule with the same seed, until nothing can be left out or the
 // time is over.
-func (f *Found) Shrink(until time.Time) {
-	f.Small = f.Scenario
+func (f *Finding) Shrink(until time.Time) {
+	f.Minimized = f.Scenario
 	for again := true; again; {
 		again = false
-		for _, c := range f.Small.smaller() {
+		for _, c := range f.Minimized.smaller() {
 			if time.Now().After(until) {
 				return
 			}
 			f.Tried++
 			if rule(playSafely(c, f.Seed)) == f.Rule {
-				f.Small, again = c, true
+				f.Minimized, again = c, true
 				break
 			}
 		}
--- a/internal/lab/growth.go
+++ b/internal/lab/growth.go
@@ -13,40 +13,41 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Growth is what one proxy costs the others on a day of a fleet of some size.
+// Growth holds what the fleet costs on a day with the given numbers of proxies and relays.
 type Growth struct {
 	Proxies, Relays int
-	Service         float64 // 0 to 1, over all classes
-	Worst           float64 // likewise, of the worst 10 s
-	Calls           float64 // to discovery a second, of all proxies together
-	CallsFailed     float64 // part of them
-	Probes          float64 // for each request
-	Hops            float64 // for each request
-	Moves           float64 // for each request
-	Datagrams       float64 // between proxies, a second for each
-	Bytes           float64 // likewise
+	Service         float64 // from 0 to 1, over all classes
+	Worst           float64 // service in the worst 10 s, from 0 to 1
+	Calls           float64 // calls to discovery per second, of all proxies together
+	CallsFailed     float64 // fraction of these calls
+	Probes          float64 // per request
+	Hops            float64 // per request
+	Moves           float64 // per request
+	Datagrams       float64 // datagrams between proxies that each proxy sends per second
+	Bytes           float64 // bytes of these datagrams that each proxy sends per second
 }
 
-// Scale returns a scenario with another number of proxies and, in proportion, of relays, clients and whatever troubles
-// count; there is at least one of each.
+// Scale returns a copy of the scenario with the given number of proxies. Relays, rate of clients
+// and the counts of faults change in proportion; each count is at least 1.
 func (s *Scenario) Scale(proxies int) *Scenario {
-	to, by := *s, float64(proxies)/float64(s.Proxies.Count)
-	times := func(n int) int { return max(int(math.Round(float64(n)*by)), 1) }
-	to.Proxies.Count, to.Relays.Count = proxies, times(s.Relays.Count)
-	to.Traffic.Rate *= by
-	to.Faults = nil
+	scaled, factor := *s, float64(proxies)/float64(s.Proxies.Count)
+	scaleCount := func(n int) int { return max(int(math.Round(float64(n)*factor)), 1) }
+	scaled.Proxies.Count, scaled.Relays.Count = proxies, scaleCount(s.Relays.Count)
+	scaled.Traffic.Rate *= factor
+	scaled.Faults = nil
 	for _, t := range s.Faults {
 		if t.Count > 0 {
-			n := times(t.Count)
-			t.Count, t.Every = n, t.Every*time.Duration(t.Count)/time.Duration(n) // in the same time
+			n := scaleCount(t.Count)
+			t.Count, t.Every = n, t.Every*time.Duration(t.Count)/time.Duration(n) // the faults occur within the same time
 		}
-		to.Faults = append(to.Faults, t)
+		scaled.Faults = append(scaled.Faults, t)
 	}
-	return &to
+	return &scaled
 }
 
-// Grow plays a scenario at each number of proxies, all for the same seed. An error is a broken rule or a scenario that
-// can't be played; what was measured before it is returned.
+// MeasureGrowth plays a scenario at each number of proxies in sizes, with the same seed. An error
+// is a broken rule or a scenario that cannot be played; the measurements before it are returned
+// with it.
 func Grow(s *Scenario, sizes []int, seed uint64, o Options) ([]Growth, error) {
 	var list []Growth
 	for _, n := range sizes {
@@ -61,28 +62,28 @@
 
 func (r *Result) growth() Growth {
 	c := &r.Counters
-	part := func(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
+	ratio := func(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
 	shared := r.Shared
 	if shared == nil {
 		shared = &Shared{}
 	}
-	each := (r.WarmUp + r.Length) * float64(r.Proxies)
+	proxySeconds := (r.WarmUp + r.Length) * float64(r.Proxies)
 	return Growth{
-		Datagrams: float64(shared.Datagrams) / each, Bytes: float64(shared.Bytes) / each,
+		Datagrams: float64(shared.Datagrams) / proxySeconds, Bytes: float64(shared.Bytes) / proxySeconds,
 		Proxies: r.Proxies, Relays: r.Relays, Service: r.Service, Worst: r.Worst,
-		Calls: float64(c.Watches) / (r.WarmUp + r.Length), CallsFailed: part(c.WatchesFailed, c.Watches),
-		Probes: part(c.Probes, c.Exchanges), Hops: part(c.Hops, c.Exchanges), Moves: part(c.Moves, c.Exchanges),
+		Calls: float64(c.Watches) / (r.WarmUp + r.Length), CallsFailed: ratio(c.WatchesFailed, c.Watches),
+		Probes: ratio(c.Probes, c.Exchanges), Hops: ratio(c.Hops, c.Exchanges), Moves: ratio(c.Moves, c.Exchanges),
 	}
 }
 
-// columns are the figures of a Growth, with their names.
+// columns returns the names and the values of the cost figures.
 func (g *Growth) columns() ([]string, []float64) {
 	return []string{"calls to discovery a second", "of them failed", "probes a request", "hops a request", "moves a request",
 			"datagrams a proxy", "bytes a proxy"},
 		[]float64{g.Calls, g.CallsFailed, g.Probes, g.Hops, g.Moves, g.Datagrams, g.Bytes}
 }
 
-// GrowthTable writes the measurements as a table.
+// GrowthTable writes the measurements as a Markdown table.
 func GrowthTable(w io.Writer, list []Growth) error {
 	names, _ := new(Growth).columns()
 	var rows [][]string
@@ -100,7 +101,7 @@
 	return err
 }
 
-// SaveGrowth writes growth.md and growth.svg into a folder.
+// SaveGrowth writes growth.md and growth.svg into the directory dir.
 func SaveGrowth(dir string, list []Growth) error {
 	return saveAll(dir, map[string]func(w io.Writer) error{
 		"growth.md":  func(w io.Writer) error { return GrowthTable(w, list) },
@@ -108,7 +109,8 @@
 	})
 }
 
-// growthChart draws each figure as a multiple of what it is for the smallest fleet: how it grows is what counts.
+// growthChart draws each figure as a multiple of its value for the smallest fleet, which shows how
+// it grows with the number of proxies.
 func growthChart(w io.Writer, list []Growth) error {
 	p := newChart("costs by the number of proxies, as multiples of the smallest fleet's", "proxies", "times")
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
--- a/internal/lab/hard_test.go
+++ b/internal/lab/hard_test.go
@@ -9,7 +9,7 @@
 
 // A proxy with 500 connections is killed outright, and all of them come back within a second.
 func TestProxyKilledWithItsCrowd(t *testing.T) {
-	s := must(t, `
+	s := mustParse(t, `
 [run]
 length = 20s
 warm_up = 12s
@@ -52,7 +52,7 @@
 
 // The process runs out of descriptors while clients come by the hundred that say nothing, or nonsense.
 func TestNoDescriptorsInAStorm(t *testing.T) {
-	s := must(t, `
+	s := mustParse(t, `
 [run]
 length = 15s
 warm_up = 5s
@@ -80,7 +80,7 @@
 
 // Discovery answers half a body and hangs, while relays drain and come back.
 func TestDiscoveryHangsInItsAnswer(t *testing.T) {
-	s := must(t, `
+	s := mustParse(t, `
 [run]
 length = 30s
 warm_up = 5s
@@ -109,7 +109,7 @@
 
 // Two of three proxies drain at the same moment.
 func TestTwoProxiesDrainAtOnce(t *testing.T) {
-	s := must(t, `
+	s := mustParse(t, `
 [run]
 length = 20s
 warm_up = 12s
@@ -128,7 +128,7 @@
 // A relay drains and is back under its id within the grace: what was told of the old process must not hold for the new
 // one, nor the other way round.
 func TestRelayBackWithinTheGrace(t *testing.T) {
-	s := must(t, `
+	s := mustParse(t, `
 [run]
 length = 25s
 warm_up = 10s
@@ -155,7 +155,7 @@
 
 // A relay that drains answers probes as before, or with an error where the scenario says so.
 func TestProbesOfDrainingRelays(t *testing.T) {
-	s := must(t, "[run]\nlength = 15s\nwarm_up = 5s\n[relays]\ndrain_notice = 3s..3s\nerrors = 0\n[kind a]\n"+
+	s := mustParse(t, "[run]\nlength = 15s\nwarm_up = 5s\n[relays]\ndrain_notice = 3s..3s\nerrors = 0\n[kind a]\n"+
 		"[trouble drains]\nkind = drain\nat = 1s\ncount = 5\nevery = 1s\nfor = 6s\naway = 1s\n")
 	as := play(t, s, 8).Counters
 	fails := play(t, s.with(func(s *Scenario) { s.Relays.DrainingFailsProbes = true }), 8).Counters
--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -41,44 +41,44 @@
 //	counts                 the module's counts equal the sockets'
 //	given-back             every descriptor, timer and table entry is given back
 type judge struct {
-	world    *vnet.World
-	ledger   *fleet.Ledger
-	rules    *Rules
-	roles    map[*vnet.Host]role
-	relayID  map[*vnet.Host]string
-	sites    map[string]string // of relays
-	blocks   map[string]int    // likewise
-	classes  map[string]*Class
-	requests map[string]*request
-	excused  map[*vnet.Host]time.Time     // a proxy that could not run answers late until then
-	lag      map[*vnet.Host]time.Duration // by how much a proxy's clock was late at the most: its windows are longer by that
-	telling  []news                       // discovery is about to write
-	clock    *newsClock
-	cold     *coldBudget                       // nil: it is not judged
-	relay    func(id string) (coldRelay, bool) // ok is false if none runs, or it was there from the start
-	Requests int
-	Attempts int
+	world                *vnet.World
+	ledger               *fleet.Ledger
+	rules                *Rules
+	roles                map[*vnet.Host]role
+	relayID              map[*vnet.Host]string
+	sites                map[string]string // of relays
+	blocks               map[string]int    // likewise
+	classes              map[string]*Class
+	requests             map[string]*request
+	excusedUntil         map[*vnet.Host]time.Time     // a proxy that could not run answers late until then
+	maxClockLag          map[*vnet.Host]time.Duration // by how much a proxy's clock was late at the most: its windows are longer by that
+	pendingNotifications []notification               // discovery is about to write
+	changeClock          *changeClock
+	coldBudget           *coldBudget                       // nil: it is not judged
+	findColdRelay        func(id string) (coldRelay, bool) // ok is false if none runs, or it was there from the start
+	Requests             int
+	Attempts             int
 }
 
 // news is what discovery tells a proxy of a relay. It counts from when it is at the proxy's machine: what a partition
 // holds back nobody can know before the clock for it runs out.
-type news struct {
-	proxy netip.Addr
-	entry fleet.Entry
-	at    int // bytes of the connection that must have arrived
+type notification struct {
+	proxy     netip.Addr
+	entry     fleet.Entry
+	endOffset int // bytes of the connection that must have arrived
 }
 
-func newJudge(w *vnet.World, l *fleet.Ledger, r *Rules, clock *newsClock) *judge {
+func newJudge(w *vnet.World, l *fleet.Ledger, r *Rules, clock *changeClock) *judge {
 	j := &judge{
-		world: w, ledger: l, rules: r, clock: clock, roles: make(map[*vnet.Host]role), relayID: make(map[*vnet.Host]string),
-		sites: make(map[string]string), blocks: make(map[string]int), lag: make(map[*vnet.Host]time.Duration), classes: make(map[string]*Class),
-		requests: make(map[string]*request), excused: make(map[*vnet.Host]time.Time),
+		world: w, ledger: l, rules: r, changeClock: clock, roles: make(map[*vnet.Host]role), relayID: make(map[*vnet.Host]string),
+		sites: make(map[string]string), blocks: make(map[string]int), maxClockLag: make(map[*vnet.Host]time.Duration), classes: make(map[string]*Class),
+		requests: make(map[string]*request), excusedUntil: make(map[*vnet.Host]time.Time),
 	}
 	l.Telling = func(proxy netip.Addr, e fleet.Entry) {
-		j.telling = append(j.telling, news{proxy: proxy, entry: e})
+		j.pendingNotifications = append(j.pendingNotifications, notification{proxy: proxy, entry: e})
 	}
-	l.Silenced = clock.silences
-	l.Broken = func(rule, detail string) { j.broken(rule, "%s", detail) }
+	l.Silenced = clock.watchSilenced
+	l.Broken = func(rule, detail string) { j.reportViolation(rule, "%s", detail) }
 	w.SetTap(j)
 	return j
 }
@@ -88,31 +88,31 @@
 
 func (v *Violation) Error() string { return v.Rule + ": " + v.Detail }
 
-func (j *judge) broken(rule, format string, args ...any) {
+func (j *judge) reportViolation(rule, format string, args ...any) {
 	j.world.Fail(&Violation{rule, fmt.Sprintf(format, args...)})
 }
 
 // audit takes an error of Instance.Audit, which begins with the rule's name.
-func (j *judge) audit(proxy string, err error) {
+func (j *judge) reportAuditError(proxy string, err error) {
 	if err == nil {
 		return
 	}
 	rule, detail, _ := strings.Cut(err.Error(), ": ")
-	j.broken(rule, "%s: %s", proxy, detail)
+	j.reportViolation(rule, "%s: %s", proxy, detail)
 }
 
 // tapped is what the judge knows of a connection between a client and a proxy, or between a proxy and a relay.
-type tapped struct {
-	req        *request
-	first      []byte // the first line from the dialler, as far as it is there
-	known      bool   // the first line was looked at
-	word       []byte // the first line from the listener, as far as it is there
-	heard      bool
-	refused    bool // that was BUSY: it never ran
-	relayEnded bool
-	relay      string
-	sentAt     time.Time
-	conn       *vnet.Conn
+type tappedConn struct {
+	request       *request
+	firstLine     []byte // the first line from the dialler, as far as it is there
+	firstLineSeen bool   // the first line was looked at
+	replyLine     []byte // the first line from the listener, as far as it is there
+	replySeen     bool
+	refused       bool // that was BUSY: it never ran
+	relayEnded    bool
+	relay         string
+	sentAt        time.Time
+	conn          *vnet.Conn
 }
 
 // discoveryConn is what is known of a connection to discovery.
@@ -125,17 +125,17 @@
 	return d
 }
 
-func (j *judge) tapped(c *vnet.Conn) *tapped {
-	w, _ := c.User.(*tapped)
+func (j *judge) tappedConn(c *vnet.Conn) *tappedConn {
+	w, _ := c.User.(*tappedConn)
 	if w == nil {
-		w = &tapped{conn: c}
+		w = &tappedConn{conn: c}
 		c.User = w
 	}
 	return w
 }
 
 // cut takes the first line off what a side sends; done tells that it is whole now.
-func cut(have *[]byte, data []byte) (done bool) {
+func appendLine(have *[]byte, data []byte) (done bool) {
 	if i := bytes.IndexByte(data, '\n'); i >= 0 {
 		*have = append(*have, data[:i+1]...)
 		return true
@@ -146,7 +146,7 @@
 	return false
 }
 
-var openWord = []byte("OPEN ")
+var openPrefix = []byte("OPEN ")
 
 // Sent is called when a process writes.
 func (j *judge) Sent(c *vnet.Conn, from *vnet.Host, data []byte) {
@@ -154,30 +154,30 @@
 	case j.roles[c.Listener] == roleDiscovery:
 		d := j.discoveryConn(c)
 		if from == c.Dialler {
-			j.clock.asks(from.Addr(), d, data)
+			j.changeClock.callWritten(from.Addr(), d, data)
 			return
 		}
-		d.sent += len(data)
-		for _, n := range j.telling {
-			n.at = d.sent
-			d.news = append(d.news, n)
+		d.sentBytes += len(data)
+		for _, n := range j.pendingNotifications {
+			n.endOffset = d.sentBytes
+			d.notifications = append(d.notifications, n)
 		}
-		j.telling = j.telling[:0]
+		j.pendingNotifications = j.pendingNotifications[:0]
 	case from == c.Dialler && j.roles[from] == roleClient && j.roles[c.Listener] == roleProxy:
-		w := j.tapped(c)
-		if !w.known && cut(&w.first, data) {
-			w.known = true
-			j.asked(c, w)
+		w := j.tappedConn(c)
+		if !w.firstLineSeen && appendLine(&w.firstLine, data) {
+			w.firstLineSeen = true
+			j.onClientRequest(c, w)
 		}
 	case from == c.Listener && j.roles[from] == roleProxy:
-		if w, _ := c.User.(*tapped); w != nil && w.req != nil {
-			j.answers(w.req, data)
+		if w, _ := c.User.(*tappedConn); w != nil && w.request != nil {
+			j.onProxyWrite(w.request, data)
 		}
 	case from == c.Dialler && j.roles[from] == roleProxy && j.roles[c.Listener] == roleRelay:
-		w := j.tapped(c)
-		if !w.known && cut(&w.first, data) {
-			w.known = true
-			j.attempt(c, w)
+		w := j.tappedConn(c)
+		if !w.firstLineSeen && appendLine(&w.firstLine, data) {
+			w.firstLineSeen = true
+			j.onAttempt(c, w)
 		}
 	}
 }
@@ -186,54 +186,54 @@
 func (j *judge) Arrived(c *vnet.Conn, at *vnet.Host, data []byte) {
 	if d, ok := c.User.(*discoveryConn); ok {
 		if at == c.Dialler {
-			j.hears(c, d, data)
+			j.onDiscoveryBytes(c, d, data)
 		}
 		return
 	}
-	w, _ := c.User.(*tapped)
-	if w == nil || w.req == nil || j.roles[at] != roleProxy {
+	w, _ := c.User.(*tappedConn)
+	if w == nil || w.request == nil || j.roles[at] != roleProxy {
 		return
 	}
 	if at == c.Listener {
-		if r := w.req; !r.taken { // its time counts from here
-			r.taken, r.deadline = true, j.world.Now().Add(r.wait)
-			j.world.After(r.wait+j.rules.AnswerSlack, func() { j.due(r) })
+		if r := w.request; !r.arrived { // its time counts from here
+			r.arrived, r.deadline = true, j.world.Now().Add(r.wait)
+			j.world.After(r.wait+j.rules.AnswerSlack, func() { j.checkAnswerDue(r) })
 		}
 		return
 	}
-	if w.heard || !cut(&w.word, data) {
+	if w.replySeen || !appendLine(&w.replyLine, data) {
 		return
 	}
-	w.heard = true
-	word, _ := line.ParseWord(line.TrimLineEnd(w.word))
+	w.replySeen = true
+	word, _ := line.ParseWord(line.TrimLineEnd(w.replyLine))
 	w.refused = word == line.Busy
-	if word != line.Up && w.req.out == w {
-		w.req.out = nil
+	if word != line.Up && w.request.current == w {
+		w.request.current = nil
 	}
-	w.word = nil
+	w.replyLine = nil
 }
 
 // hears sees what discovery wrote reach a proxy.
-func (j *judge) hears(c *vnet.Conn, d *discoveryConn, data []byte) {
-	d.arrived += len(data)
-	for len(d.news) > 0 && d.news[0].at <= d.arrived {
-		n := d.news[0]
-		d.news = d.news[1:]
+func (j *judge) onDiscoveryBytes(c *vnet.Conn, d *discoveryConn, data []byte) {
+	d.arrivedBytes += len(data)
+	for len(d.notifications) > 0 && d.notifications[0].endOffset <= d.arrivedBytes {
+		n := d.notifications[0]
+		d.notifications = d.notifications[1:]
 		j.ledger.Told(j.world.Now(), n.proxy, n.entry.Host, n.entry.Health == fleet.Serving)
-		j.clock.arrived(n.proxy, n.entry)
+		j.changeClock.entryArrived(n.proxy, n.entry)
 	}
-	j.clock.hears(c.Dialler.Addr(), d, data)
+	j.changeClock.answerArrived(c.Dialler.Addr(), d, data)
 }
 
 // EndArrived is called when an end, or a reset, reaches a machine.
 func (j *judge) EndArrived(c *vnet.Conn, at *vnet.Host) {
 	if d, ok := c.User.(*discoveryConn); ok && at == c.Dialler {
-		j.clock.ends(at.Addr(), d)
+		j.changeClock.connectionEnded(at.Addr(), d)
 		return
 	}
-	if w, _ := c.User.(*tapped); w != nil && w.req != nil && at == c.Listener && j.roles[at] == roleProxy {
-		if r := w.req; !r.answered && r.leftAt.IsZero() {
-			r.leftAt = j.world.Now()
+	if w, _ := c.User.(*tappedConn); w != nil && w.request != nil && at == c.Listener && j.roles[at] == roleProxy {
+		if r := w.request; !r.answered && r.clientLeftAt.IsZero() {
+			r.clientLeftAt = j.world.Now()
 		}
 	}
 }
@@ -242,39 +242,39 @@
 func (j *judge) Ended(c *vnet.Conn, from *vnet.Host) {
 	if j.roles[c.Listener] == roleDiscovery {
 		if from == c.Dialler {
-			j.clock.ends(from.Addr(), j.discoveryConn(c))
+			j.changeClock.connectionEnded(from.Addr(), j.discoveryConn(c))
 		}
 		return
 	}
-	w, _ := c.User.(*tapped)
-	if w == nil || w.req == nil {
+	w, _ := c.User.(*tappedConn)
+	if w == nil || w.request == nil {
 		return
 	}
-	r := w.req
+	r := w.request
 	switch {
 	case from == c.Dialler && j.roles[from] == roleClient:
-		r.left = true
-		j.forget(r)
+		r.clientEnded = true
+		j.sideEnded(r)
 	case from == c.Listener && j.roles[from] == roleProxy:
-		if from.Up() && !r.left {
-			j.closes(r)
+		if from.Up() && !r.clientEnded {
+			j.onProxyClose(r)
 		}
-		j.forget(r)
+		j.sideEnded(r)
 	case from == c.Dialler: // the proxy's side of an attempt
-		if r.out == w {
-			r.out = nil
+		if r.current == w {
+			r.current = nil
 		}
 	default:
 		w.relayEnded = true
-		if r.out == w {
-			r.out = nil
+		if r.current == w {
+			r.current = nil
 		}
 	}
 }
 
 // excuse takes down that a proxy cannot run, or not be reached, until then.
 func (j *judge) excuse(proxy *vnet.Host, until time.Time) {
-	if until.After(j.excused[proxy]) {
-		j.excused[proxy] = until
+	if until.After(j.excusedUntil[proxy]) {
+		j.excusedUntil[proxy] = until
 	}
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -13,7 +13,7 @@
 )
 
 // must reads a scenario from text.
-func must(t testing.TB, text string) *Scenario {
+func mustParse(t testing.TB, text string) *Scenario {
 	t.Helper()
 	s, err := Parse("test.ini", text)
 	if err != nil {
@@ -70,7 +70,7 @@
 		for i := range traces {
 			t.Run(fmt.Sprint(i), func(t *testing.T) {
 				t.Parallel()
-				s := Random(uint64(i))
+				s := RandomScenario(uint64(i))
 				s.Run.Length, s.Run.WarmUp, s.Traffic.Rate = 6*time.Second, 3*time.Second, min(s.Traffic.Rate, 5)
 				one, two := play(t, s, uint64(i)), play(t, s, uint64(i))
 				var a, b bytes.Buffer
@@ -107,8 +107,8 @@
 
 // A fault that is added does not shift the draws of what it does not touch: the same clients come.
 func TestFaultsDoNotShiftDraws(t *testing.T) {
-	calm := must(t, "[run]\nlength = 10s\nwarm_up = 2s\n")
-	rough := must(t, "[run]\nlength = 10s\nwarm_up = 2s\n[trouble a]\nkind = silence\nat = 1s\nfor = 4s\npart = 30%\n[trouble b]\nkind = rude\nat = 0s\nfor = 5s\nsize = 20\n")
+	calm := mustParse(t, "[run]\nlength = 10s\nwarm_up = 2s\n")
+	rough := mustParse(t, "[run]\nlength = 10s\nwarm_up = 2s\n[trouble a]\nkind = silence\nat = 1s\nfor = 4s\npart = 30%\n[trouble b]\nkind = rude\nat = 0s\nfor = 5s\nsize = 20\n")
 	a, b := play(t, calm, 7), play(t, rough, 7)
 	if a.Clients.Clients != b.Clients.Clients || a.Trace == b.Trace {
 		t.Errorf("%d and %d clients, traces %s and %s", a.Clients.Clients, b.Clients.Clients, a.Trace, b.Trace)
@@ -120,7 +120,7 @@
 	for name, makeUp := range ScenarioGenerators() {
 		for seed := range uint64(30) {
 			s := makeUp(seed)
-			again := must(t, s.Text())
+			again := mustParse(t, s.Text())
 			if again.Text() != s.Text() {
 				t.Fatalf("%s, seed %d:\n%s\nbecame\n%s", name, seed, s.Text(), again.Text())
 			}
@@ -151,13 +151,13 @@
 
 // What a pair of sides is told to differ in is found, with the right sign; a side against itself does not differ.
 func TestCompare(t *testing.T) {
-	calm := must(t, "[run]\nlength = 12s\nwarm_up = 8s\n")
-	slow := must(t, "[run]\nlength = 12s\nwarm_up = 8s\n[trouble s]\nkind = slow\nat = 0s\nfor = 12s\npart = 80%\nsize = 9\n")
+	calm := mustParse(t, "[run]\nlength = 12s\nwarm_up = 8s\n")
+	slow := mustParse(t, "[run]\nlength = 12s\nwarm_up = 8s\n[trouble s]\nkind = slow\nat = 0s\nfor = 12s\npart = 80%\nsize = 9\n")
 	c, err := RunPairs(Side{Name: "calm", Scenario: calm}, Side{Name: "slow", Scenario: slow}, []uint64{1, 2, 3, 4, 5, 6}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	find := func(name string) *Compare {
+	find := func(name string) *FigureComparison {
 		for i := range c.Figures {
 			if c.Figures[i].Name == name {
 				return &c.Figures[i]
@@ -166,8 +166,8 @@
 		t.Fatalf("no figure %q", name)
 		return nil
 	}
-	if f := find("service: all"); !f.Clear() || f.Mean >= 0 {
-		t.Errorf("slow relays make a difference of %+.4f ± %.4f", f.Mean, f.Half)
+	if f := find("service: all"); !f.Clear() || f.MeanDifference >= 0 {
+		t.Errorf("slow relays make a difference of %+.4f ± %.4f", f.MeanDifference, f.Half)
 	}
 	var b bytes.Buffer
 	if err := c.Markdown(&b); err != nil || !strings.Contains(b.String(), "| service: all") {
@@ -181,24 +181,24 @@
 		t.Fatal(err)
 	}
 	for _, f := range same.Figures {
-		if f.Mean != 0 || f.Clear() {
-			t.Errorf("%s differs from itself by %v", f.Name, f.Mean)
+		if f.MeanDifference != 0 || f.Clear() {
+			t.Errorf("%s differs from itself by %v", f.Name, f.MeanDifference)
 		}
 	}
 }
 
 // The interval is Student's: by hand for three pairs, whose differences are 1, 2 and 3.
 func TestInterval(t *testing.T) {
-	c := Compare{A: []float64{1, 1, 1}, B: []float64{2, 3, 4}}
-	if c.sum(); c.Mean != 2 || c.Half < 2.484 || c.Half > 2.485 { // 4.3027 / sqrt(3)
-		t.Errorf("%v ± %v", c.Mean, c.Half)
+	c := FigureComparison{A: []float64{1, 1, 1}, B: []float64{2, 3, 4}}
+	if c.computeStatistics(); c.MeanDifference != 2 || c.Half < 2.484 || c.Half > 2.485 { // 4.3027 / sqrt(3)
+		t.Errorf("%v ± %v", c.MeanDifference, c.Half)
 	}
 }
 
 // A machine that vanished does not answer, whoever asks; the judge holds a proxy to what it could know.
 func TestServiceFallsWithTheFleet(t *testing.T) {
-	calm := must(t, "[run]\nlength = 20s\nwarm_up = 10s\n")
-	lost := must(t, "[run]\nlength = 20s\nwarm_up = 10s\n[trouble x]\nkind = lose\nat = 2s\npart = 85%\n")
+	calm := mustParse(t, "[run]\nlength = 20s\nwarm_up = 10s\n")
+	lost := mustParse(t, "[run]\nlength = 20s\nwarm_up = 10s\n[trouble x]\nkind = lose\nat = 2s\npart = 85%\n")
 	a, b := play(t, calm, 4), play(t, lost, 4)
 	if a.Service < 0.95 || b.Service > a.Service-0.05 {
 		t.Errorf("service %.3f on a calm day, %.3f with a sixth of the relays", a.Service, b.Service)
--- a/internal/lab/limits_test.go
+++ b/internal/lab/limits_test.go
@@ -42,7 +42,7 @@
 		if kind == "strict" { // what a stopped process holds stands on until it runs again; see docs/shared.md
 			text = strings.Split(limited, "[trouble stall]")[0]
 		}
-		r := play(t, must(t, text).with(func(s *Scenario) { s.Proxies.LimitKind = kind }), 1)
+		r := play(t, mustParse(t, text).with(func(s *Scenario) { s.Proxies.LimitKind = kind }), 1)
 		used := r.Shared.Held / r.Length
 		t.Logf("%s: most %d, %.1f in the mean, %d refused, %d yielded", kind, r.Shared.Standing, used, r.Counters.Beyond, r.Counters.Yielded)
 		if r.Shared.Standing > most || r.Counters.Beyond < 50 {
@@ -56,14 +56,14 @@
 	halved := strings.Split(limited, "[trouble kill]")[0] + "[trouble halve]\nkind = relimit\nat = 10s\nevery = 100ms\nsize = 30\n"
 	for _, kind := range []string{"strict", "soft"} {
 		var ends []int
-		r := play(t, must(t, halved).with(func(s *Scenario) { s.Proxies.LimitKind = kind }), 1)
+		r := play(t, mustParse(t, halved).with(func(s *Scenario) { s.Proxies.LimitKind = kind }), 1)
 		ends = append(ends, r.Shared.Last)
 		t.Logf("%s halved: %d at the end, %d yielded, %d moved, %d cut", kind, r.Shared.Last, r.Counters.Yielded, r.Counters.Moves, r.Clients.Cut)
 		if r.Shared.Last > map[string]int{"strict": 33, "soft": 38}[kind] || r.Shared.Last < 20 || r.Clients.Cut > 0 || kind == "soft" && r.Counters.Yielded > 0 || kind == "strict" && r.Counters.Yielded == 0 {
 			t.Errorf("%s halved: %v at the end, %d yielded, %d cut", kind, ends, r.Counters.Yielded, r.Clients.Cut)
 		}
 	}
-	r := play(t, must(t, limited).with(func(s *Scenario) { s.Proxies.Limit = 0 }), 1)
+	r := play(t, mustParse(t, limited).with(func(s *Scenario) { s.Proxies.Limit = 0 }), 1)
 	if r.Counters.Beyond != 0 {
 		t.Error("refused without a limit")
 	}
@@ -74,7 +74,7 @@
 	slow(t)
 	const most, within = 20, 10 * time.Second
 	text := strings.Split(limited, "[trouble kill]")[0]
-	r := play(t, must(t, text).with(func(s *Scenario) {
+	r := play(t, mustParse(t, text).with(func(s *Scenario) {
 		s.Proxies.Limit, s.Proxies.LimitWithin = most, within
 	}), 1)
 	up := float64(r.Counters.Up)
@@ -90,7 +90,7 @@
 func TestPlannedStopKeepsItsSlices(t *testing.T) {
 	slow(t)
 	text := strings.Split(limited, "[trouble kill]")[0] + "[trouble restart]\nkind = proxy-restart\nat = 10s\ncount = 6\nevery = 2s\naway = 1s\n"
-	r := play(t, must(t, text).with(func(s *Scenario) { s.Proxies.LimitKind = "strict" }), 1)
+	r := play(t, mustParse(t, text).with(func(s *Scenario) { s.Proxies.LimitKind = "strict" }), 1)
 	t.Logf("most %d, %d moved, %d yielded, %d cut", r.Shared.Standing, r.Counters.Moves, r.Counters.Yielded, r.Clients.Cut)
 	if r.Counters.Yielded > 0 || r.Clients.Moved < 10 || r.Clients.Cut > 0 || r.Shared.Standing > 60 {
 		t.Errorf("most %d, %d moved, %d yielded, %d cut", r.Shared.Standing, r.Clients.Moved, r.Counters.Yielded, r.Clients.Cut)
--- a/internal/lab/news.go
+++ b/internal/lab/news.go
@@ -21,48 +21,48 @@
 		return nil
 	}
 	return n.host.Start(func(k poll.Kernel) (func() error, error) {
-		loop := n.on(k, s)
+		loop := n.newLoop(k, s)
 		c := fleet.DiscoveryConfig{
-			Call: s.s.Discovery.CallTime, Line: s.s.Discovery.LineTime, Timeout: s.s.Discovery.Timeout,
-			Resets: s.s.Discovery.ResetShare,
+			Call: s.scenario.Discovery.CallTime, Line: s.scenario.Discovery.LineTime, Timeout: s.scenario.Discovery.Timeout,
+			Resets: s.scenario.Discovery.ResetShare,
 		}
 		d, err := fleet.NewDiscovery(loop, netip.AddrPortFrom(n.host.Addr(), discoveryPort), c, s.registry, s.ledger)
 		if err != nil {
 			return nil, err
 		}
 		n.d = d
-		s.owns(n.host, d.Stop, nil)
+		s.setProcess(n.host, d.Stop, nil)
 		return func() error { return loop.Turn(true) }, nil
 	})
 }
 
 // news changes discovery's list after a while.
-func (s *stage) news(after time.Duration, change func()) {
-	s.after(after+s.late, func() {
+func (s *stage) scheduleListChange(after time.Duration, change func()) {
+	s.after(after+s.changeDelay, func() {
 		change()
 		if s.discovery.host.Up() {
 			s.discovery.post(s.discovery.d.News)
 		}
-		s.agents(0)
+		s.markPushedLists(0)
 	})
 }
 
 // silentFor is how long after a watch fell silent what it missed counts as told.
-const silentFor = 6 * time.Second
+const silentWatchDelay = 6 * time.Second
 
 // agents takes down, where lists are pushed, that all proxies were told what discovery has, whether or not they asked. One that can't be
 // reached, or whose news may be held up on its way, is not counted: what reaches it then counts when it arrives.
-func (s *stage) agents(after time.Duration) {
-	if !s.s.Permissions.ListsPushed || s.judge == nil || s.s.Network.Loss > 0 {
+func (s *stage) markPushedLists(after time.Duration) {
+	if !s.scenario.Permissions.ListsPushed || s.judge == nil || s.scenario.Network.Loss > 0 {
 		return
 	}
 	s.after(after, func() {
 		h := s.discovery.host.(*vnet.Host)
-		if !h.Up() || s.discovery.d == nil || s.discovery.d.Hangs() || s.world.Now().Before(s.silent) {
+		if !h.Up() || s.discovery.d == nil || s.discovery.d.Hangs() || s.world.Now().Before(s.silentUntil) {
 			return
 		}
 		for _, p := range s.proxies {
-			if p.running() && s.world.Reaches(h, p.virtual()) {
+			if p.running() && s.world.Reaches(h, p.vnetHost()) {
 				for _, n := range s.nodes {
 					if health, ok := s.registry.HealthOf(n.plan.id); ok {
 						s.ledger.Told(s.world.Now(), p.host.Addr(), n.plan.id, health == fleet.Serving)
@@ -74,32 +74,32 @@
 }
 
 // watchClock has the judge look, every now and then, at what counts as told by a clock.
-func (s *stage) watchClock() {
-	if s.judge == nil || s.s.Rules.NewsWithin <= 0 && s.s.Rules.AskAgain <= 0 || s.world.Elapsed() >= s.total {
+func (s *stage) runClockChecks() {
+	if s.judge == nil || s.scenario.Rules.NewsWithin <= 0 && s.scenario.Rules.AskAgain <= 0 || s.world.Elapsed() >= s.total {
 		return
 	}
 	h := s.discovery.host.(*vnet.Host)
 	answers := h.Up() && s.discovery.d != nil && !s.discovery.d.Hangs()
 	for _, p := range s.proxies {
 		if p.running() {
-			s.judge.clock.look(p.host.Addr(), answers && s.world.Reaches(h, p.virtual()))
-			s.judge.asksAgain(p.virtual())
+			s.judge.changeClock.update(p.host.Addr(), answers && s.world.Reaches(h, p.vnetHost()))
+			s.judge.checkAskAgain(p.vnetHost())
 		}
 	}
-	s.countColdRoom()
-	s.after(clockStep, s.watchClock)
+	s.countColdAllowance()
+	s.after(clockInterval, s.runClockChecks)
 }
 
 // countColdRoom counts what cold relays may be sent, for one step of the clock.
-func (s *stage) countColdRoom() {
-	if s.judge.cold == nil {
+func (s *stage) countColdAllowance() {
+	if s.judge.coldBudget == nil {
 		return
 	}
 	now := s.world.Now()
 	for _, n := range s.nodes {
 		cold := n.relay != nil && !n.born.IsZero() && n.relay.Machine().Warmth(now) < 1
 		if health, ok := s.registry.HealthOf(n.plan.id); cold && ok && health == fleet.Serving {
-			s.judge.cold.runs(n.relay.Machine(), now, clockStep)
+			s.judge.coldBudget.countAllowance(n.relay.Machine(), now, clockInterval)
 		}
 	}
 }
--- a/internal/lab/newsclock_test.go
+++ b/internal/lab/newsclock_test.go
@@ -11,25 +11,25 @@
 // When a change counts as told, by the calls that a proxy has made. All times are seconds since the start.
 func TestChangesCountAsTold(t *testing.T) {
 	second := func(s float64) time.Time { return time.Unix(1e9, 0).Add(time.Duration(s * float64(time.Second))) }
-	n := &newsClock{newsWithin: 6 * time.Second, askWithin: 10 * time.Second}
-	watch := &discoveryConn{asked: second(8), wait: 2 * time.Second}
-	long := &discoveryConn{asked: second(8), wait: 20 * time.Second}
+	n := &changeClock{newsWithin: 6 * time.Second, askWithin: 10 * time.Second}
+	watch := &discoveryConn{calledAt: second(8), wait: 2 * time.Second}
+	long := &discoveryConn{calledAt: second(8), wait: 20 * time.Second}
 	for _, tt := range []struct {
 		name   string
-		caller caller
+		caller discoveryClient
 		at     float64 // 0: no clock runs
 	}{
-		{"last call answered", caller{reach: second(1), last: second(9)}, 20},
-		{"the same, and discovery was away since", caller{reach: second(12), last: second(9)}, 22},
-		{"last call failed", caller{reach: second(1), last: second(2), failed: second(11)}, 16},
-		{"it failed late", caller{reach: second(1), last: second(9), failed: second(18)}, 18},
-		{"it failed, and discovery was away since", caller{reach: second(14), last: second(2), failed: second(11)}, 20},
-		{"a watch is open", caller{reach: second(1), last: second(8), call: watch}, 0},
-		{"a watch is open after a failure", caller{reach: second(1), failed: second(7), call: watch}, 16},
-		{"a watch fell silent", caller{reach: second(1), last: second(8), call: watch, silent: second(9)}, 15},
-		{"a watch with a long wait fell silent", caller{reach: second(1), last: second(8), call: long, silent: second(9)}, 30},
+		{"last call answered", discoveryClient{reachableSince: second(1), lastAnswer: second(9)}, 20},
+		{"the same, and discovery was away since", discoveryClient{reachableSince: second(12), lastAnswer: second(9)}, 22},
+		{"last call failed", discoveryClient{reachableSince: second(1), lastAnswer: second(2), failedSince: second(11)}, 16},
+		{"it failed late", discoveryClient{reachableSince: second(1), lastAnswer: second(9), failedSince: second(18)}, 18},
+		{"it failed, and discovery was away since", discoveryClient{reachableSince: second(14), lastAnswer: second(2), failedSince: second(11)}, 20},
+		{"a watch is open", discoveryClient{reachableSince: second(1), lastAnswer: second(8), currentCall: watch}, 0},
+		{"a watch is open after a failure", discoveryClient{reachableSince: second(1), failedSince: second(7), currentCall: watch}, 16},
+		{"a watch fell silent", discoveryClient{reachableSince: second(1), lastAnswer: second(8), currentCall: watch, silentSince: second(9)}, 15},
+		{"a watch with a long wait fell silent", discoveryClient{reachableSince: second(1), lastAnswer: second(8), currentCall: long, silentSince: second(9)}, 30},
 	} {
-		at, ok := tt.caller.toldAt(second(10), n)
+		at, ok := tt.caller.knownAt(second(10), n)
 		if ok != (tt.at > 0) || ok && !at.Equal(second(tt.at)) {
 			t.Errorf("%s: %v s, %v, want %v s", tt.name, at.Sub(second(0)).Seconds(), ok, tt.at)
 		}
@@ -39,37 +39,37 @@
 // The clock tells calls that are answered from such that fail, by the bytes alone.
 func TestCallsOnTheWire(t *testing.T) {
 	w := vnet.New(1, func(_, _ *vnet.Host) vnet.Link { return vnet.Link{} })
-	n := newNewsClock(w, &Rules{NewsWithin: 6 * time.Second}, &Permissions{AskWithin: 10 * time.Second})
-	proxy := at(0, atProxy, 1)
-	n.begins(proxy)
-	c, d := n.callers[proxy], &discoveryConn{}
+	n := newChangeClock(w, &Rules{NewsWithin: 6 * time.Second}, &Permissions{AskWithin: 10 * time.Second})
+	proxy := machineAddr(0, addrProxy, 1)
+	n.proxyStarted(proxy)
+	c, d := n.clients[proxy], &discoveryConn{}
 	call := []byte("GET /registry/instances?index=4&wait=2000 HTTP/1.1\r\n\r\n")
-	n.asks(proxy, d, call)
-	if c.call != d || d.wait != 2*time.Second {
+	n.callWritten(proxy, d, call)
+	if c.currentCall != d || d.wait != 2*time.Second {
 		t.Fatalf("%+v, wait %v", c, d.wait)
 	}
-	n.hears(proxy, d, []byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{"))
-	if c.call != d {
+	n.answerArrived(proxy, d, []byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{"))
+	if c.currentCall != d {
 		t.Error("a half answer ends the call")
 	}
-	n.hears(proxy, d, []byte("\"\"}"))
-	if c.call != nil || !c.failed.IsZero() {
+	n.answerArrived(proxy, d, []byte("\"\"}"))
+	if c.currentCall != nil || !c.failedSince.IsZero() {
 		t.Errorf("answered: %+v", c)
 	}
-	n.ends(proxy, d)
-	if !c.failed.IsZero() {
+	n.connectionEnded(proxy, d)
+	if !c.failedSince.IsZero() {
 		t.Error("an idle connection that ends passes for a call that failed")
 	}
-	n.asks(proxy, d, call)
-	n.hears(proxy, d, []byte("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"))
-	if c.failed.IsZero() {
+	n.callWritten(proxy, d, call)
+	n.answerArrived(proxy, d, []byte("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"))
+	if c.failedSince.IsZero() {
 		t.Error("503 is no failure")
 	}
-	n.asks(proxy, d, call)
-	n.hears(proxy, d, []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
-	n.asks(proxy, d, call)
-	n.ends(proxy, d)
-	if c.failed.IsZero() {
+	n.callWritten(proxy, d, call)
+	n.answerArrived(proxy, d, []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+	n.callWritten(proxy, d, call)
+	n.connectionEnded(proxy, d)
+	if c.failedSince.IsZero() {
 		t.Error("a call that was given up is no failure")
 	}
 }
@@ -77,7 +77,7 @@
 // Open watches fall silent while discovery answers all other calls: the proxies notice and ask anew before what they missed counts
 // as told.
 func TestWatchesFallSilent(t *testing.T) {
-	s := must(t, `
+	s := mustParse(t, `
 [run]
 length = 25s
 warm_up = 5s
@@ -103,7 +103,7 @@
 
 // A discovery that is asked too much fails calls by its queue: a part with 503, the others with a reset.
 func TestDiscoveryFailsCallsByItsQueue(t *testing.T) {
-	s := must(t, `
+	s := mustParse(t, `
 [run]
 length = 20s
 warm_up = 5s
@@ -127,12 +127,12 @@
 // A server that drains counts as told by the clock, until it runs anew.
 func TestClockUntilTheServerReturns(t *testing.T) {
 	w := vnet.New(1, func(_, _ *vnet.Host) vnet.Link { return vnet.Link{} })
-	n := newNewsClock(w, &Rules{NewsWithin: 6 * time.Second}, &Permissions{AskWithin: 10 * time.Second})
-	proxy := at(0, atProxy, 1)
-	n.begins(proxy)
-	n.look(proxy, true)
-	n.changed(fleet.Entry{Host: "s", Health: fleet.Draining})
-	n.ends(proxy, &discoveryConn{})
+	n := newChangeClock(w, &Rules{NewsWithin: 6 * time.Second}, &Permissions{AskWithin: 10 * time.Second})
+	proxy := machineAddr(0, addrProxy, 1)
+	n.proxyStarted(proxy)
+	n.update(proxy, true)
+	n.listChanged(fleet.Entry{Host: "s", Health: fleet.Draining})
+	n.connectionEnded(proxy, &discoveryConn{})
 	for _, tt := range []struct {
 		after time.Duration
 		told  bool
@@ -140,14 +140,14 @@
 		if err := w.Run(tt.after); err != nil {
 			t.Fatal(err)
 		}
-		n.look(proxy, true)
-		if since, told := n.goneSince(proxy, "s"); told != tt.told || told && w.Now().Sub(since) != 100*time.Millisecond {
+		n.update(proxy, true)
+		if since, told := n.unavailableSince(proxy, "s"); told != tt.told || told && w.Now().Sub(since) != 100*time.Millisecond {
 			t.Errorf("%v: told %v since %v", w.Elapsed(), told, since)
 		}
 	}
-	n.returns("s")
-	n.look(proxy, true)
-	if _, told := n.goneSince(proxy, "s"); told {
+	n.serverRestarted("s")
+	n.update(proxy, true)
+	if _, told := n.unavailableSince(proxy, "s"); told {
 		t.Error("it runs anew, and counts as gone")
 	}
 }
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -9,21 +9,21 @@
 
 // node is a loop with a box for what is to be done on it: the loop's own clock and timers are set right only in a turn.
 type node struct {
-	loop   *poll.Loop
-	box    []func()
-	direct bool // there is one loop, and what is posted runs on it already
+	loop    *poll.Loop
+	pending []func()
+	direct  bool // there is one loop, and what is posted runs on it already
 }
 
-func (n *node) on(k poll.Kernel, s *stage) *poll.Loop {
-	n.box = nil
+func (n *node) newLoop(k poll.Kernel, s *stage) *poll.Loop {
+	n.pending = nil
 	if s.real != nil { // all share one
 		n.loop, n.direct = s.real.loop, true
 		return n.loop
 	}
 	n.loop = poll.NewOn(k, func() {
-		for len(n.box) > 0 {
-			f := n.box[0]
-			n.box = n.box[1:]
+		for len(n.pending) > 0 {
+			f := n.pending[0]
+			n.pending = n.pending[1:]
 			f()
 		}
 	})
@@ -36,7 +36,7 @@
 		f()
 		return
 	}
-	n.box = append(n.box, f)
+	n.pending = append(n.pending, f)
 	n.loop.Wake()
 }
 
@@ -55,7 +55,7 @@
 }
 
 // machine adds one.
-func (s *stage) machine(name string, addr netip.Addr, l vnet.Limits) machine {
+func (s *stage) addMachine(name string, addr netip.Addr, l vnet.Limits) machine {
 	if s.real != nil {
 		return s.real.machine(name, addr)
 	}
@@ -63,7 +63,7 @@
 }
 
 // is tells the judge what a machine is for.
-func (s *stage) is(m machine, r role, relay string) {
+func (s *stage) setRole(m machine, r role, relay string) {
 	if s.judge == nil {
 		return
 	}
@@ -75,7 +75,7 @@
 }
 
 // owns tells a machine that is no host of its own how its process is ended, and how it is silenced.
-func (s *stage) owns(m machine, stop func(), silence func(on bool)) {
+func (s *stage) setProcess(m machine, stop func(), silence func(on bool)) {
 	if r, ok := m.(*realMachine); ok {
 		r.stop, r.silence = stop, silence
 	}
--- a/internal/lab/proxies.go
+++ b/internal/lab/proxies.go
@@ -15,26 +15,26 @@
 )
 
 type proxyNode struct {
-	name  string
-	site  string
-	host  machine
-	loop  *poll.Loop
-	inst  *instance.Instance // nil: none runs, or it is a process of its own
-	rng   *rand.Rand         // seeds of its lives
-	audit time.Time
-	lives int
+	name       string
+	site       string
+	host       machine
+	loop       *poll.Loop
+	inst       *instance.Instance // nil: none runs, or it is a process of its own
+	seedSource *rand.Rand         // seeds of its lives
+	nextAudit  time.Time
+	lives      int
 }
 
 func (p *proxyNode) addr() netip.AddrPort { return netip.AddrPortFrom(p.host.Addr(), proxyPort) }
 
 func (s *stage) addProxy(i int) error {
-	site := i % len(s.s.Sites)
+	site := i % len(s.scenario.Sites)
 	name := fmt.Sprintf("proxy-%03d", i)
-	h := s.machine(name, at(site, atProxy, i), vnet.Limits{
-		Descriptors: s.s.Proxies.MaxDescriptors, EventCost: s.s.Proxies.EventCost,
+	h := s.addMachine(name, machineAddr(site, addrProxy, i), vnet.Limits{
+		Descriptors: s.scenario.Proxies.MaxDescriptors, EventCost: s.scenario.Proxies.EventCost,
 	})
-	s.is(h, roleProxy, "")
-	p := &proxyNode{name: name, site: s.s.Sites[site], host: h, rng: stream(s.seed, "proxy "+name)}
+	s.setRole(h, roleProxy, "")
+	p := &proxyNode{name: name, site: s.scenario.Sites[site], host: h, seedSource: randomStream(s.seed, "proxy "+name)}
 	s.proxies = append(s.proxies, p)
 	return s.startProxy(p)
 }
@@ -50,8 +50,8 @@
 	}
 	c := instance.Config{
 		Name: p.name, Listen: p.addr(), Discovery: netip.AddrPortFrom(s.discovery.host.Addr(), discoveryPort),
-		Seed: p.rng.Uint64(), MaxDescriptors: s.s.Proxies.MaxDescriptors, KnownList: s.known(), Settings: set, Tuning: s.s.Tuning(),
-		Log: log.New(logTo{s, p.name}, "", 0),
+		Seed: p.seedSource.Uint64(), MaxDescriptors: s.scenario.Proxies.MaxDescriptors, KnownList: s.knownList(), Settings: set, Tuning: s.scenario.Tuning(),
+		Log: log.New(proxyLogWriter{s, p.name}, "", 0),
 	}
 	if c.Fleet, err = s.shares(p); err != nil {
 		return err
@@ -64,35 +64,35 @@
 			return nil, err
 		}
 		p.inst, p.loop = inst, loop
-		s.judge.clock.begins(p.host.Addr())
-		s.agents(0)
-		return func() error { return s.turn(p, inst) }, nil
+		s.judge.changeClock.proxyStarted(p.host.Addr())
+		s.markPushedLists(0)
+		return func() error { return s.runTurn(p, inst) }, nil
 	})
 }
 
 // turn is one turn of a proxy, with a look at its books.
-func (s *stage) turn(p *proxyNode, inst *instance.Instance) error {
+func (s *stage) runTurn(p *proxyNode, inst *instance.Instance) error {
 	if err := inst.Turn(); err != nil {
 		return err
 	}
 	if inst.Done() {
-		if err := s.judge.exits(p.host.(*vnet.Host)); err != nil {
-			s.judge.audit(p.name, err)
+		if err := s.judge.checkProxyExit(p.host.(*vnet.Host)); err != nil {
+			s.judge.reportAuditError(p.name, err)
 		}
-		s.ended.Add(&inst.Count)
+		s.endedCounters.Add(&inst.Count)
 		s.meshEnded(inst)
 		p.inst = nil
 		return vnet.ErrExit
 	}
-	if now := s.world.Now(); !now.Before(p.audit) {
-		p.audit = now.Add(s.s.Run.AuditPeriod)
-		s.judge.audit(p.name, inst.Audit())
+	if now := s.world.Now(); !now.Before(p.nextAudit) {
+		p.nextAudit = now.Add(s.scenario.Run.AuditPeriod)
+		s.judge.reportAuditError(p.name, inst.Audit())
 	}
 	return nil
 }
 
 // known is the list that a proxy starts with.
-func (s *stage) known() *routes.List {
+func (s *stage) knownList() *routes.List {
 	l := &routes.List{Whole: true}
 	for i := range s.relays {
 		if s.relays[i].late {
@@ -115,7 +115,7 @@
 }
 
 // virtual is the proxy's machine where it is one of the virtual network.
-func (p *proxyNode) virtual() *vnet.Host { return p.host.(*vnet.Host) }
+func (p *proxyNode) vnetHost() *vnet.Host { return p.host.(*vnet.Host) }
 
 func (p *proxyNode) running() bool {
 	if r, ok := p.host.(*realMachine); ok {
@@ -125,7 +125,7 @@
 }
 
 // term is SIGTERM.
-func (p *proxyNode) term() {
+func (p *proxyNode) terminate() {
 	if r, ok := p.host.(*realMachine); ok {
 		r.signal(syscall.SIGTERM)
 		return
@@ -139,5 +139,5 @@
 		s.after(d, func() { r.signal(syscall.SIGCONT) })
 		return
 	}
-	p.virtual().Stall(d)
+	p.vnetHost().Stall(d)
 }
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -17,75 +17,77 @@
 	"ospreyspan/internal/poll"
 )
 
-// real is what a day needs that is played on real loopback sockets: one loop for the fleet's parts, and a process for
-// each proxy.
+// real is the state of a day that runs on real loopback sockets: one event loop for all emulated
+// parts of the fleet, and one process for each proxy.
 type real struct {
-	loop    *poll.Loop
-	program string
-	dir     string // for configurations and logs
-	all     []*realMachine
-	wires   *wires // nil: processes speak to each other directly
+	loop     *poll.Loop
+	program  string // path of the ospreyspan binary
+	dir      string // directory for configurations and logs
+	machines []*realMachine
+	links    *lossyLinks // nil: processes send datagrams to each other directly
 }
 
-// notReal are the troubles that can't be made on real sockets without privileges.
-var notReal = map[string]string{
-	"partition": "loopback can't be cut", "isolate": "loopback can't be cut", "late-clock": "the clock is everybody's",
-	"descriptors": "the limit is the process's own", "ports": "the ports are everybody's",
-	"late-connects": "loopback's connections come up at once",
+// unsupportedFaults are the kinds of faults that cannot be produced on real sockets without
+// privileges, with the reason for each.
+var unsupportedFaults = map[string]string{
+	"partition": "loopback cannot be partitioned", "isolate": "loopback cannot be partitioned", "late-clock": "all processes share the machine's clock",
+	"descriptors": "the limit of descriptors belongs to each process", "ports": "all processes share the machine's ports",
+	"late-connects": "connections on loopback are established at once",
 }
 
-// PlayReal plays a day on real loopback sockets against the program, in real time: the same fleet, the same draws, but no
-// delay of a network, and no judge on the wire. It takes as long as the day and a few seconds; until bounds it.
-func PlayReal(sc *Scenario, seed uint64, program, dir string, until time.Duration, o Options) (*Result, error) {
+// PlayReal plays a day on real loopback sockets against the given program, in real time. Fleet and
+// draws are those of Play, but there is no network delay and no judge of the rules on the wire. It
+// takes the length of the day and a few seconds; a day longer than limit is an error.
+func PlayReal(sc *Scenario, seed uint64, program, dir string, limit time.Duration, o Options) (*Result, error) {
 	for _, t := range sc.Faults {
-		if why := notReal[t.Kind]; why != "" {
+		if why := unsupportedFaults[t.Kind]; why != "" {
 			return nil, fmt.Errorf("trouble %s: %s can't be played on real sockets: %s", t.Name, t.Kind, why)
 		}
 	}
-	if most := cmp.Or(o.MaxRealProxies, 16); sc.Proxies.Count > most || len(sc.Sites) > 100 {
-		return nil, fmt.Errorf("more than %d proxies or 100 sites are too many for one machine's real sockets", most)
+	if maxProxies := cmp.Or(o.MaxRealProxies, 16); sc.Proxies.Count > maxProxies || len(sc.Sites) > 100 {
+		return nil, fmt.Errorf("more than %d proxies or 100 sites are too many for one machine's real sockets", maxProxies)
 	}
 	d, err := newDay(sc, seed)
 	if err != nil {
 		return nil, err
 	}
-	if d.total+sc.Run.CoolDown > until {
-		return nil, fmt.Errorf("the day takes %v, more than the %v that are given", d.total, until)
+	if d.total+sc.Run.CoolDown > limit {
+		return nil, fmt.Errorf("the day takes %v, more than the limit of %v", d.total, limit)
 	}
 	loop, err := poll.New(func() {})
 	if err != nil {
 		return nil, err
 	}
 	defer loop.Close()
-	s := &stage{day: d, o: o, costly: make(map[string]costly), registry: fleet.NewRegistry()}
+	s := &stage{day: d, options: o, costlyClasses: make(map[string]costlyFault), registry: fleet.NewRegistry()}
 	s.real = &real{loop: loop, program: program, dir: dir}
-	defer s.real.end()
+	defer s.real.killAll()
 	if sc.Proxies.BadLinks {
-		s.real.wires = newWires(loop, seed)
-		defer s.real.wires.close()
-		s.real.wires.after(sc.Run.WarmUp, func() { s.real.wires.trouble(time.Second) })
+		s.real.links = newLossyLinks(loop, seed)
+		defer s.real.links.close()
+		s.real.links.after(sc.Run.WarmUp, func() { s.real.links.cutPeriodically(time.Second) })
 	}
 	s.ledger = fleet.NewLedger(loop.Now().Add(sc.Run.WarmUp), sc.Run.Length, d.classes)
-	var broken error
+	var violation error
 	s.ledger.Broken = func(rule, detail string) {
-		if broken == nil {
-			broken = &Violation{rule, detail}
+		if violation == nil {
+			violation = &Violation{rule, detail}
 		}
 	}
 	if err := s.build(); err != nil {
 		return nil, err
 	}
 	finished := false
-	var second poll.Timer
-	taken := time.Duration(0)
-	second.Fire = func() {
-		taken += time.Second
+	var ticker poll.Timer
+	elapsed := time.Duration(0)
+	ticker.Fire = func() {
+		elapsed += time.Second
 		s.samples.take(s)
 		if o.Progress != nil {
-			o.Progress(taken, d.total)
+			o.Progress(elapsed, d.total)
 		}
-		if taken < d.total {
-			loop.After(&second, time.Second)
+		if elapsed < d.total {
+			loop.After(&ticker, time.Second)
 			return
 		}
 		for _, c := range s.crowds {
@@ -94,59 +96,63 @@
 		}
 		finished = true
 	}
-	loop.After(&second, time.Second)
+	loop.After(&ticker, time.Second)
 	for !finished && s.err == nil {
 		if err := loop.Turn(true); err != nil {
 			return nil, err
 		}
 	}
 	res := s.result()
-	if s.real.wires != nil {
-		res.Wires = &s.real.wires.Wires
+	if s.real.links != nil {
+		res.Wires = &s.real.links.Wires
 	}
-	return res, errors.Join(s.err, broken)
+	return res, errors.Join(s.err, violation)
 }
 
-// machine adds a part of this process at an address of its own on loopback: 127 in place of 10.
+// machine adds an emulated part of this process at a loopback address of its own, which is the
+// part's virtual address with 127 in place of 10.
 func (r *real) machine(name string, addr netip.Addr) machine {
-	m := &realMachine{real: r, name: name, addr: onLoopback(addr)}
-	r.all = append(r.all, m)
+	m := &realMachine{real: r, name: name, addr: loopbackAddr(addr)}
+	r.machines = append(r.machines, m)
 	return m
 }
 
-func onLoopback(addr netip.Addr) netip.Addr {
+// loopbackAddr maps an address of the virtual network to one on loopback: the first byte 10 becomes
+// 127, and the last byte 0 becomes 200.
+func loopbackAddr(addr netip.Addr) netip.Addr {
 	a := addr.As4()
 	a[0] = 127
-	a[2] |= 64 // apart from what other programs use
+	a[2] |= 64 // avoids addresses that other programs use
 	if a[3] == 0 {
 		a[3] = 200
 	}
 	return netip.AddrFrom4(a)
 }
 
-// operatorFile writes a proxy's operator's file, and has its keeper's log made before its first life.
+// operatorFile writes the proxy's operator file and returns its path. Before the first start of a
+// proxy that runs a keeper, it also creates the keeper's log.
 func (r *real) operatorFile(s *stage, p *proxyNode) (string, error) {
 	var keepers, seeds []string
-	keeps := false
-	for i := range s.s.Proxies.Keepers {
-		at := netip.AddrPortFrom(onLoopback(proxyAt(i%len(s.s.Sites), i)), meshPort)
-		keeps = keeps || at.Addr() == p.host.Addr()
-		if r.wires != nil {
-			at = public(at)
+	runsKeeper := false
+	for i := range s.scenario.Proxies.Keepers {
+		at := netip.AddrPortFrom(loopbackAddr(proxyAt(i%len(s.scenario.Sites), i)), meshPort)
+		runsKeeper = runsKeeper || at.Addr() == p.host.Addr()
+		if r.links != nil {
+			at = publicAddr(at)
 		}
 		keepers, seeds = append(keepers, fmt.Sprintf("%d@%s", i+1, at)), append(seeds, at.String())
 	}
 	text := fmt.Sprintf("[fleet]\ncluster = lab\nlisten = %s:%d\nzone = %s\nseeds = %s\n[keepers]\nmembers = %s\nlease = 1s\nmargin = 50ms\ndir = %s\n",
 		p.host.Addr(), meshPort, p.site, strings.Join(seeds, ", "), strings.Join(keepers, ", "), filepath.Join(r.dir, "keeper-"+p.name))
-	if r.wires != nil {
-		own := netip.AddrPortFrom(p.host.Addr(), meshPort)
-		if err := r.wires.open(own); err != nil {
+	if r.links != nil {
+		listen := netip.AddrPortFrom(p.host.Addr(), meshPort)
+		if err := r.links.open(listen); err != nil {
 			return "", err
 		}
-		text = strings.Replace(text, "zone =", "advertise = "+public(own).String()+"\nzone =", 1)
+		text = strings.Replace(text, "zone =", "advertise = "+publicAddr(listen).String()+"\nzone =", 1)
 	}
 	text += "[duties]\ntake = " + strings.Join(s.duties(), ", ") + "\n"
-	if s.s.Proxies.Verdicts {
+	if s.scenario.Proxies.Verdicts {
 		text += "[verdicts]\n"
 	}
 	if l := s.limit(); l != nil {
@@ -159,7 +165,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		return "", err
 	}
-	if keeps && p.lives == 1 {
+	if runsKeeper && p.lives == 1 {
 		if out, err := exec.Command(r.program, "keepers", "init", "--operator", path).CombinedOutput(); err != nil {
 			return "", fmt.Errorf("%s: keepers init: %w\n%s", p.name, err, out)
 		}
@@ -167,22 +173,23 @@
 	return path, nil
 }
 
-// end ends all processes that were started, by their ids, and waits for them.
-func (r *real) end() {
-	for _, m := range r.all {
+// killAll kills the processes that were started, each by its process ID, waits for them, and stops
+// the emulated parts.
+func (r *real) killAll() {
+	for _, m := range r.machines {
 		m.Kill()
 	}
 }
 
-// realMachine plays a machine on real sockets.
+// realMachine is a machine on real sockets: a proxy process or an emulated part of this process.
 type realMachine struct {
 	real    *real
 	name    string
 	addr    netip.Addr
-	running bool
-	stop    func()
-	silence func(on bool)
-	cmd     *exec.Cmd
+	running bool          // of an emulated part
+	stop    func()        // stops an emulated part; may be nil
+	silence func(on bool) // makes an emulated part ignore its connections; may be nil
+	cmd     *exec.Cmd     // the proxy process; nil: none runs
 }
 
 func (m *realMachine) Name() string     { return m.name }
@@ -191,7 +198,8 @@
 func (m *realMachine) Isolate()         {}
 func (m *realMachine) Rejoin()          {}
 
-// Running tells whether its process is there; a proxy that has ended by itself is noticed here.
+// Running reports whether the process or the emulated part runs. It reaps a proxy process that has
+// exited by itself.
 func (m *realMachine) Running() bool {
 	if m.cmd != nil {
 		var status syscall.WaitStatus
@@ -205,7 +213,7 @@
 
 func (m *realMachine) Start(begin func(k poll.Kernel) (step func() error, err error)) error {
 	if m.running {
-		return fmt.Errorf("%s runs already", m.name)
+		return fmt.Errorf("%s is already running", m.name)
 	}
 	if _, err := begin(nil); err != nil {
 		return fmt.Errorf("%s: %w", m.name, err)
@@ -214,11 +222,11 @@
 	return nil
 }
 
-// Kill ends its process: of a proxy with SIGKILL, by its id.
+// Kill kills a proxy process with SIGKILL, by its process ID, or stops an emulated part.
 func (m *realMachine) Kill() {
 	if m.cmd != nil {
 		if m.Running() {
-			_ = m.cmd.Process.Kill() // it may have ended just now
+			_ = m.cmd.Process.Kill() // errors are ignored: the process may have exited just now
 			_, _ = syscall.Wait4(m.cmd.Process.Pid, nil, 0, nil)
 		}
 		m.cmd = nil
@@ -230,23 +238,24 @@
 	m.running = false
 }
 
-// Vanish has it say nothing any more. New connections come up all the same, which they would not if the machine were gone.
+// Vanish makes an emulated part stop answering. New connections to it are still accepted, which a
+// machine that is gone would not do.
 func (m *realMachine) Vanish() {
 	if m.running && m.silence != nil {
 		m.silence(true)
 	}
 }
 
-// Return ends the process that was silent.
+// Return stops a part that had vanished, so that it can be started again.
 func (m *realMachine) Return() { m.Kill() }
 
 func (m *realMachine) signal(sig syscall.Signal) {
 	if m.Running() && m.cmd != nil {
-		_ = m.cmd.Process.Signal(sig) // it may have ended just now
+		_ = m.cmd.Process.Signal(sig) // errors are ignored: the process may have exited just now
 	}
 }
 
-// startProxy starts the program with a configuration of the platform's form.
+// startProxy starts the program with a configuration in the platform's format.
 func (r *real) startProxy(s *stage, p *proxyNode) error {
 	m := p.host.(*realMachine)
 	settings, err := s.settingsText(p.site)
@@ -261,7 +270,7 @@
 	}
 	text, err := json.Marshal(map[string]any{
 		"name": p.name, "listen": p.addr().String(), "discovery": netip.AddrPortFrom(s.discovery.host.Addr(), discoveryPort).String(),
-		"seed": fmt.Sprintf("%x", p.rng.Uint64()), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": s.s.Proxies.MaxDescriptors},
+		"seed": fmt.Sprintf("%x", p.seedSource.Uint64()), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": s.scenario.Proxies.MaxDescriptors},
 		"known": map[string]any{"seq": 0, "whole": true, "hosts": hosts}, "settings": json.RawMessage(settings),
 	})
 	if err != nil {
@@ -275,15 +284,15 @@
 	if err != nil {
 		return err
 	}
-	defer out.Close() // the process has its own copy
+	defer out.Close() // the process has its own descriptor
 	cmd := exec.Command(r.program)
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+path)
-	if s.s.Proxies.Keepers > 0 {
-		own, err := r.operatorFile(s, p)
+	if s.scenario.Proxies.Keepers > 0 {
+		operatorPath, err := r.operatorFile(s, p)
 		if err != nil {
 			return err
 		}
-		cmd.Env = append(cmd.Env, "OSPREYSPAN_OPERATOR="+own)
+		cmd.Env = append(cmd.Env, "OSPREYSPAN_OPERATOR="+operatorPath)
 	}
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
--- a/internal/lab/real_limits_test.go
+++ b/internal/lab/real_limits_test.go
@@ -19,7 +19,7 @@
 		t.Fatalf("%v\n%s", err, out)
 	}
 	text := strings.Replace(strings.Split(limited, "[trouble stall]")[0], "length = 40s\nwarm_up = 15s", "length = 12s\nwarm_up = 8s", 1)
-	sc := must(t, strings.Replace(text, "at = 12s", "at = 4s", 1)).with(func(s *Scenario) { s.Proxies.LimitKind, s.Proxies.Verdicts, s.Proxies.BadLinks = "strict", true, true })
+	sc := mustParse(t, strings.Replace(text, "at = 12s", "at = 4s", 1)).with(func(s *Scenario) { s.Proxies.LimitKind, s.Proxies.Verdicts, s.Proxies.BadLinks = "strict", true, true })
 	// A connection's end and the next one's beginning come to the relays on different sockets, which they may read in either order.
 	const underWay = 3
 	// The rule is looked at in each run. One in which a fault did not bite shows too little: how many clients stand at the killed
--- a/internal/lab/relays.go
+++ b/internal/lab/relays.go
@@ -11,24 +11,24 @@
 	"ospreyspan/internal/vnet"
 )
 
-type costly struct{ part, times float64 }
+type costlyFault struct{ share, multiple float64 }
 
 type relayNode struct {
 	node
-	plan  *relayPlan
-	host  machine
-	relay *fleet.Relay // nil: none runs
-	lives int
-	gone  bool      // it stays away
-	born  time.Time // it started cold then; zero: it was there from the start
+	plan    *relayPlan
+	host    machine
+	relay   *fleet.Relay // nil: none runs
+	lives   int
+	removed bool      // it stays away
+	born    time.Time // it started cold then; zero: it was there from the start
 	// trouble is when the last trouble that was made for it ends or ended.
-	trouble time.Time
+	faultUntil time.Time
 }
 
 func (s *stage) addRelay(i int) error {
 	p := &s.relays[i]
-	h := s.machine(p.id, at(siteIndex(s.s.Sites, p.site), atRelay, i), vnet.Limits{})
-	s.is(h, roleRelay, p.id)
+	h := s.addMachine(p.id, machineAddr(siteIndex(s.scenario.Sites, p.site), addrRelay, i), vnet.Limits{})
+	s.setRole(h, roleRelay, p.id)
 	n := &relayNode{plan: p, host: h}
 	s.nodes = append(s.nodes, n)
 	if p.late {
@@ -59,19 +59,21 @@
 
 func (s *stage) startRelay(n *relayNode, cold bool) error {
 	n.lives++
-	rng := stream(s.seed, fmt.Sprintf("relay %s %d", n.plan.id, n.lives))
+	rng := randomStream(s.seed, fmt.Sprintf("relay %s %d", n.plan.id, n.lives))
 	return n.host.Start(func(k poll.Kernel) (func() error, error) {
-		loop := n.on(k, s)
-		c := s.relay(n.plan, cold, rng)
+		loop := n.newLoop(k, s)
+		c := s.relayConfig(n.plan, cold, rng)
 		c.SiteOf = s.siteOf
-		c.Costly = func(class string) (float64, float64) { return s.costly[class].part, s.costly[class].times }
+		c.Costly = func(class string) (float64, float64) {
+			return s.costlyClasses[class].share, s.costlyClasses[class].multiple
+		}
 		r, err := fleet.NewRelay(loop, netip.AddrPortFrom(n.host.Addr(), relayPort), c, rng, s.ledger)
 		if err != nil {
 			return nil, err
 		}
 		n.relay = r
-		r.Fell = func() { n.host.Kill(); n.relay, n.gone = nil, true }
-		s.owns(n.host, r.Stop, r.Silence)
+		r.Fell = func() { n.host.Kill(); n.relay, n.removed = nil, true }
+		s.setProcess(n.host, r.Stop, r.Silence)
 		return func() error { return loop.Turn(true) }, nil
 	})
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -12,25 +12,27 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// MarkdownTable returns a table with even columns.
+// MarkdownTable returns a Markdown table whose columns are padded to equal width.
 func MarkdownTable(head []string, rows [][]string) string {
 	var b strings.Builder
 	table(&b, head, rows)
 	return b.String()
 }
 
-// SaveFiles writes files by name into a folder, which is made if it is not there. Each file is whole or not there.
+// SaveFiles writes files, given by name and writing function, into the directory dir, which is
+// created if necessary. A file is written completely or not at all.
 func SaveFiles(dir string, files map[string]func(w io.Writer) error) error {
 	return saveAll(dir, files)
 }
 
-// Curve is one line of a chart of costs. Dots are drawn on top of it, without a line; either may be empty.
+// Curve is a series of a cost chart: a line, and dots drawn on top of it without a line between
+// them. Either may be empty.
 type Curve struct {
 	Name       string
 	Line, Dots plotter.XYs
 }
 
-// WriteLogChart draws curves with logarithmic axes as SVG; all figures must be above 0.
+// WriteLogChart draws curves on logarithmic axes as SVG. All values must be greater than 0.
 func WriteLogChart(w io.Writer, title, x, y string, curves []Curve) error {
 	p := newChart(title, x, y)
 	p.Legend.Top = true
@@ -44,12 +46,13 @@
 			return fmt.Errorf("%s: %w", c.Name, err)
 		}
 	}
-	p.Y.Max *= math.Pow(legendRoom, float64(len(curves)))
+	p.Y.Max *= math.Pow(legendSpace, float64(len(curves)))
 	return writeSVG(p, w, chartWidth, chartHeight)
 }
 
-// legendRoom is the factor by which the logarithmic axis is longer for each line of the legend, so that no curve is hidden.
-const legendRoom = 3
+// legendSpace is the factor by which each entry of the legend extends the logarithmic y axis, so
+// that the legend covers no curve.
+const legendSpace = 3
 
 func addCurve(p *plot.Plot, c Curve, colour color.Color) error {
 	if len(c.Line) > 0 {
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -108,14 +108,14 @@
 func (s *stage) result() *Result {
 	l := s.ledger
 	r := &Result{
-		Scenario: s.s.Name, About: s.s.Run.About, Seed: s.seed, Length: s.s.Run.Length.Seconds(), WarmUp: s.s.Run.WarmUp.Seconds(),
+		Scenario: s.scenario.Name, About: s.scenario.Run.About, Seed: s.seed, Length: s.scenario.Run.Length.Seconds(), WarmUp: s.scenario.Run.WarmUp.Seconds(),
 		Proxies: len(s.proxies), Relays: len(s.nodes), Goal: round(l.Goal()), Service: round(l.Service(-1, 0, l.Seconds())),
-		Clients: l.Count, Counters: s.ended,
+		Clients: l.Count, Counters: s.endedCounters,
 	}
 	if s.world != nil {
 		r.Requests, r.Attempts = s.judge.Requests, s.judge.Attempts
-		if s.judge.cold != nil {
-			r.Falls, r.ColdRoom, r.ColdUsed = s.judge.cold.Falls, round(s.judge.cold.Room), round(s.judge.cold.Used)
+		if s.judge.coldBudget != nil {
+			r.Falls, r.ColdRoom, r.ColdUsed = s.judge.coldBudget.Falls, round(s.judge.coldBudget.AllowedRequests), round(s.judge.coldBudget.SentRequests)
 		}
 		r.Events, r.Trace = s.world.Events(), fmt.Sprintf("%016x", s.world.TraceSum())
 	}
@@ -126,7 +126,7 @@
 			shared.add(p.inst.Node())
 		}
 	}
-	if s.s.Proxies.Keepers > 0 {
+	if s.scenario.Proxies.Keepers > 0 {
 		r.Shared = &shared
 	}
 	worst, at := l.Worst()
@@ -148,7 +148,7 @@
 		r.Most = max(r.Most, n)
 	}
 	r.series.load, r.series.stand, r.series.open = s.samples.load, s.samples.stand, s.samples.seats
-	r.series.moves, r.series.warm = l.Moves, int(s.s.Run.WarmUp/time.Second)
+	r.series.moves, r.series.warm = l.Moves, int(s.scenario.Run.WarmUp/time.Second)
 	for _, n := range s.nodes {
 		r.series.names, r.series.kinds = append(r.series.names, n.plan.id), append(r.series.kinds, n.plan.kind.Name)
 	}
--- a/internal/lab/save.go
+++ b/internal/lab/save.go
@@ -10,8 +10,8 @@
 	"slices"
 )
 
-// Save writes results.json, table.md, table.csv and the charts of a day into a folder, which is made if it is not there.
-// Each file is whole or not there.
+// Save writes results.json, table.md, table.csv and the charts of a day into the directory dir,
+// which is created if necessary. A file is written completely or not at all.
 func (r *Result) Save(dir string) error {
 	files := map[string]func(w io.Writer) error{
 		"results.json": r.JSON, "table.md": r.Markdown, "table.csv": r.CSV,
@@ -20,6 +20,7 @@
 	return saveAll(dir, files)
 }
 
+// saveAll writes each file under a temporary name and renames it when it is complete.
 func saveAll(dir string, files map[string]func(w io.Writer) error) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -268,7 +268,7 @@
 }
 
 // kind is fleet.Kind as the file has it.
-type kind struct {
+type kindSection struct {
 	Share    float64     `ini:"share" min:"0" max:"1"`
 	Cores    int         `ini:"cores" min:"1" max:"1024"`
 	Speed    fleet.Range `ini:"speed" above:"0"`
@@ -307,7 +307,7 @@
 	f.Decode("rules", &s.Rules)
 	f.Decode("allow", &s.Permissions)
 	for _, n := range f.Kind("kind") {
-		k := kind{Share: 1, Cores: 1, Speed: fleet.Range{From: 1, To: 1}, ColdFrom: fleet.Range{From: 0.2, To: 0.2}, Cold: fleet.Spans{From: 15 * time.Second, To: 15 * time.Second}}
+		k := kindSection{Share: 1, Cores: 1, Speed: fleet.Range{From: 1, To: 1}, ColdFrom: fleet.Range{From: 0.2, To: 0.2}, Cold: fleet.Spans{From: 15 * time.Second, To: 15 * time.Second}}
 		f.Decode("kind "+n, &k)
 		s.Kinds = append(s.Kinds, fleet.Kind{Name: n, Share: k.Share, Cores: k.Cores, Speed: k.Speed, ColdFrom: k.ColdFrom, Cold: k.Cold, Errors: k.Errors})
 	}
@@ -325,11 +325,11 @@
 	for _, n := range f.Kind("wave") {
 		w := Wave{Name: n, For: fleet.Spans{From: 10 * time.Second, To: 10 * time.Second}, Times: fleet.Range{From: 2, To: 2}}
 		f.Decode("wave "+n, &w)
-		s.known(f, "wave "+n, w.Sites)
+		s.checkSites(f, "wave "+n, w.Sites)
 		s.Waves = append(s.Waves, w)
 	}
 	for _, n := range f.Kind("trouble") {
-		s.Faults = append(s.Faults, s.trouble(f, n))
+		s.Faults = append(s.Faults, s.decodeFault(f, n))
 	}
 	s.check(f)
 	if err := f.Err(); err != nil {
@@ -339,11 +339,11 @@
 }
 
 // trouble reads one trouble. What its kind needs and the file does not give is a mistake.
-func (s *Scenario) trouble(f *inifile.File, name string) Fault {
+func (s *Scenario) decodeFault(f *inifile.File, name string) Fault {
 	section := "trouble " + name
 	t := Fault{Name: name}
 	f.Decode(section, &t)
-	s.known(f, section, t.Sites)
+	s.checkSites(f, section, t.Sites)
 	needs := map[string][]string{
 		"silence": {"for"}, "slow": {"for", "size"}, "failing": {"for", "size"}, "relimit": {"size"}, "neighbour": {"for", "size"}, "costly": {"for", "size", "part", "class"},
 		"drain": {"for", "away"}, "grow": {"count"}, "proxy-restart": {"away"}, "proxy-kill": {"away"},
@@ -381,7 +381,7 @@
 }
 
 // known complains of sites that there are not.
-func (s *Scenario) known(f *inifile.File, section string, sites []string) {
+func (s *Scenario) checkSites(f *inifile.File, section string, sites []string) {
 	for _, site := range sites {
 		if !slices.Contains(s.Sites, site) {
 			f.Complain(section, "sites", "no site %q", site)
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -19,14 +19,14 @@
 
 // shares is what a proxy needs that shares work with the others, nil where the scenario has no keepers.
 func (s *stage) shares(p *proxyNode) (*instance.FleetConfig, error) {
-	n := s.s.Proxies.Keepers
+	n := s.scenario.Proxies.Keepers
 	if n == 0 || s.real != nil {
 		return nil, nil
 	}
 	var at []mesh.KeeperAddress
 	self := uint64(0)
 	for i := range n {
-		site := i % len(s.s.Sites)
+		site := i % len(s.scenario.Sites)
 		addr := netip.AddrPortFrom(proxyAt(site, i), meshPort)
 		at = append(at, mesh.KeeperAddress{ID: uint64(i + 1), Addr: addr})
 		if addr.Addr() == p.host.Addr() {
@@ -34,7 +34,7 @@
 		}
 	}
 	m := mesh.Config{
-		Cluster: "lab", Name: p.name, Zone: p.site, Listen: netip.AddrPortFrom(p.host.Addr(), meshPort), Session: p.rng.Uint64() | 1,
+		Cluster: "lab", Name: p.name, Zone: p.site, Listen: netip.AddrPortFrom(p.host.Addr(), meshPort), Session: p.seedSource.Uint64() | 1,
 		Keepers: at, Terms: owner.DefaultTerms(), Duties: s.duties(), Seed: s.seed,
 		Seeds: []netip.AddrPort{at[0].Addr, at[1].Addr, at[2].Addr},
 	}
@@ -43,13 +43,13 @@
 			return nil, err
 		}
 	}
-	f := &instance.FleetConfig{Mesh: m, SameAddresses: true, MovesPerSecond: s.s.Proxies.MovesPerSecond}
-	if s.s.Proxies.Verdicts {
+	f := &instance.FleetConfig{Mesh: m, SameAddresses: true, MovesPerSecond: s.scenario.Proxies.MovesPerSecond}
+	if s.scenario.Proxies.Verdicts {
 		v := instance.DefaultVerdictConfig()
 		v.OnChange = func(c instance.VerdictChange) { s.judged(p, c) }
 		f.Verdicts = &v
 	}
-	if part := s.s.Proxies.Retries; part > 0 {
+	if part := s.scenario.Proxies.Retries; part > 0 {
 		f.Retries = &limit.Retries{Part: part, Within: 10 * time.Second, Least: 10}
 	}
 	if l := s.limit(); l != nil {
@@ -60,15 +60,15 @@
 
 // limit is what all proxies together may have, nil if that is not limited.
 func (s *stage) limit() *limit.Limit {
-	most := s.s.Proxies.Limit
+	most := s.scenario.Proxies.Limit
 	if most == 0 {
 		return nil
 	}
-	if s.slices == 0 {
-		s.slices = min(most, 2*s.s.Proxies.Count, limit.MostSlices)
+	if s.limitSlices == 0 {
+		s.limitSlices = min(most, 2*s.scenario.Proxies.Count, limit.MostSlices)
 	}
-	l := &limit.Limit{Name: "all", Most: most, Slices: s.slices, Within: s.s.Proxies.LimitWithin}
-	if s.s.Proxies.LimitKind == "strict" {
+	l := &limit.Limit{Name: "all", Most: most, Slices: s.limitSlices, Within: s.scenario.Proxies.LimitWithin}
+	if s.scenario.Proxies.LimitKind == "strict" {
 		l.Kind = limit.StrictKind
 	}
 	return l
@@ -76,10 +76,10 @@
 
 // relimit has a proxy take another limit, as SIGHUP does; later lives of it start with that.
 func (s *stage) relimit(p *proxyNode, most int) {
-	s.s.Proxies.Limit = most
+	s.scenario.Proxies.Limit = most
 	if inst := p.inst; inst != nil {
 		list := []limit.Limit{*s.limit()}
-		list[0].Slices = s.slices
+		list[0].Slices = s.limitSlices
 		inst.SetLimits(list)
 	}
 }
@@ -97,32 +97,32 @@
 
 // watchLimit looks at the relays' count ten times a second.
 func (s *stage) watchLimit() {
-	if s.s.Proxies.Limit == 0 || time.Duration(s.looked)*100*time.Millisecond >= s.s.Run.WarmUp+s.s.Run.Length {
+	if s.scenario.Proxies.Limit == 0 || time.Duration(s.limitChecks)*100*time.Millisecond >= s.scenario.Run.WarmUp+s.scenario.Run.Length {
 		return
 	}
 	s.after(100*time.Millisecond, s.watchLimit)
 	s.shared.Last = s.standing()
 	s.shared.Standing = max(s.shared.Standing, s.shared.Last)
-	if s.looked++; time.Duration(s.looked)*100*time.Millisecond > s.s.Run.WarmUp {
+	if s.limitChecks++; time.Duration(s.limitChecks)*100*time.Millisecond > s.scenario.Run.WarmUp {
 		s.shared.Held += float64(s.standing()) / 10
 	}
 }
 
 func (s *stage) duties() []string {
-	if len(s.s.Proxies.Duties) == 0 {
+	if len(s.scenario.Proxies.Duties) == 0 {
 		return []string{duty.Discovery}
 	}
-	return s.s.Proxies.Duties
+	return s.scenario.Proxies.Duties
 }
 
-func proxyAt(site, i int) netip.Addr { return at(site, atProxy, i) }
+func proxyAt(site, i int) netip.Addr { return machineAddr(site, addrProxy, i) }
 
 // keeps gives a proxy its keeper, with a disk that outlives it.
 func (s *stage) keeps(p *proxyNode, m *mesh.Config, self uint64) error {
-	d := p.virtual().Disk("keeper")
+	d := p.vnetHost().Disk("keeper")
 	if len(d.Text()) == 0 {
 		d.SetFaults(vnet.DiskFaults{Delay: 1e6, Jitter: 4e6, Torn: 0.7, Scrambled: 0.3})
-		d.SetText(keeper.InitialRecord(p.rng.Uint64() | 1))
+		d.SetText(keeper.InitialRecord(p.seedSource.Uint64() | 1))
 	}
 	log, err := keeper.Restore(d.Text())
 	if err != nil {
@@ -144,10 +144,10 @@
 		return
 	}
 	for _, n := range s.nodes {
-		if n.plan.id == c.Target && s.now().Sub(n.trouble) > falseAfter && !(c.Verdict == verdict.Slow && n.wasBehind(s.now())) {
+		if n.plan.id == c.Target && s.now().Sub(n.faultUntil) > falseAfter && !(c.Verdict == verdict.Slow && n.wasBehind(s.now())) {
 			s.shared.False++
-			if s.o.Log != nil {
-				fmt.Fprintf(s.o.Log, "%v %s: without a cause: %s is %v, was %v, age %v, %d witnesses, %d against\n",
+			if s.options.Log != nil {
+				fmt.Fprintf(s.options.Log, "%v %s: without a cause: %s is %v, was %v, age %v, %d witnesses, %d against\n",
 					s.world.Elapsed(), p.name, c.Target, c.Verdict, c.Previous, c.Age, c.Witnesses, c.Against)
 			}
 		}
--- a/internal/lab/shares_test.go
+++ b/internal/lab/shares_test.go
@@ -32,7 +32,7 @@
 
 // One proxy asks discovery for all; drains reach every one of them in time, and nothing breaks a rule.
 func TestOneProxyAsksForAll(t *testing.T) {
-	r := play(t, must(t, shared), 1)
+	r := play(t, mustParse(t, shared), 1)
 	c := &r.Counters
 	if perS := float64(c.Watches) / 30; perS > 1.5 || c.WatchesFailed > 0 {
 		t.Errorf("%d calls to discovery in 30 s, %d failed", c.Watches, c.WatchesFailed)
@@ -45,7 +45,7 @@
 // Most proxies, and with them owner and keepers, are killed at once and come back: until there is an owner again each
 // asks for itself, and no rule is broken.
 func TestOwnersAreKilledWithTheRest(t *testing.T) {
-	r := play(t, must(t, shared+`
+	r := play(t, mustParse(t, shared+`
 [trouble kill]
 kind = proxy-kill
 at = 7s
@@ -66,7 +66,7 @@
 
 // While discovery is down, duties change hands and nobody vouches for a list that is old.
 func TestDutyChangesHandsWhileDiscoveryFails(t *testing.T) {
-	r := play(t, must(t, shared+`
+	r := play(t, mustParse(t, shared+`
 [trouble down]
 kind = discovery-down
 at = 6s
@@ -85,8 +85,8 @@
 
 // Proxies ask the owners of probes, and find most reports there; a mass kill leaves everybody with probes of his own.
 func TestOwnersProbeForAll(t *testing.T) {
-	alone := play(t, must(t, shared), 1)
-	r := play(t, must(t, shared+`
+	alone := play(t, mustParse(t, shared), 1)
+	r := play(t, mustParse(t, shared+`
 [trouble kill]
 kind = proxy-kill
 at = 12s
@@ -108,7 +108,7 @@
 func TestOwnerPacesMoves(t *testing.T) {
 	text := strings.Replace(shared, "for = 4s..5s", "for = 8s..9s", 1)
 	cut := func(duties ...string) (paced, moved, cut int) {
-		r := play(t, must(t, text).with(func(s *Scenario) { s.Proxies.Duties, s.Proxies.MovesPerSecond = duties, 4 }), 1)
+		r := play(t, mustParse(t, text).with(func(s *Scenario) { s.Proxies.Duties, s.Proxies.MovesPerSecond = duties, 4 }), 1)
 		return r.Counters.MovesPaced, r.Counters.MovesDrain, r.Clients.Cut
 	}
 	_, _, without := cut("discovery")
--- a/internal/lab/stage.go
+++ b/internal/lab/stage.go
@@ -25,42 +25,42 @@
 // stage is a day on the virtual network.
 type stage struct {
 	*day
-	o         Options
-	world     *vnet.World // nil: the day is played on real sockets
-	real      *real
-	ledger    *fleet.Ledger
-	judge     *judge
-	registry  *fleet.Registry
-	discovery *discoveryNode
-	proxies   []*proxyNode
-	nodes     []*relayNode
-	crowds    []*crowdNode
-	rude      int // connections of bad clients
-	costly    map[string]costly
-	silent    time.Time     // until then what a watch missed that fell silent does not count as told
-	late      time.Duration // news is later by that
-	samples   samples
-	ended     stats.Counters // the counts of proxies that are gone
-	slices    int            // of the limit
-	looked    int            // looks at what stands under a limit
-	shared    Shared         // likewise, what they said to each other
-	err       error
-	troubled  time.Duration // until then, troubles have effects
+	options          Options
+	world            *vnet.World // nil: the day is played on real sockets
+	real             *real
+	ledger           *fleet.Ledger
+	judge            *judge
+	registry         *fleet.Registry
+	discovery        *discoveryNode
+	proxies          []*proxyNode
+	nodes            []*relayNode
+	crowds           []*crowdNode
+	badClientSources int // connections of bad clients
+	costlyClasses    map[string]costlyFault
+	silentUntil      time.Time     // until then what a watch missed that fell silent does not count as told
+	changeDelay      time.Duration // news is later by that
+	samples          samples
+	endedCounters    stats.Counters // the counts of proxies that are gone
+	limitSlices      int            // of the limit
+	limitChecks      int            // looks at what stands under a limit
+	shared           Shared         // likewise, what they said to each other
+	err              error
+	faultsUntil      time.Duration // until then, troubles have effects
 }
 
 // newStage builds the day's network with all that is there at its start.
 func newStage(d *day, o Options) (*stage, error) {
-	s := &stage{day: d, o: o, costly: make(map[string]costly), registry: fleet.NewRegistry()}
+	s := &stage{day: d, options: o, costlyClasses: make(map[string]costlyFault), registry: fleet.NewRegistry()}
 	s.world = vnet.New(d.seed, s.link)
-	s.ledger = fleet.NewLedger(s.world.Now().Add(d.s.Run.WarmUp), d.s.Run.Length, d.classes)
-	s.ledger.Shared = d.s.Proxies.Keepers > 0
-	s.judge = newJudge(s.world, s.ledger, &d.s.Rules, newNewsClock(s.world, &d.s.Rules, &d.s.Permissions))
-	s.registry.Changed = s.judge.clock.changed
-	if d.s.Rules.ColdBudget {
-		s.judge.cold, s.judge.relay = newColdBudget(d), s.coldRelay
+	s.ledger = fleet.NewLedger(s.world.Now().Add(d.scenario.Run.WarmUp), d.scenario.Run.Length, d.classes)
+	s.ledger.Shared = d.scenario.Proxies.Keepers > 0
+	s.judge = newJudge(s.world, s.ledger, &d.scenario.Rules, newChangeClock(s.world, &d.scenario.Rules, &d.scenario.Permissions))
+	s.registry.Changed = s.judge.changeClock.listChanged
+	if d.scenario.Rules.ColdBudget {
+		s.judge.coldBudget, s.judge.findColdRelay = newColdBudget(d), s.coldRelay
 	}
-	for i := range d.s.Classes {
-		s.judge.classes[d.s.Classes[i].Name] = &d.s.Classes[i]
+	for i := range d.scenario.Classes {
+		s.judge.classes[d.scenario.Classes[i].Name] = &d.scenario.Classes[i]
 	}
 	return s, s.build()
 }
@@ -73,26 +73,26 @@
 			return err
 		}
 	}
-	h := s.machine("discovery", netip.AddrFrom4([4]byte{10, 0, 0, 1}), vnet.Limits{})
-	s.is(h, roleDiscovery, "")
+	h := s.addMachine("discovery", netip.AddrFrom4([4]byte{10, 0, 0, 1}), vnet.Limits{})
+	s.setRole(h, roleDiscovery, "")
 	s.discovery = &discoveryNode{host: h}
 	if err := s.startDiscovery(); err != nil {
 		return err
 	}
-	for i := range d.s.Proxies.Count {
+	for i := range d.scenario.Proxies.Count {
 		if err := s.addProxy(i); err != nil {
 			return err
 		}
 	}
-	for i, site := range d.s.Sites {
+	for i, site := range d.scenario.Sites {
 		if err := s.addCrowd(i, site); err != nil {
 			return err
 		}
 	}
 	s.watchLimit()
-	s.watchClock()
-	for i := range d.s.Faults {
-		s.plot(&d.s.Faults[i])
+	s.runClockChecks()
+	for i := range d.scenario.Faults {
+		s.scheduleFault(&d.scenario.Faults[i])
 	}
 	s.samples.init(s)
 	return nil
@@ -124,8 +124,8 @@
 			return s.err
 		}
 		s.samples.take(s)
-		if s.o.Progress != nil {
-			s.o.Progress(at+step, s.total)
+		if s.options.Progress != nil {
+			s.options.Progress(at+step, s.total)
 		}
 	}
 	for _, c := range s.crowds {
@@ -134,15 +134,15 @@
 	if err := s.world.Run(0); err != nil {
 		return err
 	}
-	if s.s.Run.CoolDown == 0 {
+	if s.scenario.Run.CoolDown == 0 {
 		return nil
 	}
-	return s.end()
+	return s.finish()
 }
 
 // end lets what is out come to its end, looks that nothing is left, and stops the proxies in order.
-func (s *stage) end() error {
-	if err := s.world.Run(max(s.troubled-s.world.Elapsed(), 0) + s.s.Run.CoolDown); err != nil {
+func (s *stage) finish() error {
+	if err := s.world.Run(max(s.faultsUntil-s.world.Elapsed(), 0) + s.scenario.Run.CoolDown); err != nil {
 		return err
 	}
 	stopped := make(map[*proxyNode]int) // lives: a restart that was planned before may start another
@@ -151,8 +151,8 @@
 			continue
 		}
 		stopped[p] = p.lives
-		if s.judge.audit(p.name, p.inst.Audit()); !p.inst.Idle() {
-			s.judge.broken("given-back", "%s: %v after the last client left something of one is still there", p.name, s.s.Run.CoolDown)
+		if s.judge.reportAuditError(p.name, p.inst.Audit()); !p.inst.Idle() {
+			s.judge.reportViolation("given-back", "%s: %v after the last client left something of one is still there", p.name, s.scenario.Run.CoolDown)
 		}
 		p.loop.Wake()
 	}
@@ -161,23 +161,23 @@
 	}
 	for _, p := range s.proxies {
 		if p.inst != nil && p.host.Up() && stopped[p] == p.lives {
-			s.judge.broken("given-back", "%s: a planned stop without clients is not over after 5 s", p.name)
+			s.judge.reportViolation("given-back", "%s: a planned stop without clients is not over after 5 s", p.name)
 		}
 	}
 	return s.world.Run(0)
 }
 
 // logTo writes lines of a proxy's log with the virtual time before them.
-type logTo struct {
+type proxyLogWriter struct {
 	s    *stage
 	name string
 }
 
-func (l logTo) Write(p []byte) (int, error) {
-	if l.s.o.Log == nil {
+func (l proxyLogWriter) Write(p []byte) (int, error) {
+	if l.s.options.Log == nil {
 		return len(p), nil
 	}
-	if _, err := fmt.Fprintf(l.s.o.Log, "%v %s: %s", l.s.world.Elapsed(), l.name, p); err != nil {
+	if _, err := fmt.Fprintf(l.s.options.Log, "%v %s: %s", l.s.world.Elapsed(), l.name, p); err != nil {
 		return 0, err
 	}
 	return len(p), nil
--- a/internal/lab/table.go
+++ b/internal/lab/table.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// rows are the lines of a Result's table: a name and a figure as text.
+// rows returns the rows of a day's table: name and formatted value of each figure.
 func (r *Result) rows() [][2]string {
 	f := func(x float64) string { return strconv.FormatFloat(x, 'f', 3, 64) }
 	n := strconv.Itoa
@@ -35,10 +35,10 @@
 	)
 }
 
-// Title names the day.
+// Title returns the title of the day: scenario and seed.
 func (r *Result) Title() string { return fmt.Sprintf("%s, seed %d", r.Scenario, r.Seed) }
 
-// Markdown writes the table of a day.
+// Markdown writes the figures of the day as a Markdown table.
 func (r *Result) Markdown(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\n\n", r.Title())
@@ -59,45 +59,46 @@
 	return list
 }
 
-// table writes a Markdown table with even columns.
-func table(b *strings.Builder, head []string, rows [][]string) {
-	width := make([]int, len(head))
-	for _, row := range append([][]string{head}, rows...) {
+// table writes a Markdown table whose columns are padded to equal width.
+func table(b *strings.Builder, header []string, rows [][]string) {
+	width := make([]int, len(header))
+	for _, row := range append([][]string{header}, rows...) {
 		for i, cell := range row {
 			width[i] = max(width[i], len([]rune(cell)))
 		}
 	}
-	line := func(row []string) {
+	writeRow := func(row []string) {
 		for i, cell := range row {
 			fmt.Fprintf(b, "| %s%s ", cell, strings.Repeat(" ", width[i]-len([]rune(cell))))
 		}
 		b.WriteString("|\n")
 	}
-	line(head)
-	rule := make([]string, len(head))
-	for i := range rule {
-		rule[i] = strings.Repeat("-", width[i])
+	writeRow(header)
+	separator := make([]string, len(header))
+	for i := range separator {
+		separator[i] = strings.Repeat("-", width[i])
 	}
-	line(rule)
+	writeRow(separator)
 	for _, row := range rows {
-		line(row)
+		writeRow(row)
 	}
 }
 
-// CSV writes the curves of a day: a line for each second since the start.
+// CSV writes the curves of the day, one row for each second from the start of the warm-up. Column
+// second is 0 where the counted time begins.
 func (r *Result) CSV(w io.Writer) error {
 	out := csv.NewWriter(w)
-	head := []string{"second", "open", "moves"}
+	header := []string{"second", "open", "moves"}
 	for _, c := range r.Classes {
-		head = append(head, "service "+c.Name)
+		header = append(header, "service "+c.Name)
 	}
 	for _, n := range r.series.names {
-		head = append(head, "load "+n)
+		header = append(header, "load "+n)
 	}
 	for _, n := range r.series.names {
-		head = append(head, "connections "+n)
+		header = append(header, "connections "+n)
 	}
-	if err := out.Write(head); err != nil {
+	if err := out.Write(header); err != nil {
 		return err
 	}
 	cell := func(list []float64, i int) string {
@@ -130,7 +131,7 @@
 	return out.Error()
 }
 
-// JSON writes all figures of a day.
+// JSON writes all figures of the day as indented JSON.
 func (r *Result) JSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
--- a/internal/lab/throng.go
+++ b/internal/lab/throng.go
@@ -10,7 +10,7 @@
 // RandomThrong makes up a throng: twenty to thirty proxies that share a discovery which bears few calls, servers that are replaced,
 // join and come back cold, and a burst of clients upon them.
 func RandomThrong(seed uint64) *Scenario {
-	d := newDraws(stream(seed, "throng"))
+	d := newDraws(randomStream(seed, "throng"))
 	s := defaults()
 	s.Kinds, s.Classes = defaultKinds(), defaultClasses()
 	s.Name = fmt.Sprintf("throng-%d", seed)
@@ -18,21 +18,21 @@
 	s.Run.Length, s.Run.WarmUp, s.Run.AuditPeriod = d.span(24*time.Second, 32*time.Second).From, d.span(8*time.Second, 12*time.Second).From, time.Second
 	s.Proxies.Count, s.Proxies.MaxDescriptors = 20+d.r.IntN(11), 384
 	s.Relays.Count = 16 + d.r.IntN(9)
-	s.Relays.DrainNotice, s.Relays.StartNotice = millis(200, 800), millis(200, 800)
-	s.Relays.SilenceNotice = millis(2000, 4000)
+	s.Relays.DrainNotice, s.Relays.StartNotice = millisRange(200, 800), millisRange(200, 800)
+	s.Relays.SilenceNotice = millisRange(2000, 4000)
 	s.Traffic.Rate = d.one(7, 13).From
 	s.Waves = []Wave{{Name: "burst", At: d.span(s.Run.WarmUp+8*time.Second, s.Run.WarmUp+12*time.Second), For: d.span(5*time.Second, 9*time.Second), Times: d.one(2.5, 4)}}
 	s.Discovery = Discovery{CallTime: d.span(170*time.Millisecond, 220*time.Millisecond).From, LineTime: s.Discovery.LineTime, Timeout: 2 * time.Second, ResetShare: 0.5}
 	s.Rules.ColdBudget, s.Rules.AskAgain = true, s.Rules.NewsWithin
-	s.Faults = d.throngTroubles(s.Run.Length)
+	s.Faults = d.throngFaults(s.Run.Length)
 	return &s
 }
 
 // throngTroubles are the days' troubles; some of them come on part of the days only.
-func (d *draws) throngTroubles(length time.Duration) []Fault {
+func (d *draws) throngFaults(length time.Duration) []Fault {
 	second := time.Second
 	list := []Fault{
-		{Name: "replaced", Kind: "drain", At: d.span(4*second, 7*second), Count: 3 + d.r.IntN(3), Every: d.span(second, 2500*time.Millisecond).From, For: d.span(8*second, 11*second), Away: forGood()},
+		{Name: "replaced", Kind: "drain", At: d.span(4*second, 7*second), Count: 3 + d.r.IntN(3), Every: d.span(second, 2500*time.Millisecond).From, For: d.span(8*second, 11*second), Away: foreverSpan()},
 		{Name: "joined", Kind: "grow", At: d.span(6*second, 10*second), Count: 2 + d.r.IntN(3)},
 		{Name: "back", Kind: "drain", At: d.span(3*second, 8*second), Count: 2 + d.r.IntN(3), Every: d.span(second, 2*second).From, For: d.span(3*second, 6*second), Away: d.span(300*time.Millisecond, second)},
 		{Name: "nonsense", Kind: "rude", At: d.span(second, 3*second), For: fleet.Spans{From: length, To: length}, Size: d.one(2, 8)},
@@ -48,8 +48,8 @@
 }
 
 // forGood is longer than any day.
-func forGood() fleet.Spans { return fleet.Spans{From: time.Hour, To: time.Hour} }
+func foreverSpan() fleet.Spans { return fleet.Spans{From: time.Hour, To: time.Hour} }
 
-func millis(from, to int) fleet.Spans {
+func millisRange(from, to int) fleet.Spans {
 	return fleet.Spans{From: time.Duration(from) * time.Millisecond, To: time.Duration(to) * time.Millisecond}
 }
--- a/internal/lab/verdicts_test.go
+++ b/internal/lab/verdicts_test.go
@@ -35,8 +35,8 @@
 	slow(t)
 	alone, with, wrong, told := 0, 0, 0, 0
 	for seed := range uint64(3) {
-		alone += play(t, must(t, badRelays), seed+1).Clients.Failing
-		r := play(t, must(t, badRelays).with(func(s *Scenario) { s.Proxies.Verdicts = true }), seed+1)
+		alone += play(t, mustParse(t, badRelays), seed+1).Clients.Failing
+		r := play(t, mustParse(t, badRelays).with(func(s *Scenario) { s.Proxies.Verdicts = true }), seed+1)
 		with += r.Clients.Failing
 		wrong += r.Shared.False
 		told += r.Counters.Condemned
@@ -58,7 +58,7 @@
 for = 12s
 count = 2
 `
-	r := play(t, must(t, text).with(func(s *Scenario) { s.Proxies.Verdicts = true }), 1)
+	r := play(t, mustParse(t, text).with(func(s *Scenario) { s.Proxies.Verdicts = true }), 1)
 	if r.Shared.False != 0 {
 		t.Errorf("%d verdicts without a cause", r.Shared.False)
 	}
--- a/internal/lab/wires.go
+++ b/internal/lab/wires.go
@@ -9,112 +9,114 @@
 	"ospreyspan/internal/poll"
 )
 
-// Wires counts what the links between real processes did to datagrams.
+// LinkStats counts what the lossy links between real processes did to datagrams.
 type Wires struct {
-	Datagrams int `json:"datagrams"`
+	Datagrams int `json:"datagrams"` // received from a process for another one
 	Dropped   int `json:"dropped"`
-	Late      int `json:"late"`
-	Repeated  int `json:"repeated"`
-	Deaf      int `json:"deaf"` // processes that heard nothing for a while
-	Mute      int `json:"mute"` // likewise that were not heard
-	CutAway   int `json:"cut_away"`
+	Late      int `json:"late"`     // forwarded after a delay of up to 3 s
+	Repeated  int `json:"repeated"` // forwarded at once and again after up to 3 s
+	Deaf      int `json:"deaf"`     // times that a process received nothing for a while
+	Mute      int `json:"mute"`     // times that nothing that a process sent arrived for a while
+	CutAway   int `json:"cut_away"` // datagrams dropped by these cuts
 }
 
-// wires leads what real processes say to each other over sockets of this process, which lose, delay and repeat datagrams, and cut
-// processes off in one direction. Each process advertises its wire's address in place of its own.
-type wires struct {
-	loop  *poll.Loop
-	rng   *rand.Rand
-	all   map[netip.AddrPort]*lead // by the process's own address
-	order []*lead
-	over  bool
+// lossyLinks forwards datagrams between real processes through sockets of this process. It drops,
+// delays and duplicates some, and cuts single processes off in one direction. Each process
+// advertises the address of its link in place of its own.
+type lossyLinks struct {
+	loop      *poll.Loop
+	rng       *rand.Rand
+	byProcess map[netip.AddrPort]*lossyLink // by the process's own address
+	links     []*lossyLink                  // in the order of opening, so that draws are reproducible
+	closed    bool
 	Wires
 }
 
-type lead struct {
-	w         *wires
-	to        netip.AddrPort  // of the process
-	sock      *poll.UDPSocket // its public one
-	deaf, mut bool
+type lossyLink struct {
+	w                         *lossyLinks
+	process                   netip.AddrPort  // the process's own address
+	sock                      *poll.UDPSocket // bound to the address that the process advertises
+	dropInbound, dropOutbound bool            // set while a cut lasts
 }
 
-func newWires(loop *poll.Loop, seed uint64) *wires {
-	return &wires{loop: loop, rng: stream(seed, "wires"), all: make(map[netip.AddrPort]*lead)}
+func newLossyLinks(loop *poll.Loop, seed uint64) *lossyLinks {
+	return &lossyLinks{loop: loop, rng: randomStream(seed, "wires"), byProcess: make(map[netip.AddrPort]*lossyLink)}
 }
 
-// public is the address by which others reach a process.
-func public(at netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(at.Addr(), at.Port()+1) }
+// publicAddr returns the address by which other processes reach the process at the given address.
+func publicAddr(at netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(at.Addr(), at.Port()+1) }
 
-// lead opens a process's wire, once.
-func (w *wires) open(at netip.AddrPort) error {
-	if w.all[at] != nil {
+// open opens the link of a process unless it is open already.
+func (w *lossyLinks) open(at netip.AddrPort) error {
+	if w.byProcess[at] != nil {
 		return nil
 	}
-	x := &lead{w: w, to: at}
+	x := &lossyLink{w: w, process: at}
 	var err error
-	if x.sock, err = w.loop.OpenUDP(public(at), x); err != nil {
-		return fmt.Errorf("wire of %s: %w", at, err)
+	if x.sock, err = w.loop.OpenUDP(publicAddr(at), x); err != nil {
+		return fmt.Errorf("link of %s: %w", at, err)
 	}
-	w.all[at] = x
-	w.order = append(w.order, x)
+	w.byProcess[at] = x
+	w.links = append(w.links, x)
 	return nil
 }
 
-// trouble cuts a process off in one direction every now and then.
-func (w *wires) trouble(every time.Duration) {
-	if w.over {
+// cutPeriodically cuts a random process off in one direction for 0.5 s to 4 s, and does so again
+// after a random time of half to one and a half of period.
+func (w *lossyLinks) cutPeriodically(period time.Duration) {
+	if w.closed {
 		return
 	}
-	w.after(every/2+time.Duration(w.rng.Int64N(int64(every))), func() { w.trouble(every) })
-	if len(w.order) == 0 {
+	w.after(period/2+time.Duration(w.rng.Int64N(int64(period))), func() { w.cutPeriodically(period) })
+	if len(w.links) == 0 {
 		return
 	}
-	x := w.order[w.rng.IntN(len(w.order))]
+	x := w.links[w.rng.IntN(len(w.links))]
 	span := time.Duration(500+w.rng.IntN(3500)) * time.Millisecond
 	if w.rng.IntN(2) == 0 {
 		w.Deaf++
-		x.deaf = true
-		w.after(span, func() { x.deaf = false })
+		x.dropInbound = true
+		w.after(span, func() { x.dropInbound = false })
 	} else {
 		w.Mute++
-		x.mut = true
-		w.after(span, func() { x.mut = false })
+		x.dropOutbound = true
+		w.after(span, func() { x.dropOutbound = false })
 	}
 }
 
-func (w *wires) after(d time.Duration, f func()) { w.loop.After(&poll.Timer{Fire: f}, d) }
+func (w *lossyLinks) after(d time.Duration, f func()) { w.loop.After(&poll.Timer{Fire: f}, d) }
 
-// close ends all wires.
-func (w *wires) close() {
-	w.over = true
-	for _, x := range w.order {
+// close closes all links.
+func (w *lossyLinks) close() {
+	w.closed = true
+	for _, x := range w.links {
 		x.sock.Close()
 	}
 }
 
-// Ready passes on what others sent to the wire's process.
-func (x *lead) Ready(poll.Ready) {
+// Ready forwards the datagrams that other processes sent to the link's process.
+func (x *lossyLink) Ready(poll.Ready) {
 	var buf [2048]byte
 	for range 64 {
 		n, from, err := x.sock.Receive(buf[:])
 		if err != nil {
 			return
 		}
-		if sender := x.w.all[from]; sender != nil {
-			x.w.pass(sender, x, append([]byte(nil), buf[:n]...))
+		if sender := x.w.byProcess[from]; sender != nil {
+			x.w.forward(sender, x, append([]byte(nil), buf[:n]...))
 		}
 	}
 }
 
-func (w *wires) pass(from, to *lead, data []byte) {
+func (w *lossyLinks) forward(from, to *lossyLink, data []byte) {
 	w.Datagrams++
-	if from.mut || to.deaf {
+	if from.dropOutbound || to.dropInbound {
 		w.CutAway++
 		return
 	}
 	deliver := func() {
-		if !w.over {
-			_ = from.sock.Send(data, to.to) // nobody may be there
+		if !w.closed {
+			_ = from.sock.Send(data, to.process) // errors are ignored: the process may not be running
 		}
 	}
 	switch d := w.rng.Float64(); {
