--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -76,11 +76,11 @@
 	MeanA          float64   `json:"mean_a"`
 	MeanB          float64   `json:"mean_b"`
 	MeanDifference float64   `json:"mean_difference"` // mean of B - A
-	Half           float64   `json:"half_interval"`   // the 95 % interval is MeanDifference ± HalfInterval
+	HalfInterval   float64   `json:"half_interval"`   // the 95 % interval is MeanDifference ± HalfInterval
 }
 
 // Significant reports whether the 95 % interval of the difference excludes 0.
-func (c *FigureComparison) Clear() bool { return math.Abs(c.MeanDifference) > c.Half }
+func (c *FigureComparison) Significant() bool { return math.Abs(c.MeanDifference) > c.HalfInterval }
 
 // figures returns the names and the values of the figures of a day that a Comparison compares.
 func (r *Result) figures() (names []string, values []float64) {
@@ -204,7 +204,7 @@
 	c.MeanDifference = round(mean)
 	if n := float64(len(differences)); n > 1 {
 		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975)
-		c.Half = round(t * dev / math.Sqrt(n))
+		c.HalfInterval = round(t * dev / math.Sqrt(n))
 	}
 }
 
@@ -218,10 +218,10 @@
 	for i := range c.Figures {
 		g := &c.Figures[i]
 		verdict := "no clear difference"
-		if g.Clear() {
+		if g.Significant() {
 			verdict = "clear"
 		}
-		rows = append(rows, []string{g.Name, f(g.MeanA), f(g.MeanB), fmt.Sprintf("%+.4f", g.MeanDifference), "± " + f(g.Half), verdict})
+		rows = append(rows, []string{g.Name, f(g.MeanA), f(g.MeanB), fmt.Sprintf("%+.4f", g.MeanDifference), "± " + f(g.HalfInterval), verdict})
 	}
 	table(&b, []string{"figure", "first", "second", "difference", "95 %", ""}, rows)
 	_, err := io.WriteString(w, b.String())
@@ -267,7 +267,7 @@
 		f := &c.Figures[len(c.Figures)-1-i] // the first figure is at the top
 		names = append(names, f.Name)
 		points = append(points, plotter.XY{X: f.MeanDifference, Y: float64(i)})
-		bars = append(bars, struct{ Low, High float64 }{-f.Half, f.Half})
+		bars = append(bars, struct{ Low, High float64 }{-f.HalfInterval, f.HalfInterval})
 	}
 	scatter, err := plotter.NewScatter(points)
 	if err != nil {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -166,8 +166,8 @@
 		t.Fatalf("no figure %q", name)
 		return nil
 	}
-	if f := find("service: all"); !f.Clear() || f.MeanDifference >= 0 {
-		t.Errorf("slow relays make a difference of %+.4f ± %.4f", f.MeanDifference, f.Half)
+	if f := find("service: all"); !f.Significant() || f.MeanDifference >= 0 {
+		t.Errorf("slow relays make a difference of %+.4f ± %.4f", f.MeanDifference, f.HalfInterval)
 	}
 	var b bytes.Buffer
 	if err := c.Markdown(&b); err != nil || !strings.Contains(b.String(), "| service: all") {
@@ -181,7 +181,7 @@
 		t.Fatal(err)
 	}
 	for _, f := range same.Figures {
-		if f.MeanDifference != 0 || f.Clear() {
+		if f.MeanDifference != 0 || f.Significant() {
 			t.Errorf("%s differs from itself by %v", f.Name, f.MeanDifference)
 		}
 	}
@@ -190,8 +190,8 @@
 // The interval is Student's: by hand for three pairs, whose differences are 1, 2 and 3.
 func TestInterval(t *testing.T) {
 	c := FigureComparison{A: []float64{1, 1, 1}, B: []float64{2, 3, 4}}
-	if c.computeStatistics(); c.MeanDifference != 2 || c.Half < 2.484 || c.Half > 2.485 { // 4.3027 / sqrt(3)
-		t.Errorf("%v ± %v", c.MeanDifference, c.Half)
+	if c.computeStatistics(); c.MeanDifference != 2 || c.HalfInterval < 2.484 || c.HalfInterval > 2.485 { // 4.3027 / sqrt(3)
+		t.Errorf("%v ± %v", c.MeanDifference, c.HalfInterval)
 	}
 }
 
