--- a/cmd/ospreylab/capacity.go
+++ b/cmd/ospreylab/capacity.go
@@ -37,7 +37,7 @@
 		Short: "Measure what each role pays for each unit of what grows, and fit it",
 		Long: "Measures costs at several sizes, fits a line to each with its 95 % interval, warns where the points are no line, and tells\n" +
 			"what they come to at the planned size. Without --data, --modules, --control and --samples all that it can measure is.",
-		Args: files(0, 0),
+		Args: fileArgs(0, 0),
 		RunE: func(*cobra.Command, []string) error { return a.capacity(&o) },
 	}
 	c.Flags().IntVar(&o.seeds, "seeds", 3, "runs")
@@ -56,10 +56,10 @@
 
 func (a *app) capacity(o *capacityOptions) error {
 	if o.seeds < 1 || o.seeds > mostCapacitySeeds {
-		return wrong{fmt.Errorf("--seeds %d: not from 1 to %d", o.seeds, mostCapacitySeeds)}
+		return usageError{fmt.Errorf("--seeds %d: not from 1 to %d", o.seeds, mostCapacitySeeds)}
 	}
 	if (o.samples == "") != (o.command == "") {
-		return wrong{errors.New("--samples and --command go together")}
+		return usageError{errors.New("--samples and --command go together")}
 	}
 	stop, err := capacity.GuardMemory(func() {
 		fmt.Fprintln(a.errs, "ospreylab: capacity: it took half of the machine's memory and is ended")
@@ -72,7 +72,7 @@
 	all := &capacity.Slopes{}
 	if o.slopes != "" {
 		if all, err = capacity.ReadSlopes(o.slopes); err != nil {
-			return wrong{err}
+			return usageError{err}
 		}
 	}
 	samples, err := a.capacitySamples(o, all)
@@ -98,7 +98,7 @@
 	if o.samples != "" {
 		list, err := capacity.ReadSamples(o.samples)
 		if err != nil {
-			return nil, wrong{err}
+			return nil, usageError{err}
 		}
 		a.addSlopes(all, list, o.command)
 	}
--- a/cmd/ospreylab/shared.go
+++ b/cmd/ospreylab/shared.go
@@ -78,9 +78,9 @@
 	if err != nil {
 		return err
 	}
-	w := r.Wires
+	w := r.Links
 	fmt.Fprintf(a.out, "processes %d, killed %d; links: datagrams %d, dropped %d, late %d, repeated %d, processes deaf %d, mute %d, cut away %d; strict limit %d: most standing by the relays' count %d, over by %d, %.1f in the mean; clients up %d, refused %d, cut off %d\n",
-		n, n*7/10, w.Datagrams, w.Dropped, w.Late, w.Repeated, w.Deaf, w.Mute, w.CutAway, 5*n, r.Shared.Standing, max(r.Shared.Standing-5*n, 0), r.Shared.Held/r.Length, r.Clients.Up, r.Clients.Refused, r.Clients.Cut)
+		n, n*7/10, w.Datagrams, w.Dropped, w.Delayed, w.Duplicated, w.InboundCuts, w.OutboundCuts, w.DroppedByCut, 5*n, r.Shared.Standing, max(r.Shared.Standing-5*n, 0), r.Shared.Held/r.Length, r.Clients.Up, r.Clients.Refused, r.Clients.Cut)
 	if r.Shared.Standing > 5*n+underWay {
 		return broken{fmt.Errorf("seed %d: %d connections stood under a strict limit of %d", seed, r.Shared.Standing, 5*n)}
 	}
--- a/internal/lab/address.go
+++ b/internal/lab/address.go
@@ -14,7 +14,8 @@
 	discoveryPort = 8500
 )
 
-// siteOf is the site of a machine, by its address: the second byte counts the sites from 1, and 0 is none.
+// siteOf returns the site of a machine by its address: the second byte counts the sites from 1, and
+// 0 is no site.
 func (s *stage) siteOf(a netip.Addr) string {
 	if i := int(a.As4()[1]); i > 0 && i <= len(s.scenario.Sites) {
 		return s.scenario.Sites[i-1]
@@ -22,12 +23,12 @@
 	return ""
 }
 
-// at is the address of a machine: its site, what it is and its number.
+// machineAddr returns the address of a machine from its site, its type and its number.
 func machineAddr(site, what, n int) netip.Addr {
 	return netip.AddrFrom4([4]byte{10, byte(site + 1), byte(what<<4 + n>>8), byte(n)})
 }
 
-// What a machine is, in its address.
+// These are the types of machines in an address.
 const (
 	addrRelay = iota
 	addrProxy
--- a/internal/lab/attempts.go
+++ b/internal/lab/attempts.go
@@ -8,7 +8,7 @@
 	"ospreyspan/internal/vnet"
 )
 
-// attempt sees a proxy ask a relay.
+// onAttempt handles the complete first line that a proxy sends to a relay.
 func (j *judge) onAttempt(c *vnet.Conn, w *tappedConn) {
 	o, err := line.ParseOpen(line.TrimLineEnd(w.firstLine))
 	asks := bytes.HasPrefix(w.firstLine, openPrefix)
@@ -18,7 +18,7 @@
 	}
 	proxy, id := c.Dialler, j.relayID[c.Listener]
 	if err != nil {
-		j.reportViolation("syntax", "%s sends %s a first line that is none", proxy.Name(), id)
+		j.reportViolation("syntax", "%s sends %s a malformed first line", proxy.Name(), id)
 		return
 	}
 	j.Attempts++
@@ -55,19 +55,20 @@
 	r.current, r.lastAttempt = w, w
 }
 
-// asksAgain looks whether a proxy whose call failed rests for so long that what it misses counts as told before it can hear of it.
-// One that shares news with others is not held to it: another may ask in its place.
+// checkAskAgain checks that a proxy whose discovery call failed calls again before the changes it
+// has missed are deemed known. Proxies that share discovery's answers are exempt, since another one
+// may call in their place.
 func (j *judge) checkAskAgain(proxy *vnet.Host) {
 	most := j.rules.AskAgain
 	if most <= 0 || j.ledger.Shared || j.world.Now().Before(j.excusedUntil[proxy]) {
 		return
 	}
 	if rest := j.changeClock.idleAfterFailure(proxy.Addr()); rest > most+clockSlack+j.maxClockLag[proxy] {
-		j.reportViolation("ask-again", "%s has not asked discovery for %v after a call that failed", proxy.Name(), rest)
+		j.reportViolation("ask-again", "%s has not called discovery again for %v after a failed call", proxy.Name(), rest)
 	}
 }
 
-// staleFor is how long a proxy that could run has known what counts as told since then.
+// staleFor returns for how long a proxy that could run has been deemed to know a change.
 func (j *judge) staleFor(proxy *vnet.Host, since time.Time) time.Duration {
 	if until, ok := j.excusedUntil[proxy]; ok {
 		since = later(since, until)
--- a/internal/lab/chart.go
+++ b/internal/lab/chart.go
@@ -33,7 +33,7 @@
 	return map[string]func(w io.Writer) error{
 		"service.svg":     func(w io.Writer) error { return r.serviceChart(w) },
 		"load.svg":        func(w io.Writer) error { return r.relayChart(w, "load asked over capacity", r.series.load) },
-		"connections.svg": func(w io.Writer) error { return r.relayChart(w, "connections", r.series.stand) },
+		"connections.svg": func(w io.Writer) error { return r.relayChart(w, "connections", r.series.connections) },
 		"moves.svg":       func(w io.Writer) error { return r.movesChart(w) },
 	}
 }
@@ -102,15 +102,15 @@
 func (r *Result) relayChart(w io.Writer, what string, curves [][]float64) error {
 	p := newChart(r.Title()+": "+what+" of the relays", "s", what)
 	p.Y.Min = 0
-	from := -r.series.warm
+	from := -r.series.warmUpSeconds
 	if len(curves) <= maxRelayCurves {
 		for i, ys := range curves {
 			// One colour for each kind of relay: the kinds can be compared, and the legend stays short.
 			// The names of a dozen relays would cover the curves.
-			kind := slices.Index(r.kindNames(), r.series.kinds[i])
+			kind := slices.Index(r.kindNames(), r.series.relayKinds[i])
 			name := ""
-			if slices.Index(r.series.kinds, r.series.kinds[i]) == i {
-				name = r.series.kinds[i]
+			if slices.Index(r.series.relayKinds, r.series.relayKinds[i]) == i {
+				name = r.series.relayKinds[i]
 			}
 			if err := addLine(p, name, from, ys, palette[kind%len(palette)], vg.Points(1)); err != nil {
 				return err
@@ -129,7 +129,7 @@
 
 // kindNames returns the names of the kinds of relays, sorted and each once.
 func (r *Result) kindNames() []string {
-	names := slices.Clone(r.series.kinds)
+	names := slices.Clone(r.series.relayKinds)
 	slices.Sort(names)
 	return slices.Compact(names)
 }
--- a/internal/lab/coldbudget.go
+++ b/internal/lab/coldbudget.go
@@ -8,25 +8,28 @@
 	"ospreyspan/internal/fleet"
 )
 
-// coldBudget counts what all proxies together send to servers that are cold. A server falls when it gets more than
-// N + 2√N + 2 requests of mean work within the settings' time (N + 3√N + 3 where N is under 30), N being what the settings allow it
-// then: their multiple of its present capacity in that time. A fall breaks the rule if over two thirds of it came from proxies that were told of the start.
+// coldBudget counts what all proxies together send to cold servers. A server is overloaded
+// ("falls") when it gets more than N + 2√N + 2 requests of mean work within fallWithin, or N + 3√N
+// + 3 where N is under 30. N is fallMultiple times the server's present capacity in that time. A
+// fall violates the rule if over two thirds of the work came from proxies that were told of the
+// server's start.
 type coldBudget struct {
 	fallMultiple float64
 	fallWithin   time.Duration
-	work         map[string]float64 // of a request, by class, in mean requests
-	meanWork     float64            // work of a mean request, in seconds of a standard core
+	work         map[string]float64 // of a request, by class, in requests of mean work
+	meanWork     float64            // of a request, in seconds of a standard core
 	servers      map[string]*coldServer
 	Falls        int
-	// While clients were refused: requests of mean work that the settings allowed all cold servers, by the mean of N, and what they got.
+	// AllowedRequests and SentRequests are in requests of mean work, counted while clients were
+	// being refused: the sum of N over all cold servers, and what these servers got.
 	AllowedRequests, SentRequests float64
-	lastRefusal                   time.Time // a client was refused last
+	lastRefusal                   time.Time // latest time that a client was refused
 }
 
-// coldServer is one life of a cold server.
+// coldServer is one start of a cold server.
 type coldServer struct {
 	bornMS int64
-	sends  []coldSend // within the settings' time, oldest first
+	sends  []coldSend // within fallWithin, oldest first
 }
 
 type coldSend struct {
@@ -35,23 +38,24 @@
 	informed bool // the sender was told of the start
 }
 
-// fewCalls is the number of requests under which chance is given more room.
+// smallAllowance is the allowance, in requests, under which the bound has a wider margin for
+// chance.
 const smallAllowance = 30
 
-// toldPart is the part of a fall that proxies which were told of the start may have sent at the most.
+// maxInformedShare is the largest share of a fall that may come from proxies told of the start.
 const maxInformedShare = 2.0 / 3
 
-// coldFall is one server's fall.
+// coldFall is one overload of a server.
 type coldFall struct {
 	received, allowed float64 // requests of mean work
-	informed          float64 // of got
+	informed          float64 // the part of received that came from informed proxies
 }
 
-// broken tells whether the proxies are to blame for the fall.
+// breaksRule reports whether the proxies are to blame for the fall.
 func (f *coldFall) breaksRule() bool { return f.informed > maxInformedShare*f.received }
 
-// newColdBudget returns the count of a day. The work of a request is what setting it up costs and, as it stands for long, what its
-// messages do up to its end.
+// newColdBudget returns the budget of a day. The work of a request is its set-up plus that of its
+// messages up to the end of its connection.
 func newColdBudget(d *day) *coldBudget {
 	b := &coldBudget{
 		fallMultiple: d.scenario.Rules.FallMultiple, fallWithin: d.scenario.Rules.FallWithin, work: make(map[string]float64), servers: make(map[string]*coldServer),
@@ -67,17 +71,17 @@
 	return b
 }
 
-// meanAllowed is N: what the settings allow a server within their time.
+// meanAllowed returns N, what the settings allow a server within fallWithin.
 func (b *coldBudget) meanAllowed(m *fleet.Machine, now time.Time) float64 {
 	return b.fallMultiple * m.Capacity(now) * b.fallWithin.Seconds() / b.meanWork
 }
 
-// lacks tells whether clients are being refused.
+// clientsRefused reports whether clients are being refused at present.
 func (b *coldBudget) clientsRefused(now time.Time) bool {
 	return !b.lastRefusal.IsZero() && now.Sub(b.lastRefusal) < b.fallWithin
 }
 
-// runs takes down that a server was cold, and could be sent requests, for a while.
+// countAllowance adds the allowance of a cold server that was available for a while.
 func (b *coldBudget) countAllowance(m *fleet.Machine, now time.Time, span time.Duration) {
 	if !b.clientsRefused(now) {
 		return
@@ -85,7 +89,7 @@
 	b.AllowedRequests += b.meanAllowed(m, now) * span.Seconds() / b.fallWithin.Seconds()
 }
 
-// allowed is how many requests of mean work a server may get within the settings' time.
+// allowed returns how many requests of mean work a server may get within fallWithin.
 func (b *coldBudget) allowed(m *fleet.Machine, now time.Time) float64 {
 	n := b.meanAllowed(m, now)
 	if n < smallAllowance {
@@ -94,7 +98,8 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// sent counts a request that goes to a cold server; nil: the server stands.
+// recordRequest counts a request that goes to a cold server. It returns nil unless the server
+// falls.
 func (b *coldBudget) recordRequest(now time.Time, server string, bornMS int64, m *fleet.Machine, class string, told bool) *coldFall {
 	s := b.servers[server]
 	if s == nil || s.bornMS != bornMS {
@@ -123,17 +128,17 @@
 		return nil
 	}
 	b.Falls++
-	s.sends = nil // what comes after is another fall
+	s.sends = nil // later requests count towards another fall
 	return f
 }
 
-// coldRelay is a relay as the judge needs it for the budget.
+// coldRelay is the state of a relay that checkColdBudget needs.
 type coldRelay struct {
 	bornMS  int64
 	machine *fleet.Machine
 }
 
-// judgeCold counts a request for the budget of a relay that is cold.
+// checkColdBudget counts a request towards the budget of a relay that is cold.
 func (j *judge) checkColdBudget(proxy netip.Addr, name, relay, class string) {
 	if j.coldBudget == nil {
 		return
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -14,7 +14,7 @@
 	"ospreyspan/internal/settings"
 )
 
-// day is a scenario with everything drawn that is drawn once.
+// day is a scenario with all values drawn that are drawn once per run.
 type day struct {
 	scenario       *Scenario
 	seed           uint64
@@ -23,7 +23,7 @@
 	skew           float64
 	waves          []drawnWave
 	relays         []relayPlan
-	usualLoad      float64 // load of a usual connection, in standard cores
+	usualLoad      float64 // of a usual connection, in standard cores
 	sameSiteDelay  time.Duration
 	crossSiteDelay map[[2]string]time.Duration
 	clientDelay    map[string]time.Duration
@@ -44,21 +44,22 @@
 	sites        []string
 }
 
-// relayPlan is one relay of the day.
+// relayPlan holds the drawn properties of one relay.
 type relayPlan struct {
 	id    string
 	site  string
 	kind  *fleet.Kind
 	speed float64
-	late  bool // it is not there at the start
+	late  bool // it does not run from the start
 }
 
-// stream is the draws of one concern of a seed.
+// randomStream returns the random numbers of one purpose, which do not depend on those of other
+// purposes.
 func randomStream(seed uint64, concern string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(concern)))
 }
 
-// newDay draws a day.
+// newDay draws the values of a day.
 func newDay(s *Scenario, seed uint64) (*day, error) {
 	d := &day{scenario: s, seed: seed, total: s.Run.WarmUp + s.Run.Length, crossSiteDelay: make(map[[2]string]time.Duration), clientDelay: make(map[string]time.Duration)}
 	r := randomStream(seed, "day")
@@ -91,7 +92,8 @@
 	}
 	d.workBuffer, d.maxPerCore = s.Relays.WorkBuffer.Draw(r), s.Relays.MaxPerCore.Draw(r)
 	d.reportNoise, d.messageWork = s.Relays.ReportNoise.Draw(r), s.Relays.MessageWork.Draw(r)
-	// Little's law gives how many are there at a time; so many groups have that many members.
+	// Little's law gives the number of simultaneous connections; divided by the group size, that is
+	// the number of groups.
 	life := 0.0
 	for _, c := range d.classes {
 		life += c.Share * c.Life * d.traffic.Life.Seconds()
@@ -109,8 +111,9 @@
 	return d, nil
 }
 
-// plan draws the relays: kinds by their shares, sites in turn but for the part that is placed by lot. Relays that a
-// trouble of kind grow adds are planned with the others, so that their draws do not depend on it.
+// planRelays draws the relays: kinds by their shares, sites in turn except for the share that is
+// placed at random. Relays added by a fault of kind grow are planned with the others, so that the
+// draws of the others do not depend on it.
 func (d *day) planRelays() {
 	r := randomStream(d.seed, "relays")
 	extra := 0
@@ -135,7 +138,7 @@
 	}
 }
 
-// rate is the new clients a second of a site, by the time since the start.
+// arrivalRate returns the new clients per second at a site, by the time since the start.
 func (d *day) arrivalRate(site string, at time.Duration) float64 {
 	part := 1 / float64(len(d.scenario.Sites))
 	if site == d.scenario.Sites[0] {
@@ -152,7 +155,7 @@
 	return r
 }
 
-// listed tells whether a list names a site; an empty one stands for all.
+// siteListed reports whether a list names a site; an empty list stands for all sites.
 func siteListed(sites []string, site string) bool {
 	for _, s := range sites {
 		if s == site {
@@ -162,11 +165,12 @@
 	return len(sites) == 0
 }
 
-// repeat and scope are the platform's words for what repeating a request of the class does.
+// repeat and scope return, in the words of the proxies' settings, what repeating a request of the
+// class does.
 func (c *Class) repeat() string { return cmp.Or(c.Effect, "free") }
 func (c *Class) scope() string  { return cmp.Or(c.Scope, "all") }
 
-// platformSettings is the settings object that the platform gives its proxies on such a day.
+// platformSettings returns the settings object that the platform gives its proxies.
 func (d *day) platformSettings() ([]byte, error) {
 	us := func(t time.Duration) int64 { return t.Microseconds() }
 	s := d.scenario
@@ -204,7 +208,7 @@
 	})
 }
 
-// settingsAt is the settings of a proxy at a site.
+// settingsAt returns the settings of a proxy at a site.
 func (d *day) settingsAt(site string) (*settings.Settings, error) {
 	text, err := d.settingsText(site)
 	if err != nil {
@@ -217,7 +221,7 @@
 	return set, set.Check()
 }
 
-// settingsText is the same as JSON.
+// settingsText returns the settings of a proxy at a site as JSON.
 func (d *day) settingsText(site string) ([]byte, error) {
 	var all map[string]any
 	if err := json.Unmarshal(d.settingsJSON, &all); err != nil {
@@ -227,7 +231,7 @@
 	return json.Marshal(all)
 }
 
-// machine is what a relay computes with; a cold one has just started.
+// machineConfig returns the configuration of a relay's machine; a cold one has just started.
 func (d *day) machineConfig(p *relayPlan, cold bool, r *rand.Rand) fleet.MachineConfig {
 	m := fleet.MachineConfig{
 		Cores: p.kind.Cores, Speed: p.speed, Service: d.messageWork.Seconds(),
@@ -239,7 +243,7 @@
 	return m
 }
 
-// relay is what a relay is made of.
+// relayConfig returns the configuration of a relay.
 func (d *day) relayConfig(p *relayPlan, cold bool, r *rand.Rand) fleet.RelayConfig {
 	errs := d.scenario.Relays.ErrorShare
 	if p.kind.Errors.To > 0 {
--- a/internal/lab/effects.go
+++ b/internal/lab/effects.go
@@ -2,16 +2,18 @@
 
 import "time"
 
-// The rules on effects, as the judge knows them: from the protocol's page, and from nothing of the proxy.
+// The rules on repeats follow the specification of the protocol alone and share no code with the
+// proxy.
 
 const (
-	// leftGrace is how long a request may still be sent on whose client has left.
+	// departedClientGrace is how long a request may still be sent to a relay after its client left.
 	departedClientGrace = 100 * time.Millisecond
-	// windowSlack is by how much each limit of time is longer on sockets.
+	// repeatWindowSlack is added to each repeat window for delays on sockets.
 	repeatWindowSlack = 50 * time.Millisecond
 )
 
-// ran is the first attempt that may have run: all of it was written, and the relay did not refuse it. nil: none may have.
+// firstPossibleRun returns the first attempt that may have run, which was written completely and
+// not refused by the relay, or nil.
 func (r *request) firstPossibleRun() *tappedConn {
 	for _, w := range r.attempts {
 		if !w.refused {
@@ -21,7 +23,7 @@
 	return nil
 }
 
-// mayRepeat tells whether a request that may have run may be sent to a relay.
+// mayRepeat reports whether a request that may have run may be sent to a relay again.
 func (j *judge) mayRepeat(r *request, ran *tappedConn, now time.Time, relay string) bool {
 	switch c := r.class; {
 	case c == nil || c.repeat() == "free":
@@ -36,7 +38,8 @@
 	return true
 }
 
-// refuses looks at a refusal, after which the client comes again, perhaps after the advice.
+// checkRefusal checks a refusal, after which the client may repeat the request once the advised
+// wait has passed.
 func (j *judge) checkRefusal(r *request, advice time.Duration) {
 	ran := r.firstPossibleRun()
 	if ran == nil || r.class == nil || r.class.repeat() == "free" {
--- a/internal/lab/fuzz.go
+++ b/internal/lab/fuzz.go
@@ -16,7 +16,8 @@
 	"ospreyspan/internal/vnet"
 )
 
-// Text is the scenario as a file that Read reads, without what is as by default.
+// Text returns the scenario in the file format that Read reads, without the values that equal the
+// defaults.
 func (s *Scenario) Text() string {
 	var b strings.Builder
 	d := defaults()
@@ -51,7 +52,8 @@
 	return b.String()
 }
 
-// Parse reads a scenario from the text of a file with that name. Set is as in Read.
+// Parse reads a scenario from the text of a file with the given name. The values of set replace
+// those of the file, as with Read.
 func Parse(name string, text string, set ...string) (*Scenario, error) {
 	f, err := inifile.Parse(name, []byte(text))
 	if err != nil {
@@ -65,42 +67,47 @@
 	return decode(strings.TrimSuffix(name, ".ini"), f)
 }
 
-// draws are the figures of a made-up scenario, each drawn once and for all.
+// scenarioDraws draws the values of a generated scenario. Each drawn range has equal ends, so that
+// the scenario has one fixed value.
 type draws struct{ r *rand.Rand }
 
 func newDraws(r *rand.Rand) *draws { return &draws{r} }
 
-// span draws a time in whole milliseconds, one at least: a file leaves out what is nothing.
+// span draws a duration in whole milliseconds, at least 1 ms, because the file format leaves out
+// zero values.
 func (d *draws) span(from, to time.Duration) fleet.Spans {
 	t := max(fleet.Spans{From: from, To: to}.Draw(d.r).Round(time.Millisecond), time.Millisecond)
 	return fleet.Spans{From: t, To: t}
 }
 
+// value draws a number and rounds it to five decimal places.
 func (d *draws) one(from, to float64) fleet.Range {
 	x := round(fleet.Range{From: from, To: to}.Draw(d.r))
 	return fleet.Range{From: x, To: x}
 }
 
-// ScenarioGenerator makes up a scenario from a seed.
+// ScenarioGenerator generates a scenario from a seed.
 type ScenarioGenerator func(seed uint64) *Scenario
 
-// FuzzConfig are what Fuzz plays.
+// FuzzConfig says which scenarios Fuzz plays.
 type FuzzConfig struct {
 	Generate ScenarioGenerator
-	Set      []string // section.key=value pairs that go before what is made up
+	Set      []string // section.key=value pairs that replace generated values
 }
 
-// scenario makes up a day. It is what a file of it says, so that the file repeats it.
+// scenario generates the scenario of a seed. It is parsed from its own text, so that a saved file
+// reproduces it exactly.
 func (d *FuzzConfig) scenario(seed uint64) (*Scenario, error) {
 	return Parse(fmt.Sprintf("fuzz-%d.ini", seed), d.Generate(seed).Text(), d.Set...)
 }
 
-// ScenarioGenerators are the kinds of made-up days, by their names.
+// ScenarioGenerators returns the generators by the names that the flag --days accepts.
 func ScenarioGenerators() map[string]ScenarioGenerator {
 	return map[string]ScenarioGenerator{"any": RandomScenario, "throng": RandomThrong}
 }
 
-// RandomScenario makes up a scenario: a small fleet, and a few troubles of any kind that may overlap in any way.
+// RandomScenario generates a small fleet with a few faults of any kind, which may overlap in any
+// way.
 func RandomScenario(seed uint64) *Scenario {
 	d := newDraws(randomStream(seed, "fuzz"))
 	r, span, one := d.r, d.span, d.one
@@ -135,15 +142,16 @@
 		t := Fault{Name: fmt.Sprintf("t%d", i), Kind: kinds[r.IntN(len(kinds))]}
 		t.At = span(0, s.Run.Length)
 		t.For = span(200*time.Millisecond, 8*time.Second)
-		s.fill(&t, r, one, span)
+		s.setFaultParameters(&t, r, one, span)
 		s.Faults = append(s.Faults, t)
 	}
-	s.customer(r, span)
+	s.randomizeSettings(r, span)
 	return &s
 }
 
-// customer draws what another customer's settings may say: effects that must not come twice, and what is permitted.
-func (s *Scenario) customer(r *rand.Rand, span func(from, to time.Duration) fleet.Spans) {
+// randomizeSettings draws settings in which customers differ: effects of requests that must not
+// occur twice, and what the proxies are permitted to do.
+func (s *Scenario) randomizeSettings(r *rand.Rand, span func(from, to time.Duration) fleet.Spans) {
 	for i := range s.Classes {
 		c := &s.Classes[i]
 		switch r.IntN(4) {
@@ -157,7 +165,7 @@
 		}
 	}
 	s.Permissions.Cancel, s.Permissions.Probes, s.Permissions.ListsPushed = r.IntN(3) > 0, r.IntN(6) > 0, r.IntN(4) == 0
-	if r.IntN(3) == 0 { // connections that take long to come up, and are waited for
+	if r.IntN(3) == 0 { // connections that take long to be established, and a dial time-out that waits for them
 		s.Permissions.DialTimeout = span(300*time.Millisecond, 1200*time.Millisecond).From
 		part := round(fleet.Range{From: 0.2, To: 0.8}.Draw(r))
 		s.Faults = append(s.Faults, Fault{
@@ -167,8 +175,8 @@
 	}
 }
 
-// fill gives a trouble the figures that its kind needs.
-func (s *Scenario) fill(t *Fault, r *rand.Rand, one func(from, to float64) fleet.Range, span func(from, to time.Duration) fleet.Spans) {
+// setFaultParameters draws the parameters that the kind of the fault needs.
+func (s *Scenario) setFaultParameters(t *Fault, r *rand.Rand, one func(from, to float64) fleet.Range, span func(from, to time.Duration) fleet.Spans) {
 	second := time.Second
 	switch t.Kind {
 	case "silence", "isolate":
@@ -219,18 +227,19 @@
 	return names
 }
 
-// Finding is a broken rule that Fuzz came upon.
+// Finding is a broken rule that Fuzz found.
 type Finding struct {
 	Seed      uint64
 	Rule      string
 	Err       error
-	Scenario  *Scenario // as it was made up
-	Minimized *Scenario // after shrinking; breaks the same rule with the same seed
-	Tried     int       // scenarios tried in shrinking
+	Scenario  *Scenario // as generated
+	Minimized *Scenario // after Shrink; breaks the same rule with the same seed
+	Tried     int       // scenarios played by Shrink
 }
 
-// rule is the name of the rule that an error of Play tells of; empty if it is none.
-func rule(err error) string {
+// brokenRule returns the name of the rule that an error of Play reports as broken, or an empty
+// string if it reports none.
+func brokenRule(err error) string {
 	var v *Violation
 	var f *vnet.Failure
 	switch {
@@ -242,8 +251,8 @@
 	return ""
 }
 
-// playSafely is Play; a panic of the program is a broken rule like others.
-func playSafely(s *Scenario, seed uint64) (err error) {
+// playRecovering plays a day like Play. It reports a panic as a broken rule named panic.
+func playRecovering(s *Scenario, seed uint64) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			buf := make([]byte, 4096)
@@ -254,11 +263,13 @@
 	return err
 }
 
-// Fuzz plays scenarios that are made up from seeds from first on, until one breaks a rule, n were played or the time is over; it
-// returns the lowest such seed of those that were begun, and how many were played. done is called after each.
-func Fuzz(days FuzzConfig, first uint64, n int, until time.Time, done func(seed uint64)) (*Finding, int, error) {
+// Fuzz plays generated scenarios with seeds from first on, until one breaks a rule, n have been
+// played or the time until has passed. It returns the finding with the lowest seed among those that
+// were started, and the number of days played. done, if not nil, is called after each day, one call
+// at a time.
+func Fuzz(config FuzzConfig, first uint64, n int, until time.Time, done func(seed uint64)) (*Finding, int, error) {
 	var (
-		one    sync.Mutex
+		mu     sync.Mutex
 		next   = first
 		played int
 		found  *Finding
@@ -270,21 +281,21 @@
 		go func() {
 			defer wait.Done()
 			for {
-				one.Lock()
+				mu.Lock()
 				if found != nil || failed != nil || next >= first+uint64(n) || time.Now().After(until) {
-					one.Unlock()
+					mu.Unlock()
 					return
 				}
 				seed := next
 				next++
-				one.Unlock()
-				s, err := days.scenario(seed)
+				mu.Unlock()
+				s, err := config.scenario(seed)
 				if err == nil {
-					err = playSafely(s, seed)
+					err = playRecovering(s, seed)
 				}
-				one.Lock()
+				mu.Lock()
 				played++
-				if r := rule(err); r != "" && (found == nil || seed < found.Seed) {
+				if r := brokenRule(err); r != "" && (found == nil || seed < found.Seed) {
 					found = &Finding{Seed: seed, Rule: r, Err: err, Scenario: s}
 				} else if err != nil && r == "" {
 					failed = err
@@ -292,7 +303,7 @@
 				if done != nil {
 					done(seed)
 				}
-				one.Unlock()
+				mu.Unlock()
 			}
 		}()
 	}
@@ -300,33 +311,34 @@
 	return found, played, failed
 }
 
-// Shrink looks for a smaller scenario that breaks the same rule with the same seed, until nothing can be left out or the
-// time is over.
+// Shrink looks for a smaller scenario that breaks the same rule with the same seed, until no
+// reduction does or the time until has passed.
 func (f *Finding) Shrink(until time.Time) {
 	f.Minimized = f.Scenario
-	for again := true; again; {
-		again = false
-		for _, c := range f.Minimized.smaller() {
+	for reduced := true; reduced; {
+		reduced = false
+		for _, c := range f.Minimized.reductions() {
 			if time.Now().After(until) {
 				return
 			}
 			f.Tried++
-			if rule(playSafely(c, f.Seed)) == f.Rule {
-				f.Minimized, again = c, true
+			if brokenRule(playRecovering(c, f.Seed)) == f.Rule {
+				f.Minimized, reduced = c, true
 				break
 			}
 		}
 	}
 }
 
-// smaller returns scenarios with something left out, the boldest first.
-func (s *Scenario) smaller() []*Scenario {
-	var list []*Scenario
+// reductions returns copies of the scenario with one thing left out or made smaller, the largest
+// reductions first.
+func (s *Scenario) reductions() []*Scenario {
+	var candidates []*Scenario
 	try := func(change func(c *Scenario) bool) {
 		c := *s
 		c.Faults, c.Waves = slices.Clone(s.Faults), slices.Clone(s.Waves)
 		if change(&c) {
-			list = append(list, &c)
+			candidates = append(candidates, &c)
 		}
 	}
 	for i := range s.Faults {
@@ -345,11 +357,11 @@
 		c.Proxies.MaxDescriptors = 1024
 		return was != 1024
 	})
-	for _, by := range []int{2, 1} {
+	for _, step := range []int{2, 1} {
 		less := func(n *int) bool {
 			was := *n
 			*n = max(was/2, 1)
-			if by == 1 {
+			if step == 1 {
 				*n = max(was-1, 1)
 			}
 			return *n < was
@@ -371,5 +383,5 @@
 			return c.Traffic.Rate >= 0.2
 		})
 	}
-	return list
+	return candidates
 }
--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -12,7 +12,7 @@
 	"ospreyspan/internal/vnet"
 )
 
-// role is what a machine is for.
+// role is the function of a machine in the emulated fleet.
 type role uint8
 
 const (
@@ -23,45 +23,56 @@
 	roleDiscovery
 )
 
-// judge sees all that the machines hand to their sockets and checks the rules on it, at the moment it happens. What a
-// broken rule is called:
+// judge checks the rules below on everything that the machines of a virtual day send and receive,
+// at the moment it happens. The first violation fails the run and carries the name of its rule:
 //
-//	one-final-answer       a request has exactly one answer: not none, not two
-//	answer-in-time         it comes before the client gives up (and the slack)
-//	two-attempts           a request is never at two relays at once
-//	drain-grace            nothing new to a relay, the grace after the proxy was told that it drains
-//	stale-list             nor the grace after that counts as told by a clock, whether it arrived or not; see newsClock
-//	ask-again              after a call of discovery that failed the next one comes before what was missed counts as told
-//	cold-relay-pushed-over all proxies together must not topple a relay that is cold
-//	cold-budget            nor send it more than it bears, most of it from proxies that were told of its start; see coldBudget
-//	sent-after-leaving     a request whose client left while it waited is not sent on later than leftGrace
-//	effect-twice           a request that may have run is sent again only where, and while, its class's effect allows that
-//	repeat-invited         nor is it refused, which invites its client to repeat it
-//	standing-lost          no standing connection is cut off without MOVE while its relay answers
-//	counts                 the module's counts equal the sockets'
-//	given-back             every descriptor, timer and table entry is given back
+//	one-final-answer       a request gets exactly one answer
+//	answer-in-time         the answer comes before the client gives up, plus AnswerSlack
+//	two-attempts           a request never has attempts at two relays at the same time
+//	drain-grace            a relay gets nothing new later than DrainGrace after the proxy
+//	                       was told that it drains
+//	stale-list             a relay gets nothing new later than DrainGrace after the proxy
+//	                       is deemed to know that it drains, received or not; see
+//	                       changeClock
+//	ask-again              after a failed discovery call the next one is made before the
+//	                       changes missed are deemed known
+//	cold-relay-pushed-over all proxies together do not overload a cold relay
+//	cold-budget            all proxies together send a cold relay no more than it bears,
+//	                       if most of it comes from proxies that were told of its start;
+//	                       see coldBudget
+//	sent-after-leaving     a request whose client left while it waited is not sent to a
+//	                       relay later than departedClientGrace after that
+//	effect-twice           a request that may have run is sent again only where, and for as
+//	                       long as, the effect of its class allows it
+//	repeat-invited         a request that may have run and must not be repeated is not
+//	                       refused, since a refusal invites the client to repeat it
+//	standing-lost          an established connection is not closed without MOVE while its
+//	                       relay answers
+//	counts                 the proxy's own counts equal those of the sockets
+//	given-back             every descriptor, timer and table entry is released
 type judge struct {
 	world                *vnet.World
 	ledger               *fleet.Ledger
 	rules                *Rules
 	roles                map[*vnet.Host]role
 	relayID              map[*vnet.Host]string
-	sites                map[string]string // of relays
-	blocks               map[string]int    // likewise
+	sites                map[string]string // by relay id
+	blocks               map[string]int    // failure domain of a relay, by relay id
 	classes              map[string]*Class
 	requests             map[string]*request
-	excusedUntil         map[*vnet.Host]time.Time     // a proxy that could not run answers late until then
-	maxClockLag          map[*vnet.Host]time.Duration // by how much a proxy's clock was late at the most: its windows are longer by that
-	pendingNotifications []notification               // discovery is about to write
+	excusedUntil         map[*vnet.Host]time.Time     // a proxy that could not run may answer late until then
+	maxClockLag          map[*vnet.Host]time.Duration // largest lag of a proxy's clock; extends its time limits
+	pendingNotifications []notification               // of entries that discovery is about to write
 	changeClock          *changeClock
-	coldBudget           *coldBudget                       // nil: it is not judged
-	findColdRelay        func(id string) (coldRelay, bool) // ok is false if none runs, or it was there from the start
+	coldBudget           *coldBudget                       // nil: the budget is not checked
+	findColdRelay        func(id string) (coldRelay, bool) // ok is false if none runs or it ran from the start
 	Requests             int
 	Attempts             int
 }
 
-// news is what discovery tells a proxy of a relay. It counts from when it is at the proxy's machine: what a partition
-// holds back nobody can know before the clock for it runs out.
+// notification is an entry of the relay list that discovery sends to a proxy. The proxy knows it
+// from when its last byte reaches the proxy's machine: a proxy cannot know what a partition holds
+// back before the time in changeClock runs out.
 type notification struct {
 	proxy     netip.Addr
 	entry     fleet.Entry
@@ -83,7 +94,7 @@
 	return j
 }
 
-// Violation is a broken rule.
+// Violation is the error of a broken rule.
 type Violation struct{ Rule, Detail string }
 
 func (v *Violation) Error() string { return v.Rule + ": " + v.Detail }
@@ -92,7 +103,7 @@
 	j.world.Fail(&Violation{rule, fmt.Sprintf(format, args...)})
 }
 
-// audit takes an error of Instance.Audit, which begins with the rule's name.
+// reportAuditError reports an error of Instance.Audit, whose text begins with the name of the rule.
 func (j *judge) reportAuditError(proxy string, err error) {
 	if err == nil {
 		return
@@ -101,21 +112,22 @@
 	j.reportViolation(rule, "%s: %s", proxy, detail)
 }
 
-// tapped is what the judge knows of a connection between a client and a proxy, or between a proxy and a relay.
+// tappedConn is what the judge has seen of a connection from a client to a proxy or from a proxy to
+// a relay.
 type tappedConn struct {
 	request       *request
-	firstLine     []byte // the first line from the dialler, as far as it is there
-	firstLineSeen bool   // the first line was looked at
-	replyLine     []byte // the first line from the listener, as far as it is there
+	firstLine     []byte // first line of the dialler, as far as it was sent
+	firstLineSeen bool   // the first line is complete and was evaluated
+	replyLine     []byte // first line of the listener, as far as it arrived
 	replySeen     bool
-	refused       bool // that was BUSY: it never ran
+	refused       bool // the reply was BUSY: the request did not run
 	relayEnded    bool
 	relay         string
 	sentAt        time.Time
 	conn          *vnet.Conn
 }
 
-// discoveryConn is what is known of a connection to discovery.
+// discoveryConn returns the state of a connection to discovery, which it creates at the first use.
 func (j *judge) discoveryConn(c *vnet.Conn) *discoveryConn {
 	d, _ := c.User.(*discoveryConn)
 	if d == nil {
@@ -134,7 +146,8 @@
 	return w
 }
 
-// cut takes the first line off what a side sends; done tells that it is whole now.
+// appendLine adds data to an incomplete first line, up to the line feed or line.MaxLength. It
+// reports whether the line is complete.
 func appendLine(have *[]byte, data []byte) (done bool) {
 	if i := bytes.IndexByte(data, '\n'); i >= 0 {
 		*have = append(*have, data[:i+1]...)
@@ -148,7 +161,7 @@
 
 var openPrefix = []byte("OPEN ")
 
-// Sent is called when a process writes.
+// Sent is called when a process writes to a connection.
 func (j *judge) Sent(c *vnet.Conn, from *vnet.Host, data []byte) {
 	switch {
 	case j.roles[c.Listener] == roleDiscovery:
@@ -195,7 +208,7 @@
 		return
 	}
 	if at == c.Listener {
-		if r := w.request; !r.arrived { // its time counts from here
+		if r := w.request; !r.arrived { // the client's time limit runs from here
 			r.arrived, r.deadline = true, j.world.Now().Add(r.wait)
 			j.world.After(r.wait+j.rules.AnswerSlack, func() { j.checkAnswerDue(r) })
 		}
@@ -213,7 +226,7 @@
 	w.replyLine = nil
 }
 
-// hears sees what discovery wrote reach a proxy.
+// onDiscoveryBytes handles bytes from discovery that reach a proxy.
 func (j *judge) onDiscoveryBytes(c *vnet.Conn, d *discoveryConn, data []byte) {
 	d.arrivedBytes += len(data)
 	for len(d.notifications) > 0 && d.notifications[0].endOffset <= d.arrivedBytes {
@@ -225,7 +238,7 @@
 	j.changeClock.answerArrived(c.Dialler.Addr(), d, data)
 }
 
-// EndArrived is called when an end, or a reset, reaches a machine.
+// EndArrived is called when a FIN or a reset reaches a machine.
 func (j *judge) EndArrived(c *vnet.Conn, at *vnet.Host) {
 	if d, ok := c.User.(*discoveryConn); ok && at == c.Dialler {
 		j.changeClock.connectionEnded(at.Addr(), d)
@@ -238,7 +251,7 @@
 	}
 }
 
-// Ended is called when a process is through with its side of a connection.
+// Ended is called when a process closes its side of a connection.
 func (j *judge) Ended(c *vnet.Conn, from *vnet.Host) {
 	if j.roles[c.Listener] == roleDiscovery {
 		if from == c.Dialler {
@@ -272,7 +285,7 @@
 	}
 }
 
-// excuse takes down that a proxy cannot run, or not be reached, until then.
+// excuse records that a proxy cannot run, or cannot be reached, until the given time.
 func (j *judge) excuse(proxy *vnet.Host, until time.Time) {
 	if until.After(j.excusedUntil[proxy]) {
 		j.excusedUntil[proxy] = until
--- a/internal/lab/news.go
+++ b/internal/lab/news.go
@@ -36,7 +36,7 @@
 	})
 }
 
-// news changes discovery's list after a while.
+// scheduleListChange changes discovery's list after the given delay.
 func (s *stage) scheduleListChange(after time.Duration, change func()) {
 	s.after(after+s.changeDelay, func() {
 		change()
@@ -47,11 +47,12 @@
 	})
 }
 
-// silentFor is how long after a watch fell silent what it missed counts as told.
+// silentWatchDelay is how long after a watch fell silent the changes it missed are deemed known.
 const silentWatchDelay = 6 * time.Second
 
-// agents takes down, where lists are pushed, that all proxies were told what discovery has, whether or not they asked. One that can't be
-// reached, or whose news may be held up on its way, is not counted: what reaches it then counts when it arrives.
+// markPushedLists records, where lists are pushed, that all proxies know discovery's list, whether
+// or not they asked for it. It skips proxies that cannot be reached, and does nothing where packets
+// may be lost: what reaches these proxies is recorded when it arrives.
 func (s *stage) markPushedLists(after time.Duration) {
 	if !s.scenario.Permissions.ListsPushed || s.judge == nil || s.scenario.Network.Loss > 0 {
 		return
@@ -73,7 +74,7 @@
 	})
 }
 
-// watchClock has the judge look, every now and then, at what counts as told by a clock.
+// runClockChecks lets the judge check periodically which changes are deemed known.
 func (s *stage) runClockChecks() {
 	if s.judge == nil || s.scenario.Rules.NewsWithin <= 0 && s.scenario.Rules.AskAgain <= 0 || s.world.Elapsed() >= s.total {
 		return
@@ -90,7 +91,7 @@
 	s.after(clockInterval, s.runClockChecks)
 }
 
-// countColdRoom counts what cold relays may be sent, for one step of the clock.
+// countColdAllowance adds what cold relays may be sent within one clockInterval.
 func (s *stage) countColdAllowance() {
 	if s.judge.coldBudget == nil {
 		return
--- a/internal/lab/newsclock.go
+++ b/internal/lab/newsclock.go
@@ -11,63 +11,68 @@
 )
 
 const (
-	// clockStep is the time between two looks at the clocks: a change counts as told at most so much too late.
+	// clockInterval is the time between two updates of the clocks: a change is deemed known at most
+	// that much too late.
 	clockInterval = 50 * time.Millisecond
-	// afterWait is how long after its wait what an open watch missed counts as told.
+	// watchWaitGrace is how long after the wait of an open watch the changes it missed are deemed
+	// known.
 	watchWaitGrace = 2 * time.Second
-	// clockSlack is by how much each limit of time is longer on sockets.
+	// clockSlack is added to each time limit for delays on sockets.
 	clockSlack = 50 * time.Millisecond
 )
 
-// newsClock tells which changes of the list count as told to a proxy though they may not have arrived:
+// changeClock determines which changes of the relay list a proxy is deemed to know even if they may
+// not have arrived:
 //
-//   - after a call that failed, was refused or given up: once the change is newsWithin old, counted anew when discovery can be
-//     reached again, and the call has failed;
-//   - after an open watch fell silent: newsWithin after that, or afterWait after the call's wait, if that is later;
-//   - where no call is out and the last one was answered: once the change is askWithin old, counted anew when discovery is back.
+//   - after a call that failed, was refused or was given up: once the change is newsWithin old,
+//     counted anew from when discovery can be reached again, but not before the call has failed;
+//   - after an open watch fell silent: newsWithin after that, or watchWaitGrace after the end of
+//     the call's wait, whichever is later;
+//   - where no call is open and the last one was answered: once the change is askWithin old,
+//     counted anew from when discovery can be reached again.
 //
-// It knows calls from the bytes on the wire alone.
+// It recognises calls from the bytes on the wire alone.
 type changeClock struct {
 	world       *vnet.World
-	newsWithin  time.Duration // 0: nothing counts as told by a clock
+	newsWithin  time.Duration // 0: no change is deemed known
 	askWithin   time.Duration
 	clients     map[netip.Addr]*discoveryClient
-	changes     map[string]listChange     // by server, the latest
-	unavailable map[proxyServer]time.Time // since when a proxy counts as told that a server takes nothing new
-	knownStarts map[proxyServer]int64     // the start, as in Entry.BornMS, that a proxy was told of or counts as told of
+	changes     map[string]listChange     // latest change, by server
+	unavailable map[proxyServer]time.Time // since when a proxy is deemed to know that a server takes no new work
+	knownStarts map[proxyServer]int64     // start, as in Entry.BornMS, that a proxy knows or is deemed to know
 }
 
-// notice names a proxy and a server that it was told of.
+// proxyServer is a key for what a proxy knows of a server.
 type proxyServer struct {
 	proxy  netip.Addr
 	server string
 }
 
-// listChange is what discovery has of a server, since a time.
+// listChange is the state of a server in discovery's list since a time.
 type listChange struct {
 	serving bool
 	bornMS  int64
 	at      time.Time
 }
 
-// caller is a proxy as discovery's client.
+// discoveryClient is a proxy in its role as a client of discovery.
 type discoveryClient struct {
-	reachableSince time.Time      // since when it can reach discovery; zero: it can't
-	lastAnswer     time.Time      // its last call was answered, or its process started
-	failedSince    time.Time      // a call has failed since, and none was answered after that; zero: none has
-	idleSince      time.Time      // since when no call is out after one that failed
-	currentCall    *discoveryConn // the call that is out, or nil
-	silentSince    time.Time      // since when the watch that is out is silent; zero: it is not
+	reachableSince time.Time      // zero: discovery cannot be reached
+	lastAnswer     time.Time      // or start of the process
+	failedSince    time.Time      // first failed call since the last answer; zero: none
+	idleSince      time.Time      // since when no call is open, after a failed one
+	currentCall    *discoveryConn // the open call, or nil
+	silentSince    time.Time      // since when the open watch is silent; zero: it is not
 }
 
-// discoveryConn is a connection to discovery.
+// discoveryConn is the state of a connection to discovery.
 type discoveryConn struct {
 	sentBytes, arrivedBytes int
-	notifications           []notification // that was written and has not arrived yet
+	notifications           []notification // written but not arrived yet
 	calledAt                time.Time
-	wait                    time.Duration // of the call that is out; 0: it is no watch
-	answer                  []byte        // as far as it is there
-	idle                    bool          // a call was answered, and no other made
+	wait                    time.Duration // of the open call; 0: it is no watch
+	answer                  []byte        // as far as it has arrived
+	idle                    bool          // the last call was answered and no other one made
 }
 
 func newChangeClock(w *vnet.World, rules *Rules, allow *Permissions) *changeClock {
@@ -75,16 +80,16 @@
 		world: w, newsWithin: rules.NewsWithin, askWithin: allow.AskWithin, clients: make(map[netip.Addr]*discoveryClient),
 		changes: make(map[string]listChange), unavailable: make(map[proxyServer]time.Time), knownStarts: make(map[proxyServer]int64),
 	}
-	if allow.ListsPushed { // all that discovery has counts as told at once
+	if allow.ListsPushed { // everything in discovery's list is deemed known at once
 		n.newsWithin = 0
 	}
 	return n
 }
 
-// begins forgets a proxy's earlier life.
+// proxyStarted discards what is known of the proxy's earlier process.
 func (n *changeClock) proxyStarted(proxy netip.Addr) {
 	n.clients[proxy] = &discoveryClient{lastAnswer: n.world.Now()}
-	for k := range n.unavailable { // all that match go, in whatever order
+	for k := range n.unavailable { // all matching entries go, in any order
 		if k.proxy == proxy {
 			delete(n.unavailable, k)
 		}
@@ -96,11 +101,11 @@
 	}
 }
 
-// changed takes down that discovery's list has changed.
+// listChanged records a change of discovery's list.
 func (n *changeClock) listChanged(e fleet.Entry) {
 	serving := e.Health == fleet.Serving
 	if was, ok := n.changes[e.Host]; ok && !serving && !was.serving {
-		return // it counts from when the server took nothing new
+		return // the time of the first change that ended new work counts
 	}
 	n.changes[e.Host] = listChange{serving: serving, bornMS: e.BornMS, at: n.world.Now()}
 	if serving {
@@ -108,29 +113,32 @@
 	}
 }
 
-// returns takes down that a server runs anew, which discovery will tell later: it neither drains nor is gone.
+// serverRestarted records that a server runs again, which discovery will list later: it neither
+// drains nor is gone.
 func (n *changeClock) serverRestarted(server string) {
 	delete(n.changes, server)
 	n.clearUnavailable(server)
 }
 
-// forget drops that a server counts as told to take nothing new.
+// clearUnavailable removes the record that proxies are deemed to know that a server takes no new
+// work.
 func (n *changeClock) clearUnavailable(server string) {
-	for k := range n.unavailable { // all that match go, in whatever order
+	for k := range n.unavailable { // all matching entries go, in any order
 		if k.server == server {
 			delete(n.unavailable, k)
 		}
 	}
 }
 
-// arrived takes down that an entry has reached a proxy.
+// entryArrived records that an entry has reached a proxy.
 func (n *changeClock) entryArrived(proxy netip.Addr, e fleet.Entry) {
 	if e.Health == fleet.Serving && e.BornMS > 0 {
 		n.knownStarts[proxyServer{proxy, e.Host}] = e.BornMS
 	}
 }
 
-// look marks what counts as told to a proxy by now. Reaches tells whether it can reach a discovery that answers.
+// update records what a proxy is deemed to know by now. The argument reaches reports whether the
+// proxy can reach a discovery that answers.
 func (n *changeClock) update(proxy netip.Addr, reaches bool) {
 	c := n.clients[proxy]
 	if c == nil {
@@ -147,7 +155,7 @@
 	if n.newsWithin <= 0 {
 		return
 	}
-	for server, change := range n.changes { // each is looked at by itself, in whatever order
+	for server, change := range n.changes { // independent of each other, so in any order
 		since, ok := c.knownAt(change.at, n)
 		if !ok || since.After(now) {
 			continue
@@ -161,7 +169,8 @@
 	}
 }
 
-// toldAt is when a change of that time counts as told to the caller, as it stands now; ok is false if no clock runs.
+// knownAt returns when a change made at the given time is deemed known to the client, by its
+// present state; ok is false if no time limit applies.
 func (c *discoveryClient) knownAt(change time.Time, n *changeClock) (at time.Time, ok bool) {
 	from := later(change, c.reachableSince)
 	switch {
@@ -170,7 +179,7 @@
 	case !c.silentSince.IsZero():
 		return later(c.silentSince.Add(n.newsWithin), c.currentCall.calledAt.Add(c.currentCall.wait+watchWaitGrace)), true
 	case c.currentCall != nil && c.currentCall.wait > 0:
-		return time.Time{}, false // it is written as soon as it is there
+		return time.Time{}, false // discovery writes to a working watch at once
 	}
 	return later(from, c.lastAnswer).Add(n.askWithin), true
 }
@@ -182,7 +191,8 @@
 	return b
 }
 
-// restsFor is how long a proxy that can reach discovery has made no call since one failed; 0: none has failed, or one is out.
+// idleAfterFailure returns for how long a proxy that can reach discovery has made no call since one
+// failed;
 func (n *changeClock) idleAfterFailure(proxy netip.Addr) time.Duration {
 	c := n.clients[proxy]
 	if c == nil || c.failedSince.IsZero() || c.currentCall != nil || c.reachableSince.IsZero() {
@@ -191,20 +201,21 @@
 	return n.world.Now().Sub(later(c.idleSince, c.reachableSince))
 }
 
-// goneSince tells since when a proxy counts as told, by a clock, that a server takes nothing new.
+// unavailableSince returns since when a proxy is deemed to know, by a time limit, that a server
+// takes no new work.
 func (n *changeClock) unavailableSince(proxy netip.Addr, server string) (time.Time, bool) {
 	t, ok := n.unavailable[proxyServer{proxy, server}]
 	return t, ok
 }
 
-// knowsStart tells whether a proxy was told of a server's start.
+// knowsStart reports whether a proxy knows, or is deemed to know, of a server's start.
 func (n *changeClock) knowsStart(proxy netip.Addr, server string, bornMS int64) bool {
 	return n.knownStarts[proxyServer{proxy, server}] == bornMS
 }
 
 var waitField = []byte("wait=")
 
-// asks sees a proxy write a call.
+// callWritten handles bytes that a proxy writes to discovery, which begin a call or continue one.
 func (n *changeClock) callWritten(proxy netip.Addr, d *discoveryConn, data []byte) {
 	c := n.clients[proxy]
 	if c == nil || !bytes.HasPrefix(data, []byte("GET ")) {
@@ -219,7 +230,7 @@
 	c.currentCall, c.silentSince = d, time.Time{}
 }
 
-// hears sees a part of an answer reach a proxy.
+// answerArrived handles a part of an answer that reaches a proxy.
 func (n *changeClock) answerArrived(proxy netip.Addr, d *discoveryConn, data []byte) {
 	d.answer = append(d.answer, data...)
 	status, whole := answerStatus(d.answer)
@@ -241,7 +252,8 @@
 	}
 }
 
-// ends sees a connection to discovery end, on either side: a call that was out on it has failed or was given up.
+// connectionEnded handles the end of a connection to discovery, on either side: a call that was
+// open on it has failed or was given up.
 func (n *changeClock) connectionEnded(proxy netip.Addr, d *discoveryConn) {
 	c := n.clients[proxy]
 	if c == nil || d.idle {
@@ -260,14 +272,15 @@
 	}
 }
 
-// silences takes down that a proxy's open watch fell silent.
+// watchSilenced records that a proxy's open watch fell silent.
 func (n *changeClock) watchSilenced(proxy netip.Addr) {
 	if c := n.clients[proxy]; c != nil && c.currentCall != nil {
 		c.silentSince = n.world.Now()
 	}
 }
 
-// answerStatus is the status of an answer of discovery's; whole tells that all of it is there.
+// answerStatus returns the status of an answer of discovery; whole reports whether the answer is
+// complete.
 func answerStatus(answer []byte) (status string, whole bool) {
 	head, body, ok := bytes.Cut(answer, []byte("\r\n\r\n"))
 	if !ok {
@@ -280,3 +293,5 @@
 	n, err := strconv.Atoi(string(length))
 	return string(head[len("HTTP/1.1 "):len("HTTP/1.1 200")]), err == nil && len(body) >= n
 }
+
+// none has failed, or one is open.
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -7,16 +7,17 @@
 	"ospreyspan/internal/vnet"
 )
 
-// node is a loop with a box for what is to be done on it: the loop's own clock and timers are set right only in a turn.
+// node is an event loop with a queue of functions to run on it. They run in a turn of the loop,
+// since its clock and timers are up to date only there.
 type node struct {
 	loop    *poll.Loop
 	pending []func()
-	direct  bool // there is one loop, and what is posted runs on it already
+	direct  bool // one loop serves all nodes, and posted functions run at once
 }
 
 func (n *node) newLoop(k poll.Kernel, s *stage) *poll.Loop {
 	n.pending = nil
-	if s.real != nil { // all share one
+	if s.real != nil { // all nodes share one loop
 		n.loop, n.direct = s.real.loop, true
 		return n.loop
 	}
@@ -30,7 +31,7 @@
 	return n.loop
 }
 
-// post has f called in the node's next turn.
+// post runs f in the next turn of the node's loop.
 func (n *node) post(f func()) {
 	if n.direct {
 		f()
@@ -40,7 +41,8 @@
 	n.loop.Wake()
 }
 
-// machine is where a process of the day runs: a vnet.Host, or a part of this process on an address of its own.
+// machine is where a process of the day runs: a vnet.Host, or a part of this process that has an
+// address of its own.
 type machine interface {
 	Name() string
 	Addr() netip.Addr
@@ -54,7 +56,7 @@
 	Up() bool
 }
 
-// machine adds one.
+// addMachine adds a machine to the network.
 func (s *stage) addMachine(name string, addr netip.Addr, l vnet.Limits) machine {
 	if s.real != nil {
 		return s.real.machine(name, addr)
@@ -62,7 +64,7 @@
 	return s.world.AddHost(name, addr, l)
 }
 
-// is tells the judge what a machine is for.
+// setRole registers a machine's role with the judge.
 func (s *stage) setRole(m machine, r role, relay string) {
 	if s.judge == nil {
 		return
@@ -74,7 +76,7 @@
 	}
 }
 
-// owns tells a machine that is no host of its own how its process is ended, and how it is silenced.
+// setProcess registers how the process on a machine of the real network is stopped and silenced.
 func (s *stage) setProcess(m machine, stop func(), silence func(on bool)) {
 	if r, ok := m.(*realMachine); ok {
 		r.stop, r.silence = stop, silence
--- a/internal/lab/proxies.go
+++ b/internal/lab/proxies.go
@@ -19,8 +19,8 @@
 	site       string
 	host       machine
 	loop       *poll.Loop
-	inst       *instance.Instance // nil: none runs, or it is a process of its own
-	seedSource *rand.Rand         // seeds of its lives
+	inst       *instance.Instance // nil: none runs, or it is a separate process
+	seedSource *rand.Rand         // one seed for each start of the process
 	nextAudit  time.Time
 	lives      int
 }
@@ -70,7 +70,7 @@
 	})
 }
 
-// turn is one turn of a proxy, with a look at its books.
+// runTurn runs one turn of a proxy and audits its bookkeeping when that is due.
 func (s *stage) runTurn(p *proxyNode, inst *instance.Instance) error {
 	if err := inst.Turn(); err != nil {
 		return err
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// known is the list that a proxy starts with.
+// knownList returns the relay list that a proxy starts with.
 func (s *stage) knownList() *routes.List {
 	l := &routes.List{Whole: true}
 	for i := range s.relays {
@@ -107,14 +107,14 @@
 	return l
 }
 
-// excuse lets a proxy's answers be late for a while.
+// excuse permits late answers of a proxy for a while.
 func (s *stage) excuse(p *proxyNode, d time.Duration) {
 	if s.judge != nil {
 		s.judge.excuse(p.host.(*vnet.Host), s.now().Add(d))
 	}
 }
 
-// virtual is the proxy's machine where it is one of the virtual network.
+// vnetHost returns the proxy's machine on the virtual network.
 func (p *proxyNode) vnetHost() *vnet.Host { return p.host.(*vnet.Host) }
 
 func (p *proxyNode) running() bool {
@@ -124,7 +124,7 @@
 	return p.inst != nil
 }
 
-// term is SIGTERM.
+// terminate sends SIGTERM to the proxy.
 func (p *proxyNode) terminate() {
 	if r, ok := p.host.(*realMachine); ok {
 		r.signal(syscall.SIGTERM)
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -104,7 +104,7 @@
 	}
 	res := s.result()
 	if s.real.links != nil {
-		res.Wires = &s.real.links.Wires
+		res.Links = &s.real.links.LinkStats
 	}
 	return res, errors.Join(s.err, violation)
 }
--- a/internal/lab/real_limits_test.go
+++ b/internal/lab/real_limits_test.go
@@ -33,8 +33,8 @@
 		if r.Shared.Standing > sc.Proxies.Limit+underWay {
 			t.Fatalf("%d connections stood under a limit of %d", r.Shared.Standing, sc.Proxies.Limit)
 		}
-		w := r.Wires
-		if w.Datagrams >= 1000 && w.Dropped+w.Late+w.Repeated > 0 && w.CutAway > 0 && r.Clients.Refused > 0 && r.Clients.Cut > 0 && r.Shared.Standing >= sc.Proxies.Limit/3 {
+		w := r.Links
+		if w.Datagrams >= 1000 && w.Dropped+w.Delayed+w.Duplicated > 0 && w.DroppedByCut > 0 && r.Clients.Refused > 0 && r.Clients.Cut > 0 && r.Shared.Standing >= sc.Proxies.Limit/3 {
 			return
 		}
 		if seed == 3 {
--- a/internal/lab/relays.go
+++ b/internal/lab/relays.go
@@ -19,9 +19,9 @@
 	host    machine
 	relay   *fleet.Relay // nil: none runs
 	lives   int
-	removed bool      // it stays away
-	born    time.Time // it started cold then; zero: it was there from the start
-	// trouble is when the last trouble that was made for it ends or ended.
+	removed bool      // for good
+	born    time.Time // time of the cold start; zero: it ran from the start
+	// faultUntil is when the last fault that strikes the relay ends or ended.
 	faultUntil time.Time
 }
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// coldRelay is a relay that has started during the day, for the judge.
+// coldRelay returns a relay that has started during the day.
 func (s *stage) coldRelay(id string) (coldRelay, bool) {
 	i := slices.IndexFunc(s.nodes, func(n *relayNode) bool { return n.plan.id == id })
 	if i < 0 || s.nodes[i].relay == nil || s.nodes[i].born.IsZero() {
--- a/internal/lab/requests.go
+++ b/internal/lab/requests.go
@@ -10,32 +10,32 @@
 	"ospreyspan/internal/vnet"
 )
 
-// request is one first line of a client, from when it was sent to the end of its connection.
+// request is a client's request, from when its first line is sent to the end of its connection.
 type request struct {
 	id            string
 	proxy         *vnet.Host
-	proxyLife     int // of the proxy's process
+	proxyLife     int // number of the proxy's process that got it
 	wait          time.Duration
-	arrived       bool      // it is at the proxy's machine...
-	deadline      time.Time // ...since wait before this
+	arrived       bool      // at the proxy's machine
+	deadline      time.Time // time of arrival plus wait
 	answered      bool
 	standing      bool
-	finalLineSent bool          // a last line, MOVE or the relay's own, has gone to the client
-	clientEnded   bool          // the client has ended its side
-	clientLeftAt  time.Time     // when that was at the proxy's machine, before the answer; zero: it was not
-	current       *tappedConn   // the attempt that is out
-	lastAttempt   *tappedConn   // the latest one
+	finalLineSent bool          // MOVE or the relay's own last line was sent to the client
+	clientEnded   bool          // the client has closed its side
+	clientLeftAt  time.Time     // when that reached the proxy, if before the answer; else zero
+	current       *tappedConn   // the attempt in progress, or nil
+	lastAttempt   *tappedConn   // the latest attempt, or nil
 	class         *Class        // nil: unknown
-	attempts      []*tappedConn // attempts that were sent whole, in turn
+	attempts      []*tappedConn // attempts that were sent completely, in order
 	endedSides    int           // sides of the client's connection that have ended
 }
 
-// asked sees the first line of a client.
+// onClientRequest handles the complete first line of a client.
 func (j *judge) onClientRequest(c *vnet.Conn, w *tappedConn) {
 	o, err := line.ParseOpen(line.TrimLineEnd(w.firstLine))
 	w.firstLine = nil
 	if err != nil {
-		return // a check of the front's, or a bad client
+		return // a health check of the load balancer, or a bad client
 	}
 	if j.requests[o.ID] != nil {
 		return
@@ -46,7 +46,7 @@
 	j.requests[o.ID] = r
 }
 
-// due is called when the answer must have come.
+// checkAnswerDue checks that a request was answered once its deadline and the slack have passed.
 func (j *judge) checkAnswerDue(r *request) {
 	if !r.arrived || r.answered || r.clientEnded || r.proxy.Life() != r.proxyLife || !r.proxy.Up() {
 		return
@@ -57,7 +57,7 @@
 	j.reportViolation("answer-in-time", "%s: request %s has no answer %v after its client gave up", r.proxy.Name(), r.id, j.rules.AnswerSlack)
 }
 
-// answers sees what a proxy writes to a client.
+// onProxyWrite handles what a proxy writes to a client.
 func (j *judge) onProxyWrite(r *request, data []byte) {
 	now := j.world.Now()
 	if r.standing {
@@ -69,12 +69,12 @@
 		return
 	}
 	if r.answered {
-		j.reportViolation("one-final-answer", "%s: request %s had its answer, and now gets %.40q", r.proxy.Name(), r.id, data)
+		j.reportViolation("one-final-answer", "%s: request %s was already answered and now gets %.40q", r.proxy.Name(), r.id, data)
 		return
 	}
 	first, rest := line.Next(data)
 	if len(first) == 0 {
-		first = data // in pieces: its beginning tells enough
+		first = data // incomplete line: its beginning is enough
 	}
 	r.answered = true
 	word, advice := line.ParseWord(line.TrimLineEnd(first))
@@ -88,26 +88,26 @@
 	r.standing = word == line.Up
 	if word == line.Up {
 		if r.lastAttempt == nil || !r.lastAttempt.replySeen {
-			j.reportViolation("one-final-answer", "%s: request %s is told UP, and no relay has said so", r.proxy.Name(), r.id)
+			j.reportViolation("one-final-answer", "%s: request %s is answered UP, but no relay has answered UP", r.proxy.Name(), r.id)
 		}
 		if len(rest) > 0 {
 			j.onProxyWrite(r, rest)
 		}
 	}
-	if late := now.Sub(r.deadline); r.arrived && late > j.rules.AnswerSlack && !r.clientEnded { // one may be turned away unread
+	if late := now.Sub(r.deadline); r.arrived && late > j.rules.AnswerSlack && !r.clientEnded { // a request may be refused before it is read
 		if until, ok := j.excusedUntil[r.proxy]; !ok || r.deadline.After(until) {
 			j.reportViolation("answer-in-time", "%s: request %s is answered %v after its client gave up", r.proxy.Name(), r.id, late)
 		}
 	}
 }
 
-// closes sees a proxy end a client's connection.
+// onProxyClose handles a proxy that closes a client's connection.
 func (j *judge) onProxyClose(r *request) {
 	switch {
 	case r.arrived && !r.answered:
 		j.reportViolation("one-final-answer", "%s ends the connection of request %s without an answer", r.proxy.Name(), r.id)
 	case r.standing && !r.finalLineSent && j.relayStillConnected(r):
-		j.reportViolation("standing-lost", "%s cuts off %s, whose relay answers", r.proxy.Name(), r.id)
+		j.reportViolation("standing-lost", "%s closes the connection of request %s without MOVE though its relay still answers", r.proxy.Name(), r.id)
 	}
 }
 
@@ -115,14 +115,14 @@
 	return r.lastAttempt != nil && !r.lastAttempt.relayEnded && j.world.Reaches(r.lastAttempt.conn.Listener, r.proxy)
 }
 
-// exits checks that a proxy which ends in order leaves nobody behind.
+// checkProxyExit checks that a proxy which exits in order leaves no client unanswered or unmoved.
 func (j *judge) checkProxyExit(proxy *vnet.Host) error {
-	for _, r := range j.requests { // any one will do; which one is told may differ, that there is one does not
+	for _, r := range j.requests { // any violation will do: the map's order does not decide whether there is one
 		if r.proxy != proxy || r.proxyLife != proxy.Life() || r.clientEnded || !r.arrived {
 			continue
 		}
 		if !r.answered || r.standing && !r.finalLineSent && j.relayStillConnected(r) {
-			return errors.New("standing-lost: it ends with a client that was neither answered nor moved")
+			return errors.New("standing-lost: the process exits with a client that was neither answered nor moved")
 		}
 	}
 	return nil
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -9,34 +9,35 @@
 	"ospreyspan/internal/stats"
 )
 
-// samples are taken once a virtual second: what the charts of relays show.
+// samples are taken once per virtual second. The charts of relays show them.
 type samples struct {
-	load  [][]float64 // by relay and second since the start: load asked over capacity; NaN while none runs
-	stand [][]float64
-	seats []int // clients that wanted something, by second
+	load        [][]float64 // by relay and second from the start: requested load over capacity; NaN while the relay does not run
+	connections [][]float64 // likewise: open connections
+	openClients []int       // clients that wanted a connection, by second from the start
 }
 
 func (m *samples) init(s *stage) {
-	m.load, m.stand = make([][]float64, len(s.nodes)), make([][]float64, len(s.nodes))
+	m.load, m.connections = make([][]float64, len(s.nodes)), make([][]float64, len(s.nodes))
 }
 
 func (m *samples) take(s *stage) {
 	now := s.now()
 	for i, n := range s.nodes {
-		load, stand := math.NaN(), math.NaN()
+		load, connections := math.NaN(), math.NaN()
 		if r := n.relay; r != nil {
-			load, stand = r.Machine().Load(now), float64(r.Standing())
+			load, connections = r.Machine().Load(now), float64(r.Standing())
 		}
-		m.load[i], m.stand[i] = append(m.load[i], load), append(m.stand[i], stand)
+		m.load[i], m.connections[i] = append(m.load[i], load), append(m.connections[i], connections)
 	}
 	open := 0
 	for _, c := range s.crowds {
 		open += c.crowd.Open()
 	}
-	m.seats = append(m.seats, open)
+	m.openClients = append(m.openClients, open)
 }
 
-// Result is what came of a day. It holds no time of the real clock: the same scenario and seed give the same Result.
+// Result holds the results of a day. It contains no real time: the same scenario and seed give the
+// same Result.
 type Result struct {
 	Scenario string         `json:"scenario"`
 	About    string         `json:"about,omitempty"`
@@ -45,21 +46,21 @@
 	WarmUp   float64        `json:"warm_up_s"`
 	Proxies  int            `json:"proxies"`
 	Relays   int            `json:"relays"`
-	Goal     float64        `json:"goal"`    // service mixed as the operators count it
-	Service  float64        `json:"service"` // over all classes
-	Worst    float64        `json:"worst"`   // the worst 10 s
-	WorstAt  int            `json:"worst_at_s"`
+	Goal     float64        `json:"goal"`       // service weighted as the operators count it
+	Service  float64        `json:"service"`    // over all classes, from 0 to 1
+	Worst    float64        `json:"worst"`      // service in the worst 10 s
+	WorstAt  int            `json:"worst_at_s"` // second of the counted time at which the worst 10 s begin
 	Classes  []ClassResult  `json:"classes"`
 	Clients  fleet.Tally    `json:"clients"`
-	Most     int            `json:"most_open"` // clients that wanted a connection at a time, at the most
-	Counters stats.Counters `json:"counters"`  // of all proxies
-	Shared   *Shared        `json:"shared,omitempty"`
-	Wires    *Wires         `json:"wires,omitempty"`
+	Most     int            `json:"most_open"`        // most clients that wanted a connection at a time
+	Counters stats.Counters `json:"counters"`         // sums over all proxies
+	Shared   *Shared        `json:"shared,omitempty"` // nil without keepers
+	Links    *LinkStats     `json:"wires,omitempty"`  // nil unless links lose datagrams on real sockets
 	Requests int            `json:"requests_judged"`
 	Attempts int            `json:"attempts_judged"`
-	Falls    int            `json:"cold_falls,omitempty"` // of cold relays, by what all proxies sent them; where the budget is judged
-	// While clients were refused: ColdRoom is how many requests of mean work the settings allowed cold relays that the list named,
-	// ColdUsed how many they got.
+	Falls    int            `json:"cold_falls,omitempty"` // times that cold relays received too much from all proxies together, where the cold budget is judged
+	// ColdAllowed is the number of requests of mean work that the settings allowed listed cold
+	// relays while clients were refused. ColdUsed is how many these relays received.
 	ColdRoom float64 `json:"cold_room,omitempty"`
 	ColdUsed float64 `json:"cold_used,omitempty"`
 	Events   uint64  `json:"events"`
@@ -68,7 +69,7 @@
 	series series
 }
 
-// ClassResult is one class's part of a Result. Times are in milliseconds.
+// ClassResult holds the results of one class of requests. Times are in milliseconds.
 type ClassResult struct {
 	Name       string  `json:"name"`
 	Service    float64 `json:"service"`
@@ -78,20 +79,21 @@
 	MessageP99 float64 `json:"message_p99_ms"`
 }
 
-// series are the curves of a Result, by second.
+// series are the curves of a Result, with one value per second.
 type series struct {
-	service [][]float64 // by class; counted seconds only
-	load    [][]float64 // by relay; from the start
-	stand   [][]float64
-	moves   []int
-	open    []int
-	names   []string
-	kinds   []string
-	warm    int
+	service       [][]float64 // by class, from the end of the warm-up
+	load          [][]float64 // by relay, from the start of the warm-up
+	connections   [][]float64 // likewise
+	moves         []int       // from the end of the warm-up
+	openClients   []int       // from the start of the warm-up
+	relayNames    []string    // by relay
+	relayKinds    []string    // by relay
+	warmUpSeconds int
 }
 
-// Play plays a day and returns what came of it. An error is a broken rule (a *vnet.Failure with a *Violation in it) or a
-// scenario that can't be played; the Result then tells how far the day came.
+// Play plays a day and returns its results. An error is a broken rule (a *vnet.Failure that wraps a
+// *Violation) or a scenario that cannot be played. With a broken rule the Result covers the day up
+// to then.
 func Play(sc *Scenario, seed uint64, o Options) (*Result, error) {
 	d, err := newDay(sc, seed)
 	if err != nil {
@@ -144,18 +146,19 @@
 		}
 		r.series.service = append(r.series.service, curve)
 	}
-	for _, n := range s.samples.seats {
+	for _, n := range s.samples.openClients {
 		r.Most = max(r.Most, n)
 	}
-	r.series.load, r.series.stand, r.series.open = s.samples.load, s.samples.stand, s.samples.seats
-	r.series.moves, r.series.warm = l.Moves, int(s.scenario.Run.WarmUp/time.Second)
+	r.series.load, r.series.connections, r.series.openClients = s.samples.load, s.samples.connections, s.samples.openClients
+	r.series.moves, r.series.warmUpSeconds = l.Moves, int(s.scenario.Run.WarmUp/time.Second)
 	for _, n := range s.nodes {
-		r.series.names, r.series.kinds = append(r.series.names, n.plan.id), append(r.series.kinds, n.plan.kind.Name)
+		r.series.relayNames, r.series.relayKinds = append(r.series.relayNames, n.plan.id), append(r.series.relayKinds, n.plan.kind.Name)
 	}
 	return r
 }
 
-// round cuts a figure to five places, and makes 0 of what was not counted: JSON has no word for that.
+// round rounds a figure to five decimal places. It returns 0 for NaN and infinities, which JSON
+// cannot represent.
 func round(x float64) float64 {
 	if math.IsNaN(x) || math.IsInf(x, 0) {
 		return 0
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -1,5 +1,6 @@
-// Package lab plays days of a fleet: a scenario file says what there is and what goes wrong, a seed draws the rest. It runs
-// the real proxies on a virtual network, checks the rules at every step, and keeps what came of it as tables and charts.
+// Package lab emulates days of a fleet of proxies. A scenario file describes the fleet and its
+// faults, and a seed determines all random values. The package runs the real proxies on a virtual
+// network, checks the rules at every step, and writes the results as tables and charts.
 package lab
 
 import (
@@ -14,7 +15,7 @@
 	"ospreyspan/internal/proxy"
 )
 
-// Scenario is what a scenario file says. Its figures may be ranges, from which a day draws.
+// Scenario is the content of a scenario file. Its values may be ranges, from which a day draws.
 type Scenario struct {
 	Name        string
 	Run         Run
@@ -33,65 +34,70 @@
 	Faults      []Fault
 }
 
-// Run is how long a day takes and what of it counts.
+// Run holds the length of a day, and what applies to the day as a whole.
 type Run struct {
 	Length      time.Duration `ini:"length" above:"0" max:"3600"`
-	WarmUp      time.Duration `ini:"warm_up"`              // before that
-	CoolDown    time.Duration `ini:"cool_down"`            // after it, without clients: what was taken must be given back
-	AuditPeriod time.Duration `ini:"audit"`                // between two looks at a proxy's books; 0: after every turn
-	About       string        `ini:"about"`                // what the scenario is for
-	Sites       []string      `ini:"sites"`                // where proxies, relays and clients are
-	Skew        fleet.Range   `ini:"skew" min:"0" max:"1"` // part of the traffic that is moved to the first site
+	WarmUp      time.Duration `ini:"warm_up"`              // before Length
+	CoolDown    time.Duration `ini:"cool_down"`            // after Length, without clients: everything taken must be released
+	AuditPeriod time.Duration `ini:"audit"`                // between two audits of a proxy's bookkeeping; 0: after every turn
+	About       string        `ini:"about"`                // purpose of the scenario
+	Sites       []string      `ini:"sites"`                // of proxies, relays and clients
+	Skew        fleet.Range   `ini:"skew" min:"0" max:"1"` // share of the traffic that is moved to the first site
 }
 
-// Proxies are the instances of the program.
+// Proxies describes the proxy instances.
 type Proxies struct {
 	Count          int           `ini:"count" min:"1" max:"1000"`
-	MaxDescriptors int           `ini:"sockets" min:"0"` // descriptors of each; 0: without limit
-	EventCost      time.Duration `ini:"event_cost"`      // of the processor, for each event of the loop
+	MaxDescriptors int           `ini:"sockets" min:"0"` // of each proxy; 0: no limit
+	EventCost      time.Duration `ini:"event_cost"`      // processor time for each event of the loop
 	AnswerMargin   time.Duration `ini:"answer_margin" above:"0"`
 	SilentAfter    time.Duration `ini:"silent_after" min:"0.01"`
 	MovesSpan      time.Duration `ini:"moves_span" min:"0.02"`
 	MovesDone      time.Duration `ini:"moves_done" min:"0.35"`
-	// Keepers is how many of the proxies agree on who owns the fleet's duties, 3 or 5; 0: proxies share nothing.
+	// Keepers is the number of proxies that agree on the owners of the fleet's duties, 3 or 5; 0:
+	// proxies share nothing.
 	Keepers int      `ini:"keepers" min:"0" max:"5"`
-	Duties  []string `ini:"duties"` // with keepers, what all of them take: discovery, probes, moves
-	// Limit is how many connections all proxies together may have, 0: any number; LimitKind says how that is kept. Needs keepers.
+	Duties  []string `ini:"duties"` // with keepers, what the owners do for all: discovery, probes, moves
+	// Limit is the most connections that all proxies together may have; 0: no limit. LimitKind is
+	// how it is enforced. It needs keepers.
 	Limit     int    `ini:"limit" min:"0"`
 	LimitKind string `ini:"limit_kind" one:"soft, strict"`
-	// LimitWithin has the limit be one of new connections in such a time; 0: of those that stand.
+	// LimitWithin makes Limit one of new connections within that time; 0: of established
+	// connections.
 	LimitWithin time.Duration `ini:"limit_within"`
-	// Retries is the part of first attempts that all proxies' further ones may be; 0: any. Needs keepers.
+	// Retries is the largest ratio of all proxies' further attempts to first attempts; 0: no limit.
+	// It needs keepers.
 	Retries float64 `ini:"retries" min:"0" max:"10"`
-	// BadLinks has what real processes say to each other led over links that lose, delay, repeat and cut one way. Needs keepers.
+	// BadLinks leads the traffic between proxies that are real processes over links that lose,
+	// delay, duplicate and block messages in one direction. It needs keepers.
 	BadLinks bool `ini:"bad_links"`
-	// Verdicts says that the proxies judge relays by what all of them saw. Needs keepers.
+	// Verdicts lets the proxies judge relays by the observations of all of them. It needs keepers.
 	Verdicts       bool    `ini:"verdicts"`
-	MovesPerSecond float64 `ini:"moves_per_second" min:"0"` // at which the owner of moves paces them; 0: nobody does
+	MovesPerSecond float64 `ini:"moves_per_second" min:"0"` // pace set by the owner of moves; 0: none
 }
 
-// Relays are the egress targets.
+// Relays describes the servers that the proxies connect to.
 type Relays struct {
 	Count               int         `ini:"count" min:"1" max:"10000"`
 	PerCore             fleet.Range `ini:"per_core" above:"0"`     // usual connections that fill a standard core
-	MaxPerCore          fleet.Range `ini:"most_per_core" min:"0"`  // connections that a core of a relay holds at the most; 0: any number
-	WorkBuffer          fleet.Spans `ini:"buffer"`                 // work that may pile up before connections are dropped
+	MaxPerCore          fleet.Range `ini:"most_per_core" min:"0"`  // most connections per core of a relay; 0: no limit
+	WorkBuffer          fleet.Spans `ini:"buffer"`                 // queued work at which connections are dropped
 	MessageWork         fleet.Spans `ini:"message_work" above:"0"` // of a message, on a standard core
-	GroupCost           float64     `ini:"group_cost" min:"0"`     // usual loads for each group that a relay holds any of
+	GroupCost           float64     `ini:"group_cost" min:"0"`     // usual loads for each group with a connection at the relay
 	ReportPeriod        fleet.Spans `ini:"report_every" above:"0"` // between two load reports
-	ReportDelay         fleet.Spans `ini:"report_late"`            // until one can be read
+	ReportDelay         fleet.Spans `ini:"report_late"`            // until a report can be read
 	ReportNoise         fleet.Range `ini:"report_noise" min:"0"`   // relative
 	ProbeWork           fleet.Spans `ini:"probe_work"`             // on a standard core
-	StartNotice         fleet.Spans `ini:"return_notice"`          // until discovery names one that has started
-	DrainNotice         fleet.Spans `ini:"drain_notice"`           // until it tells that one drains or was stopped
-	SilenceNotice       fleet.Spans `ini:"silent_notice"`          // until it drops one that fell silent
-	ErrorShare          float64     `ini:"errors" min:"0" max:"1"` // part of the connections answered with an error, where a kind gives none
-	RandomSites         float64     `ini:"spread" min:"0" max:"1"` // part of the relays that are placed on sites by lot
-	DrainingFailsProbes bool        `ini:"draining_fails_probes"`  // one that drains answers probes with an error; else as one that serves
-	TellsDelay          bool        `ini:"tell_delay"`             // the proxies are told to watch how long messages take
+	StartNotice         fleet.Spans `ini:"return_notice"`          // until discovery lists a started relay
+	DrainNotice         fleet.Spans `ini:"drain_notice"`           // until discovery lists a draining or stopped relay as such
+	SilenceNotice       fleet.Spans `ini:"silent_notice"`          // until discovery drops a silent relay
+	ErrorShare          float64     `ini:"errors" min:"0" max:"1"` // share of connections answered with an error, where the kind has none
+	RandomSites         float64     `ini:"spread" min:"0" max:"1"` // share of the relays placed at random sites
+	DrainingFailsProbes bool        `ini:"draining_fails_probes"`  // else probes of draining relays succeed
+	TellsDelay          bool        `ini:"tell_delay"`             // the proxies are told to watch message delays
 }
 
-// Class is fleet.Class as the file has it.
+// Class is fleet.Class in the form of the scenario file.
 type Class struct {
 	Name    string
 	Share   fleet.Range   `ini:"share" min:"0" max:"1"`
@@ -110,19 +116,19 @@
 	Window  time.Duration `ini:"window"`                      // of guarded: for how long
 }
 
-// Network is the way between the machines, one way.
+// Network holds the one-way delays, the loss and the bandwidth between machines.
 type Network struct {
 	SameSite  fleet.Spans `ini:"same_site"`
 	CrossSite fleet.Spans `ini:"cross_site"`
 	Client    fleet.Spans `ini:"client"`                 // from a client's machine to its site
-	Jitter    fleet.Range `ini:"jitter" min:"0" max:"2"` // part of a delay that is added at the most
+	Jitter    fleet.Range `ini:"jitter" min:"0" max:"2"` // share of a delay that is added at most
 	Loss      float64     `ini:"loss" min:"0" max:"0.9"`
-	Bandwidth float64     `ini:"bandwidth" min:"0"` // bytes a second of each path; 0: without end
+	Bandwidth float64     `ini:"bandwidth" min:"0"` // bytes per second on each path; 0: no limit
 }
 
-// Traffic is fleet.Traffic as the file has it.
+// Traffic is fleet.Traffic in the form of the scenario file.
 type Traffic struct {
-	Rate          float64       `ini:"rate" min:"0"` // new clients a second, at all sites
+	Rate          float64       `ini:"rate" min:"0"` // new clients per second, at all sites
 	Swing         fleet.Range   `ini:"swing" min:"0" max:"1"`
 	Period        fleet.Spans   `ini:"period" above:"0"`
 	Life          fleet.Spans   `ini:"life" above:"0"`
@@ -135,31 +141,31 @@
 	Impatient     fleet.Range   `ini:"impatient" min:"0" max:"1"`
 }
 
-// Wave is a time in which more clients come, or fewer.
+// Wave is a period in which more or fewer clients arrive.
 type Wave struct {
 	Name  string
 	At    fleet.Spans `ini:"at"`
 	For   fleet.Spans `ini:"for" above:"0"`
-	Times fleet.Range `ini:"times" min:"0"` // the usual rate
+	Times fleet.Range `ini:"times" min:"0"` // multiple of the usual rate
 	Sites []string    `ini:"sites"`         // empty: all
 }
 
-// Discovery is the service that names the relays.
+// Discovery describes the service that lists the relays.
 type Discovery struct {
 	CallTime   time.Duration `ini:"call"`
 	LineTime   time.Duration `ini:"line"`
 	Timeout    time.Duration `ini:"timeout"`
-	ResetShare float64       `ini:"resets" min:"0" max:"1"` // part of the calls that waited too long whose connection is reset
+	ResetShare float64       `ini:"resets" min:"0" max:"1"` // share of the timed-out calls whose connection is reset
 }
 
-// Front hands clients to proxies.
+// Front describes the load balancer that assigns clients to proxies.
 type Front struct {
 	CheckPeriod time.Duration `ini:"every" above:"0"`
 	Notice      fleet.Spans   `ini:"notice"`
-	LateClients fleet.Spans   `ini:"late_clients"` // how long clients still come to a proxy that was told to stop
+	LateClients fleet.Spans   `ini:"late_clients"` // how long clients still arrive after the proxy was told to stop
 }
 
-// Rules are what runs are judged by, and what proxies are told of it.
+// Rules holds the bounds that the judge checks, most of which the proxies are told.
 type Rules struct {
 	AnswerSlack  time.Duration `ini:"answer_slack"`
 	DrainGrace   time.Duration `ini:"drain_grace" above:"0"`
@@ -167,12 +173,12 @@
 	WarmWithin   time.Duration `ini:"warm_within" above:"0"`
 	FallMultiple float64       `ini:"fall_multiple" min:"1"`
 	FallWithin   time.Duration `ini:"fall_within" above:"0"`
-	ColdBudget   bool          `ini:"cold_budget"` // what a cold relay gets in all is judged as well
-	NewsWithin   time.Duration `ini:"news_within"` // until a change counts as told after a call that failed; 0: it does not
-	AskAgain     time.Duration `ini:"ask_again"`   // until a proxy whose call failed has to ask again; 0: any time
+	ColdBudget   bool          `ini:"cold_budget"` // also check all that a cold relay gets
+	NewsWithin   time.Duration `ini:"news_within"` // until a change is deemed known after a failed call; 0: never
+	AskAgain     time.Duration `ini:"ask_again"`   // most time until a call after a failed one; 0: no limit
 }
 
-// Allow is what proxies may do.
+// Permissions holds what proxies may do.
 type Permissions struct {
 	Attempts     int           `ini:"attempts" min:"0"`
 	DialTimeout  time.Duration `ini:"dial" above:"0"`
@@ -180,29 +186,29 @@
 	AskWithin    time.Duration `ini:"ask_within" above:"0"`
 	MaxAdvice    time.Duration `ini:"advice"`
 	CrossingCost float64       `ini:"crossing" min:"0"`
-	Cancel       bool          `ini:"cancel"` // giving up a hop that may run
+	Cancel       bool          `ini:"cancel"` // abandoning an attempt that may run
 	Probes       bool          `ini:"probes"`
-	ListsPushed  bool          `ini:"pushed"` // lists are pushed: what discovery has counts as told, asked or not
+	ListsPushed  bool          `ini:"pushed"` // discovery's list is deemed known at once, asked for or not
 }
 
-// Fault is something that goes wrong.
+// Fault is a fault that is injected into a day.
 type Fault struct {
 	Name        string
 	Kind        string        `ini:"kind" one:"silence, slow, failing, relimit, neighbour, costly, drain, lose, grow, proxy-restart, proxy-kill, partition, isolate, stall, late-clock, descriptors, ports, rude, late-connects, leaving, discovery-down, discovery-hang, discovery-late, discovery-queue, watches-silent"`
 	At          fleet.Spans   `ini:"at"`
 	For         fleet.Spans   `ini:"for"`
-	Part        fleet.Range   `ini:"part" min:"0" max:"1"` // of the relays, proxies or connections
-	Count       int           `ini:"count" min:"0"`        // in place of part
-	Size        fleet.Range   `ini:"size" min:"0"`         // times as slow, times as costly, share of the machine, descriptors, clients a second
+	Part        fleet.Range   `ini:"part" min:"0" max:"1"` // share of the relays, proxies or connections
+	Count       int           `ini:"count" min:"0"`        // instead of Part
+	Size        fleet.Range   `ini:"size" min:"0"`         // slowdown, cost factor, machine share, descriptors or clients per second
 	Away        fleet.Spans   `ini:"away"`                 // until what was stopped starts again
-	Every       time.Duration `ini:"every"`                // between one proxy's or relay's turn and the next's
+	Every       time.Duration `ini:"every"`                // between one proxy or relay and the next
 	Class       string        `ini:"class"`
 	Sites       []string      `ini:"sites"`
-	Repeats     int           `ini:"again" min:"0" max:"100"` // further times
+	Repeats     int           `ini:"again" min:"0" max:"100"` // further occurrences
 	RepeatAfter fleet.Spans   `ini:"after"`                   // between these
 }
 
-// defaults are the figures of a calm day, from the ranges that were seen in service.
+// defaults returns the values of a day without faults, from ranges observed in production.
 func defaults() Scenario {
 	ms, s := time.Millisecond, time.Second
 	t := proxy.DefaultTuning()
@@ -235,7 +241,7 @@
 	}
 }
 
-// defaultKinds and defaultClasses serve where a file names none.
+// defaultKinds and defaultClasses apply where a file names none.
 func defaultKinds() []fleet.Kind {
 	cold := fleet.Spans{From: 10 * time.Second, To: 24 * time.Second}
 	return []fleet.Kind{
@@ -247,7 +253,7 @@
 
 func defaultClasses() []Class { return []Class{defaultClass("readings"), defaultClass("status")} }
 
-// defaultClass is what a class has that a file says nothing of.
+// defaultClass returns the values of a class that a file does not set.
 func defaultClass(name string) Class {
 	ms, s := time.Millisecond, time.Second
 	one := fleet.Range{From: 1, To: 1}
@@ -267,7 +273,7 @@
 	}
 }
 
-// kind is fleet.Kind as the file has it.
+// kindSection is fleet.Kind in the form of the scenario file.
 type kindSection struct {
 	Share    float64     `ini:"share" min:"0" max:"1"`
 	Cores    int         `ini:"cores" min:"1" max:"1024"`
@@ -277,8 +283,8 @@
 	Errors   fleet.Range `ini:"errors" min:"0" max:"1"`
 }
 
-// Read reads a scenario file. Set holds section.key=value pairs that go before what the file says. All mistakes come at
-// once, with their lines.
+// Read reads a scenario file. The section.key=value pairs in set override the file. It reports all
+// errors at once, with their lines.
 func Read(path string, set ...string) (*Scenario, error) {
 	f, err := inifile.Read(path)
 	if err != nil {
@@ -338,7 +344,7 @@
 	return &s, nil
 }
 
-// trouble reads one trouble. What its kind needs and the file does not give is a mistake.
+// decodeFault reads one fault. A key that its kind needs and the file does not give is an error.
 func (s *Scenario) decodeFault(f *inifile.File, name string) Fault {
 	section := "trouble " + name
 	t := Fault{Name: name}
@@ -380,7 +386,7 @@
 	return t
 }
 
-// known complains of sites that there are not.
+// checkSites reports sites that the scenario does not have.
 func (s *Scenario) checkSites(f *inifile.File, section string, sites []string) {
 	for _, site := range sites {
 		if !slices.Contains(s.Sites, site) {
@@ -389,7 +395,7 @@
 	}
 }
 
-// check looks at what no single key tells.
+// check reports errors that involve several keys.
 func (s *Scenario) check(f *inifile.File) {
 	if len(s.Sites) == 0 {
 		f.Complain("run", "sites", "no site")
@@ -424,7 +430,7 @@
 	}
 }
 
-// Tuning is what the proxies are given.
+// Tuning returns the tuning of the proxies.
 func (s *Scenario) Tuning() *proxy.Tuning {
 	return &proxy.Tuning{
 		AnswerMargin: s.Proxies.AnswerMargin, SilentAfter: s.Proxies.SilentAfter,
@@ -432,7 +438,7 @@
 	}
 }
 
-// String names the scenario.
+// String returns a one-line summary of the scenario.
 func (s *Scenario) String() string {
 	return fmt.Sprintf("%s: %d proxies, %d relays, %g clients a second, %v", s.Name, s.Proxies.Count, s.Relays.Count, s.Traffic.Rate, s.Run.Length)
 }
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -15,42 +15,43 @@
 	"ospreyspan/internal/vnet"
 )
 
-const meshPort = 7946
+const meshPort = 7946 // UDP port of the mesh on each proxy
 
-// shares is what a proxy needs that shares work with the others, nil where the scenario has no keepers.
+// fleetConfig returns the configuration of a proxy that cooperates with the others, or nil if the
+// scenario has no keepers or runs on real sockets.
 func (s *stage) shares(p *proxyNode) (*instance.FleetConfig, error) {
 	n := s.scenario.Proxies.Keepers
 	if n == 0 || s.real != nil {
 		return nil, nil
 	}
-	var at []mesh.KeeperAddress
+	var keepers []mesh.KeeperAddress
 	self := uint64(0)
 	for i := range n {
 		site := i % len(s.scenario.Sites)
 		addr := netip.AddrPortFrom(proxyAt(site, i), meshPort)
-		at = append(at, mesh.KeeperAddress{ID: uint64(i + 1), Addr: addr})
+		keepers = append(keepers, mesh.KeeperAddress{ID: uint64(i + 1), Addr: addr})
 		if addr.Addr() == p.host.Addr() {
 			self = uint64(i + 1)
 		}
 	}
 	m := mesh.Config{
 		Cluster: "lab", Name: p.name, Zone: p.site, Listen: netip.AddrPortFrom(p.host.Addr(), meshPort), Session: p.seedSource.Uint64() | 1,
-		Keepers: at, Terms: owner.DefaultTerms(), Duties: s.duties(), Seed: s.seed,
-		Seeds: []netip.AddrPort{at[0].Addr, at[1].Addr, at[2].Addr},
+		Keepers: keepers, Terms: owner.DefaultTerms(), Duties: s.duties(), Seed: s.seed,
+		Seeds: []netip.AddrPort{keepers[0].Addr, keepers[1].Addr, keepers[2].Addr},
 	}
 	if self != 0 {
-		if err := s.keeps(p, &m, self); err != nil {
+		if err := s.configureKeeper(p, &m, self); err != nil {
 			return nil, err
 		}
 	}
 	f := &instance.FleetConfig{Mesh: m, SameAddresses: true, MovesPerSecond: s.scenario.Proxies.MovesPerSecond}
 	if s.scenario.Proxies.Verdicts {
 		v := instance.DefaultVerdictConfig()
-		v.OnChange = func(c instance.VerdictChange) { s.judged(p, c) }
+		v.OnChange = func(c instance.VerdictChange) { s.recordVerdict(p, c) }
 		f.Verdicts = &v
 	}
-	if part := s.scenario.Proxies.Retries; part > 0 {
-		f.Retries = &limit.Retries{Part: part, Within: 10 * time.Second, Least: 10}
+	if fraction := s.scenario.Proxies.Retries; fraction > 0 {
+		f.Retries = &limit.Retries{Part: fraction, Within: 10 * time.Second, Least: 10}
 	}
 	if l := s.limit(); l != nil {
 		f.Limits = &instance.LimitsConfig{Soft: limit.DefaultSoft(), List: []limit.Limit{*l}}
@@ -58,7 +59,7 @@
 	return f, nil
 }
 
-// limit is what all proxies together may have, nil if that is not limited.
+// limit returns the limit of connections that all proxies share, or nil if the scenario has none.
 func (s *stage) limit() *limit.Limit {
 	most := s.scenario.Proxies.Limit
 	if most == 0 {
@@ -74,7 +75,8 @@
 	return l
 }
 
-// relimit has a proxy take another limit, as SIGHUP does; later lives of it start with that.
+// setLimit changes the shared limit of a proxy, as a reload on SIGHUP does. A proxy that is started
+// later begins with the new limit.
 func (s *stage) relimit(p *proxyNode, most int) {
 	s.scenario.Proxies.Limit = most
 	if inst := p.inst; inst != nil {
@@ -84,8 +86,8 @@
 	}
 }
 
-// standing is how many connections the relays hold, by their own count.
-func (s *stage) standing() int {
+// openConnections returns the number of connections that the relays hold, by their own count.
+func (s *stage) openConnections() int {
 	n := 0
 	for _, r := range s.nodes {
 		if r.relay != nil {
@@ -95,16 +97,17 @@
 	return n
 }
 
-// watchLimit looks at the relays' count ten times a second.
+// sampleConnections samples the relays' count of connections ten times per second, if there is a
+// limit.
 func (s *stage) watchLimit() {
 	if s.scenario.Proxies.Limit == 0 || time.Duration(s.limitChecks)*100*time.Millisecond >= s.scenario.Run.WarmUp+s.scenario.Run.Length {
 		return
 	}
 	s.after(100*time.Millisecond, s.watchLimit)
-	s.shared.Last = s.standing()
+	s.shared.Last = s.openConnections()
 	s.shared.Standing = max(s.shared.Standing, s.shared.Last)
 	if s.limitChecks++; time.Duration(s.limitChecks)*100*time.Millisecond > s.scenario.Run.WarmUp {
-		s.shared.Held += float64(s.standing()) / 10
+		s.shared.Held += float64(s.openConnections()) / 10
 	}
 }
 
@@ -117,8 +120,9 @@
 
 func proxyAt(site, i int) netip.Addr { return machineAddr(site, addrProxy, i) }
 
-// keeps gives a proxy its keeper, with a disk that outlives it.
-func (s *stage) keeps(p *proxyNode, m *mesh.Config, self uint64) error {
+// configureKeeper gives a proxy its keeper, with a disk whose contents survive restarts of the
+// proxy.
+func (s *stage) configureKeeper(p *proxyNode, m *mesh.Config, self uint64) error {
 	d := p.vnetHost().Disk("keeper")
 	if len(d.Text()) == 0 {
 		d.SetFaults(vnet.DiskFaults{Delay: 1e6, Jitter: 4e6, Torn: 0.7, Scrambled: 0.3})
@@ -138,41 +142,44 @@
 	return nil
 }
 
-// judged takes a verdict that a proxy has come to, and counts those against relays to which nothing had happened.
-func (s *stage) judged(p *proxyNode, c instance.VerdictChange) {
+// recordVerdict takes a verdict that a proxy has reached, and counts it as false if it is against a
+// relay without a fault.
+func (s *stage) recordVerdict(p *proxyNode, c instance.VerdictChange) {
 	if !c.Condemned() || c.Previous.Condemned() {
 		return
 	}
 	for _, n := range s.nodes {
-		if n.plan.id == c.Target && s.now().Sub(n.faultUntil) > falseAfter && !(c.Verdict == verdict.Slow && n.wasBehind(s.now())) {
+		if n.plan.id == c.Target && s.now().Sub(n.faultUntil) > faultGracePeriod && !(c.Verdict == verdict.Slow && n.wasOverloaded(s.now())) {
 			s.shared.False++
 			if s.options.Log != nil {
-				fmt.Fprintf(s.options.Log, "%v %s: without a cause: %s is %v, was %v, age %v, %d witnesses, %d against\n",
+				fmt.Fprintf(s.options.Log, "%v %s: false verdict: %s is %v, was %v, age %v, %d witnesses, %d against\n",
 					s.world.Elapsed(), p.name, c.Target, c.Verdict, c.Previous, c.Age, c.Witnesses, c.Against)
 			}
 		}
 	}
 }
 
-// wasBehind tells whether the relay was really slow of late, for more clients than it can take.
-func (n *relayNode) wasBehind(now time.Time) bool {
-	return n.relay != nil && !n.relay.Behind().IsZero() && now.Sub(n.relay.Behind()) <= falseAfter
+// wasOverloaded reports whether the relay was slow within the last faultGracePeriod because it had
+// more clients than its capacity allows.
+func (n *relayNode) wasOverloaded(now time.Time) bool {
+	return n.relay != nil && !n.relay.Behind().IsZero() && now.Sub(n.relay.Behind()) <= faultGracePeriod
 }
 
-// falseAfter is how long after the end of a relay's trouble a verdict against it still rests on that.
-const falseAfter = 6 * time.Second
+// faultGracePeriod is the time after the end of a relay's fault during which a verdict against the
+// relay still counts as justified.
+const faultGracePeriod = 6 * time.Second
 
-// Shared is what the proxies' conversation cost, of all of them together.
+// SharedStats holds the cost and the results of the cooperation of all proxies together.
 type Shared struct {
-	Datagrams uint64 `json:"datagrams"` // sent
-	Bytes     uint64 `json:"bytes"`     // of them
-	Words     uint64 `json:"words"`     // of owners, taken
-	Refused   uint64 `json:"refused"`   // of former owners
-	False     int    `json:"false"`     // verdicts against relays to which nothing had happened
-
-	Standing int     `json:"standing"` // most connections at a time, by the relays' count; where there is a limit
-	Last     int     `json:"standing_last"`
-	Held     float64 `json:"held_s"` // seconds of connections that counted, likewise
+	Datagrams uint64 `json:"datagrams"` // datagrams that proxies sent to each other
+	Bytes     uint64 `json:"bytes"`     // bytes of these datagrams
+	Words     uint64 `json:"words"`     // announcements of owners that were accepted
+	Refused   uint64 `json:"refused"`   // announcements of former owners, which were refused
+	False     int    `json:"false"`     // verdicts against relays without a fault
+
+	Standing int     `json:"standing"`      // most connections at a time, by the relays' count; 0 without a limit
+	Last     int     `json:"standing_last"` // connections at the last sample, by the relays' count; 0 without a limit
+	Held     float64 `json:"held_s"`        // connection-seconds in the counted time; 0 without a limit
 }
 
 func (s *Shared) add(n *mesh.Node) {
--- a/internal/lab/stage.go
+++ b/internal/lab/stage.go
@@ -12,21 +12,21 @@
 	"ospreyspan/internal/vnet"
 )
 
-// Options are how a day is played, beyond what the scenario says.
+// Options are settings of a run that are not part of the scenario.
 type Options struct {
-	// Log gets the proxies' logs, with the virtual time; nil: nobody does.
+	// Log receives the proxies' logs, with the virtual time; nil: they are discarded.
 	Log io.Writer
-	// MaxRealProxies is how many proxies may be played on real sockets; 0: 16.
+	// MaxRealProxies is how many proxies may run on real sockets; 0: 16.
 	MaxRealProxies int
-	// Progress is called about every virtual second.
+	// Progress is called about once per virtual second.
 	Progress func(at, total time.Duration)
 }
 
-// stage is a day on the virtual network.
+// stage is the running state of one day.
 type stage struct {
 	*day
 	options          Options
-	world            *vnet.World // nil: the day is played on real sockets
+	world            *vnet.World // nil: the day runs on real sockets
 	real             *real
 	ledger           *fleet.Ledger
 	judge            *judge
@@ -35,20 +35,20 @@
 	proxies          []*proxyNode
 	nodes            []*relayNode
 	crowds           []*crowdNode
-	badClientSources int // connections of bad clients
+	badClientSources int // machines of bad clients so far; numbers their addresses
 	costlyClasses    map[string]costlyFault
-	silentUntil      time.Time     // until then what a watch missed that fell silent does not count as told
-	changeDelay      time.Duration // news is later by that
+	silentUntil      time.Time     // until then, changes missed by a silent watch are not deemed known
+	changeDelay      time.Duration // added to the delay of each change in discovery's list
 	samples          samples
-	endedCounters    stats.Counters // the counts of proxies that are gone
-	limitSlices      int            // of the limit
-	limitChecks      int            // looks at what stands under a limit
-	shared           Shared         // likewise, what they said to each other
+	endedCounters    stats.Counters // sums of proxies that have ended
+	limitSlices      int            // slices of the shared limit; 0: not set yet
+	limitChecks      int            // times that the use of the limit was sampled
+	shared           Shared         // fleet traffic of ended proxies, and use of the shared limit
 	err              error
-	faultsUntil      time.Duration // until then, troubles have effects
+	faultsUntil      time.Duration // since the start, until when faults have effects
 }
 
-// newStage builds the day's network with all that is there at its start.
+// newStage sets up the network of the day and everything that runs from its start.
 func newStage(d *day, o Options) (*stage, error) {
 	s := &stage{day: d, options: o, costlyClasses: make(map[string]costlyFault), registry: fleet.NewRegistry()}
 	s.world = vnet.New(d.seed, s.link)
@@ -65,7 +65,7 @@
 	return s, s.build()
 }
 
-// build sets up all that is there at the day's start.
+// build sets up everything that runs from the start of the day.
 func (s *stage) build() error {
 	d := s.day
 	for i := range d.relays {
@@ -113,7 +113,7 @@
 	s.world.After(d, f)
 }
 
-// play runs the day to its end and checks that everything was given back.
+// play runs the day to its end and checks that everything was released.
 func (s *stage) play() error {
 	step := time.Second
 	for at := time.Duration(0); at < s.total; at += step {
@@ -140,19 +140,20 @@
 	return s.finish()
 }
 
-// end lets what is out come to its end, looks that nothing is left, and stops the proxies in order.
+// finish lets faults and open requests end, checks that nothing is left and stops the proxies in
+// order.
 func (s *stage) finish() error {
 	if err := s.world.Run(max(s.faultsUntil-s.world.Elapsed(), 0) + s.scenario.Run.CoolDown); err != nil {
 		return err
 	}
-	stopped := make(map[*proxyNode]int) // lives: a restart that was planned before may start another
+	stopped := make(map[*proxyNode]int) // by the value of lives, since an earlier planned restart may start another process
 	for _, p := range s.proxies {
 		if p.inst == nil || !p.host.Up() {
 			continue
 		}
 		stopped[p] = p.lives
 		if s.judge.reportAuditError(p.name, p.inst.Audit()); !p.inst.Idle() {
-			s.judge.reportViolation("given-back", "%s: %v after the last client left something of one is still there", p.name, s.scenario.Run.CoolDown)
+			s.judge.reportViolation("given-back", "%s: %v after the last client left, state of a connection is still held", p.name, s.scenario.Run.CoolDown)
 		}
 		p.loop.Wake()
 	}
@@ -161,13 +162,13 @@
 	}
 	for _, p := range s.proxies {
 		if p.inst != nil && p.host.Up() && stopped[p] == p.lives {
-			s.judge.reportViolation("given-back", "%s: a planned stop without clients is not over after 5 s", p.name)
+			s.judge.reportViolation("given-back", "%s: a planned stop without clients has not finished after 5 s", p.name)
 		}
 	}
 	return s.world.Run(0)
 }
 
-// logTo writes lines of a proxy's log with the virtual time before them.
+// proxyLogWriter writes lines of a proxy's log with the virtual time in front.
 type proxyLogWriter struct {
 	s    *stage
 	name string
--- a/internal/lab/table.go
+++ b/internal/lab/table.go
@@ -92,10 +92,10 @@
 	for _, c := range r.Classes {
 		header = append(header, "service "+c.Name)
 	}
-	for _, n := range r.series.names {
+	for _, n := range r.series.relayNames {
 		header = append(header, "load "+n)
 	}
-	for _, n := range r.series.names {
+	for _, n := range r.series.relayNames {
 		header = append(header, "connections "+n)
 	}
 	if err := out.Write(header); err != nil {
@@ -107,20 +107,20 @@
 		}
 		return strconv.FormatFloat(list[i], 'g', 5, 64)
 	}
-	for i := range r.series.open {
-		counted := i - r.series.warm
+	for i := range r.series.openClients {
+		counted := i - r.series.warmUpSeconds
 		moves := ""
 		if counted >= 0 && counted < len(r.series.moves) {
 			moves = strconv.Itoa(r.series.moves[counted])
 		}
-		row := []string{strconv.Itoa(counted), strconv.Itoa(r.series.open[i]), moves}
+		row := []string{strconv.Itoa(counted), strconv.Itoa(r.series.openClients[i]), moves}
 		for c := range r.Classes {
 			row = append(row, cell(r.series.service[c], counted))
 		}
 		for _, l := range r.series.load {
 			row = append(row, cell(l, i))
 		}
-		for _, l := range r.series.stand {
+		for _, l := range r.series.connections {
 			row = append(row, cell(l, i))
 		}
 		if err := out.Write(row); err != nil {
--- a/internal/lab/throng.go
+++ b/internal/lab/throng.go
@@ -7,8 +7,8 @@
 	"ospreyspan/internal/fleet"
 )
 
-// RandomThrong makes up a throng: twenty to thirty proxies that share a discovery which bears few calls, servers that are replaced,
-// join and come back cold, and a burst of clients upon them.
+// RandomThrong generates a throng scenario: 20 to 30 proxies share a discovery that handles few
+// calls; servers are replaced, join, and return cold; and a burst of clients arrives meanwhile.
 func RandomThrong(seed uint64) *Scenario {
 	d := newDraws(randomStream(seed, "throng"))
 	s := defaults()
@@ -28,7 +28,8 @@
 	return &s
 }
 
-// throngTroubles are the days' troubles; some of them come on part of the days only.
+// throngFaults generates the faults of a throng scenario; some of them occur in a part of the
+// scenarios only.
 func (d *draws) throngFaults(length time.Duration) []Fault {
 	second := time.Second
 	list := []Fault{
@@ -47,7 +48,7 @@
 	return list
 }
 
-// forGood is longer than any day.
+// foreverSpan returns a span longer than any day.
 func foreverSpan() fleet.Spans { return fleet.Spans{From: time.Hour, To: time.Hour} }
 
 func millisRange(from, to int) fleet.Spans {
--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -13,7 +13,8 @@
 	"ospreyspan/internal/vnet"
 )
 
-// plot puts a trouble's events in the day's queue. All its draws come now, from a stream of its own.
+// scheduleFault schedules all occurrences of a fault. Every random value is drawn now, from a
+// stream of the fault's own.
 func (s *stage) scheduleFault(t *Fault) {
 	r := randomStream(s.seed, "trouble "+t.Name)
 	at := s.scenario.Run.WarmUp + t.At.Draw(r)
@@ -23,7 +24,7 @@
 	}
 }
 
-// once plots one time of a trouble.
+// scheduleOccurrence schedules one occurrence of a fault.
 func (s *stage) scheduleOccurrence(t *Fault, at time.Duration, r *rand.Rand) {
 	span := t.For.Draw(r)
 	size := t.Size.Draw(r)
@@ -42,7 +43,7 @@
 		for _, n := range s.pickRelays(t, r) {
 			s.during(at, span, func() { n.setFailing(size) }, func() { n.setFailing(0) })
 		}
-	case "relimit": // the proxies' operators change the limit of all, one proxy after the other
+	case "relimit": // the operator changes the limit on one proxy after the other
 		for i, p := range s.proxies {
 			s.after(at+time.Duration(i)*t.Every, func() { s.relimit(p, int(size)) })
 		}
@@ -52,7 +53,7 @@
 			if on <= 0 {
 				on = span
 			}
-			for begin := at; begin < at+span; begin += 2 * on { // on and off
+			for begin := at; begin < at+span; begin += 2 * on { // alternates between on and off
 				s.during(begin, min(on, at+span-begin), func() { n.updateMachine(func(m *fleet.Machine, now time.Time) { m.Neighbour(now, size) }) },
 					func() { n.updateMachine(func(m *fleet.Machine, now time.Time) { m.Neighbour(now, 0) }) })
 			}
@@ -81,7 +82,7 @@
 	case "partition":
 		var in, out []*vnet.Host
 		var cut *vnet.Partition
-		s.extendFaults(at + 2*span + time.Second) // TCP sends again after a while that doubles
+		s.extendFaults(at + 2*span + time.Second) // TCP retransmits late, since its timeout doubles
 		s.during(at, span, func() {
 			for _, h := range s.hosts() {
 				if site := s.siteOf(h.Addr()); site != "" && siteListed(t.Sites, site) {
@@ -90,7 +91,7 @@
 					out = append(out, h)
 				}
 			}
-			for _, n := range s.nodes { // whoever sees them across the cut
+			for _, n := range s.nodes { // proxies across the cut see any relay as failed
 				n.faultUntil = s.now().Add(span)
 			}
 			cut = s.world.Cut(in, out)
@@ -120,7 +121,7 @@
 	case "descriptors":
 		for _, p := range s.pickProxies(t, r) {
 			s.during(at, span, func() {
-				if p.running() { // what a process holds that is not there says nothing of what the next one needs
+				if p.running() { // the sockets of a process that is down do not tell what its successor needs
 					p.vnetHost().SetDescriptors(p.vnetHost().Open() + int(size))
 				}
 			},
@@ -132,7 +133,7 @@
 		}
 	case "rude":
 		s.startBadClients(t, at, span, size)
-	case "late-connects": // a part of the connections to them, size, come up late, by up to away
+	case "late-connects": // the share Size of the connections is established late, by up to Away
 		for _, n := range s.pickRelays(t, r) {
 			s.during(at, span, func() { n.host.(*vnet.Host).LateConnects(size, away) }, func() { n.host.(*vnet.Host).LateConnects(0, 0) })
 		}
@@ -151,7 +152,7 @@
 			s.silentUntil = s.now().Add(silentWatchDelay)
 			s.markPushedLists(silentWatchDelay)
 		})
-	case "discovery-queue": // others ask it, all at once
+	case "discovery-queue": // queues calls of other clients at discovery, all at once
 		s.after(at, func() {
 			if d := s.discovery; d.host.Up() {
 				d.post(func() { d.d.Occupy(d.loop.Now(), span) })
@@ -168,24 +169,24 @@
 	}
 }
 
-// failed keeps the first error of the stage's own.
+// recordError keeps the first error of the emulator itself.
 func (s *stage) recordError(err error) {
 	if s.err == nil {
 		s.err = err
 	}
 }
 
-// lasts takes down that a trouble's effects go on until then.
+// extendFaults records that the effects of a fault last until the given time since the start.
 func (s *stage) extendFaults(until time.Duration) { s.faultsUntil = max(s.faultsUntil, until) }
 
-// during has something happen and end after a while.
+// during schedules the begin and the end of a fault.
 func (s *stage) during(at, span time.Duration, begin, end func()) {
 	s.extendFaults(at + span)
 	s.after(at, begin)
 	s.after(at+span, end)
 }
 
-// hosts are all machines of a virtual stage.
+// hosts returns all machines of a virtual day.
 func (s *stage) hosts() []*vnet.Host {
 	list := []*vnet.Host{s.discovery.host.(*vnet.Host)}
 	for _, p := range s.proxies {
@@ -200,7 +201,8 @@
 	return list
 }
 
-// number is how many of n a trouble strikes: its count, or its part and one at least; all if it gives neither.
+// targetCount returns how many of n targets a fault strikes: its count, else its share rounded but
+// at least one, else all.
 func (t *Fault) targetCount(n int, r *rand.Rand) int {
 	switch part := t.Part.Draw(r); {
 	case t.Count > 0:
@@ -235,7 +237,8 @@
 	return list
 }
 
-// coldAfter is how long a relay may go on to look bad after its trouble: the news of it is late, and it is back cold.
+// faultAftermath is how long a relay may still look bad after a fault: the change in discovery's
+// list comes late, and the relay is cold when it returns.
 const faultAftermath = 30 * time.Second
 
 func (s *stage) pickProxies(t *Fault, r *rand.Rand) []*proxyNode {
@@ -248,7 +251,7 @@
 	return pickTargets(t, list, r)
 }
 
-// tell changes the machine of a relay, where one runs.
+// updateMachine changes the emulated machine of a relay, if the relay runs.
 func (n *relayNode) updateMachine(f func(m *fleet.Machine, now time.Time)) {
 	if r := n.relay; r != nil {
 		n.post(func() { f(r.Machine(), n.loop.Now()) })
@@ -261,7 +264,8 @@
 	}
 }
 
-// silence has a relay's machine vanish and come back cold, with a new process under its id.
+// silenceRelay makes a relay's machine vanish. It returns cold, with a new process under the same
+// id.
 func (s *stage) silenceRelay(n *relayNode, at, span time.Duration, r *rand.Rand) {
 	notice, back := s.scenario.Relays.SilenceNotice.Draw(r), s.scenario.Relays.StartNotice.Draw(r)
 	s.after(at, func() {
@@ -272,7 +276,7 @@
 		n.host.Vanish()
 		n.relay = nil
 		s.scheduleListChange(notice, func() {
-			if n.lives == life { // else it is back already
+			if n.lives == life { // the relay has not been restarted since
 				s.registry.Health(n.plan.id, fleet.Deleted)
 			}
 		})
@@ -283,7 +287,7 @@
 	})
 }
 
-// comeBack starts a relay cold, and has discovery tell of it a little later.
+// restartRelay starts a relay cold. Discovery lists it after the given delay.
 func (s *stage) restartRelay(n *relayNode, notice time.Duration) {
 	if n.removed || n.host.Running() {
 		return
@@ -304,7 +308,7 @@
 	})
 }
 
-// drain has a relay take nothing new, stop and come back cold under its id.
+// drainRelay drains and stops a relay, and restarts it cold under the same id.
 func (s *stage) drainRelay(n *relayNode, at, span, away time.Duration, r *rand.Rand) {
 	told, gone, back := s.scenario.Relays.DrainNotice.Draw(r), s.scenario.Relays.DrainNotice.Draw(r), s.scenario.Relays.StartNotice.Draw(r)
 	s.after(at, func() {
@@ -330,7 +334,7 @@
 	})
 }
 
-// lose has a relay's machine die for good.
+// loseRelay stops a relay's machine for good.
 func (s *stage) loseRelay(n *relayNode, at time.Duration, r *rand.Rand) {
 	notice := s.scenario.Relays.DrainNotice.Draw(r)
 	s.after(at, func() {
@@ -340,7 +344,7 @@
 	})
 }
 
-// grow switches on relays that were not there.
+// addLateRelays starts relays that did not run from the start.
 func (s *stage) addLateRelays(t *Fault, at time.Duration, r *rand.Rand) {
 	back := make([]time.Duration, t.Count)
 	for i := range back {
@@ -356,7 +360,8 @@
 	})
 }
 
-// restart is a planned restart of a proxy: SIGTERM, SIGKILL if it is still there when its time is up, and a new start.
+// restartProxy performs a planned restart: SIGTERM, then SIGKILL if the process still runs at the
+// end of its drain time, then a new start.
 func (s *stage) restartProxy(p *proxyNode, at, away, late time.Duration) {
 	s.after(at, func() {
 		if !p.running() {
@@ -387,7 +392,7 @@
 	})
 }
 
-// kill9 ends a proxy's process outright.
+// killProcess ends a proxy's process without a drain.
 func (s *stage) killProcess(p *proxyNode) {
 	if p.inst != nil {
 		s.endedCounters.Add(&p.inst.Count)
@@ -419,7 +424,7 @@
 	}
 }
 
-// badClients has clients come that break the protocol.
+// startBadClients runs clients that violate the protocol.
 func (s *stage) startBadClients(t *Fault, at, span time.Duration, rate float64) {
 	s.badClientSources++
 	name := fmt.Sprintf("rude-%d", s.badClientSources)
@@ -446,5 +451,5 @@
 	host machine
 }
 
-// at2 is the address of a source of bad clients.
+// badClientAddr returns the address of the n-th machine of clients that violate the protocol.
 func badClientAddr(n int) netip.Addr { return machineAddr(0, addrBadClients, n) }
--- a/internal/lab/wires.go
+++ b/internal/lab/wires.go
@@ -10,14 +10,14 @@
 )
 
 // LinkStats counts what the lossy links between real processes did to datagrams.
-type Wires struct {
-	Datagrams int `json:"datagrams"` // received from a process for another one
-	Dropped   int `json:"dropped"`
-	Late      int `json:"late"`     // forwarded after a delay of up to 3 s
-	Repeated  int `json:"repeated"` // forwarded at once and again after up to 3 s
-	Deaf      int `json:"deaf"`     // times that a process received nothing for a while
-	Mute      int `json:"mute"`     // times that nothing that a process sent arrived for a while
-	CutAway   int `json:"cut_away"` // datagrams dropped by these cuts
+type LinkStats struct {
+	Datagrams    int `json:"datagrams"` // received from a process for another one
+	Dropped      int `json:"dropped"`
+	Delayed      int `json:"late"`     // forwarded after a delay of up to 3 s
+	Duplicated   int `json:"repeated"` // forwarded at once and again after up to 3 s
+	InboundCuts  int `json:"deaf"`     // times that a process received nothing for a while
+	OutboundCuts int `json:"mute"`     // times that nothing that a process sent arrived for a while
+	DroppedByCut int `json:"cut_away"` // datagrams dropped by these cuts
 }
 
 // lossyLinks forwards datagrams between real processes through sockets of this process. It drops,
@@ -29,7 +29,7 @@
 	byProcess map[netip.AddrPort]*lossyLink // by the process's own address
 	links     []*lossyLink                  // in the order of opening, so that draws are reproducible
 	closed    bool
-	Wires
+	LinkStats
 }
 
 type lossyLink struct {
@@ -74,11 +74,11 @@
 	x := w.links[w.rng.IntN(len(w.links))]
 	span := time.Duration(500+w.rng.IntN(3500)) * time.Millisecond
 	if w.rng.IntN(2) == 0 {
-		w.Deaf++
+		w.InboundCuts++
 		x.dropInbound = true
 		w.after(span, func() { x.dropInbound = false })
 	} else {
-		w.Mute++
+		w.OutboundCuts++
 		x.dropOutbound = true
 		w.after(span, func() { x.dropOutbound = false })
 	}
@@ -111,7 +111,7 @@
 func (w *lossyLinks) forward(from, to *lossyLink, data []byte) {
 	w.Datagrams++
 	if from.dropOutbound || to.dropInbound {
-		w.CutAway++
+		w.DroppedByCut++
 		return
 	}
 	deliver := func() {
@@ -124,11 +124,11 @@
 		w.Dropped++
 		return
 	case d < 0.04:
-		w.Late++
+		w.Delayed++
 		w.after(time.Duration(w.rng.IntN(3000))*time.Millisecond, deliver)
 		return
 	case d < 0.06:
-		w.Repeated++
+		w.Duplicated++
 		w.after(time.Duration(w.rng.IntN(3000))*time.Millisecond, deliver)
 	}
 	deliver()
