--- a/cmd/ospreylab/site.go
+++ b/cmd/ospreylab/site.go
@@ -13,9 +13,9 @@
 	var of, out string
 	c := &cobra.Command{
 		Use:   "site DIFFERENCE",
-		Short: "Make another customer's site file for the bench, out of one of its own",
+		Short: "Make a site file of another customer for the bench from one of the bench's own",
 		Long: "Applies a difference file, such as those in deploy/sites, to a site file of the bench, and writes the result and what the\n" +
-			"bench wants beside it (real.json, wire.json, unlock.txt) into a folder that git ignores. Prints the new file's path.",
+			"bench needs with it (real.json, wire.json, unlock.txt) into a directory that git ignores. Prints the new file's path.",
 		Example: "  ospreylab site deploy/sites/pushed.toml --of SITE.toml",
 		Args:    fileArgs(1, 1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -33,7 +33,7 @@
 			return err
 		},
 	}
-	c.Flags().StringVar(&of, "of", "", "the site file to which the differences apply")
-	c.Flags().StringVar(&out, "out", "sites", "where to write")
+	c.Flags().StringVar(&of, "of", "", "site file to which the differences are applied")
+	c.Flags().StringVar(&out, "out", "sites", "directory for the new files")
 	return c
 }
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -39,32 +39,32 @@
 // Result holds the results of a day. It contains no real time: the same scenario and seed give the
 // same Result.
 type Result struct {
-	Scenario string         `json:"scenario"`
-	About    string         `json:"about,omitempty"`
-	Seed     uint64         `json:"seed"`
-	Length   float64        `json:"length_s"`
-	WarmUp   float64        `json:"warm_up_s"`
-	Proxies  int            `json:"proxies"`
-	Relays   int            `json:"relays"`
-	Goal     float64        `json:"goal"`       // service weighted as the operators count it
-	Service  float64        `json:"service"`    // over all classes, from 0 to 1
-	Worst    float64        `json:"worst"`      // service in the worst 10 s
-	WorstAt  int            `json:"worst_at_s"` // second of the counted time at which the worst 10 s begin
-	Classes  []ClassResult  `json:"classes"`
-	Clients  fleet.Tally    `json:"clients"`
-	Most     int            `json:"most_open"`        // most clients that wanted a connection at a time
-	Counters stats.Counters `json:"counters"`         // sums over all proxies
-	Shared   *SharedStats   `json:"shared,omitempty"` // nil without keepers
-	Links    *LinkStats     `json:"wires,omitempty"`  // nil unless links lose datagrams on real sockets
-	Requests int            `json:"requests_judged"`
-	Attempts int            `json:"attempts_judged"`
-	Falls    int            `json:"cold_falls,omitempty"` // times that cold relays received too much from all proxies together, where the cold budget is judged
+	Scenario      string         `json:"scenario"`
+	About         string         `json:"about,omitempty"`
+	Seed          uint64         `json:"seed"`
+	Length        float64        `json:"length_s"`
+	WarmUp        float64        `json:"warm_up_s"`
+	Proxies       int            `json:"proxies"`
+	Relays        int            `json:"relays"`
+	Goal          float64        `json:"goal"`       // service weighted as the operators count it
+	Service       float64        `json:"service"`    // over all classes, from 0 to 1
+	Worst         float64        `json:"worst"`      // service in the worst 10 s
+	WorstAt       int            `json:"worst_at_s"` // second of the counted time at which the worst 10 s begin
+	Classes       []ClassResult  `json:"classes"`
+	Clients       fleet.Tally    `json:"clients"`
+	PeakOpen      int            `json:"most_open"`        // most clients that wanted a connection at a time
+	Counters      stats.Counters `json:"counters"`         // sums over all proxies
+	Shared        *SharedStats   `json:"shared,omitempty"` // nil without keepers
+	Links         *LinkStats     `json:"wires,omitempty"`  // nil unless links lose datagrams on real sockets
+	Requests      int            `json:"requests_judged"`
+	Attempts      int            `json:"attempts_judged"`
+	ColdOverloads int            `json:"cold_falls,omitempty"` // times that cold relays received too much from all proxies together, where the cold budget is judged
 	// ColdAllowed is the number of requests of mean work that the settings allowed listed cold
 	// relays while clients were refused. ColdUsed is how many these relays received.
-	ColdRoom float64 `json:"cold_room,omitempty"`
-	ColdUsed float64 `json:"cold_used,omitempty"`
-	Events   uint64  `json:"events"`
-	Trace    string  `json:"trace"` // hash over all events
+	ColdAllowed float64 `json:"cold_room,omitempty"`
+	ColdUsed    float64 `json:"cold_used,omitempty"`
+	Events      uint64  `json:"events"`
+	Trace       string  `json:"trace"` // hash over all events
 
 	series series
 }
@@ -117,7 +117,7 @@
 	if s.world != nil {
 		r.Requests, r.Attempts = s.judge.Requests, s.judge.Attempts
 		if s.judge.coldBudget != nil {
-			r.Falls, r.ColdRoom, r.ColdUsed = s.judge.coldBudget.Falls, round(s.judge.coldBudget.AllowedRequests), round(s.judge.coldBudget.SentRequests)
+			r.ColdOverloads, r.ColdAllowed, r.ColdUsed = s.judge.coldBudget.Falls, round(s.judge.coldBudget.AllowedRequests), round(s.judge.coldBudget.SentRequests)
 		}
 		r.Events, r.Trace = s.world.Events(), fmt.Sprintf("%016x", s.world.TraceSum())
 	}
@@ -147,7 +147,7 @@
 		r.series.service = append(r.series.service, curve)
 	}
 	for _, n := range s.samples.openClients {
-		r.Most = max(r.Most, n)
+		r.PeakOpen = max(r.PeakOpen, n)
 	}
 	r.series.load, r.series.connections, r.series.openClients = s.samples.load, s.samples.connections, s.samples.openClients
 	r.series.moves, r.series.warmUpSeconds = l.Moves, int(s.scenario.Run.WarmUp/time.Second)
