--- a/cmd/ospreylab/growth.go
+++ b/cmd/ospreylab/growth.go
@@ -32,7 +32,7 @@
 			if err != nil {
 				return err
 			}
-			list, err := lab.Grow(s, sizes, seed, lab.Options{})
+			list, err := lab.MeasureGrowth(s, sizes, seed, lab.Options{})
 			if err != nil {
 				return err
 			}
--- a/internal/lab/fleet_test.go
+++ b/internal/lab/fleet_test.go
@@ -95,7 +95,7 @@
 	if span(small) != span(s) || s.Faults[0].Count != 36 {
 		t.Errorf("the release takes %v, before %v", span(small), span(s))
 	}
-	list, err := Grow(mustParse(t, "[run]\nlength = 3s\nwarm_up = 3s\n[relays]\ncount = 4\n"), []int{3, 6}, 1, Options{})
+	list, err := MeasureGrowth(mustParse(t, "[run]\nlength = 3s\nwarm_up = 3s\n[relays]\ncount = 4\n"), []int{3, 6}, 1, Options{})
 	if err != nil || len(list) != 2 || list[1].Relays != 8 || list[0].Probes <= 0 {
 		t.Errorf("%+v, %v", list, err)
 	}
--- a/internal/lab/growth.go
+++ b/internal/lab/growth.go
@@ -48,7 +48,7 @@
 // MeasureGrowth plays a scenario at each number of proxies in sizes, with the same seed. An error
 // is a broken rule or a scenario that cannot be played; the measurements before it are returned
 // with it.
-func Grow(s *Scenario, sizes []int, seed uint64, o Options) ([]Growth, error) {
+func MeasureGrowth(s *Scenario, sizes []int, seed uint64, o Options) ([]Growth, error) {
 	var list []Growth
 	for _, n := range sizes {
 		r, err := Play(s.Scale(n), seed, o)
