--- a/internal/lab/all_cold_test.go
+++ b/internal/lab/all_cold_test.go
@@ -40,7 +40,7 @@
 // send. Trials with a bound are described in docs/incidents/burst-at-cold-servers.md, All servers
 // cold.
 func TestAllServersColdKeepsTheBudget(t *testing.T) {
-	slow(t)
+	skipIfSlow(t)
 	for _, proxies := range []int{3, 24, 60} {
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprintf("%d/%d", proxies, seed), func(t *testing.T) {
--- a/internal/lab/capacity/modules/modules.go
+++ b/internal/lab/capacity/modules/modules.go
@@ -248,7 +248,7 @@
 
 // decisions measures a request's way through the decision module, at so many servers.
 func (r *run) decisions(servers int) error {
-	decider, err := lab.NewDecider(servers)
+	decider, err := lab.NewDecisionHarness(servers)
 	if err != nil {
 		return err
 	}
@@ -259,7 +259,7 @@
 	if err != nil {
 		return err
 	}
-	if decider.Standing() == 0 {
+	if decider.OpenConnections() == 0 {
 		return errNoDecision
 	}
 	r.add(proxyRole, "processor", microseconds+perRequest, serversDriver, servers, c.processor)
--- a/internal/lab/decisions.go
+++ b/internal/lab/decisions.go
@@ -30,7 +30,7 @@
 
 // NewDecisionHarness returns a harness with the given number of relays, in three zones, and as many
 // open connections as relays, at least 30.
-func NewDecider(relays int) (*DecisionHarness, error) {
+func NewDecisionHarness(relays int) (*DecisionHarness, error) {
 	d := &DecisionHarness{now: time.Unix(1e9, 0), maxOpen: max(relays, 30)}
 	balancer, err := balance.New(balance.Config{
 		Relays: 3, Zone: "a", GroupAffinity: true, MaxAttempts: 5, MaxRetryAfter: 2 * time.Second, MayProbe: true, MayCancel: true,
@@ -84,7 +84,7 @@
 
 // OpenConnections returns the number of open connections. A caller checks it because a balancer
 // that places no requests would measure as cheap.
-func (d *DecisionHarness) Standing() int { return len(d.open) }
+func (d *DecisionHarness) OpenConnections() int { return len(d.open) }
 
 // The methods below implement balance.Host.
 
@@ -109,7 +109,7 @@
 func MeasureDecisions(sizes []int, span time.Duration) ([]DecisionCost, error) {
 	var list []DecisionCost
 	for _, n := range sizes {
-		d, err := NewDecider(n)
+		d, err := NewDecisionHarness(n)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/decisions_test.go
+++ b/internal/lab/decisions_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// BenchmarkDecision is what a request costs the module, by the number of relays.
+// BenchmarkDecision measures the cost of a request in the balancer by the number of relays.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			d, err := NewDecider(n)
+			d, err := NewDecisionHarness(n)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -17,24 +17,25 @@
 			for b.Loop() {
 				d.Request()
 			}
-			if d.Standing() < min(n, 30)/2 {
-				b.Fatalf("%d connections stand: it places none", d.Standing())
+			if d.OpenConnections() < min(n, 30)/2 {
+				b.Fatalf("%d connections are open: the balancer places no requests", d.OpenConnections())
 			}
 		})
 	}
 }
 
-// What is measured is a module at work: connections stand, and the numbers of relays are those that were asked for.
-func TestDecisionsMeasureAModuleAtWork(t *testing.T) {
-	d, err := NewDecider(50)
+// The measured balancer must do real work: connections are open, and the measurements are for the
+// requested numbers of relays. A balancer that places no requests would measure as cheap.
+func TestMeasureDecisionsPlacesRequests(t *testing.T) {
+	d, err := NewDecisionHarness(50)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d.Standing() < 40 {
-		t.Errorf("%d of 50 connections stand", d.Standing())
+	if d.OpenConnections() < 40 {
+		t.Errorf("%d of 50 connections are open, want at least 40", d.OpenConnections())
 	}
 	list, err := MeasureDecisions([]int{10, 40}, 1e6)
 	if err != nil || len(list) != 2 || list[1].Relays != 40 || list[0].Cost <= 0 {
-		t.Errorf("%v, %v", list, err)
+		t.Errorf("costs at 10 and 40 relays: %v, %v", list, err)
 	}
 }
--- a/internal/lab/limits_test.go
+++ b/internal/lab/limits_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-const limited = `
+const limitScenario = `
 [run]
 length = 40s
 warm_up = 15s
@@ -33,27 +33,29 @@
 for = 4s..5s
 `
 
-// Relays count what stands: a strict limit of all proxies together holds, and a soft one within its bound, though most of the
-// proxies are killed at once and some are stopped; and both are used.
+// By the relays' count of connections, a strict limit of all proxies together holds, and a soft one
+// holds within its bound of 75, although most proxies are killed at once and some are stopped. Both
+// limits are also used to at least half.
 func TestLimitsOfAllHold(t *testing.T) {
-	slow(t)
+	skipIfSlow(t)
 	for kind, most := range map[string]int{"strict": 60, "soft": 75} {
-		text := limited
-		if kind == "strict" { // what a stopped process holds stands on until it runs again; see docs/shared.md
-			text = strings.Split(limited, "[trouble stall]")[0]
+		text := limitScenario
+		if kind == "strict" { // connections of a stopped process stay open until it runs again; see docs/shared.md
+			text = strings.Split(limitScenario, "[trouble stall]")[0]
 		}
 		r := play(t, mustParse(t, text).with(func(s *Scenario) { s.Proxies.LimitKind = kind }), 1)
 		used := r.Shared.ConnectionSeconds / r.Length
-		t.Logf("%s: most %d, %.1f in the mean, %d refused, %d yielded", kind, r.Shared.PeakConnections, used, r.Counters.Beyond, r.Counters.Yielded)
+		t.Logf("%s: at most %d connections, %.1f in the mean, %d refused, %d yielded", kind, r.Shared.PeakConnections, used, r.Counters.Beyond, r.Counters.Yielded)
 		if r.Shared.PeakConnections > most || r.Counters.Beyond < 50 {
-			t.Errorf("%s: %d stood at a time, %d were refused", kind, r.Shared.PeakConnections, r.Counters.Beyond)
+			t.Errorf("%s: %d connections were open at a time, %d were refused", kind, r.Shared.PeakConnections, r.Counters.Beyond)
 		}
 		if used < 30 {
-			t.Errorf("%s: %.1f of 60 stood in the mean", kind, used)
+			t.Errorf("%s: %.1f of 60 connections were open in the mean", kind, used)
 		}
 	}
-	// Halved while it is full: of a soft limit nobody who stands is touched, of a strict one what is beyond the slices is moved.
-	halved := strings.Split(limited, "[trouble kill]")[0] + "[trouble halve]\nkind = relimit\nat = 10s\nevery = 100ms\nsize = 30\n"
+	// The limit is halved while it is full. A soft limit leaves open connections alone; a strict one
+	// moves those beyond the remaining slices.
+	halved := strings.Split(limitScenario, "[trouble kill]")[0] + "[trouble halve]\nkind = relimit\nat = 10s\nevery = 100ms\nsize = 30\n"
 	for _, kind := range []string{"strict", "soft"} {
 		var ends []int
 		r := play(t, mustParse(t, halved).with(func(s *Scenario) { s.Proxies.LimitKind = kind }), 1)
@@ -63,44 +65,46 @@
 			t.Errorf("%s halved: %v at the end, %d yielded, %d cut", kind, ends, r.Counters.Yielded, r.Clients.Cut)
 		}
 	}
-	r := play(t, mustParse(t, limited).with(func(s *Scenario) { s.Proxies.Limit = 0 }), 1)
+	r := play(t, mustParse(t, limitScenario).with(func(s *Scenario) { s.Proxies.Limit = 0 }), 1)
 	if r.Counters.Beyond != 0 {
-		t.Error("refused without a limit")
+		t.Error("clients were refused although there is no limit")
 	}
 }
 
-// A limit of new connections in a time holds as well: over a day all proxies together let in about so many, and no more.
+// A limit of new connections per period holds too: over a day, all proxies together admit about as
+// many as allowed, at most 1.3 times and at least half.
 func TestLimitOfNewConnections(t *testing.T) {
-	slow(t)
+	skipIfSlow(t)
 	const most, within = 20, 10 * time.Second
-	text := strings.Split(limited, "[trouble kill]")[0]
+	text := strings.Split(limitScenario, "[trouble kill]")[0]
 	r := play(t, mustParse(t, text).with(func(s *Scenario) {
 		s.Proxies.Limit, s.Proxies.LimitWithin = most, within
 	}), 1)
 	up := float64(r.Counters.Up)
 	allowed := most * (r.Length + r.WarmUp) / within.Seconds()
-	t.Logf("%.0f let in, %.0f allowed, %d refused", up, allowed, r.Counters.Beyond)
+	t.Logf("%.0f admitted, %.0f allowed, %d refused", up, allowed, r.Counters.Beyond)
 	if up > 1.3*allowed || up < 0.5*allowed || r.Counters.Beyond < 100 {
-		t.Errorf("%.0f let in, %.0f allowed, %d refused", up, allowed, r.Counters.Beyond)
+		t.Errorf("%.0f admitted, %.0f allowed, %d refused", up, allowed, r.Counters.Beyond)
 	}
 }
 
-// A planned stop keeps the slices under which its clients stand until these have moved, as evenly as without a limit, and claims none
-// anew: nobody is moved for slices that were given back.
+// A planned stop keeps the slices of its open connections until these have moved, as evenly as
+// without a limit, and claims no new ones. No client is moved because a slice was released early.
 func TestPlannedStopKeepsItsSlices(t *testing.T) {
-	slow(t)
-	text := strings.Split(limited, "[trouble kill]")[0] + "[trouble restart]\nkind = proxy-restart\nat = 10s\ncount = 6\nevery = 2s\naway = 1s\n"
+	skipIfSlow(t)
+	text := strings.Split(limitScenario, "[trouble kill]")[0] + "[trouble restart]\nkind = proxy-restart\nat = 10s\ncount = 6\nevery = 2s\naway = 1s\n"
 	r := play(t, mustParse(t, text).with(func(s *Scenario) { s.Proxies.LimitKind = "strict" }), 1)
-	t.Logf("most %d, %d moved, %d yielded, %d cut", r.Shared.PeakConnections, r.Counters.Moves, r.Counters.Yielded, r.Clients.Cut)
+	t.Logf("at most %d connections, %d moved, %d yielded, %d cut", r.Shared.PeakConnections, r.Counters.Moves, r.Counters.Yielded, r.Clients.Cut)
 	if r.Counters.Yielded > 0 || r.Clients.Moved < 10 || r.Clients.Cut > 0 || r.Shared.PeakConnections > 60 {
-		t.Errorf("most %d, %d moved, %d yielded, %d cut", r.Shared.PeakConnections, r.Clients.Moved, r.Counters.Yielded, r.Clients.Cut)
+		t.Errorf("at most %d connections, %d moved, %d yielded, %d cut", r.Shared.PeakConnections, r.Clients.Moved, r.Counters.Yielded, r.Clients.Cut)
 	}
 }
 
-// slow skips a test of whole days under the race detector, which takes five times as long: .ci/run plays them without it.
-func slow(t *testing.T) {
+// skipIfSlow skips a test of whole days in short mode and under the race detector, which makes it
+// five times slower. .ci/run runs these tests without the race detector.
+func skipIfSlow(t *testing.T) {
 	t.Helper()
-	if raceOn || testing.Short() {
-		t.Skip("too slow here")
+	if raceEnabled || testing.Short() {
+		t.Skip("too slow in short mode or with the race detector")
 	}
 }
--- a/internal/lab/planted_test.go
+++ b/internal/lab/planted_test.go
@@ -12,19 +12,19 @@
 	"testing"
 )
 
-// plantedFault is a fault that a maintainer could make: a change of the proxy's source, put in the place of the real file while
-// ospreylab is built. What is built otherwise carries nothing of it.
+// plantedFault is a mistake that a maintainer could make: a change of the source of the proxy.
+// ospreylab is built with the changed file as an overlay; no other build contains it.
 type plantedFault struct {
 	name, file string
-	from, to   string   // what is replaced, once in the file, and by what
-	function   string   // in place of from: the signature of a function, in the file's package, whose whole body is replaced by to
-	days       string   // what is made up to find it, as in fuzz --days; empty: any
+	from, to   string   // text that occurs once in the file, and its replacement
+	function   string   // instead of from: signature of a function in the file's package whose whole body is replaced by to
+	days       string   // generator of the scenarios, as in fuzz --days; empty: any
 	set        []string // section.key=value pairs, as in fuzz --set
-	rules      []string // one of them must be found broken
-	first      int      // seed with which to begin, a little before the one that finds it; 0: 1
+	rules      []string // one of them must be reported as broken
+	first      int      // first seed, a little below the one that finds the fault; 0: 1
 }
 
-var planted = []plantedFault{
+var plantedFaults = []plantedFault{
 	{
 		name: "a hop that timed out stays open beside the next one", file: "internal/proxy/hop.go",
 		from:  "			h.endWith(balance.TimedOut, noReport)\n",
@@ -68,7 +68,8 @@
 		rules: []string{"effect-twice", "repeat-invited"},
 	},
 	{
-		// Windows end while connections come up: on other days hardly a request is sent twice, since lists are current.
+		// With these settings, windows end while connections are being established. Otherwise hardly a
+		// request is sent twice, because lists are current.
 		name: "the window is looked at when a hop begins, and not when it is written", file: "internal/proxy/effect.go",
 		from: " || !x.mayHop(now, x.target) ||",
 		to:   " ||",
@@ -106,16 +107,16 @@
 	},
 }
 
-// Each planted fault is found by fuzzing within 200 seeds, and the scenario that finds it is made smaller.
+// Fuzzing finds each planted fault within 200 seeds and reduces the scenario that finds it.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it builds ospreylab anew for each fault")
+		t.Skip("builds ospreylab for each fault")
 	}
 	root, err := filepath.Abs("../..")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range planted {
+	for _, p := range plantedFaults {
 		t.Run(p.name, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
@@ -163,11 +164,11 @@
 				found = found || strings.Contains(out.String(), " breaks "+rule+",")
 			}
 			if !found {
-				t.Errorf("found something else than %v:\n%s", p.rules, out.String())
+				t.Errorf("the broken rule is none of %v:\n%s", p.rules, out.String())
 			}
 			small, _ := filepath.Glob(filepath.Join(dir, "fuzz-*-small.ini"))
 			if len(small) != 1 {
-				t.Errorf("%d small scenarios were kept", len(small))
+				t.Errorf("%d reduced scenarios were written, want 1", len(small))
 			}
 			first, _, _ := strings.Cut(out.String(), "\n")
 			t.Log(first)
@@ -175,7 +176,8 @@
 	}
 }
 
-// path is the file that the fault goes into. A function is looked for in the whole package: it may have moved.
+// path returns the file to change. A function is searched in the whole package, because it may have
+// moved to another file.
 func (p *plantedFault) path(t *testing.T, root string) string {
 	t.Helper()
 	path := filepath.Join(root, p.file)
@@ -195,7 +197,7 @@
 			return f
 		}
 	}
-	t.Fatalf("no %s beside %s: the fault is to be planted anew", p.function, p.file)
+	t.Fatalf("no function %s in the package of %s: update the planted fault", p.function, p.file)
 	return ""
 }
 
@@ -209,7 +211,7 @@
 		from, to = p.function+" {\n"+body+"\n}\n", p.function+" {\n"+p.to+"}\n"
 	}
 	if n := strings.Count(source, from); n != 1 {
-		t.Fatalf("%s has the place %d times: the fault is to be planted anew", p.file, n)
+		t.Fatalf("%s contains the text to replace %d times, want 1: update the planted fault", p.file, n)
 	}
 	return strings.Replace(source, from, to, 1)
 }
--- a/internal/lab/proxies.go
+++ b/internal/lab/proxies.go
@@ -53,7 +53,7 @@
 		Seed: p.seedSource.Uint64(), MaxDescriptors: s.scenario.Proxies.MaxDescriptors, KnownList: s.knownList(), Settings: set, Tuning: s.scenario.Tuning(),
 		Log: log.New(proxyLogWriter{s, p.name}, "", 0),
 	}
-	if c.Fleet, err = s.shares(p); err != nil {
+	if c.Fleet, err = s.fleetConfig(p); err != nil {
 		return err
 	}
 	return p.host.Start(func(k poll.Kernel) (func() error, error) {
@@ -80,7 +80,7 @@
 			s.judge.reportAuditError(p.name, err)
 		}
 		s.endedCounters.Add(&inst.Count)
-		s.meshEnded(inst)
+		s.addMeshStats(inst)
 		p.inst = nil
 		return vnet.ErrExit
 	}
--- a/internal/lab/race_on_test.go
+++ b/internal/lab/race_on_test.go
@@ -2,4 +2,5 @@
 
 package lab
 
-const raceOn = true
+// raceEnabled reports whether the race detector is on.
+const raceEnabled = true
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -19,7 +19,7 @@
 
 // fleetConfig returns the configuration of a proxy that cooperates with the others, or nil if the
 // scenario has no keepers or runs on real sockets.
-func (s *stage) shares(p *proxyNode) (*instance.FleetConfig, error) {
+func (s *stage) fleetConfig(p *proxyNode) (*instance.FleetConfig, error) {
 	n := s.scenario.Proxies.Keepers
 	if n == 0 || s.real != nil {
 		return nil, nil
@@ -191,4 +191,4 @@
 	}
 }
 
-func (s *stage) meshEnded(i *instance.Instance) { s.shared.add(i.Node()) }
+func (s *stage) addMeshStats(i *instance.Instance) { s.shared.add(i.Node()) }
--- a/internal/lab/shares_test.go
+++ b/internal/lab/shares_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const shared = `
+const sharedScenario = `
 [run]
 length = 20s
 warm_up = 10s
@@ -30,22 +30,23 @@
 away = 500ms
 `
 
-// One proxy asks discovery for all; drains reach every one of them in time, and nothing breaks a rule.
-func TestOneProxyAsksForAll(t *testing.T) {
-	r := play(t, mustParse(t, shared), 1)
+// One proxy calls discovery for all: there are at most 1.5 calls per second and none fails, each
+// proxy receives the draining states in time, and no rule is broken.
+func TestOneProxyCallsDiscoveryForAll(t *testing.T) {
+	r := play(t, mustParse(t, sharedScenario), 1)
 	c := &r.Counters
 	if perS := float64(c.Watches) / 30; perS > 1.5 || c.WatchesFailed > 0 {
 		t.Errorf("%d calls to discovery in 30 s, %d failed", c.Watches, c.WatchesFailed)
 	}
 	if c.ListsHeard < 24*8 || r.Shared.Announcements == 0 {
-		t.Errorf("%d lists heard", c.ListsHeard)
+		t.Errorf("%d lists received from the owner", c.ListsHeard)
 	}
 }
 
-// Most proxies, and with them owner and keepers, are killed at once and come back: until there is an owner again each
-// asks for itself, and no rule is broken.
-func TestOwnersAreKilledWithTheRest(t *testing.T) {
-	r := play(t, mustParse(t, shared+`
+// Most proxies, and with them the owner and keepers, are killed at once and restarted. Until a duty
+// has an owner again, each proxy calls discovery itself, and no rule is broken.
+func TestMassKillOfOwnersAndKeepers(t *testing.T) {
+	r := play(t, mustParse(t, sharedScenario+`
 [trouble kill]
 kind = proxy-kill
 at = 7s
@@ -64,9 +65,9 @@
 	}
 }
 
-// While discovery is down, duties change hands and nobody vouches for a list that is old.
-func TestDutyChangesHandsWhileDiscoveryFails(t *testing.T) {
-	r := play(t, mustParse(t, shared+`
+// Duties change owners while discovery is down, and no proxy passes an old list for a current one.
+func TestDutyChangesOwnerWhileDiscoveryFails(t *testing.T) {
+	r := play(t, mustParse(t, sharedScenario+`
 [trouble down]
 kind = discovery-down
 at = 6s
@@ -79,14 +80,15 @@
 away = 1s
 `), 3)
 	if r.Counters.WatchesFailed < 10 {
-		t.Errorf("%d calls failed: the outage did not bite", r.Counters.WatchesFailed)
+		t.Errorf("%d calls to discovery failed during the outage, want at least 10", r.Counters.WatchesFailed)
 	}
 }
 
-// Proxies ask the owners of probes, and find most reports there; a mass kill leaves everybody with probes of his own.
+// Proxies ask the owners of probes and get at least 80 % of the reports from them in time. After a
+// mass kill, proxies fall back to probes of their own.
 func TestOwnersProbeForAll(t *testing.T) {
-	alone := play(t, mustParse(t, shared), 1)
-	r := play(t, mustParse(t, shared+`
+	withoutOwners := play(t, mustParse(t, sharedScenario), 1)
+	r := play(t, mustParse(t, sharedScenario+`
 [trouble kill]
 kind = proxy-kill
 at = 12s
@@ -96,17 +98,18 @@
 `).with(func(s *Scenario) { s.Proxies.Duties = []string{"discovery", "probes"} }), 1)
 	c := &r.Counters
 	if c.ProbesAsked == 0 || c.ProbesShared < c.ProbesAsked*8/10 {
-		t.Errorf("%d reports in time to %d questions", c.ProbesShared, c.ProbesAsked)
+		t.Errorf("%d reports received in time for %d probes asked of owners", c.ProbesShared, c.ProbesAsked)
 	}
-	with, without := float64(c.Probes)/float64(c.Exchanges), float64(alone.Counters.Probes)/float64(alone.Counters.Exchanges)
+	with, without := float64(c.Probes)/float64(c.Exchanges), float64(withoutOwners.Counters.Probes)/float64(withoutOwners.Counters.Exchanges)
 	if with > without*0.9 {
 		t.Errorf("%.2f probes a request with owners, %.2f without", with, without)
 	}
 }
 
-// Moves off draining targets wait for their owner's time, and nobody is cut off for that.
+// Moves off draining targets wait for the time that their owner sets, and no additional client is
+// cut off because of that.
 func TestOwnerPacesMoves(t *testing.T) {
-	text := strings.Replace(shared, "for = 4s..5s", "for = 8s..9s", 1)
+	text := strings.Replace(sharedScenario, "for = 4s..5s", "for = 8s..9s", 1)
 	cut := func(duties ...string) (paced, moved, cut int) {
 		r := play(t, mustParse(t, text).with(func(s *Scenario) { s.Proxies.Duties, s.Proxies.MovesPerSecond = duties, 4 }), 1)
 		return r.Counters.MovesPaced, r.Counters.MovesDrain, r.Clients.Cut
--- a/internal/lab/throng_test.go
+++ b/internal/lab/throng_test.go
@@ -14,7 +14,7 @@
 // above steady use of its budget takes no new clients now (filledEarly in package balance); 0 of
 // 480 runs failed with that.
 func TestThrongKeepsTheRules(t *testing.T) {
-	slow(t)
+	skipIfSlow(t)
 	file, err := Read("../../lab/throng.ini")
 	if err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 // proxy has not heard of. These servers answer probes with an error while they drain, as those of
 // the platform do; for servers that do not, see TestDrainWhileDiscoveryRefusesCalls of the program.
 func TestThrongOfManyProxies(t *testing.T) {
-	slow(t)
+	skipIfSlow(t)
 	days := FuzzConfig{Generate: RandomThrong}
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/lab/unheard_drain_test.go
+++ b/internal/lab/unheard_drain_test.go
@@ -18,7 +18,7 @@
 // Now only a request that a server accepted is such a proof, from the time it was written; see
 // proxy/proofs.go. The balancer places new requests among such servers.
 func TestThrongWhereDrainingServersAnswerProbes(t *testing.T) {
-	slow(t)
+	skipIfSlow(t)
 	days := FuzzConfig{Generate: RandomThrong}
 	// Three hundred processes need a minute to open their watches at five calls a second, and a
 	// process without one may send to proven servers only. The operators' bound of one third
--- a/internal/lab/verdicts_test.go
+++ b/internal/lab/verdicts_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const badRelays = `
+const failingRelaysScenario = `
 [run]
 length = 24s
 warm_up = 10s
@@ -29,29 +29,31 @@
 size = 1..1
 `
 
-// A relay that fails all its requests is found by two proxies, and the others need not: far fewer requests are answered with
-// its errors, and no sound relay is condemned.
+// A relay that fails all its requests is detected by two proxies, and the others accept their
+// verdict without failures of their own: at most half as many requests are answered with its
+// errors, and no healthy relay is condemned.
 func TestVerdictsSpareRequests(t *testing.T) {
-	slow(t)
-	alone, with, wrong, told := 0, 0, 0, 0
+	skipIfSlow(t)
+	failedWithout, failedWith, falseVerdicts, verdicts := 0, 0, 0, 0
 	for seed := range uint64(3) {
-		alone += play(t, mustParse(t, badRelays), seed+1).Clients.Failing
-		r := play(t, mustParse(t, badRelays).with(func(s *Scenario) { s.Proxies.Verdicts = true }), seed+1)
-		with += r.Clients.Failing
-		wrong += r.Shared.FalseVerdicts
-		told += r.Counters.Condemned
+		failedWithout += play(t, mustParse(t, failingRelaysScenario), seed+1).Clients.Failing
+		r := play(t, mustParse(t, failingRelaysScenario).with(func(s *Scenario) { s.Proxies.Verdicts = true }), seed+1)
+		failedWith += r.Clients.Failing
+		falseVerdicts += r.Shared.FalseVerdicts
+		verdicts += r.Counters.Condemned
 	}
-	if alone < 20 || with > alone/2 {
-		t.Errorf("%d requests failed at bad relays with verdicts, %d without", with, alone)
+	if failedWithout < 20 || failedWith > failedWithout/2 {
+		t.Errorf("%d requests failed at faulty relays with verdicts, %d without", failedWith, failedWithout)
 	}
-	if wrong != 0 || told < 2*24 {
-		t.Errorf("%d verdicts, %d of them without a cause", told, wrong)
+	if falseVerdicts != 0 || verdicts < 2*24 {
+		t.Errorf("%d verdicts, %d of them false", verdicts, falseVerdicts)
 	}
 }
 
-// A proxy that can reach nobody, and one that a zone's cut makes blind, make nobody else shun sound relays.
-func TestPoisonedProxiesCondemnNobody(t *testing.T) {
-	text := strings.Split(badRelays, "[trouble")[0] + `
+// Proxies that cannot open connections because their ports are exhausted must not make others avoid
+// healthy relays.
+func TestIsolatedProxiesCondemnNoHealthyRelay(t *testing.T) {
+	text := strings.Split(failingRelaysScenario, "[trouble")[0] + `
 [trouble blind]
 kind = ports
 at = 4s
@@ -60,6 +62,6 @@
 `
 	r := play(t, mustParse(t, text).with(func(s *Scenario) { s.Proxies.Verdicts = true }), 1)
 	if r.Shared.FalseVerdicts != 0 {
-		t.Errorf("%d verdicts without a cause", r.Shared.FalseVerdicts)
+		t.Errorf("%d false verdicts", r.Shared.FalseVerdicts)
 	}
 }
