--- a/cmd/ospreylab/fuzz.go
+++ b/cmd/ospreylab/fuzz.go
@@ -37,7 +37,7 @@
 			}
 			until := time.Now().Add(time.Duration(minutes * float64(time.Minute)))
 			showProgress := isTerminal(a.errs)
-			found, played, err := lab.Fuzz(lab.FuzzConfig{Generate: generate, Set: set}, first, seeds, until, func(seed uint64) {
+			found, played, err := lab.Fuzz(lab.FuzzConfig{Generate: generate, Overrides: set}, first, seeds, until, func(seed uint64) {
 				if showProgress {
 					fmt.Fprintf(a.errs, "\rseed %d ", seed)
 				}
--- a/internal/lab/attempts.go
+++ b/internal/lab/attempts.go
@@ -9,11 +9,11 @@
 )
 
 // onAttempt handles the complete first line that a proxy sends to a relay.
-func (j *judge) onAttempt(c *vnet.Conn, w *tappedConn) {
-	o, err := line.ParseOpen(line.TrimLineEnd(w.firstLine))
-	asks := bytes.HasPrefix(w.firstLine, openPrefix)
-	w.firstLine = nil
-	if !asks {
+func (j *judge) onAttempt(c *vnet.Conn, attempt *tappedConn) {
+	o, err := line.ParseOpen(line.TrimLineEnd(attempt.firstLine))
+	isOpen := bytes.HasPrefix(attempt.firstLine, openPrefix)
+	attempt.firstLine = nil
+	if !isOpen {
 		return // a probe
 	}
 	proxy, id := c.Dialler, j.relayID[c.Listener]
@@ -37,34 +37,34 @@
 		j.reportViolation("one-final-answer", "%s sends %s a request %s that no client has made", proxy.Name(), id, o.ID)
 		return
 	}
-	w.request, w.relay, w.sentAt = r, id, now
+	attempt.request, attempt.relay, attempt.sentAt = r, id, now
 	if late := now.Sub(r.clientLeftAt); !r.clientLeftAt.IsZero() && late > departedClientGrace {
 		j.reportViolation("sent-after-leaving", "%s sends request %s to %s %v after its client left", proxy.Name(), o.ID, id, late)
 	}
-	if ran := r.firstPossibleRun(); ran != nil && !j.mayRepeat(r, ran, now, id) {
+	if earlier := r.firstPossibleRun(); earlier != nil && !j.mayRepeat(r, earlier, now, id) {
 		j.reportViolation("effect-twice", "%s sends request %s of class %s to %s, which may have run at %s %v before", proxy.Name(), o.ID, r.class.Name,
-			id, ran.relay, now.Sub(ran.sentAt))
+			id, earlier.relay, now.Sub(earlier.sentAt))
 	}
-	r.attempts = append(r.attempts, w)
+	r.attempts = append(r.attempts, attempt)
 	if r.current != nil {
 		j.reportViolation("two-attempts", "%s sends request %s to %s while another attempt is out", proxy.Name(), o.ID, id)
 	}
 	if r.answered && !r.clientEnded {
 		j.reportViolation("one-final-answer", "%s sends request %s to %s after its answer", proxy.Name(), o.ID, id)
 	}
-	r.current, r.lastAttempt = w, w
+	r.current, r.lastAttempt = attempt, attempt
 }
 
 // checkAskAgain checks that a proxy whose discovery call failed calls again before the changes it
 // has missed are deemed known. Proxies that share discovery's answers are exempt, since another one
 // may call in their place.
 func (j *judge) checkAskAgain(proxy *vnet.Host) {
-	most := j.rules.AskAgain
-	if most <= 0 || j.ledger.Shared || j.world.Now().Before(j.excusedUntil[proxy]) {
+	limit := j.rules.AskAgain
+	if limit <= 0 || j.ledger.Shared || j.world.Now().Before(j.excusedUntil[proxy]) {
 		return
 	}
-	if rest := j.changeClock.idleAfterFailure(proxy.Addr()); rest > most+clockSlack+j.maxClockLag[proxy] {
-		j.reportViolation("ask-again", "%s has not called discovery again for %v after a failed call", proxy.Name(), rest)
+	if idle := j.changeClock.idleAfterFailure(proxy.Addr()); idle > limit+clockSlack+j.maxClockLag[proxy] {
+		j.reportViolation("ask-again", "%s has not called discovery again for %v after a failed call", proxy.Name(), idle)
 	}
 }
 
--- a/internal/lab/coldbudget.go
+++ b/internal/lab/coldbudget.go
@@ -61,9 +61,9 @@
 		fallMultiple: d.scenario.Rules.FallMultiple, fallWithin: d.scenario.Rules.FallWithin, work: make(map[string]float64), servers: make(map[string]*coldServer),
 	}
 	for _, c := range d.classes {
-		w := (c.Work.From+c.Work.To).Seconds()/2 + d.usualLoad*c.Load*c.Life*d.traffic.Life.Seconds()
-		b.work[c.Name] = w
-		b.meanWork += c.Share * w
+		work := (c.Work.From+c.Work.To).Seconds()/2 + d.usualLoad*c.Load*c.Life*d.traffic.Life.Seconds()
+		b.work[c.Name] = work
+		b.meanWork += c.Share * work
 	}
 	for name := range b.work {
 		b.work[name] /= b.meanWork
@@ -100,7 +100,7 @@
 
 // recordRequest counts a request that goes to a cold server. It returns nil unless the server
 // falls.
-func (b *coldBudget) recordRequest(now time.Time, server string, bornMS int64, m *fleet.Machine, class string, told bool) *coldFall {
+func (b *coldBudget) recordRequest(now time.Time, server string, bornMS int64, m *fleet.Machine, class string, informed bool) *coldFall {
 	s := b.servers[server]
 	if s == nil || s.bornMS != bornMS {
 		s = &coldServer{bornMS: bornMS}
@@ -113,15 +113,15 @@
 	if b.clientsRefused(now) {
 		b.SentRequests += work
 	}
-	s.sends = append(s.sends, coldSend{now, work, told})
+	s.sends = append(s.sends, coldSend{now, work, informed})
 	for now.Sub(s.sends[0].at) > b.fallWithin {
 		s.sends = s.sends[1:]
 	}
 	f := &coldFall{allowed: b.allowed(m, now)}
-	for _, x := range s.sends {
-		f.received += x.work
-		if x.informed {
-			f.informed += x.work
+	for _, send := range s.sends {
+		f.received += send.work
+		if send.informed {
+			f.informed += send.work
 		}
 	}
 	if f.received <= f.allowed {
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -27,7 +27,7 @@
 type Side struct {
 	Name     string
 	Scenario *Scenario
-	Program  string // ospreylab binary of another build that plays this side; empty: the running program
+	Program  string // ospreylab of another build that plays this side; empty: this one
 }
 
 // play plays one day of the side with the given seed.
@@ -76,7 +76,7 @@
 	MeanA          float64   `json:"mean_a"`
 	MeanB          float64   `json:"mean_b"`
 	MeanDifference float64   `json:"mean_difference"` // mean of B - A
-	HalfInterval   float64   `json:"half_interval"`   // the 95 % interval is MeanDifference ± HalfInterval
+	HalfInterval   float64   `json:"half_interval"`   // half width of the 95 % interval
 }
 
 // Significant reports whether the 95 % interval of the difference excludes 0.
--- a/internal/lab/decisions.go
+++ b/internal/lab/decisions.go
@@ -23,7 +23,7 @@
 	now      time.Time
 	lastID   balance.RequestID
 	open     []balance.RequestID // ids of open connections, oldest first
-	placed   balance.RequestID   // request that was just placed and not reported as established yet; 0: none
+	placed   balance.RequestID   // just placed, not yet reported as established; 0: none
 	probes   []string            // backends whose probes are not answered yet
 	maxOpen  int                 // open connections beyond which the oldest one is closed
 }
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -46,11 +46,11 @@
 
 // relayPlan holds the drawn properties of one relay.
 type relayPlan struct {
-	id    string
-	site  string
-	kind  *fleet.Kind
-	speed float64
-	late  bool // it does not run from the start
+	id         string
+	site       string
+	kind       *fleet.Kind
+	speed      float64
+	startsLate bool // it does not run from the start
 }
 
 // randomStream returns the random numbers of one purpose, which do not depend on those of other
@@ -63,22 +63,22 @@
 func newDay(s *Scenario, seed uint64) (*day, error) {
 	d := &day{scenario: s, seed: seed, total: s.Run.WarmUp + s.Run.Length, crossSiteDelay: make(map[[2]string]time.Duration), clientDelay: make(map[string]time.Duration)}
 	r := randomStream(seed, "day")
-	share := 0.0
+	shareSum := 0.0
 	for _, c := range s.Classes {
-		share += (c.Share.From + c.Share.To) / 2
+		shareSum += (c.Share.From + c.Share.To) / 2
 	}
 	for _, c := range s.Classes {
 		d.classes = append(d.classes, fleet.Class{
-			Name: c.Name, Share: (c.Share.From + c.Share.To) / 2 / share, SetUp: c.SetUp, GiveUp: c.GiveUp, Message: c.Message, Worth: c.Worth,
+			Name: c.Name, Share: (c.Share.From + c.Share.To) / 2 / shareSum, SetUp: c.SetUp, GiveUp: c.GiveUp, Message: c.Message, Worth: c.Worth,
 			Work: c.Work, Load: c.Load.Draw(r), Life: c.Life.Draw(r), Sigma: c.Sigma.Draw(r), Swing: c.Swing.Draw(r), Change: c.Change,
 			Once: c.repeat() == "single_shot" || c.repeat() == "guarded" && c.scope() != "all",
 		})
 	}
-	t := &s.Traffic
+	traffic := &s.Traffic
 	d.traffic = fleet.Traffic{
-		Rate: t.Rate, Swing: t.Swing.Draw(r), Period: t.Period.Draw(r), Life: t.Life.Draw(r), GroupSize: t.GroupSize.Draw(r),
-		GroupCost: s.Relays.GroupCost, Every: t.MessagePeriod, Retries: t.Retries, Backoff: t.Backoff, Honour: t.HonourAdvice.Draw(r),
-		Rejoin: t.Rejoin, Impatient: t.Impatient.Draw(r),
+		Rate: traffic.Rate, Swing: traffic.Swing.Draw(r), Period: traffic.Period.Draw(r), Life: traffic.Life.Draw(r), GroupSize: traffic.GroupSize.Draw(r),
+		GroupCost: s.Relays.GroupCost, Every: traffic.MessagePeriod, Retries: traffic.Retries, Backoff: traffic.Backoff, Honour: traffic.HonourAdvice.Draw(r),
+		Rejoin: traffic.Rejoin, Impatient: traffic.Impatient.Draw(r),
 	}
 	d.skew, d.swingPhase = s.Run.Skew.Draw(r), 2*math.Pi*r.Float64()
 	d.usualLoad = 1 / s.Relays.PerCore.Draw(r)
@@ -86,8 +86,8 @@
 	for i, a := range s.Sites {
 		d.clientDelay[a] = s.Network.Client.Draw(r)
 		for _, b := range s.Sites[i+1:] {
-			w := s.Network.CrossSite.Draw(r)
-			d.crossSiteDelay[[2]string{a, b}], d.crossSiteDelay[[2]string{b, a}] = w, w
+			delay := s.Network.CrossSite.Draw(r)
+			d.crossSiteDelay[[2]string{a, b}], d.crossSiteDelay[[2]string{b, a}] = delay, delay
 		}
 	}
 	d.workBuffer, d.maxPerCore = s.Relays.WorkBuffer.Draw(r), s.Relays.MaxPerCore.Draw(r)
@@ -98,10 +98,10 @@
 	for _, c := range d.classes {
 		life += c.Share * c.Life * d.traffic.Life.Seconds()
 	}
-	d.groupsPerSite = max(int(math.Round(t.Rate*life/d.traffic.GroupSize/float64(len(s.Sites)))), 1)
-	for _, w := range s.Waves {
-		at := w.At.Draw(r)
-		d.waves = append(d.waves, drawnWave{at, at + w.For.Draw(r), w.Times.Draw(r), w.Sites})
+	d.groupsPerSite = max(int(math.Round(traffic.Rate*life/d.traffic.GroupSize/float64(len(s.Sites)))), 1)
+	for _, wave := range s.Waves {
+		at := wave.At.Draw(r)
+		d.waves = append(d.waves, drawnWave{at, at + wave.For.Draw(r), wave.Times.Draw(r), wave.Sites})
 	}
 	d.planRelays()
 	var err error
@@ -128,12 +128,12 @@
 			x -= d.scenario.Kinds[k].Share
 		}
 		site := d.scenario.Sites[i%len(d.scenario.Sites)]
-		if lot := r.IntN(len(d.scenario.Sites)); r.Float64() < d.scenario.Relays.RandomSites {
-			site = d.scenario.Sites[lot]
+		if randomSite := r.IntN(len(d.scenario.Sites)); r.Float64() < d.scenario.Relays.RandomSites {
+			site = d.scenario.Sites[randomSite]
 		}
 		d.relays = append(d.relays, relayPlan{
 			id: fmt.Sprintf("relay-%03d", i), site: site, kind: &d.scenario.Kinds[k], speed: d.scenario.Kinds[k].Speed.Draw(r),
-			late: i >= d.scenario.Relays.Count,
+			startsLate: i >= d.scenario.Relays.Count,
 		})
 	}
 }
@@ -147,9 +147,9 @@
 		part -= d.skew * part
 	}
 	r := d.traffic.Rate * part * (1 + d.traffic.Swing*math.Sin(d.swingPhase+2*math.Pi*at.Seconds()/d.traffic.Period.Seconds()))
-	for _, w := range d.waves {
-		if at >= w.from && at < w.until && siteListed(w.sites, site) {
-			r *= w.rateMultiple
+	for _, wave := range d.waves {
+		if at >= wave.from && at < wave.until && siteListed(wave.sites, site) {
+			r *= wave.rateMultiple
 		}
 	}
 	return r
--- a/internal/lab/effects.go
+++ b/internal/lab/effects.go
@@ -15,25 +15,25 @@
 // firstPossibleRun returns the first attempt that may have run, which was written completely and
 // not refused by the relay, or nil.
 func (r *request) firstPossibleRun() *tappedConn {
-	for _, w := range r.attempts {
-		if !w.refused {
-			return w
+	for _, attempt := range r.attempts {
+		if !attempt.refused {
+			return attempt
 		}
 	}
 	return nil
 }
 
 // mayRepeat reports whether a request that may have run may be sent to a relay again.
-func (j *judge) mayRepeat(r *request, ran *tappedConn, now time.Time, relay string) bool {
+func (j *judge) mayRepeat(r *request, earlier *tappedConn, now time.Time, relay string) bool {
 	switch c := r.class; {
 	case c == nil || c.repeat() == "free":
 		return true
-	case c.repeat() == "single_shot" || now.Sub(ran.sentAt) > c.Window+repeatWindowSlack+j.maxClockLag[r.proxy]:
+	case c.repeat() == "single_shot" || now.Sub(earlier.sentAt) > c.Window+repeatWindowSlack+j.maxClockLag[r.proxy]:
 		return false
 	case c.scope() == "zone":
-		return j.sites[ran.relay] == j.sites[relay]
+		return j.sites[earlier.relay] == j.sites[relay]
 	case c.scope() == "cell":
-		return j.blocks[ran.relay] == j.blocks[relay]
+		return j.blocks[earlier.relay] == j.blocks[relay]
 	}
 	return true
 }
@@ -41,12 +41,12 @@
 // checkRefusal checks a refusal, after which the client may repeat the request once the advised
 // wait has passed.
 func (j *judge) checkRefusal(r *request, advice time.Duration) {
-	ran := r.firstPossibleRun()
-	if ran == nil || r.class == nil || r.class.repeat() == "free" {
+	earlier := r.firstPossibleRun()
+	if earlier == nil || r.class == nil || r.class.repeat() == "free" {
 		return
 	}
-	if since := j.world.Now().Sub(ran.sentAt) + advice; r.class.repeat() == "single_shot" || r.class.scope() != "all" || since > r.class.Window+repeatWindowSlack+j.maxClockLag[r.proxy] {
+	if since := j.world.Now().Sub(earlier.sentAt) + advice; r.class.repeat() == "single_shot" || r.class.scope() != "all" || since > r.class.Window+repeatWindowSlack+j.maxClockLag[r.proxy] {
 		j.reportViolation("repeat-invited", "%s refuses request %s of class %s, which may have run at %s %v before, with advice of %v", r.proxy.Name(), r.id,
-			r.class.Name, ran.relay, since-advice, advice)
+			r.class.Name, earlier.relay, since-advice, advice)
 	}
 }
--- a/internal/lab/fuzz.go
+++ b/internal/lab/fuzz.go
@@ -67,21 +67,21 @@
 	return decode(strings.TrimSuffix(name, ".ini"), f)
 }
 
-// scenarioDraws draws the values of a generated scenario. Each drawn range has equal ends, so that
-// the scenario has one fixed value.
-type draws struct{ r *rand.Rand }
+// scenarioDraws draws random values for a generated scenario. Both ends of each drawn range are
+// equal, so that the scenario has one fixed value.
+type scenarioDraws struct{ r *rand.Rand }
 
-func newDraws(r *rand.Rand) *draws { return &draws{r} }
+func newDraws(r *rand.Rand) *scenarioDraws { return &scenarioDraws{r} }
 
 // span draws a duration in whole milliseconds, at least 1 ms, because the file format leaves out
 // zero values.
-func (d *draws) span(from, to time.Duration) fleet.Spans {
+func (d *scenarioDraws) span(from, to time.Duration) fleet.Spans {
 	t := max(fleet.Spans{From: from, To: to}.Draw(d.r).Round(time.Millisecond), time.Millisecond)
 	return fleet.Spans{From: t, To: t}
 }
 
 // value draws a number and rounds it to five decimal places.
-func (d *draws) one(from, to float64) fleet.Range {
+func (d *scenarioDraws) value(from, to float64) fleet.Range {
 	x := round(fleet.Range{From: from, To: to}.Draw(d.r))
 	return fleet.Range{From: x, To: x}
 }
@@ -91,14 +91,14 @@
 
 // FuzzConfig says which scenarios Fuzz plays.
 type FuzzConfig struct {
-	Generate ScenarioGenerator
-	Set      []string // section.key=value pairs that replace generated values
+	Generate  ScenarioGenerator
+	Overrides []string // section.key=value pairs that replace generated values
 }
 
 // scenario generates the scenario of a seed. It is parsed from its own text, so that a saved file
 // reproduces it exactly.
 func (d *FuzzConfig) scenario(seed uint64) (*Scenario, error) {
-	return Parse(fmt.Sprintf("fuzz-%d.ini", seed), d.Generate(seed).Text(), d.Set...)
+	return Parse(fmt.Sprintf("fuzz-%d.ini", seed), d.Generate(seed).Text(), d.Overrides...)
 }
 
 // ScenarioGenerators returns the generators by the names that the flag --days accepts.
@@ -110,7 +110,7 @@
 // way.
 func RandomScenario(seed uint64) *Scenario {
 	d := newDraws(randomStream(seed, "fuzz"))
-	r, span, one := d.r, d.span, d.one
+	r, span, value := d.r, d.span, d.value
 	s := defaults()
 	s.Kinds, s.Classes = defaultKinds(), defaultClasses()
 	s.Name = fmt.Sprintf("fuzz-%d", seed)
@@ -120,18 +120,18 @@
 	s.Run.Sites = s.Sites
 	s.Proxies.Count = 1 + r.IntN(4)
 	s.Relays.Count = 2 + r.IntN(7)
-	s.Traffic.Rate = one(2, 14).From
+	s.Traffic.Rate = value(2, 14).From
 	if r.IntN(3) == 0 {
 		s.Proxies.EventCost = span(10*time.Microsecond, 200*time.Microsecond).From
 	}
 	if r.IntN(3) == 0 {
-		s.Network.Loss = one(0, 0.02).From
+		s.Network.Loss = value(0, 0.02).From
 	}
 	if r.IntN(3) == 0 {
 		s.Proxies.MaxDescriptors = 100 + r.IntN(400)
 	}
 	if r.IntN(4) == 0 {
-		s.Waves = append(s.Waves, Wave{Name: "surge", At: span(4*time.Second, 15*time.Second), For: span(time.Second, 6*time.Second), Times: one(3, 10)})
+		s.Waves = append(s.Waves, Wave{Name: "surge", At: span(4*time.Second, 15*time.Second), For: span(time.Second, 6*time.Second), Times: value(3, 10)})
 	}
 	kinds := []string{
 		"silence", "slow", "neighbour", "costly", "drain", "lose", "grow", "proxy-restart", "proxy-kill", "partition", "isolate",
@@ -142,7 +142,7 @@
 		t := Fault{Name: fmt.Sprintf("t%d", i), Kind: kinds[r.IntN(len(kinds))]}
 		t.At = span(0, s.Run.Length)
 		t.For = span(200*time.Millisecond, 8*time.Second)
-		s.setFaultParameters(&t, r, one, span)
+		s.setFaultParameters(&t, r, value, span)
 		s.Faults = append(s.Faults, t)
 	}
 	s.randomizeSettings(r, span)
@@ -165,54 +165,54 @@
 		}
 	}
 	s.Permissions.Cancel, s.Permissions.Probes, s.Permissions.ListsPushed = r.IntN(3) > 0, r.IntN(6) > 0, r.IntN(4) == 0
-	if r.IntN(3) == 0 { // connections that take long to be established, and a dial time-out that waits for them
+	if r.IntN(3) == 0 { // connections are established slowly, and proxies wait for them
 		s.Permissions.DialTimeout = span(300*time.Millisecond, 1200*time.Millisecond).From
-		part := round(fleet.Range{From: 0.2, To: 0.8}.Draw(r))
+		fraction := round(fleet.Range{From: 0.2, To: 0.8}.Draw(r))
 		s.Faults = append(s.Faults, Fault{
 			Name: "late", Kind: "late-connects", For: fleet.Spans{From: s.Run.Length, To: s.Run.Length},
-			Size: fleet.Range{From: part, To: part}, Away: span(200*time.Millisecond, 1200*time.Millisecond),
+			Size: fleet.Range{From: fraction, To: fraction}, Away: span(200*time.Millisecond, 1200*time.Millisecond),
 		})
 	}
 }
 
 // setFaultParameters draws the parameters that the kind of the fault needs.
-func (s *Scenario) setFaultParameters(t *Fault, r *rand.Rand, one func(from, to float64) fleet.Range, span func(from, to time.Duration) fleet.Spans) {
+func (s *Scenario) setFaultParameters(fault *Fault, rng *rand.Rand, value func(from, to float64) fleet.Range, span func(from, to time.Duration) fleet.Spans) {
 	second := time.Second
-	switch t.Kind {
+	switch fault.Kind {
 	case "silence", "isolate":
-		t.Part = one(0.1, 0.5)
+		fault.Part = value(0.1, 0.5)
 	case "slow":
-		t.Part, t.Size = one(0.1, 0.6), one(2, 9)
+		fault.Part, fault.Size = value(0.1, 0.6), value(2, 9)
 	case "neighbour":
-		t.Part, t.Size, t.Every = one(0.2, 0.7), one(0.3, 0.8), span(second/2, 4*second).From
+		fault.Part, fault.Size, fault.Every = value(0.2, 0.7), value(0.3, 0.8), span(second/2, 4*second).From
 	case "costly":
-		t.Part, t.Size, t.Class = one(0.01, 0.1), one(5, 26), s.classNames()[r.IntN(2)]
+		fault.Part, fault.Size, fault.Class = value(0.01, 0.1), value(5, 26), s.classNames()[rng.IntN(2)]
 	case "drain":
-		t.Part, t.Away, t.Every = one(0.2, 1), span(0, 3*second), span(0, 3*second).From
+		fault.Part, fault.Away, fault.Every = value(0.2, 1), span(0, 3*second), span(0, 3*second).From
 	case "lose":
-		t.Part = one(0.1, 0.5)
+		fault.Part = value(0.1, 0.5)
 	case "grow":
-		t.Count = 1 + r.IntN(3)
+		fault.Count = 1 + rng.IntN(3)
 	case "proxy-restart":
-		t.Away, t.Every = span(0, 2*second), span(0, 6*second).From
+		fault.Away, fault.Every = span(0, 2*second), span(0, 6*second).From
 	case "proxy-kill":
-		t.Part, t.Away = one(0.1, 1), span(0, 3*second)
+		fault.Part, fault.Away = value(0.1, 1), span(0, 3*second)
 	case "partition":
-		t.Sites = []string{s.Sites[r.IntN(len(s.Sites))]}
+		fault.Sites = []string{s.Sites[rng.IntN(len(s.Sites))]}
 	case "stall":
-		t.For, t.Repeats, t.RepeatAfter = span(20*time.Millisecond, 900*time.Millisecond), r.IntN(4), span(second, 4*second)
+		fault.For, fault.Repeats, fault.RepeatAfter = span(20*time.Millisecond, 900*time.Millisecond), rng.IntN(4), span(second, 4*second)
 	case "late-clock":
-		t.Away = span(5*time.Millisecond, 400*time.Millisecond)
+		fault.Away = span(5*time.Millisecond, 400*time.Millisecond)
 	case "descriptors":
-		t.Size = one(0, 40)
+		fault.Size = value(0, 40)
 	case "rude":
-		t.Size = one(5, 200)
+		fault.Size = value(5, 200)
 	case "discovery-late":
-		t.Away = span(second, 4*second)
+		fault.Away = span(second, 4*second)
 	case "late-connects":
-		t.Size, t.Away = one(0.1, 1), span(100*time.Millisecond, 1500*time.Millisecond)
+		fault.Size, fault.Away = value(0.1, 1), span(100*time.Millisecond, 1500*time.Millisecond)
 	case "leaving":
-		t.Size = one(0.05, 0.6)
+		fault.Size = value(0.05, 0.6)
 	}
 }
 
--- a/internal/lab/hard_test.go
+++ b/internal/lab/hard_test.go
@@ -42,8 +42,8 @@
 	if r.Clients.Cut < 500 {
 		t.Fatalf("%d connections were cut off", r.Clients.Cut)
 	}
-	if again := r.Clients.Up - r.Clients.Clients; again < r.Clients.Cut*95/100 {
-		t.Errorf("of %d clients that were cut off, %d have reconnected", r.Clients.Cut, again)
+	if reconnected := r.Clients.Up - r.Clients.Clients; reconnected < r.Clients.Cut*95/100 {
+		t.Errorf("of %d clients that were cut off, %d have reconnected", r.Clients.Cut, reconnected)
 	}
 	if last := r.series.service[0][15:]; last[0] < 0.9 || last[4] < 0.9 {
 		t.Errorf("ten seconds after the kill, service is %v", last)
@@ -158,9 +158,9 @@
 func TestProbesOfDrainingRelays(t *testing.T) {
 	s := mustParse(t, "[run]\nlength = 15s\nwarm_up = 5s\n[relays]\ndrain_notice = 3s..3s\nerrors = 0\n[kind a]\n"+
 		"[trouble drains]\nkind = drain\nat = 1s\ncount = 5\nevery = 1s\nfor = 6s\naway = 1s\n")
-	as := play(t, s, 8).Counters
-	fails := play(t, s.with(func(s *Scenario) { s.Relays.DrainingFailsProbes = true }), 8).Counters
-	if as.ProbesRefused > 0 || fails.ProbesRefused < 10 {
-		t.Errorf("%d probes were answered with an error on the day without such answers, %d on the other", as.ProbesRefused, fails.ProbesRefused)
+	normal := play(t, s, 8).Counters
+	failing := play(t, s.with(func(s *Scenario) { s.Relays.DrainingFailsProbes = true }), 8).Counters
+	if normal.ProbesRefused > 0 || failing.ProbesRefused < 10 {
+		t.Errorf("%d probes were answered with an error on the day without such answers, %d on the other", normal.ProbesRefused, failing.ProbesRefused)
 	}
 }
--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -138,23 +138,23 @@
 }
 
 func (j *judge) tappedConn(c *vnet.Conn) *tappedConn {
-	w, _ := c.User.(*tappedConn)
-	if w == nil {
-		w = &tappedConn{conn: c}
-		c.User = w
+	tap, _ := c.User.(*tappedConn)
+	if tap == nil {
+		tap = &tappedConn{conn: c}
+		c.User = tap
 	}
-	return w
+	return tap
 }
 
 // appendLine adds data to an incomplete first line, up to the line feed or line.MaxLength. It
 // reports whether the line is complete.
-func appendLine(have *[]byte, data []byte) (done bool) {
+func appendLine(buffer *[]byte, data []byte) (done bool) {
 	if i := bytes.IndexByte(data, '\n'); i >= 0 {
-		*have = append(*have, data[:i+1]...)
+		*buffer = append(*buffer, data[:i+1]...)
 		return true
 	}
-	if len(*have) < line.MaxLength {
-		*have = append(*have, data...)
+	if len(*buffer) < line.MaxLength {
+		*buffer = append(*buffer, data...)
 	}
 	return false
 }
@@ -177,20 +177,20 @@
 		}
 		j.pendingNotifications = j.pendingNotifications[:0]
 	case from == c.Dialler && j.roles[from] == roleClient && j.roles[c.Listener] == roleProxy:
-		w := j.tappedConn(c)
-		if !w.firstLineSeen && appendLine(&w.firstLine, data) {
-			w.firstLineSeen = true
-			j.onClientRequest(c, w)
+		tap := j.tappedConn(c)
+		if !tap.firstLineSeen && appendLine(&tap.firstLine, data) {
+			tap.firstLineSeen = true
+			j.onClientRequest(c, tap)
 		}
 	case from == c.Listener && j.roles[from] == roleProxy:
-		if w, _ := c.User.(*tappedConn); w != nil && w.request != nil {
-			j.onProxyWrite(w.request, data)
+		if tap, _ := c.User.(*tappedConn); tap != nil && tap.request != nil {
+			j.onProxyWrite(tap.request, data)
 		}
 	case from == c.Dialler && j.roles[from] == roleProxy && j.roles[c.Listener] == roleRelay:
-		w := j.tappedConn(c)
-		if !w.firstLineSeen && appendLine(&w.firstLine, data) {
-			w.firstLineSeen = true
-			j.onAttempt(c, w)
+		tap := j.tappedConn(c)
+		if !tap.firstLineSeen && appendLine(&tap.firstLine, data) {
+			tap.firstLineSeen = true
+			j.onAttempt(c, tap)
 		}
 	}
 }
@@ -203,27 +203,27 @@
 		}
 		return
 	}
-	w, _ := c.User.(*tappedConn)
-	if w == nil || w.request == nil || j.roles[at] != roleProxy {
+	tap, _ := c.User.(*tappedConn)
+	if tap == nil || tap.request == nil || j.roles[at] != roleProxy {
 		return
 	}
 	if at == c.Listener {
-		if r := w.request; !r.arrived { // the client's time limit runs from here
+		if r := tap.request; !r.arrived { // the client's time limit runs from here
 			r.arrived, r.deadline = true, j.world.Now().Add(r.wait)
 			j.world.After(r.wait+j.rules.AnswerSlack, func() { j.checkAnswerDue(r) })
 		}
 		return
 	}
-	if w.replySeen || !appendLine(&w.replyLine, data) {
+	if tap.replySeen || !appendLine(&tap.replyLine, data) {
 		return
 	}
-	w.replySeen = true
-	word, _ := line.ParseWord(line.TrimLineEnd(w.replyLine))
-	w.refused = word == line.Busy
-	if word != line.Up && w.request.current == w {
-		w.request.current = nil
+	tap.replySeen = true
+	word, _ := line.ParseWord(line.TrimLineEnd(tap.replyLine))
+	tap.refused = word == line.Busy
+	if word != line.Up && tap.request.current == tap {
+		tap.request.current = nil
 	}
-	w.replyLine = nil
+	tap.replyLine = nil
 }
 
 // onDiscoveryBytes handles bytes from discovery that reach a proxy.
@@ -244,8 +244,8 @@
 		j.changeClock.connectionEnded(at.Addr(), d)
 		return
 	}
-	if w, _ := c.User.(*tappedConn); w != nil && w.request != nil && at == c.Listener && j.roles[at] == roleProxy {
-		if r := w.request; !r.answered && r.clientLeftAt.IsZero() {
+	if tap, _ := c.User.(*tappedConn); tap != nil && tap.request != nil && at == c.Listener && j.roles[at] == roleProxy {
+		if r := tap.request; !r.answered && r.clientLeftAt.IsZero() {
 			r.clientLeftAt = j.world.Now()
 		}
 	}
@@ -259,11 +259,11 @@
 		}
 		return
 	}
-	w, _ := c.User.(*tappedConn)
-	if w == nil || w.request == nil {
+	tap, _ := c.User.(*tappedConn)
+	if tap == nil || tap.request == nil {
 		return
 	}
-	r := w.request
+	r := tap.request
 	switch {
 	case from == c.Dialler && j.roles[from] == roleClient:
 		r.clientEnded = true
@@ -274,12 +274,12 @@
 		}
 		j.sideEnded(r)
 	case from == c.Dialler: // the proxy's side of an attempt
-		if r.current == w {
+		if r.current == tap {
 			r.current = nil
 		}
 	default:
-		w.relayEnded = true
-		if r.current == w {
+		tap.relayEnded = true
+		if r.current == tap {
 			r.current = nil
 		}
 	}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -108,8 +108,8 @@
 // An added fault does not shift the random values of what it does not touch: the same clients come.
 func TestFaultsDoNotShiftDraws(t *testing.T) {
 	calm := mustParse(t, "[run]\nlength = 10s\nwarm_up = 2s\n")
-	rough := mustParse(t, "[run]\nlength = 10s\nwarm_up = 2s\n[trouble a]\nkind = silence\nat = 1s\nfor = 4s\npart = 30%\n[trouble b]\nkind = rude\nat = 0s\nfor = 5s\nsize = 20\n")
-	a, b := play(t, calm, 7), play(t, rough, 7)
+	faulty := mustParse(t, "[run]\nlength = 10s\nwarm_up = 2s\n[trouble a]\nkind = silence\nat = 1s\nfor = 4s\npart = 30%\n[trouble b]\nkind = rude\nat = 0s\nfor = 5s\nsize = 20\n")
+	a, b := play(t, calm, 7), play(t, faulty, 7)
 	if a.Clients.Clients != b.Clients.Clients || a.Trace == b.Trace {
 		t.Errorf("%d and %d clients, traces %s and %s", a.Clients.Clients, b.Clients.Clients, a.Trace, b.Trace)
 	}
@@ -118,12 +118,12 @@
 // A scenario survives being written and read, so that a finding of Fuzz can be repeated from its
 // file.
 func TestTextRoundTrip(t *testing.T) {
-	for name, makeUp := range ScenarioGenerators() {
+	for name, generate := range ScenarioGenerators() {
 		for seed := range uint64(30) {
-			s := makeUp(seed)
-			again := mustParse(t, s.Text())
-			if again.Text() != s.Text() {
-				t.Fatalf("%s, seed %d:\n%s\nbecame\n%s", name, seed, s.Text(), again.Text())
+			s := generate(seed)
+			reparsed := mustParse(t, s.Text())
+			if reparsed.Text() != s.Text() {
+				t.Fatalf("%s, seed %d:\n%s\nbecame\n%s", name, seed, s.Text(), reparsed.Text())
 			}
 		}
 	}
--- a/internal/lab/limits_test.go
+++ b/internal/lab/limits_test.go
@@ -40,7 +40,8 @@
 	skipIfSlow(t)
 	for kind, most := range map[string]int{"strict": 60, "soft": 75} {
 		text := limitScenario
-		if kind == "strict" { // connections of a stopped process stay open until it runs again; see docs/shared.md
+		// Connections of a stopped process stay open until it runs again; see docs/shared.md.
+		if kind == "strict" {
 			text = strings.Split(limitScenario, "[trouble stall]")[0]
 		}
 		r := play(t, mustParse(t, text).with(func(s *Scenario) { s.Proxies.LimitKind = kind }), 1)
--- a/internal/lab/planted_test.go
+++ b/internal/lab/planted_test.go
@@ -17,7 +17,7 @@
 type plantedFault struct {
 	name, file string
 	from, to   string   // text that occurs once in the file, and its replacement
-	function   string   // instead of from: signature of a function in the file's package whose whole body is replaced by to
+	function   string   // instead of from: signature of a function in the package whose body to replaces
 	days       string   // generator of the scenarios, as in fuzz --days; empty: any
 	set        []string // section.key=value pairs, as in fuzz --set
 	rules      []string // one of them must be reported as broken
--- a/internal/lab/proxies.go
+++ b/internal/lab/proxies.go
@@ -22,7 +22,7 @@
 	inst       *instance.Instance // nil: none runs, or it is a separate process
 	seedSource *rand.Rand         // one seed for each start of the process
 	nextAudit  time.Time
-	lives      int
+	starts     int
 }
 
 func (p *proxyNode) addr() netip.AddrPort { return netip.AddrPortFrom(p.host.Addr(), proxyPort) }
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	p.lives++
+	p.starts++
 	if s.real != nil {
 		return s.real.startProxy(s, p)
 	}
@@ -95,7 +95,7 @@
 func (s *stage) knownList() *routes.List {
 	l := &routes.List{Whole: true}
 	for i := range s.relays {
-		if s.relays[i].late {
+		if s.relays[i].startsLate {
 			continue
 		}
 		n := s.nodes[i]
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -165,7 +165,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		return "", err
 	}
-	if runsKeeper && p.lives == 1 {
+	if runsKeeper && p.starts == 1 {
 		if out, err := exec.Command(r.program, "keepers", "init", "--operator", path).CombinedOutput(); err != nil {
 			return "", fmt.Errorf("%s: keepers init: %w\n%s", p.name, err, out)
 		}
@@ -264,7 +264,7 @@
 	}
 	var hosts []fleet.Entry
 	for i := range s.relays {
-		if !s.relays[i].late {
+		if !s.relays[i].startsLate {
 			hosts = append(hosts, s.entry(s.nodes[i], 0))
 		}
 	}
--- a/internal/lab/real_limits_test.go
+++ b/internal/lab/real_limits_test.go
@@ -28,7 +28,9 @@
 	// many clients are connected to the killed processes depends on the machine's speed. Up to three
 	// runs are made until one has shown all effects.
 	for seed := uint64(1); ; seed++ {
-		r, err := PlayReal(sc, seed, program, t.TempDir(), time.Minute, Options{}) // a keeper log can be created only once in a directory
+		// Each run has a directory of its own, because a keeper log can be created only once in a
+		// directory.
+		r, err := PlayReal(sc, seed, program, t.TempDir(), time.Minute, Options{})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/relays.go
+++ b/internal/lab/relays.go
@@ -18,7 +18,7 @@
 	plan    *relayPlan
 	host    machine
 	relay   *fleet.Relay // nil: none runs
-	lives   int
+	starts  int
 	removed bool      // for good
 	born    time.Time // time of the cold start; zero: it ran from the start
 	// faultUntil is when the last fault that strikes the relay ends or ended.
@@ -31,7 +31,7 @@
 	s.setRole(h, roleRelay, p.id)
 	n := &relayNode{plan: p, host: h}
 	s.nodes = append(s.nodes, n)
-	if p.late {
+	if p.startsLate {
 		return nil
 	}
 	if err := s.startRelay(n, false); err != nil {
@@ -58,8 +58,8 @@
 }
 
 func (s *stage) startRelay(n *relayNode, cold bool) error {
-	n.lives++
-	rng := randomStream(s.seed, fmt.Sprintf("relay %s %d", n.plan.id, n.lives))
+	n.starts++
+	rng := randomStream(s.seed, fmt.Sprintf("relay %s %d", n.plan.id, n.starts))
 	return n.host.Start(func(k poll.Kernel) (func() error, error) {
 		loop := n.newLoop(k, s)
 		c := s.relayConfig(n.plan, cold, rng)
--- a/internal/lab/requests.go
+++ b/internal/lab/requests.go
@@ -31,9 +31,9 @@
 }
 
 // onClientRequest handles the complete first line of a client.
-func (j *judge) onClientRequest(c *vnet.Conn, w *tappedConn) {
-	o, err := line.ParseOpen(line.TrimLineEnd(w.firstLine))
-	w.firstLine = nil
+func (j *judge) onClientRequest(c *vnet.Conn, tap *tappedConn) {
+	o, err := line.ParseOpen(line.TrimLineEnd(tap.firstLine))
+	tap.firstLine = nil
 	if err != nil {
 		return // a health check of the load balancer, or a bad client
 	}
@@ -42,7 +42,7 @@
 	}
 	j.Requests++
 	r := &request{id: o.ID, proxy: c.Listener, proxyLife: c.Listener.Life(), wait: o.Wait, class: j.classes[o.Class]}
-	w.request = r
+	tap.request = r
 	j.requests[o.ID] = r
 }
 
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -11,7 +11,7 @@
 
 // samples are taken once per virtual second. The charts of relays show them.
 type samples struct {
-	load        [][]float64 // by relay and second from the start: requested load over capacity; NaN while the relay does not run
+	load        [][]float64 // by relay and second: requested load over capacity; NaN while stopped
 	connections [][]float64 // likewise: open connections
 	openClients []int       // clients that wanted a connection, by second from the start
 }
@@ -39,26 +39,28 @@
 // Result holds the results of a day. It contains no real time: the same scenario and seed give the
 // same Result.
 type Result struct {
-	Scenario      string         `json:"scenario"`
-	About         string         `json:"about,omitempty"`
-	Seed          uint64         `json:"seed"`
-	Length        float64        `json:"length_s"`
-	WarmUp        float64        `json:"warm_up_s"`
-	Proxies       int            `json:"proxies"`
-	Relays        int            `json:"relays"`
-	Goal          float64        `json:"goal"`       // service weighted as the operators count it
-	Service       float64        `json:"service"`    // over all classes, from 0 to 1
-	Worst         float64        `json:"worst"`      // service in the worst 10 s
-	WorstAt       int            `json:"worst_at_s"` // second of the counted time at which the worst 10 s begin
-	Classes       []ClassResult  `json:"classes"`
-	Clients       fleet.Tally    `json:"clients"`
-	PeakOpen      int            `json:"most_open"`        // most clients that wanted a connection at a time
-	Counters      stats.Counters `json:"counters"`         // sums over all proxies
-	Shared        *SharedStats   `json:"shared,omitempty"` // nil without keepers
-	Links         *LinkStats     `json:"wires,omitempty"`  // nil unless links lose datagrams on real sockets
-	Requests      int            `json:"requests_judged"`
-	Attempts      int            `json:"attempts_judged"`
-	ColdOverloads int            `json:"cold_falls,omitempty"` // times that cold relays received too much from all proxies together, where the cold budget is judged
+	Scenario string         `json:"scenario"`
+	About    string         `json:"about,omitempty"`
+	Seed     uint64         `json:"seed"`
+	Length   float64        `json:"length_s"`
+	WarmUp   float64        `json:"warm_up_s"`
+	Proxies  int            `json:"proxies"`
+	Relays   int            `json:"relays"`
+	Goal     float64        `json:"goal"`       // service weighted as the operators count it
+	Service  float64        `json:"service"`    // over all classes, from 0 to 1
+	Worst    float64        `json:"worst"`      // service in the worst 10 s
+	WorstAt  int            `json:"worst_at_s"` // start of the worst 10 s, in counted seconds
+	Classes  []ClassResult  `json:"classes"`
+	Clients  fleet.Tally    `json:"clients"`
+	PeakOpen int            `json:"most_open"`        // most clients that wanted a connection at a time
+	Counters stats.Counters `json:"counters"`         // sums over all proxies
+	Shared   *SharedStats   `json:"shared,omitempty"` // nil without keepers
+	Links    *LinkStats     `json:"wires,omitempty"`  // nil without lossy links
+	Requests int            `json:"requests_judged"`
+	Attempts int            `json:"attempts_judged"`
+	// ColdOverloads counts the times that cold relays received too much from all proxies together.
+	// It is counted where the cold budget is judged.
+	ColdOverloads int `json:"cold_falls,omitempty"`
 	// ColdAllowed is the number of requests of mean work that the settings allowed listed cold
 	// relays while clients were refused. ColdUsed is how many these relays received.
 	ColdAllowed float64 `json:"cold_room,omitempty"`
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -20,13 +20,13 @@
 // fleetConfig returns the configuration of a proxy that cooperates with the others, or nil if the
 // scenario has no keepers or runs on real sockets.
 func (s *stage) fleetConfig(p *proxyNode) (*instance.FleetConfig, error) {
-	n := s.scenario.Proxies.Keepers
-	if n == 0 || s.real != nil {
+	keeperCount := s.scenario.Proxies.Keepers
+	if keeperCount == 0 || s.real != nil {
 		return nil, nil
 	}
 	var keepers []mesh.KeeperAddress
 	self := uint64(0)
-	for i := range n {
+	for i := range keeperCount {
 		site := i % len(s.scenario.Sites)
 		addr := netip.AddrPortFrom(proxyAt(site, i), meshPort)
 		keepers = append(keepers, mesh.KeeperAddress{ID: uint64(i + 1), Addr: addr})
@@ -61,14 +61,14 @@
 
 // limit returns the limit of connections that all proxies share, or nil if the scenario has none.
 func (s *stage) limit() *limit.Limit {
-	most := s.scenario.Proxies.Limit
-	if most == 0 {
+	maximum := s.scenario.Proxies.Limit
+	if maximum == 0 {
 		return nil
 	}
 	if s.limitSlices == 0 {
-		s.limitSlices = min(most, 2*s.scenario.Proxies.Count, limit.MostSlices)
+		s.limitSlices = min(maximum, 2*s.scenario.Proxies.Count, limit.MostSlices)
 	}
-	l := &limit.Limit{Name: "all", Most: most, Slices: s.limitSlices, Within: s.scenario.Proxies.LimitWithin}
+	l := &limit.Limit{Name: "all", Most: maximum, Slices: s.limitSlices, Within: s.scenario.Proxies.LimitWithin}
 	if s.scenario.Proxies.LimitKind == "strict" {
 		l.Kind = limit.StrictKind
 	}
@@ -77,8 +77,8 @@
 
 // setLimit changes the shared limit of a proxy, as a reload on SIGHUP does. A proxy that is started
 // later begins with the new limit.
-func (s *stage) relimit(p *proxyNode, most int) {
-	s.scenario.Proxies.Limit = most
+func (s *stage) setLimit(p *proxyNode, maximum int) {
+	s.scenario.Proxies.Limit = maximum
 	if inst := p.inst; inst != nil {
 		list := []limit.Limit{*s.limit()}
 		list[0].Slices = s.limitSlices
@@ -99,11 +99,11 @@
 
 // sampleConnections samples the relays' count of connections ten times per second, if there is a
 // limit.
-func (s *stage) watchLimit() {
+func (s *stage) sampleConnections() {
 	if s.scenario.Proxies.Limit == 0 || time.Duration(s.limitChecks)*100*time.Millisecond >= s.scenario.Run.WarmUp+s.scenario.Run.Length {
 		return
 	}
-	s.after(100*time.Millisecond, s.watchLimit)
+	s.after(100*time.Millisecond, s.sampleConnections)
 	s.shared.LastConnections = s.openConnections()
 	s.shared.PeakConnections = max(s.shared.PeakConnections, s.shared.LastConnections)
 	if s.limitChecks++; time.Duration(s.limitChecks)*100*time.Millisecond > s.scenario.Run.WarmUp {
@@ -142,8 +142,8 @@
 	return nil
 }
 
-// recordVerdict takes a verdict that a proxy has reached, and counts it as false if it is against a
-// relay without a fault.
+// recordVerdict takes a verdict that a proxy has reached. It counts the verdict as false if the
+// relay had no fault and was not overloaded within the last faultGracePeriod.
 func (s *stage) recordVerdict(p *proxyNode, c instance.VerdictChange) {
 	if !c.Condemned() || c.Previous.Condemned() {
 		return
@@ -175,11 +175,12 @@
 	Bytes              uint64 `json:"bytes"`     // bytes of these datagrams
 	Announcements      uint64 `json:"words"`     // announcements of owners that were accepted
 	StaleAnnouncements uint64 `json:"refused"`   // announcements of former owners, which were refused
-	FalseVerdicts      int    `json:"false"`     // verdicts against relays without a fault
+	FalseVerdicts      int    `json:"false"`     // verdicts against relays without a recent fault
 
-	PeakConnections   int     `json:"standing"`      // most connections at a time, by the relays' count; 0 without a limit
-	LastConnections   int     `json:"standing_last"` // connections at the last sample, by the relays' count; 0 without a limit
-	ConnectionSeconds float64 `json:"held_s"`        // connection-seconds in the counted time; 0 without a limit
+	// These count connections at the relays and are 0 without a limit.
+	PeakConnections   int     `json:"standing"`      // most at a time
+	LastConnections   int     `json:"standing_last"` // at the last sample
+	ConnectionSeconds float64 `json:"held_s"`        // connection-seconds in the counted time
 }
 
 func (s *SharedStats) add(n *mesh.Node) {
--- a/internal/lab/stage.go
+++ b/internal/lab/stage.go
@@ -89,7 +89,7 @@
 			return err
 		}
 	}
-	s.watchLimit()
+	s.sampleConnections()
 	s.runClockChecks()
 	for i := range d.scenario.Faults {
 		s.scheduleFault(&d.scenario.Faults[i])
@@ -151,7 +151,7 @@
 		if p.inst == nil || !p.host.Up() {
 			continue
 		}
-		stopped[p] = p.lives
+		stopped[p] = p.starts
 		if s.judge.reportAuditError(p.name, p.inst.Audit()); !p.inst.Idle() {
 			s.judge.reportViolation("given-back", "%s: %v after the last client left, state of a connection is still held", p.name, s.scenario.Run.CoolDown)
 		}
@@ -161,7 +161,7 @@
 		return err
 	}
 	for _, p := range s.proxies {
-		if p.inst != nil && p.host.Up() && stopped[p] == p.lives {
+		if p.inst != nil && p.host.Up() && stopped[p] == p.starts {
 			s.judge.reportViolation("given-back", "%s: a planned stop without clients has not finished after 5 s", p.name)
 		}
 	}
--- a/internal/lab/throng_test.go
+++ b/internal/lab/throng_test.go
@@ -19,15 +19,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	days := FuzzConfig{Generate: RandomThrong}
+	config := FuzzConfig{Generate: RandomThrong}
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			made, err := days.scenario(seed)
+			generated, err := config.scenario(seed)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, s := range []*Scenario{file, made} {
+			for _, s := range []*Scenario{file, generated} {
 				if r := play(t, s, seed); r.Requests < 200 || r.Service < 0.5 {
 					t.Errorf("%s: %d requests, service %.2f", s.Name, r.Requests, r.Service)
 				}
@@ -42,16 +42,16 @@
 // the platform do; for servers that do not, see TestDrainWhileDiscoveryRefusesCalls of the program.
 func TestThrongOfManyProxies(t *testing.T) {
 	skipIfSlow(t)
-	days := FuzzConfig{Generate: RandomThrong}
+	config := FuzzConfig{Generate: RandomThrong}
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			made, err := days.scenario(seed)
+			generated, err := config.scenario(seed)
 			if err != nil {
 				t.Fatal(err)
 			}
-			made.Proxies.Count, made.Relays.DrainingFailsProbes = 100, true
-			if r := play(t, made, seed); r.Requests < 200 || r.Service < 0.5 {
+			generated.Proxies.Count, generated.Relays.DrainingFailsProbes = 100, true
+			if r := play(t, generated, seed); r.Requests < 200 || r.Service < 0.5 {
 				t.Errorf("%d requests, service %.2f", r.Requests, r.Service)
 			}
 		})
--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -45,16 +45,16 @@
 		}
 	case "relimit": // the operator changes the limit on one proxy after the other
 		for i, p := range s.proxies {
-			s.after(at+time.Duration(i)*t.Every, func() { s.relimit(p, int(size)) })
+			s.after(at+time.Duration(i)*t.Every, func() { s.setLimit(p, int(size)) })
 		}
 	case "neighbour":
 		for _, n := range s.pickRelays(t, r) {
-			on := t.Every
-			if on <= 0 {
-				on = span
+			phase := t.Every
+			if phase <= 0 {
+				phase = span
 			}
-			for begin := at; begin < at+span; begin += 2 * on { // alternates between on and off
-				s.during(begin, min(on, at+span-begin), func() { n.updateMachine(func(m *fleet.Machine, now time.Time) { m.Neighbour(now, size) }) },
+			for begin := at; begin < at+span; begin += 2 * phase { // alternates between on and off
+				s.during(begin, min(phase, at+span-begin), func() { n.updateMachine(func(m *fleet.Machine, now time.Time) { m.Neighbour(now, size) }) },
 					func() { n.updateMachine(func(m *fleet.Machine, now time.Time) { m.Neighbour(now, 0) }) })
 			}
 		}
@@ -80,22 +80,22 @@
 			s.killProxy(p, at+time.Duration(i)*t.Every, away)
 		}
 	case "partition":
-		var in, out []*vnet.Host
-		var cut *vnet.Partition
+		var inside, outside []*vnet.Host
+		var partition *vnet.Partition
 		s.extendFaults(at + 2*span + time.Second) // TCP retransmits late, since its timeout doubles
 		s.during(at, span, func() {
 			for _, h := range s.hosts() {
 				if site := s.siteOf(h.Addr()); site != "" && siteListed(t.Sites, site) {
-					in = append(in, h)
+					inside = append(inside, h)
 				} else {
-					out = append(out, h)
+					outside = append(outside, h)
 				}
 			}
 			for _, n := range s.nodes { // proxies across the cut see any relay as failed
 				n.faultUntil = s.now().Add(span)
 			}
-			cut = s.world.Cut(in, out)
-		}, func() { cut.Heal() })
+			partition = s.world.Cut(inside, outside)
+		}, func() { partition.Heal() })
 	case "isolate":
 		for _, n := range s.pickRelays(t, r) {
 			s.extendFaults(at + 2*span + time.Second)
@@ -224,7 +224,7 @@
 func (s *stage) pickRelays(t *Fault, r *rand.Rand) []*relayNode {
 	var list []*relayNode
 	for _, n := range s.nodes {
-		if !n.plan.late && siteListed(t.Sites, n.plan.site) {
+		if !n.plan.startsLate && siteListed(t.Sites, n.plan.site) {
 			list = append(list, n)
 		}
 	}
@@ -267,22 +267,22 @@
 // silenceRelay makes a relay's machine vanish. It returns cold, with a new process under the same
 // id.
 func (s *stage) silenceRelay(n *relayNode, at, span time.Duration, r *rand.Rand) {
-	notice, back := s.scenario.Relays.SilenceNotice.Draw(r), s.scenario.Relays.StartNotice.Draw(r)
+	silenceNotice, startNotice := s.scenario.Relays.SilenceNotice.Draw(r), s.scenario.Relays.StartNotice.Draw(r)
 	s.after(at, func() {
 		if n.relay == nil {
 			return
 		}
-		life := n.lives
+		start := n.starts
 		n.host.Vanish()
 		n.relay = nil
-		s.scheduleListChange(notice, func() {
-			if n.lives == life { // the relay has not been restarted since
+		s.scheduleListChange(silenceNotice, func() {
+			if n.starts == start { // the relay has not been restarted since
 				s.registry.Health(n.plan.id, fleet.Deleted)
 			}
 		})
 		s.after(span, func() {
 			n.host.Return()
-			s.restartRelay(n, back)
+			s.restartRelay(n, startNotice)
 		})
 	})
 }
@@ -300,9 +300,9 @@
 	if s.judge != nil {
 		s.judge.changeClock.serverRestarted(n.plan.id)
 	}
-	life := n.lives
+	start := n.starts
 	s.scheduleListChange(notice, func() {
-		if n.lives == life && n.host.Up() {
+		if n.starts == start && n.host.Up() {
 			s.registry.Set(s.entry(n, n.born.UnixMilli()))
 		}
 	})
@@ -310,26 +310,26 @@
 
 // drainRelay drains and stops a relay, and restarts it cold under the same id.
 func (s *stage) drainRelay(n *relayNode, at, span, away time.Duration, r *rand.Rand) {
-	told, gone, back := s.scenario.Relays.DrainNotice.Draw(r), s.scenario.Relays.DrainNotice.Draw(r), s.scenario.Relays.StartNotice.Draw(r)
+	drainNotice, stopNotice, startNotice := s.scenario.Relays.DrainNotice.Draw(r), s.scenario.Relays.DrainNotice.Draw(r), s.scenario.Relays.StartNotice.Draw(r)
 	s.after(at, func() {
 		if n.relay == nil {
 			return
 		}
-		life := n.lives
+		start := n.starts
 		same := func(f func()) func() {
 			return func() {
-				if n.lives == life {
+				if n.starts == start {
 					f()
 				}
 			}
 		}
 		n.relay.Drain()
-		s.scheduleListChange(told, same(func() { s.registry.Health(n.plan.id, fleet.Draining) }))
+		s.scheduleListChange(drainNotice, same(func() { s.registry.Health(n.plan.id, fleet.Draining) }))
 		s.after(span, same(func() {
 			n.host.Kill()
 			n.relay = nil
-			s.scheduleListChange(gone, same(func() { s.registry.Health(n.plan.id, fleet.Deleted) }))
-			s.after(away, func() { s.restartRelay(n, back) })
+			s.scheduleListChange(stopNotice, same(func() { s.registry.Health(n.plan.id, fleet.Deleted) }))
+			s.after(away, func() { s.restartRelay(n, startNotice) })
 		}))
 	})
 }
@@ -346,15 +346,15 @@
 
 // addLateRelays starts relays that did not run from the start.
 func (s *stage) addLateRelays(t *Fault, at time.Duration, r *rand.Rand) {
-	back := make([]time.Duration, t.Count)
-	for i := range back {
-		back[i] = s.scenario.Relays.StartNotice.Draw(r)
+	startNotices := make([]time.Duration, t.Count)
+	for i := range startNotices {
+		startNotices[i] = s.scenario.Relays.StartNotice.Draw(r)
 	}
 	s.after(at, func() {
 		for _, n := range s.nodes {
-			if len(back) > 0 && n.plan.late && n.lives == 0 {
-				s.restartRelay(n, back[0])
-				back = back[1:]
+			if len(startNotices) > 0 && n.plan.startsLate && n.starts == 0 {
+				s.restartRelay(n, startNotices[0])
+				startNotices = startNotices[1:]
 			}
 		}
 	})
@@ -362,12 +362,12 @@
 
 // restartProxy performs a planned restart: SIGTERM, then SIGKILL if the process still runs at the
 // end of its drain time, then a new start.
-func (s *stage) restartProxy(p *proxyNode, at, away, late time.Duration) {
+func (s *stage) restartProxy(p *proxyNode, at, away, lateClients time.Duration) {
 	s.after(at, func() {
 		if !p.running() {
 			return
 		}
-		life := p.lives
+		start := p.starts
 		p.terminate()
 		set, err := s.settingsAt(p.site)
 		if err != nil {
@@ -375,13 +375,13 @@
 			return
 		}
 		limit := instance.MaxDrainDuration(set)
-		s.after(late, func() {
+		s.after(lateClients, func() {
 			for _, c := range s.crowds {
 				c.front.Withdraw(p.addr())
 			}
 		})
 		s.after(limit, func() {
-			if p.lives == life && p.running() {
+			if p.starts == start && p.running() {
 				if s.judge != nil {
 					s.judge.reportAuditError(p.name, s.judge.checkProxyExit(p.host.(*vnet.Host)))
 				}
--- a/internal/lab/unheard_drain_test.go
+++ b/internal/lab/unheard_drain_test.go
@@ -19,7 +19,7 @@
 // proxy/proofs.go. The balancer places new requests among such servers.
 func TestThrongWhereDrainingServersAnswerProbes(t *testing.T) {
 	skipIfSlow(t)
-	days := FuzzConfig{Generate: RandomThrong}
+	config := FuzzConfig{Generate: RandomThrong}
 	// Three hundred processes need a minute to open their watches at five calls a second, and a
 	// process without one may send to proven servers only. The operators' bound of one third
 	// applies there, and a higher one where discovery can serve all processes.
@@ -27,12 +27,12 @@
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprintf("%d/%d", proxies, seed), func(t *testing.T) {
 				t.Parallel()
-				made, err := days.scenario(seed)
+				generated, err := config.scenario(seed)
 				if err != nil {
 					t.Fatal(err)
 				}
-				made.Proxies.Count, made.Relays.DrainingFailsProbes = proxies, false
-				if r := play(t, made, seed); r.Requests < 200 || r.Service < least {
+				generated.Proxies.Count, generated.Relays.DrainingFailsProbes = proxies, false
+				if r := play(t, generated, seed); r.Requests < 200 || r.Service < least {
 					t.Errorf("%d requests, service %.2f", r.Requests, r.Service)
 				}
 			})
