--- a/internal/lab/attempts.go
+++ b/internal/lab/attempts.go
@@ -28,7 +28,7 @@
 			proxy.Name(), o.ID, id, now.Sub(since))
 	}
 	if since, told := j.changeClock.unavailableSince(proxy.Addr(), id); told && j.staleFor(proxy, since) > j.rules.DrainGrace {
-		j.reportViolation("stale-list", "%s sends request %s to %s %v after it counts as told that this one takes no new work",
+		j.reportViolation("stale-list", "%s sends request %s to %s %v after it is deemed to know that this one takes no new work",
 			proxy.Name(), o.ID, id, now.Sub(since))
 	}
 	j.checkColdBudget(proxy.Addr(), proxy.Name(), id, o.Class)
@@ -47,7 +47,7 @@
 	}
 	r.attempts = append(r.attempts, attempt)
 	if r.current != nil {
-		j.reportViolation("two-attempts", "%s sends request %s to %s while another attempt is out", proxy.Name(), o.ID, id)
+		j.reportViolation("two-attempts", "%s sends request %s to %s while another attempt is open", proxy.Name(), o.ID, id)
 	}
 	if r.answered && !r.clientEnded {
 		j.reportViolation("one-final-answer", "%s sends request %s to %s after its answer", proxy.Name(), o.ID, id)
--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -209,8 +209,8 @@
 	}
 	if at == c.Listener {
 		if r := tap.request; !r.arrived { // the client's time limit runs from here
-			r.arrived, r.deadline = true, j.world.Now().Add(r.wait)
-			j.world.After(r.wait+j.rules.AnswerSlack, func() { j.checkAnswerDue(r) })
+			r.arrived, r.deadline = true, j.world.Now().Add(r.clientTimeout)
+			j.world.After(r.clientTimeout+j.rules.AnswerSlack, func() { j.checkAnswerDue(r) })
 		}
 		return
 	}
--- a/internal/lab/requests.go
+++ b/internal/lab/requests.go
@@ -15,11 +15,11 @@
 	id            string
 	proxy         *vnet.Host
 	proxyLife     int // number of the proxy's process that got it
-	wait          time.Duration
+	clientTimeout time.Duration
 	arrived       bool      // at the proxy's machine
-	deadline      time.Time // time of arrival plus wait
+	deadline      time.Time // time of arrival plus clientTimeout
 	answered      bool
-	standing      bool
+	established   bool
 	finalLineSent bool          // MOVE or the relay's own last line was sent to the client
 	clientEnded   bool          // the client has closed its side
 	clientLeftAt  time.Time     // when that reached the proxy, if before the answer; else zero
@@ -41,7 +41,7 @@
 		return
 	}
 	j.Requests++
-	r := &request{id: o.ID, proxy: c.Listener, proxyLife: c.Listener.Life(), wait: o.Wait, class: j.classes[o.Class]}
+	r := &request{id: o.ID, proxy: c.Listener, proxyLife: c.Listener.Life(), clientTimeout: o.Wait, class: j.classes[o.Class]}
 	tap.request = r
 	j.requests[o.ID] = r
 }
@@ -60,7 +60,7 @@
 // onProxyWrite handles what a proxy writes to a client.
 func (j *judge) onProxyWrite(r *request, data []byte) {
 	now := j.world.Now()
-	if r.standing {
+	if r.established {
 		for _, word := range []string{"MOVE\r\n", "BYE\r\n"} {
 			if bytes.HasSuffix(data, []byte(word)) || bytes.HasPrefix(data, []byte(word)) {
 				r.finalLineSent = true
@@ -85,7 +85,7 @@
 		ms, _ := strconv.Atoi(string(advice))
 		j.checkRefusal(r, time.Duration(ms)*time.Millisecond)
 	}
-	r.standing = word == line.Up
+	r.established = word == line.Up
 	if word == line.Up {
 		if r.lastAttempt == nil || !r.lastAttempt.replySeen {
 			j.reportViolation("one-final-answer", "%s: request %s is answered UP, but no relay has answered UP", r.proxy.Name(), r.id)
@@ -106,7 +106,7 @@
 	switch {
 	case r.arrived && !r.answered:
 		j.reportViolation("one-final-answer", "%s ends the connection of request %s without an answer", r.proxy.Name(), r.id)
-	case r.standing && !r.finalLineSent && j.relayStillConnected(r):
+	case r.established && !r.finalLineSent && j.relayStillConnected(r):
 		j.reportViolation("standing-lost", "%s closes the connection of request %s without a last line though its relay still answers", r.proxy.Name(), r.id)
 	}
 }
@@ -121,7 +121,7 @@
 		if r.proxy != proxy || r.proxyLife != proxy.Life() || r.clientEnded || !r.arrived {
 			continue
 		}
-		if !r.answered || r.standing && !r.finalLineSent && j.relayStillConnected(r) {
+		if !r.answered || r.established && !r.finalLineSent && j.relayStillConnected(r) {
 			return errors.New("standing-lost: the process exits with a client that was neither answered nor moved")
 		}
 	}
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -59,7 +59,7 @@
 	Keepers int      `ini:"keepers" min:"0" max:"5"`
 	Duties  []string `ini:"duties"` // with keepers, what the owners do for all: discovery, probes, moves
 	// Limit is the most connections that all proxies together may have; 0: no limit. LimitKind is
-	// how it is enforced. It needs keepers.
+	// how it is enforced. Limit needs keepers.
 	Limit     int    `ini:"limit" min:"0"`
 	LimitKind string `ini:"limit_kind" one:"soft, strict"`
 	// LimitWithin makes Limit one of new connections within that time; 0: of established
@@ -191,7 +191,7 @@
 	ListsPushed  bool          `ini:"pushed"` // discovery's list is deemed known at once, asked for or not
 }
 
-// Fault is a fault that is injected into a day.
+// Fault is a failure or disturbance that is injected into a day.
 type Fault struct {
 	Name        string
 	Kind        string        `ini:"kind" one:"silence, slow, failing, relimit, neighbour, costly, drain, lose, grow, proxy-restart, proxy-kill, partition, isolate, stall, late-clock, descriptors, ports, rude, late-connects, leaving, discovery-down, discovery-hang, discovery-late, discovery-queue, watches-silent"`
@@ -378,10 +378,10 @@
 		f.Complain(section, "size", "more than 0.95 of a machine")
 	}
 	if (t.Kind == "failing" || t.Kind == "late-connects" || t.Kind == "leaving") && t.Size.To > 1 {
-		f.Complain(section, "size", "more than all")
+		f.Complain(section, "size", "more than 1")
 	}
 	if t.Repeats > 0 && t.RepeatAfter.To <= 0 {
-		f.Complain(section, "again", "needs after: the time between")
+		f.Complain(section, "again", "needs the key after, the time between occurrences")
 	}
 	return t
 }
@@ -418,14 +418,14 @@
 		}
 	}
 	if least > 1.02 || most < 0.98 {
-		f.Complain("class "+s.Classes[0].Name, "share", "the classes' shares add up to %.3f..%.3f, without 1", least, most)
+		f.Complain("class "+s.Classes[0].Name, "share", "the classes' shares add up to %.3f..%.3f, a range without 1", least, most)
 	}
 	if s.Proxies.MaxDescriptors > 0 && s.Proxies.MaxDescriptors < 100 {
-		f.Complain("proxies", "sockets", "%d: fewer than 100, which a proxy keeps free for itself", s.Proxies.MaxDescriptors)
+		f.Complain("proxies", "sockets", "%d: fewer than the 100 that a proxy reserves for itself", s.Proxies.MaxDescriptors)
 	}
 	for _, c := range s.Classes {
 		if strings.ContainsAny(c.Name, " ,=") {
-			f.Complain("class "+c.Name, "", "a name with a space, a comma or an equals sign can't be sent")
+			f.Complain("class "+c.Name, "", "a name must not contain a space, a comma or an equals sign")
 		}
 	}
 }
--- a/internal/lab/unheard_drain_test.go
+++ b/internal/lab/unheard_drain_test.go
@@ -10,10 +10,10 @@
 //
 // The cause was that a process whose list had expired took the answer to a probe as proof that the
 // server takes new work. The specification does not say so, and these servers answer probes while
-// they drain. It showed as "stale-list: proxy-018 sends request winterthur120.1 to relay-018
-// 3.154381913s after it counts as told that this one takes no new work" in 8 of 8 runs with 100 and
-// 300 proxies. No run showed it where draining servers refuse probes (TestThrongOfManyProxies), or
-// once answers to probes proved nothing.
+// they drain. In 8 of 8 runs with 100 and 300 proxies, proxy-018 or another proxy sent a request
+// such as winterthur120.1 to a relay such as relay-018, 3.154381913s after the proxy was deemed to
+// know that the relay takes no new work. No run showed it where draining servers refuse probes
+// (TestThrongOfManyProxies), or once answers to probes proved nothing.
 //
 // Now only a request that a server accepted is such a proof, from the time it was written; see
 // proxy/proofs.go. The balancer places new requests among such servers.
