--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -71,8 +71,8 @@
 // interval of the paired differences.
 type FigureComparison struct {
 	Name           string    `json:"name"`
-	A              []float64 `json:"a"` // by seed, in the order of Comparison.Seeds
-	B              []float64 `json:"b"` // likewise
+	A              []float64 `json:"a"` // by seed
+	B              []float64 `json:"b"` // by seed
 	MeanA          float64   `json:"mean_a"`
 	MeanB          float64   `json:"mean_b"`
 	MeanDifference float64   `json:"mean_difference"` // mean of B - A
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -17,9 +17,9 @@
 	"ospreyspan/internal/poll"
 )
 
-// real is the state of a day that runs on real loopback sockets: one event loop for all emulated
-// parts of the fleet, and one process for each proxy.
-type real struct {
+// realDay is the state of a day on real loopback sockets: one event loop for all emulated parts of
+// the fleet, and one process for each proxy.
+type realDay struct {
 	loop     *poll.Loop
 	program  string // path of the ospreyspan binary
 	dir      string // directory for configurations and logs
@@ -60,7 +60,7 @@
 	}
 	defer loop.Close()
 	s := &stage{day: d, options: o, costlyClasses: make(map[string]costlyFault), registry: fleet.NewRegistry()}
-	s.real = &real{loop: loop, program: program, dir: dir}
+	s.real = &realDay{loop: loop, program: program, dir: dir}
 	defer s.real.killAll()
 	if sc.Proxies.BadLinks {
 		s.real.links = newLossyLinks(loop, seed)
@@ -111,7 +111,7 @@
 
 // machine adds an emulated part of this process at a loopback address of its own, which is the
 // part's virtual address with 127 in place of 10.
-func (r *real) machine(name string, addr netip.Addr) machine {
+func (r *realDay) machine(name string, addr netip.Addr) machine {
 	m := &realMachine{real: r, name: name, addr: loopbackAddr(addr)}
 	r.machines = append(r.machines, m)
 	return m
@@ -131,11 +131,11 @@
 
 // operatorFile writes the proxy's operator file and returns its path. Before the first start of a
 // proxy that runs a keeper, it also creates the keeper's log.
-func (r *real) operatorFile(s *stage, p *proxyNode) (string, error) {
+func (r *realDay) operatorFile(s *stage, p *proxyNode) (string, error) {
 	var keepers, seeds []string
 	runsKeeper := false
 	for i := range s.scenario.Proxies.Keepers {
-		at := netip.AddrPortFrom(loopbackAddr(proxyAt(i%len(s.scenario.Sites), i)), meshPort)
+		at := netip.AddrPortFrom(loopbackAddr(proxyAddr(i%len(s.scenario.Sites), i)), meshPort)
 		runsKeeper = runsKeeper || at.Addr() == p.host.Addr()
 		if r.links != nil {
 			at = publicAddr(at)
@@ -175,7 +175,7 @@
 
 // killAll kills the processes that were started, each by its process ID, waits for them, and stops
 // the emulated parts.
-func (r *real) killAll() {
+func (r *realDay) killAll() {
 	for _, m := range r.machines {
 		m.Kill()
 	}
@@ -183,7 +183,7 @@
 
 // realMachine is a machine on real sockets: a proxy process or an emulated part of this process.
 type realMachine struct {
-	real    *real
+	real    *realDay
 	name    string
 	addr    netip.Addr
 	running bool          // of an emulated part
@@ -256,7 +256,7 @@
 }
 
 // startProxy starts the program with a configuration in the platform's format.
-func (r *real) startProxy(s *stage, p *proxyNode) error {
+func (r *realDay) startProxy(s *stage, p *proxyNode) error {
 	m := p.host.(*realMachine)
 	settings, err := s.settingsText(p.site)
 	if err != nil {
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -12,7 +12,7 @@
 // samples are taken once per virtual second. The charts of relays show them.
 type samples struct {
 	load        [][]float64 // by relay and second: requested load over capacity; NaN while stopped
-	connections [][]float64 // likewise: open connections
+	connections [][]float64 // by relay and second: open connections; NaN while stopped
 	openClients []int       // clients that wanted a connection, by second from the start
 }
 
@@ -85,7 +85,7 @@
 type series struct {
 	service       [][]float64 // by class, from the end of the warm-up
 	load          [][]float64 // by relay, from the start of the warm-up
-	connections   [][]float64 // likewise
+	connections   [][]float64 // by relay, from the start of the warm-up
 	moves         []int       // from the end of the warm-up
 	openClients   []int       // from the start of the warm-up
 	relayNames    []string    // by relay
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -28,7 +28,7 @@
 	self := uint64(0)
 	for i := range keeperCount {
 		site := i % len(s.scenario.Sites)
-		addr := netip.AddrPortFrom(proxyAt(site, i), meshPort)
+		addr := netip.AddrPortFrom(proxyAddr(site, i), meshPort)
 		keepers = append(keepers, mesh.KeeperAddress{ID: uint64(i + 1), Addr: addr})
 		if addr.Addr() == p.host.Addr() {
 			self = uint64(i + 1)
@@ -118,7 +118,7 @@
 	return s.scenario.Proxies.Duties
 }
 
-func proxyAt(site, i int) netip.Addr { return machineAddr(site, addrProxy, i) }
+func proxyAddr(site, i int) netip.Addr { return machineAddr(site, addrProxy, i) }
 
 // configureKeeper gives a proxy its keeper, with a disk whose contents survive restarts of the
 // proxy.
--- a/internal/lab/stage.go
+++ b/internal/lab/stage.go
@@ -27,7 +27,7 @@
 	*day
 	options          Options
 	world            *vnet.World // nil: the day runs on real sockets
-	real             *real
+	real             *realDay
 	ledger           *fleet.Ledger
 	judge            *judge
 	registry         *fleet.Registry
--- a/internal/lab/unheard_drain_test.go
+++ b/internal/lab/unheard_drain_test.go
@@ -10,10 +10,10 @@
 //
 // The cause was that a process whose list had expired took the answer to a probe as proof that the
 // server takes new work. The specification does not say so, and these servers answer probes while
-// they drain. In 8 of 8 runs with 100 and 300 proxies, proxy-018 or another proxy sent a request
-// such as winterthur120.1 to a relay such as relay-018, 3.154381913s after the proxy was deemed to
-// know that the relay takes no new work. No run showed it where draining servers refuse probes
-// (TestThrongOfManyProxies), or once answers to probes proved nothing.
+// they drain. The violation occurred in 8 of 8 runs with 100 and 300 proxies; for example,
+// proxy-018 sent request winterthur120.1 to relay-018 3.154381913s after it was deemed to know that
+// the relay takes no new work. It did not occur where draining servers refuse probes
+// (TestThrongOfManyProxies), nor once answers to probes proved nothing.
 //
 // Now only a request that a server accepted is such a proof, from the time it was written; see
 // proxy/proofs.go. The balancer places new requests among such servers.
