--- a/internal/lab/changeclock.go
+++ b/internal/lab/changeclock.go
@@ -192,7 +192,7 @@
 }
 
 // idleAfterFailure returns for how long a proxy that can reach discovery has made no call since one
-// failed;
+// failed; 0: none has failed, or one is open.
 func (n *changeClock) idleAfterFailure(proxy netip.Addr) time.Duration {
 	c := n.clients[proxy]
 	if c == nil || c.failedSince.IsZero() || c.currentCall != nil || c.reachableSince.IsZero() {
@@ -266,6 +266,7 @@
 	c.callFailed(n.world.Now())
 }
 
+// callFailed records that a call failed.
 func (c *discoveryClient) callFailed(now time.Time) {
 	if c.idleSince = now; c.failedSince.IsZero() {
 		c.failedSince = now
@@ -293,5 +294,3 @@
 	n, err := strconv.Atoi(string(length))
 	return string(head[len("HTTP/1.1 "):len("HTTP/1.1 200")]), err == nil && len(body) >= n
 }
-
-// none has failed, or one is open.
--- a/internal/lab/crowds.go
+++ b/internal/lab/crowds.go
@@ -8,6 +8,7 @@
 	"ospreyspan/internal/vnet"
 )
 
+// crowdNode is the machine of all clients of a site, with the load balancer that serves them.
 type crowdNode struct {
 	node
 	site  string
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -9,6 +9,7 @@
 	"ospreyspan/internal/vnet"
 )
 
+// discoveryNode is the machine of the discovery service.
 type discoveryNode struct {
 	node
 	host machine
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -38,6 +38,7 @@
 	settingsJSON   []byte
 }
 
+// drawnWave is a Wave with its values drawn.
 type drawnWave struct {
 	from, until  time.Duration // since the start
 	rateMultiple float64
--- a/internal/lab/proxies.go
+++ b/internal/lab/proxies.go
@@ -14,6 +14,7 @@
 	"ospreyspan/internal/vnet"
 )
 
+// proxyNode is the machine of a proxy.
 type proxyNode struct {
 	name       string
 	site       string
@@ -133,6 +134,7 @@
 	p.loop.Wake()
 }
 
+// stall stops a proxy's process for a while.
 func (p *proxyNode) stall(s *stage, d time.Duration) {
 	if r, ok := p.host.(*realMachine); ok {
 		r.signal(syscall.SIGSTOP)
--- a/internal/lab/relays.go
+++ b/internal/lab/relays.go
@@ -11,8 +11,10 @@
 	"ospreyspan/internal/vnet"
 )
 
+// costlyFault makes a share of the connections of a class cost a multiple of the usual load.
 type costlyFault struct{ share, multiple float64 }
 
+// relayNode is the machine of a relay.
 type relayNode struct {
 	node
 	plan    *relayPlan
--- a/internal/lab/requests.go
+++ b/internal/lab/requests.go
@@ -111,6 +111,8 @@
 	}
 }
 
+// relayStillConnected reports whether the relay of the latest attempt keeps its connection open and
+// can be reached.
 func (j *judge) relayStillConnected(r *request) bool {
 	return r.lastAttempt != nil && !r.lastAttempt.relayEnded && j.world.Reaches(r.lastAttempt.conn.Listener, r.proxy)
 }
@@ -128,6 +130,7 @@
 	return nil
 }
 
+// sideEnded counts the ended sides of a client's connection, and forgets the request after both.
 func (j *judge) sideEnded(r *request) {
 	if r.endedSides++; r.endedSides == 2 {
 		delete(j.requests, r.id)
--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -213,6 +213,7 @@
 	return n
 }
 
+// pickTargets draws the targets that a fault strikes.
 func pickTargets[T any](t *Fault, list []T, r *rand.Rand) []T {
 	picked := make([]T, 0, len(list))
 	for _, i := range r.Perm(len(list))[:t.targetCount(len(list), r)] {
@@ -411,6 +412,7 @@
 	})
 }
 
+// startProxyAgain starts a proxy after a restart or a kill, and has the load balancers check it again.
 func (s *stage) startProxyAgain(p *proxyNode) {
 	if p.running() {
 		return
