--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -412,7 +412,8 @@
 	})
 }
 
-// startProxyAgain starts a proxy after a restart or a kill, and has the load balancers check it again.
+// startProxyAgain starts a proxy after a restart or a kill, and has the load balancers check it
+// again.
 func (s *stage) startProxyAgain(p *proxyNode) {
 	if p.running() {
 		return
