--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -12,7 +12,7 @@
 	"ospreyspan/internal/vnet"
 )
 
-// role is what a machine is for.
+// role is the function of a machine in the emulated fleet.
 type role uint8
 
 const (
@@ -23,99 +23,111 @@
 	roleDiscovery
 )
 
-// judge sees all that the machines hand to their sockets and checks the rules on it, at the moment it happens. What a
-// broken rule is called:
+// judge checks the rules below on everything that the machines of a virtual day send and receive,
+// at the moment it happens. The first violation fails the run and carries the name of its rule:
 //
-//	one-final-answer       a request has exactly one answer: not none, not two
-//	answer-in-time         it comes before the client gives up (and the slack)
-//	two-attempts           a request is never at two relays at once
-//	drain-grace            nothing new to a relay, the grace after the proxy was told that it drains
-//	stale-list             nor the grace after that counts as told by a clock, whether it arrived or not; see newsClock
-//	ask-again              after a call of discovery that failed the next one comes before what was missed counts as told
-//	cold-relay-pushed-over all proxies together must not topple a relay that is cold
-//	cold-budget            nor send it more than it bears, most of it from proxies that were told of its start; see coldBudget
-//	sent-after-leaving     a request whose client left while it waited is not sent on later than leftGrace
-//	effect-twice           a request that may have run is sent again only where, and while, its class's effect allows that
-//	repeat-invited         nor is it refused, which invites its client to repeat it
-//	standing-lost          no standing connection is cut off without MOVE while its relay answers
-//	counts                 the module's counts equal the sockets'
-//	given-back             every descriptor, timer and table entry is given back
+//	one-final-answer       a request gets exactly one answer
+//	answer-in-time         the answer comes before the client gives up, plus AnswerSlack
+//	two-attempts           a request never has attempts at two relays at the same time
+//	drain-grace            a relay gets nothing new later than DrainGrace after the proxy
+//	                       was told that it drains
+//	stale-list             a relay gets nothing new later than DrainGrace after the proxy
+//	                       is deemed to know that it drains, received or not; see
+//	                       changeClock
+//	ask-again              after a failed discovery call the next one is made before the
+//	                       changes missed are deemed known
+//	cold-relay-pushed-over all proxies together do not overload a cold relay
+//	cold-budget            all proxies together send a cold relay no more than it bears,
+//	                       if most of it comes from proxies that were told of its start;
+//	                       see coldBudget
+//	sent-after-leaving     a request whose client left while it waited is not sent to a
+//	                       relay later than departedClientGrace after that
+//	effect-twice           a request that may have run is sent again only where, and for as
+//	                       long as, the effect of its class allows it
+//	repeat-invited         a request that may have run and must not be repeated is not
+//	                       refused, since a refusal invites the client to repeat it
+//	standing-lost          an established connection is not closed without MOVE while its
+//	                       relay answers
+//	counts                 the proxy's own counts equal those of the sockets
+//	given-back             every descriptor, timer and table entry is released
 type judge struct {
-	world    *vnet.World
-	ledger   *fleet.Ledger
-	rules    *Rules
-	roles    map[*vnet.Host]role
-	relayID  map[*vnet.Host]string
-	sites    map[string]string // of relays
-	blocks   map[string]int    // likewise
-	classes  map[string]*Class
-	requests map[string]*request
-	excused  map[*vnet.Host]time.Time     // a proxy that could not run answers late until then
-	lag      map[*vnet.Host]time.Duration // by how much a proxy's clock was late at the most: its windows are longer by that
-	telling  []news                       // discovery is about to write
-	clock    *newsClock
-	cold     *coldBudget                       // nil: it is not judged
-	relay    func(id string) (coldRelay, bool) // ok is false if none runs, or it was there from the start
-	Requests int
-	Attempts int
+	world                *vnet.World
+	ledger               *fleet.Ledger
+	rules                *Rules
+	roles                map[*vnet.Host]role
+	relayID              map[*vnet.Host]string
+	sites                map[string]string // by relay id
+	blocks               map[string]int    // deduplication cell of a relay, by relay id
+	classes              map[string]*Class
+	requests             map[string]*request
+	excusedUntil         map[*vnet.Host]time.Time     // a proxy that could not run may answer late until then
+	maxClockLag          map[*vnet.Host]time.Duration // largest lag of a proxy's clock; extends its time limits
+	pendingNotifications []notification               // of entries that discovery is about to write
+	changeClock          *changeClock
+	coldBudget           *coldBudget                       // nil: the budget is not checked
+	findColdRelay        func(id string) (coldRelay, bool) // ok is false if none runs or it ran from the start
+	Requests             int
+	Attempts             int
 }
 
-// news is what discovery tells a proxy of a relay. It counts from when it is at the proxy's machine: what a partition
-// holds back nobody can know before the clock for it runs out.
-type news struct {
-	proxy netip.Addr
-	entry fleet.Entry
-	at    int // bytes of the connection that must have arrived
+// notification is an entry of the relay list that discovery sends to a proxy. The proxy knows it
+// from when its last byte reaches the proxy's machine: a proxy cannot know what a partition holds
+// back before the time in changeClock runs out.
+type notification struct {
+	proxy     netip.Addr
+	entry     fleet.Entry
+	endOffset int // bytes of the connection that must have arrived
 }
 
-func newJudge(w *vnet.World, l *fleet.Ledger, r *Rules, clock *newsClock) *judge {
+func newJudge(w *vnet.World, l *fleet.Ledger, r *Rules, clock *changeClock) *judge {
 	j := &judge{
-		world: w, ledger: l, rules: r, clock: clock, roles: make(map[*vnet.Host]role), relayID: make(map[*vnet.Host]string),
-		sites: make(map[string]string), blocks: make(map[string]int), lag: make(map[*vnet.Host]time.Duration), classes: make(map[string]*Class),
-		requests: make(map[string]*request), excused: make(map[*vnet.Host]time.Time),
+		world: w, ledger: l, rules: r, changeClock: clock, roles: make(map[*vnet.Host]role), relayID: make(map[*vnet.Host]string),
+		sites: make(map[string]string), blocks: make(map[string]int), maxClockLag: make(map[*vnet.Host]time.Duration), classes: make(map[string]*Class),
+		requests: make(map[string]*request), excusedUntil: make(map[*vnet.Host]time.Time),
 	}
 	l.Telling = func(proxy netip.Addr, e fleet.Entry) {
-		j.telling = append(j.telling, news{proxy: proxy, entry: e})
+		j.pendingNotifications = append(j.pendingNotifications, notification{proxy: proxy, entry: e})
 	}
-	l.Silenced = clock.silences
-	l.Broken = func(rule, detail string) { j.broken(rule, "%s", detail) }
+	l.Silenced = clock.watchSilenced
+	l.Broken = func(rule, detail string) { j.reportViolation(rule, "%s", detail) }
 	w.SetTap(j)
 	return j
 }
 
-// Violation is a broken rule.
+// Violation is the error of a broken rule.
 type Violation struct{ Rule, Detail string }
 
 func (v *Violation) Error() string { return v.Rule + ": " + v.Detail }
 
-func (j *judge) broken(rule, format string, args ...any) {
+func (j *judge) reportViolation(rule, format string, args ...any) {
 	j.world.Fail(&Violation{rule, fmt.Sprintf(format, args...)})
 }
 
-// audit takes an error of Instance.Audit, which begins with the rule's name.
-func (j *judge) audit(proxy string, err error) {
+// reportAuditError reports an error of Instance.Audit, whose text begins with the name of the rule.
+func (j *judge) reportAuditError(proxy string, err error) {
 	if err == nil {
 		return
 	}
 	rule, detail, _ := strings.Cut(err.Error(), ": ")
-	j.broken(rule, "%s: %s", proxy, detail)
+	j.reportViolation(rule, "%s: %s", proxy, detail)
 }
 
-// tapped is what the judge knows of a connection between a client and a proxy, or between a proxy and a relay.
-type tapped struct {
-	req        *request
-	first      []byte // the first line from the dialler, as far as it is there
-	known      bool   // the first line was looked at
-	word       []byte // the first line from the listener, as far as it is there
-	heard      bool
-	refused    bool // that was BUSY: it never ran
-	relayEnded bool
-	relay      string
-	sentAt     time.Time
-	conn       *vnet.Conn
+// tappedConn is what the judge has seen of a connection from a client to a proxy or from a proxy to
+// a relay.
+type tappedConn struct {
+	request       *request
+	firstLine     []byte // first line of the dialler, as far as it was sent
+	firstLineSeen bool   // the first line is complete and was evaluated
+	replyLine     []byte // first line of the listener, as far as it arrived
+	replySeen     bool
+	refused       bool // the reply was BUSY: the request did not run
+	relayEnded    bool
+	relay         string
+	sentAt        time.Time
+	conn          *vnet.Conn
 }
 
-// discoveryConn is what is known of a connection to discovery.
+// discoveryConn returns the state of a connection to discovery, which it creates at the first use.
 func (j *judge) discoveryConn(c *vnet.Conn) *discoveryConn {
 	d, _ := c.User.(*discoveryConn)
 	if d == nil {
@@ -125,59 +137,60 @@
 	return d
 }
 
-func (j *judge) tapped(c *vnet.Conn) *tapped {
-	w, _ := c.User.(*tapped)
-	if w == nil {
-		w = &tapped{conn: c}
-		c.User = w
+func (j *judge) tappedConn(c *vnet.Conn) *tappedConn {
+	tap, _ := c.User.(*tappedConn)
+	if tap == nil {
+		tap = &tappedConn{conn: c}
+		c.User = tap
 	}
-	return w
+	return tap
 }
 
-// cut takes the first line off what a side sends; done tells that it is whole now.
-func cut(have *[]byte, data []byte) (done bool) {
+// appendLine adds data to an incomplete first line, up to the line feed or line.MaxLength. It
+// reports whether the line is complete.
+func appendLine(buffer *[]byte, data []byte) (done bool) {
 	if i := bytes.IndexByte(data, '\n'); i >= 0 {
-		*have = append(*have, data[:i+1]...)
+		*buffer = append(*buffer, data[:i+1]...)
 		return true
 	}
-	if len(*have) < line.MaxLength {
-		*have = append(*have, data...)
+	if len(*buffer) < line.MaxLength {
+		*buffer = append(*buffer, data...)
 	}
 	return false
 }
 
-var openWord = []byte("OPEN ")
+var openPrefix = []byte("OPEN ")
 
-// Sent is called when a process writes.
+// Sent is called when a process writes to a connection.
 func (j *judge) Sent(c *vnet.Conn, from *vnet.Host, data []byte) {
 	switch {
 	case j.roles[c.Listener] == roleDiscovery:
 		d := j.discoveryConn(c)
 		if from == c.Dialler {
-			j.clock.asks(from.Addr(), d, data)
+			j.changeClock.callWritten(from.Addr(), d, data)
 			return
 		}
-		d.sent += len(data)
-		for _, n := range j.telling {
-			n.at = d.sent
-			d.news = append(d.news, n)
+		d.sentBytes += len(data)
+		for _, n := range j.pendingNotifications {
+			n.endOffset = d.sentBytes
+			d.notifications = append(d.notifications, n)
 		}
-		j.telling = j.telling[:0]
+		j.pendingNotifications = j.pendingNotifications[:0]
 	case from == c.Dialler && j.roles[from] == roleClient && j.roles[c.Listener] == roleProxy:
-		w := j.tapped(c)
-		if !w.known && cut(&w.first, data) {
-			w.known = true
-			j.asked(c, w)
+		tap := j.tappedConn(c)
+		if !tap.firstLineSeen && appendLine(&tap.firstLine, data) {
+			tap.firstLineSeen = true
+			j.onClientRequest(c, tap)
 		}
 	case from == c.Listener && j.roles[from] == roleProxy:
-		if w, _ := c.User.(*tapped); w != nil && w.req != nil {
-			j.answers(w.req, data)
+		if tap, _ := c.User.(*tappedConn); tap != nil && tap.request != nil {
+			j.onProxyWrite(tap.request, data)
 		}
 	case from == c.Dialler && j.roles[from] == roleProxy && j.roles[c.Listener] == roleRelay:
-		w := j.tapped(c)
-		if !w.known && cut(&w.first, data) {
-			w.known = true
-			j.attempt(c, w)
+		tap := j.tappedConn(c)
+		if !tap.firstLineSeen && appendLine(&tap.firstLine, data) {
+			tap.firstLineSeen = true
+			j.onAttempt(c, tap)
 		}
 	}
 }
@@ -186,95 +199,95 @@
 func (j *judge) Arrived(c *vnet.Conn, at *vnet.Host, data []byte) {
 	if d, ok := c.User.(*discoveryConn); ok {
 		if at == c.Dialler {
-			j.hears(c, d, data)
+			j.onDiscoveryBytes(c, d, data)
 		}
 		return
 	}
-	w, _ := c.User.(*tapped)
-	if w == nil || w.req == nil || j.roles[at] != roleProxy {
+	tap, _ := c.User.(*tappedConn)
+	if tap == nil || tap.request == nil || j.roles[at] != roleProxy {
 		return
 	}
 	if at == c.Listener {
-		if r := w.req; !r.taken { // its time counts from here
-			r.taken, r.deadline = true, j.world.Now().Add(r.wait)
-			j.world.After(r.wait+j.rules.AnswerSlack, func() { j.due(r) })
+		if r := tap.request; !r.arrived { // the client's time limit runs from here
+			r.arrived, r.deadline = true, j.world.Now().Add(r.clientTimeout)
+			j.world.After(r.clientTimeout+j.rules.AnswerSlack, func() { j.checkAnswerDue(r) })
 		}
 		return
 	}
-	if w.heard || !cut(&w.word, data) {
+	if tap.replySeen || !appendLine(&tap.replyLine, data) {
 		return
 	}
-	w.heard = true
-	word, _ := line.ParseWord(line.TrimLineEnd(w.word))
-	w.refused = word == line.Busy
-	if word != line.Up && w.req.out == w {
-		w.req.out = nil
+	tap.replySeen = true
+	word, _ := line.ParseWord(line.TrimLineEnd(tap.replyLine))
+	tap.refused = word == line.Busy
+	if word != line.Up && tap.request.current == tap {
+		tap.request.current = nil
 	}
-	w.word = nil
+	tap.replyLine = nil
 }
 
-// hears sees what discovery wrote reach a proxy.
-func (j *judge) hears(c *vnet.Conn, d *discoveryConn, data []byte) {
-	d.arrived += len(data)
-	for len(d.news) > 0 && d.news[0].at <= d.arrived {
-		n := d.news[0]
-		d.news = d.news[1:]
+// onDiscoveryBytes handles bytes from discovery that reach a proxy.
+func (j *judge) onDiscoveryBytes(c *vnet.Conn, d *discoveryConn, data []byte) {
+	d.arrivedBytes += len(data)
+	for len(d.notifications) > 0 && d.notifications[0].endOffset <= d.arrivedBytes {
+		n := d.notifications[0]
+		d.notifications = d.notifications[1:]
 		j.ledger.Told(j.world.Now(), n.proxy, n.entry.Host, n.entry.Health == fleet.Serving)
-		j.clock.arrived(n.proxy, n.entry)
+		j.changeClock.entryArrived(n.proxy, n.entry)
 	}
-	j.clock.hears(c.Dialler.Addr(), d, data)
+	j.changeClock.answerArrived(c.Dialler.Addr(), d, data)
 }
 
-// EndArrived is called when an end, or a reset, reaches a machine.
+// EndArrived is called when a FIN or a reset reaches a machine.
 func (j *judge) EndArrived(c *vnet.Conn, at *vnet.Host) {
 	if d, ok := c.User.(*discoveryConn); ok && at == c.Dialler {
-		j.clock.ends(at.Addr(), d)
+		j.changeClock.connectionEnded(at.Addr(), d)
 		return
 	}
-	if w, _ := c.User.(*tapped); w != nil && w.req != nil && at == c.Listener && j.roles[at] == roleProxy {
-		if r := w.req; !r.answered && r.leftAt.IsZero() {
-			r.leftAt = j.world.Now()
+	if tap, _ := c.User.(*tappedConn); tap != nil && tap.request != nil && at == c.Listener && j.roles[at] == roleProxy {
+		if r := tap.request; !r.answered && r.clientLeftAt.IsZero() {
+			r.clientLeftAt = j.world.Now()
 		}
 	}
 }
 
-// Ended is called when a process is through with its side of a connection.
+// Ended is called when a process closes its side of a connection.
 func (j *judge) Ended(c *vnet.Conn, from *vnet.Host) {
 	if j.roles[c.Listener] == roleDiscovery {
 		if from == c.Dialler {
-			j.clock.ends(from.Addr(), j.discoveryConn(c))
+			j.changeClock.connectionEnded(from.Addr(), j.discoveryConn(c))
 		}
 		return
 	}
-	w, _ := c.User.(*tapped)
-	if w == nil || w.req == nil {
+	tap, _ := c.User.(*tappedConn)
+	if tap == nil || tap.request == nil {
 		return
 	}
-	r := w.req
+	r := tap.request
 	switch {
 	case from == c.Dialler && j.roles[from] == roleClient:
-		r.left = true
-		j.forget(r)
+		r.clientEnded = true
+		j.sideEnded(r)
 	case from == c.Listener && j.roles[from] == roleProxy:
-		if from.Up() && !r.left {
-			j.closes(r)
+		if from.Up() && !r.clientEnded {
+			j.onProxyClose(r)
 		}
-		j.forget(r)
+		j.sideEnded(r)
 	case from == c.Dialler: // the proxy's side of an attempt
-		if r.out == w {
-			r.out = nil
+		if r.current == tap {
+			r.current = nil
 		}
 	default:
-		w.relayEnded = true
-		if r.out == w {
-			r.out = nil
+		tap.relayEnded = true
+		if r.current == tap {
+			r.current = nil
 		}
 	}
 }
 
-// excuse takes down that a proxy cannot run, or not be reached, until then.
+// excuse records that a proxy cannot run, or cannot be reached, until the given time.
 func (j *judge) excuse(proxy *vnet.Host, until time.Time) {
-	if until.After(j.excused[proxy]) {
-		j.excused[proxy] = until
+	if until.After(j.excusedUntil[proxy]) {
+		j.excusedUntil[proxy] = until
 	}
 }
--- a/internal/lab/stage.go
+++ b/internal/lab/stage.go
@@ -12,60 +12,60 @@
 	"ospreyspan/internal/vnet"
 )
 
-// Options are how a day is played, beyond what the scenario says.
+// Options are settings of a run that are not part of the scenario.
 type Options struct {
-	// Log gets the proxies' logs, with the virtual time; nil: nobody does.
+	// Log receives the proxies' logs, with the virtual time; nil: they are discarded.
 	Log io.Writer
-	// MostReal is how many proxies may be played on real sockets; 0: 16.
-	MostReal int
-	// Progress is called about every virtual second.
+	// MaxRealProxies is how many proxies may run on real sockets; 0: 16.
+	MaxRealProxies int
+	// Progress is called about once per virtual second.
 	Progress func(at, total time.Duration)
 }
 
-// stage is a day on the virtual network.
+// stage is the running state of one day.
 type stage struct {
 	*day
-	o         Options
-	world     *vnet.World // nil: the day is played on real sockets
-	real      *real
-	ledger    *fleet.Ledger
-	judge     *judge
-	registry  *fleet.Registry
-	discovery *discoveryNode
-	proxies   []*proxyNode
-	nodes     []*relayNode
-	crowds    []*crowdNode
-	rude      int // connections of bad clients
-	costly    map[string]costly
-	silent    time.Time     // until then what a watch missed that fell silent does not count as told
-	late      time.Duration // news is later by that
-	samples   samples
-	ended     stats.Counters // the counts of proxies that are gone
-	slices    int            // of the limit
-	looked    int            // looks at what stands under a limit
-	shared    Shared         // likewise, what they said to each other
-	err       error
-	troubled  time.Duration // until then, troubles have effects
+	options          Options
+	world            *vnet.World // nil: the day runs on real sockets
+	real             *realDay
+	ledger           *fleet.Ledger
+	judge            *judge
+	registry         *fleet.Registry
+	discovery        *discoveryNode
+	proxies          []*proxyNode
+	nodes            []*relayNode
+	crowds           []*crowdNode
+	badClientSources int // machines of bad clients so far; numbers their addresses
+	costlyClasses    map[string]costlyFault
+	silentUntil      time.Time     // until then, changes missed by a silent watch are not deemed known
+	changeDelay      time.Duration // added to the delay of each change in discovery's list
+	samples          samples
+	endedCounters    stats.Counters // sums of proxies that have ended
+	limitSlices      int            // slices of the shared limit; 0: not set yet
+	limitChecks      int            // times that the use of the limit was sampled
+	shared           SharedStats    // fleet traffic of ended proxies, and use of the shared limit
+	err              error
+	faultsUntil      time.Duration // since the start, until when faults have effects
 }
 
-// newStage builds the day's network with all that is there at its start.
+// newStage sets up the network of the day and everything that runs from its start.
 func newStage(d *day, o Options) (*stage, error) {
-	s := &stage{day: d, o: o, costly: make(map[string]costly), registry: fleet.NewRegistry()}
+	s := &stage{day: d, options: o, costlyClasses: make(map[string]costlyFault), registry: fleet.NewRegistry()}
 	s.world = vnet.New(d.seed, s.link)
-	s.ledger = fleet.NewLedger(s.world.Now().Add(d.s.Run.WarmUp), d.s.Run.Length, d.classes)
-	s.ledger.Shared = d.s.Proxies.Keepers > 0
-	s.judge = newJudge(s.world, s.ledger, &d.s.Rules, newNewsClock(s.world, &d.s.Rules, &d.s.Allow))
-	s.registry.Changed = s.judge.clock.changed
-	if d.s.Rules.ColdBudget {
-		s.judge.cold, s.judge.relay = newColdBudget(d), s.coldRelay
+	s.ledger = fleet.NewLedger(s.world.Now().Add(d.scenario.Run.WarmUp), d.scenario.Run.Length, d.classes)
+	s.ledger.Shared = d.scenario.Proxies.Keepers > 0
+	s.judge = newJudge(s.world, s.ledger, &d.scenario.Rules, newChangeClock(s.world, &d.scenario.Rules, &d.scenario.Permissions))
+	s.registry.Changed = s.judge.changeClock.listChanged
+	if d.scenario.Rules.ColdBudget {
+		s.judge.coldBudget, s.judge.findColdRelay = newColdBudget(d), s.coldRelay
 	}
-	for i := range d.s.Classes {
-		s.judge.classes[d.s.Classes[i].Name] = &d.s.Classes[i]
+	for i := range d.scenario.Classes {
+		s.judge.classes[d.scenario.Classes[i].Name] = &d.scenario.Classes[i]
 	}
 	return s, s.build()
 }
 
-// build sets up all that is there at the day's start.
+// build sets up everything that runs from the start of the day.
 func (s *stage) build() error {
 	d := s.day
 	for i := range d.relays {
@@ -73,26 +73,26 @@
 			return err
 		}
 	}
-	h := s.machine("discovery", netip.AddrFrom4([4]byte{10, 0, 0, 1}), vnet.Limits{})
-	s.is(h, roleDiscovery, "")
+	h := s.addMachine("discovery", netip.AddrFrom4([4]byte{10, 0, 0, 1}), vnet.Limits{})
+	s.setRole(h, roleDiscovery, "")
 	s.discovery = &discoveryNode{host: h}
 	if err := s.startDiscovery(); err != nil {
 		return err
 	}
-	for i := range d.s.Proxies.Count {
+	for i := range d.scenario.Proxies.Count {
 		if err := s.addProxy(i); err != nil {
 			return err
 		}
 	}
-	for i, site := range d.s.Sites {
+	for i, site := range d.scenario.Sites {
 		if err := s.addCrowd(i, site); err != nil {
 			return err
 		}
 	}
-	s.watchLimit()
-	s.watchClock()
-	for i := range d.s.Troubles {
-		s.plot(&d.s.Troubles[i])
+	s.sampleConnections()
+	s.runClockChecks()
+	for i := range d.scenario.Faults {
+		s.scheduleFault(&d.scenario.Faults[i])
 	}
 	s.samples.init(s)
 	return nil
@@ -113,7 +113,7 @@
 	s.world.After(d, f)
 }
 
-// play runs the day to its end and checks that everything was given back.
+// play runs the day to its end and checks that everything was released.
 func (s *stage) play() error {
 	step := time.Second
 	for at := time.Duration(0); at < s.total; at += step {
@@ -124,8 +124,8 @@
 			return s.err
 		}
 		s.samples.take(s)
-		if s.o.Progress != nil {
-			s.o.Progress(at+step, s.total)
+		if s.options.Progress != nil {
+			s.options.Progress(at+step, s.total)
 		}
 	}
 	for _, c := range s.crowds {
@@ -134,25 +134,26 @@
 	if err := s.world.Run(0); err != nil {
 		return err
 	}
-	if s.s.Run.CoolDown == 0 {
+	if s.scenario.Run.CoolDown == 0 {
 		return nil
 	}
-	return s.end()
+	return s.finish()
 }
 
-// end lets what is out come to its end, looks that nothing is left, and stops the proxies in order.
-func (s *stage) end() error {
-	if err := s.world.Run(max(s.troubled-s.world.Elapsed(), 0) + s.s.Run.CoolDown); err != nil {
+// finish lets faults and open requests end, checks that nothing is left and stops the proxies in
+// order.
+func (s *stage) finish() error {
+	if err := s.world.Run(max(s.faultsUntil-s.world.Elapsed(), 0) + s.scenario.Run.CoolDown); err != nil {
 		return err
 	}
-	stopped := make(map[*proxyNode]int) // lives: a restart that was planned before may start another
+	stopped := make(map[*proxyNode]int) // by the value of lives, since an earlier planned restart may start another process
 	for _, p := range s.proxies {
 		if p.inst == nil || !p.host.Up() {
 			continue
 		}
-		stopped[p] = p.lives
-		if s.judge.audit(p.name, p.inst.Audit()); !p.inst.Idle() {
-			s.judge.broken("given-back", "%s: %v after the last client left something of one is still there", p.name, s.s.Run.CoolDown)
+		stopped[p] = p.starts
+		if s.judge.reportAuditError(p.name, p.inst.Audit()); !p.inst.Idle() {
+			s.judge.reportViolation("given-back", "%s: %v after the last client left, state of a connection is still held", p.name, s.scenario.Run.CoolDown)
 		}
 		p.loop.Wake()
 	}
@@ -160,24 +161,24 @@
 		return err
 	}
 	for _, p := range s.proxies {
-		if p.inst != nil && p.host.Up() && stopped[p] == p.lives {
-			s.judge.broken("given-back", "%s: a planned stop without clients is not over after 5 s", p.name)
+		if p.inst != nil && p.host.Up() && stopped[p] == p.starts {
+			s.judge.reportViolation("given-back", "%s: a planned stop without clients has not finished after 5 s", p.name)
 		}
 	}
 	return s.world.Run(0)
 }
 
-// logTo writes lines of a proxy's log with the virtual time before them.
-type logTo struct {
+// proxyLogWriter writes lines of a proxy's log with the virtual time in front.
+type proxyLogWriter struct {
 	s    *stage
 	name string
 }
 
-func (l logTo) Write(p []byte) (int, error) {
-	if l.s.o.Log == nil {
+func (l proxyLogWriter) Write(p []byte) (int, error) {
+	if l.s.options.Log == nil {
 		return len(p), nil
 	}
-	if _, err := fmt.Fprintf(l.s.o.Log, "%v %s: %s", l.s.world.Elapsed(), l.name, p); err != nil {
+	if _, err := fmt.Fprintf(l.s.options.Log, "%v %s: %s", l.s.world.Elapsed(), l.name, p); err != nil {
 		return 0, err
 	}
 	return len(p), nil
