--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -15,8 +15,8 @@
 	"ospreyspan/internal/poll"
 )
 
-// CrowdConfig is what the clients of one site are.
-type CrowdConfig struct {
+// LoadGeneratorConfig is what the clients of one site are.
+type LoadGeneratorConfig struct {
 	Site    string
 	Traffic Traffic
 	Classes []Class
@@ -25,10 +25,10 @@
 	Rate    func(now time.Time) float64 // new clients a second
 }
 
-// Crowd is the clients of one site. Who comes when, and what for, is drawn ahead of all that happens to them, so that
+// LoadGenerator is the clients of one site. Who comes when, and what for, is drawn ahead of all that happens to them, so that
 // two runs with the same seed see the same clients whatever the proxies do.
-type Crowd struct {
-	c        CrowdConfig
+type LoadGenerator struct {
+	c        LoadGeneratorConfig
 	loop     *poll.Loop
 	front    *Front
 	ledger   *Ledger
@@ -42,9 +42,9 @@
 	scratch  []byte
 }
 
-// NewCrowd starts the clients' arrivals.
-func NewCrowd(loop *poll.Loop, c CrowdConfig, front *Front, rng *rand.Rand, ledger *Ledger) *Crowd {
-	w := &Crowd{c: c, loop: loop, front: front, ledger: ledger, rng: rng, scratch: make([]byte, 16<<10)}
+// NewLoadGenerator starts the clients' arrivals.
+func NewLoadGenerator(loop *poll.Loop, c LoadGeneratorConfig, front *Front, rng *rand.Rand, ledger *Ledger) *LoadGenerator {
+	w := &LoadGenerator{c: c, loop: loop, front: front, ledger: ledger, rng: rng, scratch: make([]byte, 16<<10)}
 	sum := 0.0
 	for i := range max(c.Groups, 1) { // plants differ in size, by Zipf's law
 		sum += 1 / math.Pow(float64(i+1), 0.95)
@@ -56,12 +56,12 @@
 }
 
 // Open tells how many clients are there that still want something.
-func (w *Crowd) Open() int { return len(w.clients) }
+func (w *LoadGenerator) Open() int { return len(w.clients) }
 
 // idleWait is how often a rate of nothing is looked at again.
 const idleWait = 100 * time.Millisecond
 
-func (w *Crowd) wait() {
+func (w *LoadGenerator) wait() {
 	if rate := w.c.Rate(w.loop.Now()); rate > 0 {
 		w.loop.After(&w.next, min(seconds(w.rng.ExpFloat64()/rate), time.Minute))
 	} else {
@@ -69,7 +69,7 @@
 	}
 }
 
-func (w *Crowd) arrive() {
+func (w *LoadGenerator) arrive() {
 	if w.stopped {
 		return
 	}
@@ -101,20 +101,20 @@
 }
 
 // Stop ends the arrivals.
-func (w *Crowd) Stop() {
+func (w *LoadGenerator) Stop() {
 	w.stopped = true
 	w.loop.Disarm(&w.next)
 }
 
-// Leaving has a part of the clients leave while they wait for their answer, 0 to 1: soon, as somebody who changed his mind. They
+// SetEarlyLeaveFraction has a part of the clients leave while they wait for their answer, 0 to 1: soon, as somebody who changed his mind. They
 // come again like others that got none.
-func (w *Crowd) Leaving(part float64) { w.leaving = part }
+func (w *LoadGenerator) SetEarlyLeaveFraction(part float64) { w.leaving = part }
 
 // leaveMost is when such a client is gone at the latest.
 const leaveMost = 400 * time.Millisecond
 
 // Finish takes all that clients still want into the ledger, and lets them go.
-func (w *Crowd) Finish() {
+func (w *LoadGenerator) Finish() {
 	w.Stop()
 	for len(w.clients) > 0 {
 		c := w.clients[len(w.clients)-1]
@@ -137,7 +137,7 @@
 
 // client wants one connection for as long as its life, and comes again until it has had it.
 type client struct {
-	w         *Crowd
+	w         *LoadGenerator
 	class     int
 	group     string
 	key       string
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -15,11 +15,11 @@
 // Draw draws a figure.
 func (r Range) Draw(rng *rand.Rand) float64 { return r.From + (r.To-r.From)*rng.Float64() }
 
-// Spans is a Range of times.
-type Spans struct{ From, To time.Duration }
+// DurationRange is a Range of times.
+type DurationRange struct{ From, To time.Duration }
 
 // Draw draws a time.
-func (s Spans) Draw(rng *rand.Rand) time.Duration {
+func (s DurationRange) Draw(rng *rand.Rand) time.Duration {
 	return s.From + time.Duration(float64(s.To-s.From)*rng.Float64())
 }
 
@@ -31,12 +31,12 @@
 	GiveUp  time.Duration // a try is given up after this
 	Message time.Duration // a message is wanted within this
 	Worth   float64       // of a second
-	Work    Spans         // of setting one up, on a standard core
+	Work    DurationRange // of setting one up, on a standard core
 	Load    float64       // times the usual load
 	Life    float64       // times the usual life
 	Sigma   float64       // of a connection's load, lognormal
 	Swing   float64       // of its changes, lognormal
-	Change  Spans         // between these
+	Change  DurationRange // between these
 	Once    bool          // a client whose request may have run does not come again
 }
 
@@ -45,10 +45,10 @@
 	Name     string
 	Share    float64 // of the relays
 	Cores    int
-	Speed    Range // of a core, where 1 is a standard one
-	ColdFrom Range // part of its capacity with which one starts
-	Cold     Spans // until it is warm
-	Errors   Range // part of the connections that are answered with an error
+	Speed    Range         // of a core, where 1 is a standard one
+	ColdFrom Range         // part of its capacity with which one starts
+	Cold     DurationRange // until it is warm
+	Errors   Range         // part of the connections that are answered with an error
 }
 
 // Traffic is what clients do.
@@ -62,9 +62,9 @@
 	GroupCost   float64       // usual loads that a relay pays for each group that it holds any of
 	Every       time.Duration // a message
 	Retries     int           // quick ones, of a try
-	Backoff     Spans         // before the first; doubles
+	Backoff     DurationRange // before the first; doubles
 	Honour      float64       // part of the clients that keep to advice
-	Rejoin      Spans         // after a move or a break
+	Rejoin      DurationRange // after a move or a break
 	Impatient   float64       // part of the clients that come again at once
 	ZoneSkew    float64       // part of the traffic that is moved to the first site
 	ShortLoad   float64       // part of connections that are costly now, of one class
@@ -73,10 +73,10 @@
 
 // Reports is how relays tell of their load.
 type Reports struct {
-	Period Spans   // between two
-	Delay  Spans   // until one can be read
-	Noise  float64 // relative, normal
-	Work   Spans   // of answering a probe, on a standard core
+	Period DurationRange // between two
+	Delay  DurationRange // until one can be read
+	Noise  float64       // relative, normal
+	Work   DurationRange // of answering a probe, on a standard core
 }
 
 // Rules are the figures of the rules that the Ledger judges by.
--- a/internal/fleet/front.go
+++ b/internal/fleet/front.go
@@ -12,7 +12,7 @@
 // FrontConfig is how a front watches its proxies.
 type FrontConfig struct {
 	Every  time.Duration // between two checks of a proxy
-	Notice Spans         // a proxy that fails its checks is given no more clients after this
+	Notice DurationRange // a proxy that fails its checks is given no more clients after this
 }
 
 // Front hands clients out to the proxies of a site. A proxy is admitted once it has answered PING with PONG, and one
--- a/internal/fleet/rude.go
+++ b/internal/fleet/rude.go
@@ -10,8 +10,8 @@
 	"ospreyspan/internal/poll"
 )
 
-// Rude is a source of clients that break the protocol: they say nothing, or nonsense, or too much, or leave at once.
-type Rude struct {
+// BadClients is a source of clients that break the protocol: they say nothing, or nonsense, or too much, or leave at once.
+type BadClients struct {
 	loop  *poll.Loop
 	rng   *rand.Rand
 	to    []netip.AddrPort
@@ -24,26 +24,26 @@
 // rudeMost is how many of its connections are open at a time; the oldest makes room.
 const rudeMost = 2000
 
-// NewRude starts bad clients that come to these proxies at that rate.
-func NewRude(loop *poll.Loop, to []netip.AddrPort, rate float64, rng *rand.Rand) *Rude {
-	r := &Rude{loop: loop, rng: rng, to: to, rate: rate}
+// NewBadClients starts bad clients that come to these proxies at that rate.
+func NewBadClients(loop *poll.Loop, to []netip.AddrPort, rate float64, rng *rand.Rand) *BadClients {
+	r := &BadClients{loop: loop, rng: rng, to: to, rate: rate}
 	r.timer.Fire = r.come
 	loop.After(&r.timer, 0)
 	return r
 }
 
-// Made tells how many there were.
-func (r *Rude) Made() int { return r.made }
+// Connections tells how many there were.
+func (r *BadClients) Connections() int { return r.made }
 
 // Stop ends them.
-func (r *Rude) Stop() {
+func (r *BadClients) Stop() {
 	r.loop.Disarm(&r.timer)
 	for len(r.open) > 0 {
 		r.open[0].end()
 	}
 }
 
-func (r *Rude) come() {
+func (r *BadClients) come() {
 	r.loop.After(&r.timer, min(seconds(r.rng.ExpFloat64()/r.rate), time.Second))
 	if len(r.open) >= rudeMost {
 		r.open[0].end()
@@ -76,7 +76,7 @@
 
 // rudeClient is one of them. Those beyond rudeLines say nothing, or leave at once.
 type rudeClient struct {
-	r    *Rude
+	r    *BadClients
 	kind int
 	sock *poll.Socket
 	up   bool
--- a/internal/fleet/text.go
+++ b/internal/fleet/text.go
@@ -20,12 +20,12 @@
 func (r *Range) Bounds() (least, most float64) { return r.From, r.To }
 
 // UnmarshalText reads Spans.
-func (s *Spans) UnmarshalText(text []byte) error {
+func (s *DurationRange) UnmarshalText(text []byte) error {
 	return ends(string(text), inifile.Duration, &s.From, &s.To)
 }
 
 // Bounds are the ends in seconds.
-func (s *Spans) Bounds() (least, most float64) { return s.From.Seconds(), s.To.Seconds() }
+func (s *DurationRange) Bounds() (least, most float64) { return s.From.Seconds(), s.To.Seconds() }
 
 func ends[T float64 | time.Duration](text string, read func(string) (T, error), from, to *T) error {
 	first, last, both := strings.Cut(text, "..")
@@ -51,4 +51,6 @@
 }
 
 // MarshalText writes Spans as UnmarshalText reads them.
-func (s Spans) MarshalText() ([]byte, error) { return fmt.Appendf(nil, "%v..%v", s.From, s.To), nil }
+func (s DurationRange) MarshalText() ([]byte, error) {
+	return fmt.Appendf(nil, "%v..%v", s.From, s.To), nil
+}
--- a/internal/lab/crowds.go
+++ b/internal/lab/crowds.go
@@ -13,7 +13,7 @@
 	site  string
 	host  machine
 	front *fleet.Front
-	crowd *fleet.Crowd
+	crowd *fleet.LoadGenerator
 }
 
 func (s *stage) addCrowd(i int, site string) error {
@@ -28,7 +28,7 @@
 			n.front.Add(p.addr(), p.site == site)
 		}
 		start := loop.Now()
-		n.crowd = fleet.NewCrowd(loop, fleet.CrowdConfig{
+		n.crowd = fleet.NewLoadGenerator(loop, fleet.LoadGeneratorConfig{
 			Site: site, Traffic: s.traffic, Classes: s.classes, Groups: s.groups, Seed: s.seed,
 			Rate: func(now time.Time) float64 { return s.rate(site, now.Sub(start)) },
 		}, n.front, stream(s.seed, "arrivals "+site), s.ledger)
--- a/internal/lab/fuzz.go
+++ b/internal/lab/fuzz.go
@@ -71,9 +71,9 @@
 func newDraws(r *rand.Rand) *draws { return &draws{r} }
 
 // span draws a time in whole milliseconds, one at least: a file leaves out what is nothing.
-func (d *draws) span(from, to time.Duration) fleet.Spans {
-	t := max(fleet.Spans{From: from, To: to}.Draw(d.r).Round(time.Millisecond), time.Millisecond)
-	return fleet.Spans{From: t, To: t}
+func (d *draws) span(from, to time.Duration) fleet.DurationRange {
+	t := max(fleet.DurationRange{From: from, To: to}.Draw(d.r).Round(time.Millisecond), time.Millisecond)
+	return fleet.DurationRange{From: t, To: t}
 }
 
 func (d *draws) one(from, to float64) fleet.Range {
@@ -143,7 +143,7 @@
 }
 
 // customer draws what another customer's settings may say: effects that must not come twice, and what is permitted.
-func (s *Scenario) customer(r *rand.Rand, span func(from, to time.Duration) fleet.Spans) {
+func (s *Scenario) customer(r *rand.Rand, span func(from, to time.Duration) fleet.DurationRange) {
 	for i := range s.Classes {
 		c := &s.Classes[i]
 		switch r.IntN(4) {
@@ -161,14 +161,14 @@
 		s.Allow.Dial = span(300*time.Millisecond, 1200*time.Millisecond).From
 		part := round(fleet.Range{From: 0.2, To: 0.8}.Draw(r))
 		s.Troubles = append(s.Troubles, Trouble{
-			Name: "late", Kind: "late-connects", For: fleet.Spans{From: s.Run.Length, To: s.Run.Length},
+			Name: "late", Kind: "late-connects", For: fleet.DurationRange{From: s.Run.Length, To: s.Run.Length},
 			Size: fleet.Range{From: part, To: part}, Away: span(200*time.Millisecond, 1200*time.Millisecond),
 		})
 	}
 }
 
 // fill gives a trouble the figures that its kind needs.
-func (s *Scenario) fill(t *Trouble, r *rand.Rand, one func(from, to float64) fleet.Range, span func(from, to time.Duration) fleet.Spans) {
+func (s *Scenario) fill(t *Trouble, r *rand.Rand, one func(from, to float64) fleet.Range, span func(from, to time.Duration) fleet.DurationRange) {
 	second := time.Second
 	switch t.Kind {
 	case "silence", "isolate":
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -72,76 +72,76 @@
 
 // Relays are the egress targets.
 type Relays struct {
-	Count   int         `ini:"count" min:"1" max:"10000"`
-	PerCore fleet.Range `ini:"per_core" above:"0"`     // usual connections that fill a standard core
-	Most    fleet.Range `ini:"most_per_core" min:"0"`  // connections that a core of a relay holds at the most; 0: any number
-	Buffer  fleet.Spans `ini:"buffer"`                 // work that may pile up before connections are dropped
-	Service fleet.Spans `ini:"message_work" above:"0"` // of a message, on a standard core
-	Group   float64     `ini:"group_cost" min:"0"`     // usual loads for each group that a relay holds any of
-	Period  fleet.Spans `ini:"report_every" above:"0"` // between two load reports
-	Delay   fleet.Spans `ini:"report_late"`            // until one can be read
-	Noise   fleet.Range `ini:"report_noise" min:"0"`   // relative
-	Probe   fleet.Spans `ini:"probe_work"`             // on a standard core
-	Return  fleet.Spans `ini:"return_notice"`          // until discovery names one that has started
-	Notice  fleet.Spans `ini:"drain_notice"`           // until it tells that one drains or was stopped
-	Silent  fleet.Spans `ini:"silent_notice"`          // until it drops one that fell silent
-	Errors  float64     `ini:"errors" min:"0" max:"1"` // part of the connections answered with an error, where a kind gives none
-	Spread  float64     `ini:"spread" min:"0" max:"1"` // part of the relays that are placed on sites by lot
-	Leaving bool        `ini:"draining_fails_probes"`  // one that drains answers probes with an error; else as one that serves
-	Clients bool        `ini:"tell_delay"`             // the proxies are told to watch how long messages take
+	Count   int                 `ini:"count" min:"1" max:"10000"`
+	PerCore fleet.Range         `ini:"per_core" above:"0"`     // usual connections that fill a standard core
+	Most    fleet.Range         `ini:"most_per_core" min:"0"`  // connections that a core of a relay holds at the most; 0: any number
+	Buffer  fleet.DurationRange `ini:"buffer"`                 // work that may pile up before connections are dropped
+	Service fleet.DurationRange `ini:"message_work" above:"0"` // of a message, on a standard core
+	Group   float64             `ini:"group_cost" min:"0"`     // usual loads for each group that a relay holds any of
+	Period  fleet.DurationRange `ini:"report_every" above:"0"` // between two load reports
+	Delay   fleet.DurationRange `ini:"report_late"`            // until one can be read
+	Noise   fleet.Range         `ini:"report_noise" min:"0"`   // relative
+	Probe   fleet.DurationRange `ini:"probe_work"`             // on a standard core
+	Return  fleet.DurationRange `ini:"return_notice"`          // until discovery names one that has started
+	Notice  fleet.DurationRange `ini:"drain_notice"`           // until it tells that one drains or was stopped
+	Silent  fleet.DurationRange `ini:"silent_notice"`          // until it drops one that fell silent
+	Errors  float64             `ini:"errors" min:"0" max:"1"` // part of the connections answered with an error, where a kind gives none
+	Spread  float64             `ini:"spread" min:"0" max:"1"` // part of the relays that are placed on sites by lot
+	Leaving bool                `ini:"draining_fails_probes"`  // one that drains answers probes with an error; else as one that serves
+	Clients bool                `ini:"tell_delay"`             // the proxies are told to watch how long messages take
 }
 
 // Class is fleet.Class as the file has it.
 type Class struct {
 	Name    string
-	Share   fleet.Range   `ini:"share" min:"0" max:"1"`
-	SetUp   time.Duration `ini:"set_up" above:"0"`
-	GiveUp  time.Duration `ini:"give_up" above:"0"`
-	Message time.Duration `ini:"message" above:"0"`
-	Worth   float64       `ini:"worth" above:"0"`
-	Work    fleet.Spans   `ini:"work"`
-	Load    fleet.Range   `ini:"load" above:"0"`
-	Life    fleet.Range   `ini:"life" above:"0"`
-	Sigma   fleet.Range   `ini:"sigma" min:"0" max:"3"`
-	Swing   fleet.Range   `ini:"swing" min:"0" max:"3"`
-	Change  fleet.Spans   `ini:"change" above:"0"`
-	Effect  string        `ini:"effect" one:"free, single_shot, guarded"`
-	Scope   string        `ini:"scope" one:"all, zone, cell"` // of guarded: which relays drop repeats
-	Window  time.Duration `ini:"window"`                      // of guarded: for how long
+	Share   fleet.Range         `ini:"share" min:"0" max:"1"`
+	SetUp   time.Duration       `ini:"set_up" above:"0"`
+	GiveUp  time.Duration       `ini:"give_up" above:"0"`
+	Message time.Duration       `ini:"message" above:"0"`
+	Worth   float64             `ini:"worth" above:"0"`
+	Work    fleet.DurationRange `ini:"work"`
+	Load    fleet.Range         `ini:"load" above:"0"`
+	Life    fleet.Range         `ini:"life" above:"0"`
+	Sigma   fleet.Range         `ini:"sigma" min:"0" max:"3"`
+	Swing   fleet.Range         `ini:"swing" min:"0" max:"3"`
+	Change  fleet.DurationRange `ini:"change" above:"0"`
+	Effect  string              `ini:"effect" one:"free, single_shot, guarded"`
+	Scope   string              `ini:"scope" one:"all, zone, cell"` // of guarded: which relays drop repeats
+	Window  time.Duration       `ini:"window"`                      // of guarded: for how long
 }
 
 // Network is the way between the machines, one way.
 type Network struct {
-	Same      fleet.Spans `ini:"same_site"`
-	Cross     fleet.Spans `ini:"cross_site"`
-	Client    fleet.Spans `ini:"client"`                 // from a client's machine to its site
-	Jitter    fleet.Range `ini:"jitter" min:"0" max:"2"` // part of a delay that is added at the most
-	Loss      float64     `ini:"loss" min:"0" max:"0.9"`
-	Bandwidth float64     `ini:"bandwidth" min:"0"` // bytes a second of each path; 0: without end
+	Same      fleet.DurationRange `ini:"same_site"`
+	Cross     fleet.DurationRange `ini:"cross_site"`
+	Client    fleet.DurationRange `ini:"client"`                 // from a client's machine to its site
+	Jitter    fleet.Range         `ini:"jitter" min:"0" max:"2"` // part of a delay that is added at the most
+	Loss      float64             `ini:"loss" min:"0" max:"0.9"`
+	Bandwidth float64             `ini:"bandwidth" min:"0"` // bytes a second of each path; 0: without end
 }
 
 // Traffic is fleet.Traffic as the file has it.
 type Traffic struct {
-	Rate      float64       `ini:"rate" min:"0"` // new clients a second, at all sites
-	Swing     fleet.Range   `ini:"swing" min:"0" max:"1"`
-	Period    fleet.Spans   `ini:"period" above:"0"`
-	Life      fleet.Spans   `ini:"life" above:"0"`
-	Group     fleet.Range   `ini:"group_size" above:"0"`
-	Every     time.Duration `ini:"message_every" above:"0"`
-	Retries   int           `ini:"retries" min:"0" max:"20"`
-	Backoff   fleet.Spans   `ini:"backoff" above:"0"`
-	Honour    fleet.Range   `ini:"honour" min:"0" max:"1"`
-	Rejoin    fleet.Spans   `ini:"rejoin" above:"0"`
-	Impatient fleet.Range   `ini:"impatient" min:"0" max:"1"`
+	Rate      float64             `ini:"rate" min:"0"` // new clients a second, at all sites
+	Swing     fleet.Range         `ini:"swing" min:"0" max:"1"`
+	Period    fleet.DurationRange `ini:"period" above:"0"`
+	Life      fleet.DurationRange `ini:"life" above:"0"`
+	Group     fleet.Range         `ini:"group_size" above:"0"`
+	Every     time.Duration       `ini:"message_every" above:"0"`
+	Retries   int                 `ini:"retries" min:"0" max:"20"`
+	Backoff   fleet.DurationRange `ini:"backoff" above:"0"`
+	Honour    fleet.Range         `ini:"honour" min:"0" max:"1"`
+	Rejoin    fleet.DurationRange `ini:"rejoin" above:"0"`
+	Impatient fleet.Range         `ini:"impatient" min:"0" max:"1"`
 }
 
 // Wave is a time in which more clients come, or fewer.
 type Wave struct {
 	Name  string
-	At    fleet.Spans `ini:"at"`
-	For   fleet.Spans `ini:"for" above:"0"`
-	Times fleet.Range `ini:"times" min:"0"` // the usual rate
-	Sites []string    `ini:"sites"`         // empty: all
+	At    fleet.DurationRange `ini:"at"`
+	For   fleet.DurationRange `ini:"for" above:"0"`
+	Times fleet.Range         `ini:"times" min:"0"` // the usual rate
+	Sites []string            `ini:"sites"`         // empty: all
 }
 
 // Discovery is the service that names the relays.
@@ -154,9 +154,9 @@
 
 // Front hands clients to proxies.
 type Front struct {
-	Every  time.Duration `ini:"every" above:"0"`
-	Notice fleet.Spans   `ini:"notice"`
-	Late   fleet.Spans   `ini:"late_clients"` // how long clients still come to a proxy that was told to stop
+	Every  time.Duration       `ini:"every" above:"0"`
+	Notice fleet.DurationRange `ini:"notice"`
+	Late   fleet.DurationRange `ini:"late_clients"` // how long clients still come to a proxy that was told to stop
 }
 
 // Rules are what runs are judged by, and what proxies are told of it.
@@ -188,18 +188,18 @@
 // Trouble is something that goes wrong.
 type Trouble struct {
 	Name  string
-	Kind  string        `ini:"kind" one:"silence, slow, failing, relimit, neighbour, costly, drain, lose, grow, proxy-restart, proxy-kill, partition, isolate, stall, late-clock, descriptors, ports, rude, late-connects, leaving, discovery-down, discovery-hang, discovery-late, discovery-queue, watches-silent"`
-	At    fleet.Spans   `ini:"at"`
-	For   fleet.Spans   `ini:"for"`
-	Part  fleet.Range   `ini:"part" min:"0" max:"1"` // of the relays, proxies or connections
-	Count int           `ini:"count" min:"0"`        // in place of part
-	Size  fleet.Range   `ini:"size" min:"0"`         // times as slow, times as costly, share of the machine, descriptors, clients a second
-	Away  fleet.Spans   `ini:"away"`                 // until what was stopped starts again
-	Every time.Duration `ini:"every"`                // between one proxy's or relay's turn and the next's
-	Class string        `ini:"class"`
-	Sites []string      `ini:"sites"`
-	Again int           `ini:"again" min:"0" max:"100"` // further times
-	After fleet.Spans   `ini:"after"`                   // between these
+	Kind  string              `ini:"kind" one:"silence, slow, failing, relimit, neighbour, costly, drain, lose, grow, proxy-restart, proxy-kill, partition, isolate, stall, late-clock, descriptors, ports, rude, late-connects, leaving, discovery-down, discovery-hang, discovery-late, discovery-queue, watches-silent"`
+	At    fleet.DurationRange `ini:"at"`
+	For   fleet.DurationRange `ini:"for"`
+	Part  fleet.Range         `ini:"part" min:"0" max:"1"` // of the relays, proxies or connections
+	Count int                 `ini:"count" min:"0"`        // in place of part
+	Size  fleet.Range         `ini:"size" min:"0"`         // times as slow, times as costly, share of the machine, descriptors, clients a second
+	Away  fleet.DurationRange `ini:"away"`                 // until what was stopped starts again
+	Every time.Duration       `ini:"every"`                // between one proxy's or relay's turn and the next's
+	Class string              `ini:"class"`
+	Sites []string            `ini:"sites"`
+	Again int                 `ini:"again" min:"0" max:"100"` // further times
+	After fleet.DurationRange `ini:"after"`                   // between these
 }
 
 // defaults are the figures of a calm day, from the ranges that were seen in service.
@@ -210,24 +210,24 @@
 		Run:     Run{Length: 55 * s, WarmUp: 30 * s, CoolDown: 10 * s, Sites: []string{"winterthur", "lausanne", "chur"}, Skew: fleet.Range{From: 0.1, To: 0.25}},
 		Proxies: Proxies{Count: 3, Sockets: 1024, AnswerMargin: t.AnswerMargin, SilentAfter: t.SilentAfter, MovesSpan: t.MovesSpan, MovesDone: t.MovesDone},
 		Relays: Relays{
-			Count: 10, PerCore: fleet.Range{From: 8.1, To: 21}, Most: fleet.Range{From: 50, To: 75}, Buffer: fleet.Spans{From: s / 2, To: 3 * s},
-			Service: fleet.Spans{From: 2 * ms, To: 7 * ms}, Group: 3,
-			Period: fleet.Spans{From: 43 * ms, To: 370 * ms}, Delay: fleet.Spans{From: 19 * ms, To: 140 * ms}, Noise: fleet.Range{From: 0.08, To: 0.18},
-			Probe:  fleet.Spans{From: 1100 * time.Microsecond, To: 2300 * time.Microsecond},
-			Return: fleet.Spans{From: 1100 * ms, To: 2400 * ms}, Notice: fleet.Spans{From: 580 * ms, To: 3500 * ms},
-			Silent: fleet.Spans{From: 6600 * ms, To: 12 * s}, Spread: 0.5, Clients: true,
+			Count: 10, PerCore: fleet.Range{From: 8.1, To: 21}, Most: fleet.Range{From: 50, To: 75}, Buffer: fleet.DurationRange{From: s / 2, To: 3 * s},
+			Service: fleet.DurationRange{From: 2 * ms, To: 7 * ms}, Group: 3,
+			Period: fleet.DurationRange{From: 43 * ms, To: 370 * ms}, Delay: fleet.DurationRange{From: 19 * ms, To: 140 * ms}, Noise: fleet.Range{From: 0.08, To: 0.18},
+			Probe:  fleet.DurationRange{From: 1100 * time.Microsecond, To: 2300 * time.Microsecond},
+			Return: fleet.DurationRange{From: 1100 * ms, To: 2400 * ms}, Notice: fleet.DurationRange{From: 580 * ms, To: 3500 * ms},
+			Silent: fleet.DurationRange{From: 6600 * ms, To: 12 * s}, Spread: 0.5, Clients: true,
 		},
 		Network: Network{
-			Same: fleet.Spans{From: 180 * time.Microsecond, To: 320 * time.Microsecond}, Cross: fleet.Spans{From: 5600 * time.Microsecond, To: 10 * ms},
-			Client: fleet.Spans{From: 290 * time.Microsecond, To: 950 * time.Microsecond}, Jitter: fleet.Range{From: 0.05, To: 0.35},
+			Same: fleet.DurationRange{From: 180 * time.Microsecond, To: 320 * time.Microsecond}, Cross: fleet.DurationRange{From: 5600 * time.Microsecond, To: 10 * ms},
+			Client: fleet.DurationRange{From: 290 * time.Microsecond, To: 950 * time.Microsecond}, Jitter: fleet.Range{From: 0.05, To: 0.35},
 		},
 		Traffic: Traffic{
-			Rate: 5.1, Swing: fleet.Range{From: 0.2, To: 0.4}, Period: fleet.Spans{From: 15 * s, To: 40 * s}, Life: fleet.Spans{From: 22 * s, To: 48 * s},
-			Group: fleet.Range{From: 32, To: 59}, Every: 2 * s, Retries: 2, Backoff: fleet.Spans{From: 16 * ms, To: 130 * ms},
-			Honour: fleet.Range{From: 0.63, To: 0.92}, Rejoin: fleet.Spans{From: 67 * ms, To: 1100 * ms}, Impatient: fleet.Range{To: 0.03},
+			Rate: 5.1, Swing: fleet.Range{From: 0.2, To: 0.4}, Period: fleet.DurationRange{From: 15 * s, To: 40 * s}, Life: fleet.DurationRange{From: 22 * s, To: 48 * s},
+			Group: fleet.Range{From: 32, To: 59}, Every: 2 * s, Retries: 2, Backoff: fleet.DurationRange{From: 16 * ms, To: 130 * ms},
+			Honour: fleet.Range{From: 0.63, To: 0.92}, Rejoin: fleet.DurationRange{From: 67 * ms, To: 1100 * ms}, Impatient: fleet.Range{To: 0.03},
 		},
 		Discovery: Discovery{Call: 4 * ms, Line: ms / 4, Timeout: s},
-		Front:     Front{Every: 500 * ms, Notice: fleet.Spans{From: 1300 * ms, To: 3300 * ms}, Late: fleet.Spans{From: 200 * ms, To: 400 * ms}},
+		Front:     Front{Every: 500 * ms, Notice: fleet.DurationRange{From: 1300 * ms, To: 3300 * ms}, Late: fleet.DurationRange{From: 200 * ms, To: 400 * ms}},
 		Rules: Rules{
 			AnswerSlack: 50 * ms, DrainGrace: 500 * ms, ColdFrom: 0.13, WarmWithin: 24 * s, FallMultiple: 3, FallWithin: 1500 * ms, NewsWithin: 6 * s,
 		},
@@ -237,7 +237,7 @@
 
 // defaultKinds and defaultClasses serve where a file names none.
 func defaultKinds() []fleet.Kind {
-	cold := fleet.Spans{From: 10 * time.Second, To: 24 * time.Second}
+	cold := fleet.DurationRange{From: 10 * time.Second, To: 24 * time.Second}
 	return []fleet.Kind{
 		{Name: "r3-fast", Share: 0.35, Cores: 3, Speed: fleet.Range{From: 1.7, To: 2.3}, ColdFrom: fleet.Range{From: 0.13, To: 0.32}, Cold: cold, Errors: fleet.Range{To: 0.0005}},
 		{Name: "r2-small", Share: 0.27, Cores: 2, Speed: fleet.Range{From: 1, To: 1.4}, ColdFrom: fleet.Range{From: 0.17, To: 0.31}, Cold: cold, Errors: fleet.Range{To: 0.002}},
@@ -255,26 +255,26 @@
 	case "status":
 		return Class{
 			Name: name, Share: fleet.Range{From: 0.33, To: 0.33}, SetUp: 300 * ms, GiveUp: 1800 * ms, Message: 250 * ms, Worth: 2,
-			Work: fleet.Spans{From: 8400 * time.Microsecond, To: 18 * ms}, Load: fleet.Range{From: 0.2, To: 0.5}, Life: fleet.Range{From: 1, To: 3},
-			Sigma: fleet.Range{From: 0.59, To: 1.1}, Swing: fleet.Range{From: 0.27, To: 0.8}, Change: fleet.Spans{From: 4100 * ms, To: 20 * s},
+			Work: fleet.DurationRange{From: 8400 * time.Microsecond, To: 18 * ms}, Load: fleet.Range{From: 0.2, To: 0.5}, Life: fleet.Range{From: 1, To: 3},
+			Sigma: fleet.Range{From: 0.59, To: 1.1}, Swing: fleet.Range{From: 0.27, To: 0.8}, Change: fleet.DurationRange{From: 4100 * ms, To: 20 * s},
 		}
 	default:
 		return Class{
 			Name: name, Share: fleet.Range{From: 0.67, To: 0.67}, SetUp: 800 * ms, GiveUp: 4800 * ms, Message: 60 * ms, Worth: 3,
-			Work: fleet.Spans{From: 2100 * time.Microsecond, To: 16 * ms}, Load: one, Life: one,
-			Sigma: fleet.Range{From: 0.53, To: 1.1}, Swing: fleet.Range{From: 0.37, To: 0.88}, Change: fleet.Spans{From: 7400 * ms, To: 19 * s},
+			Work: fleet.DurationRange{From: 2100 * time.Microsecond, To: 16 * ms}, Load: one, Life: one,
+			Sigma: fleet.Range{From: 0.53, To: 1.1}, Swing: fleet.Range{From: 0.37, To: 0.88}, Change: fleet.DurationRange{From: 7400 * ms, To: 19 * s},
 		}
 	}
 }
 
 // kind is fleet.Kind as the file has it.
 type kind struct {
-	Share    float64     `ini:"share" min:"0" max:"1"`
-	Cores    int         `ini:"cores" min:"1" max:"1024"`
-	Speed    fleet.Range `ini:"speed" above:"0"`
-	ColdFrom fleet.Range `ini:"cold_from" above:"0" max:"1"`
-	Cold     fleet.Spans `ini:"cold"`
-	Errors   fleet.Range `ini:"errors" min:"0" max:"1"`
+	Share    float64             `ini:"share" min:"0" max:"1"`
+	Cores    int                 `ini:"cores" min:"1" max:"1024"`
+	Speed    fleet.Range         `ini:"speed" above:"0"`
+	ColdFrom fleet.Range         `ini:"cold_from" above:"0" max:"1"`
+	Cold     fleet.DurationRange `ini:"cold"`
+	Errors   fleet.Range         `ini:"errors" min:"0" max:"1"`
 }
 
 // Read reads a scenario file. Set holds section.key=value pairs that go before what the file says. All mistakes come at
@@ -307,7 +307,7 @@
 	f.Decode("rules", &s.Rules)
 	f.Decode("allow", &s.Allow)
 	for _, n := range f.Kind("kind") {
-		k := kind{Share: 1, Cores: 1, Speed: fleet.Range{From: 1, To: 1}, ColdFrom: fleet.Range{From: 0.2, To: 0.2}, Cold: fleet.Spans{From: 15 * time.Second, To: 15 * time.Second}}
+		k := kind{Share: 1, Cores: 1, Speed: fleet.Range{From: 1, To: 1}, ColdFrom: fleet.Range{From: 0.2, To: 0.2}, Cold: fleet.DurationRange{From: 15 * time.Second, To: 15 * time.Second}}
 		f.Decode("kind "+n, &k)
 		s.Kinds = append(s.Kinds, fleet.Kind{Name: n, Share: k.Share, Cores: k.Cores, Speed: k.Speed, ColdFrom: k.ColdFrom, Cold: k.Cold, Errors: k.Errors})
 	}
@@ -323,7 +323,7 @@
 		s.Classes = defaultClasses()
 	}
 	for _, n := range f.Kind("wave") {
-		w := Wave{Name: n, For: fleet.Spans{From: 10 * time.Second, To: 10 * time.Second}, Times: fleet.Range{From: 2, To: 2}}
+		w := Wave{Name: n, For: fleet.DurationRange{From: 10 * time.Second, To: 10 * time.Second}, Times: fleet.Range{From: 2, To: 2}}
 		f.Decode("wave "+n, &w)
 		s.known(f, "wave "+n, w.Sites)
 		s.Waves = append(s.Waves, w)
--- a/internal/lab/throng.go
+++ b/internal/lab/throng.go
@@ -35,7 +35,7 @@
 		{Name: "replaced", Kind: "drain", At: d.span(4*second, 7*second), Count: 3 + d.r.IntN(3), Every: d.span(second, 2500*time.Millisecond).From, For: d.span(8*second, 11*second), Away: forGood()},
 		{Name: "joined", Kind: "grow", At: d.span(6*second, 10*second), Count: 2 + d.r.IntN(3)},
 		{Name: "back", Kind: "drain", At: d.span(3*second, 8*second), Count: 2 + d.r.IntN(3), Every: d.span(second, 2*second).From, For: d.span(3*second, 6*second), Away: d.span(300*time.Millisecond, second)},
-		{Name: "nonsense", Kind: "rude", At: d.span(second, 3*second), For: fleet.Spans{From: length, To: length}, Size: d.one(2, 8)},
+		{Name: "nonsense", Kind: "rude", At: d.span(second, 3*second), For: fleet.DurationRange{From: length, To: length}, Size: d.one(2, 8)},
 	}
 	list = append(list, Trouble{Name: "asked", Kind: "discovery-queue", At: d.span(3*second, 8*second), For: d.span(2*second, 3*second), Again: 1, After: d.span(8*second, 12*second)})
 	if d.r.IntN(3) == 0 {
@@ -48,8 +48,8 @@
 }
 
 // forGood is longer than any day.
-func forGood() fleet.Spans { return fleet.Spans{From: time.Hour, To: time.Hour} }
+func forGood() fleet.DurationRange { return fleet.DurationRange{From: time.Hour, To: time.Hour} }
 
-func millis(from, to int) fleet.Spans {
-	return fleet.Spans{From: time.Duration(from) * time.Millisecond, To: time.Duration(to) * time.Millisecond}
+func millis(from, to int) fleet.DurationRange {
+	return fleet.DurationRange{From: time.Duration(from) * time.Millisecond, To: time.Duration(to) * time.Millisecond}
 }
--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -138,7 +138,7 @@
 		}
 	case "leaving":
 		for _, c := range s.crowds {
-			s.during(at, span, func() { c.crowd.Leaving(size) }, func() { c.crowd.Leaving(0) })
+			s.during(at, span, func() { c.crowd.SetEarlyLeaveFraction(size) }, func() { c.crowd.SetEarlyLeaveFraction(0) })
 		}
 	case "discovery-down":
 		s.during(at, span, s.discovery.host.Kill, func() {
@@ -434,7 +434,7 @@
 	s.during(at, span, func() {
 		s.failed(n.host.Start(func(k poll.Kernel) (func() error, error) {
 			loop := n.on(k, s)
-			r := fleet.NewRude(loop, to, max(rate, 0.1), rng)
+			r := fleet.NewBadClients(loop, to, max(rate, 0.1), rng)
 			s.owns(n.host, r.Stop, nil)
 			return func() error { return loop.Turn(true) }, nil
 		}))
