--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -88,9 +88,9 @@
 		w: w, class: class, pos: len(w.clients), arrived: w.loop.Now(),
 		group:     fmt.Sprintf("%s-%d", w.c.Site, plant),
 		key:       fmt.Sprintf("%s%d", w.c.Site, w.arrivals),
-		life:      seconds(w.rng.ExpFloat64() * t.Life.Seconds() * w.c.Classes[class].Life),
-		honours:   w.rng.Float64() < t.Honour,
-		impatient: w.rng.Float64() < t.Impatient,
+		life:      seconds(w.rng.ExpFloat64() * t.MeanLife.Seconds() * w.c.Classes[class].LifeFactor),
+		honours:   w.rng.Float64() < t.HonourFraction,
+		impatient: w.rng.Float64() < t.ImpatientFraction,
 	}
 	c.pcg.Seed(w.c.Seed, w.rng.Uint64())
 	c.timer.Fire = c.due
@@ -202,7 +202,7 @@
 	c.hangUp()
 	c.state = clientResting
 	t := c.w.c.Traffic
-	quick := t.Retries + 1
+	quick := t.QuickRetries + 1
 	c.fails++
 	var wait time.Duration
 	if c.fails%quick != 0 {
@@ -222,7 +222,7 @@
 
 // refail has a client come again whose request failed, if its effect may be repeated.
 func (c *client) refail() {
-	if c.w.c.Classes[c.class].Once {
+	if c.w.c.Classes[c.class].SingleShot {
 		c.settle()
 		c.done()
 		return
@@ -235,7 +235,7 @@
 	c.stand()
 	c.hangUp()
 	c.state, c.again, c.fails = clientResting, true, 0
-	r := c.w.c.Traffic.Rejoin
+	r := c.w.c.Traffic.ReconnectDelay
 	c.w.loop.After(&c.timer, r.From+time.Duration(float64(r.To-r.From)*c.draw()))
 }
 
@@ -336,7 +336,7 @@
 	} else if n == len(message) { // else it has no room: nothing is answered
 		c.sent = append(c.sent, now)
 	}
-	w.loop.After(&c.timer, max(min(w.c.Traffic.Every, c.life-now.Sub(c.up)), time.Millisecond))
+	w.loop.After(&c.timer, max(min(w.c.Traffic.MessageInterval, c.life-now.Sub(c.up)), time.Millisecond))
 }
 
 var message = []byte("reading 7.25 bar 81.3 C\r\n")
@@ -391,7 +391,7 @@
 		again = ",again=1"
 	}
 	first := fmt.Appendf(nil, "OPEN %s.%d %s c=%s,d=%d,g=%s%s\r\n",
-		c.key, c.conns, c.key, class.Name, class.GiveUp.Milliseconds(), c.group, again)
+		c.key, c.conns, c.key, class.Name, class.AttemptTimeout.Milliseconds(), c.group, again)
 	n, err := c.sock.Write(first)
 	if err != nil || n < len(first) {
 		w.ledger.Count.Unmade++
@@ -402,10 +402,10 @@
 	c.state, c.asked, c.moved = clientAsking, w.loop.Now(), false
 	c.sock.Want(true, false)
 	if c.leaves = w.leaving > 0 && c.draw() < w.leaving; c.leaves {
-		w.loop.After(&c.timer, time.Duration(c.draw()*float64(min(leaveMost, class.GiveUp))))
+		w.loop.After(&c.timer, time.Duration(c.draw()*float64(min(leaveMost, class.AttemptTimeout))))
 		return
 	}
-	w.loop.After(&c.timer, class.GiveUp+patience)
+	w.loop.After(&c.timer, class.AttemptTimeout+patience)
 }
 
 func (c *client) hear(text []byte) {
@@ -438,7 +438,7 @@
 		last := len(c.sent) == 1
 		c.sent = c.sent[1:]
 		w.ledger.Message[c.class].add(took)
-		if last && took <= w.c.Classes[c.class].Message {
+		if last && took <= w.c.Classes[c.class].MessageTarget {
 			c.good = true
 		}
 	case bytes.Equal(text, []byte("MOVE")):
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -25,58 +25,58 @@
 
 // Class is a kind of connection.
 type Class struct {
-	Name    string
-	Share   float64       // of new connections
-	SetUp   time.Duration // wanted within this
-	GiveUp  time.Duration // a try is given up after this
-	Message time.Duration // a message is wanted within this
-	Worth   float64       // of a second
-	Work    DurationRange // of setting one up, on a standard core
-	Load    float64       // times the usual load
-	Life    float64       // times the usual life
-	Sigma   float64       // of a connection's load, lognormal
-	Swing   float64       // of its changes, lognormal
-	Change  DurationRange // between these
-	Once    bool          // a client whose request may have run does not come again
+	Name           string
+	Share          float64       // of new connections
+	SetUpTarget    time.Duration // wanted within this
+	AttemptTimeout time.Duration // a try is given up after this
+	MessageTarget  time.Duration // a message is wanted within this
+	Worth          float64       // of a second
+	SetUpWork      DurationRange // of setting one up, on a standard core
+	LoadFactor     float64       // times the usual load
+	LifeFactor     float64       // times the usual life
+	LoadSigma      float64       // of a connection's load, lognormal
+	ChangeSigma    float64       // of its changes, lognormal
+	ChangeInterval DurationRange // between these
+	SingleShot     bool          // a client whose request may have run does not come again
 }
 
-// Kind is a kind of relay.
-type Kind struct {
-	Name     string
-	Share    float64 // of the relays
-	Cores    int
-	Speed    Range         // of a core, where 1 is a standard one
-	ColdFrom Range         // part of its capacity with which one starts
-	Cold     DurationRange // until it is warm
-	Errors   Range         // part of the connections that are answered with an error
+// RelayKind is a kind of relay.
+type RelayKind struct {
+	Name          string
+	Share         float64 // of the relays
+	Cores         int
+	Speed         Range         // of a core, where 1 is a standard one
+	ColdFrom      Range         // part of its capacity with which one starts
+	WarmUp        DurationRange // until it is warm
+	ErrorFraction Range         // part of the connections that are answered with an error
 }
 
 // Traffic is what clients do.
 type Traffic struct {
-	Rate        float64       // new clients a second, on the average of the day
-	Swing       float64       // part by which the rate swings about that
-	Period      time.Duration // of the swing
-	Life        time.Duration // mean time that a client wants its connection
-	PerCore     float64       // usual connections that fill a standard core
-	GroupSize   float64       // mean number of clients that are there at a time of a group
-	GroupCost   float64       // usual loads that a relay pays for each group that it holds any of
-	Every       time.Duration // a message
-	Retries     int           // quick ones, of a try
-	Backoff     DurationRange // before the first; doubles
-	Honour      float64       // part of the clients that keep to advice
-	Rejoin      DurationRange // after a move or a break
-	Impatient   float64       // part of the clients that come again at once
-	ZoneSkew    float64       // part of the traffic that is moved to the first site
-	ShortLoad   float64       // part of connections that are costly now, of one class
-	ShortFactor float64       // times as costly
+	Rate               float64       // new clients a second, on the average of the day
+	RateSwing          float64       // part by which the rate swings about that
+	SwingPeriod        time.Duration // of the swing
+	MeanLife           time.Duration // mean time that a client wants its connection
+	ConnectionsPerCore float64       // usual connections that fill a standard core
+	GroupSize          float64       // mean number of clients that are there at a time of a group
+	GroupCost          float64       // usual loads that a relay pays for each group that it holds any of
+	MessageInterval    time.Duration // a message
+	QuickRetries       int           // quick ones, of a try
+	Backoff            DurationRange // before the first; doubles
+	HonourFraction     float64       // part of the clients that keep to advice
+	ReconnectDelay     DurationRange // after a move or a break
+	ImpatientFraction  float64       // part of the clients that come again at once
+	ZoneSkew           float64       // part of the traffic that is moved to the first site
+	CostlyFraction     float64       // part of connections that are costly now, of one class
+	CostlyFactor       float64       // times as costly
 }
 
-// Reports is how relays tell of their load.
-type Reports struct {
-	Period DurationRange // between two
-	Delay  DurationRange // until one can be read
-	Noise  float64       // relative, normal
-	Work   DurationRange // of answering a probe, on a standard core
+// ReportConfig is how relays tell of their load.
+type ReportConfig struct {
+	Period    DurationRange // between two
+	Delay     DurationRange // until one can be read
+	Noise     float64       // relative, normal
+	ProbeWork DurationRange // of answering a probe, on a standard core
 }
 
 // Rules are the figures of the rules that the Ledger judges by.
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -22,7 +22,7 @@
 	Kind    string
 	Machine MachineConfig
 	Classes []Class
-	Reports Reports
+	Reports ReportConfig
 	Usual   float64                                  // load of a usual connection, in standard cores
 	Group   float64                                  // usual loads that it pays for each group
 	Most    int                                      // connections that it holds; 0: without limit
@@ -257,7 +257,7 @@
 	case s.asked:
 		s.refuse("ERR\r\n")
 	case string(text) == "PING" || string(text) == "STATS":
-		r.machine.AddWork(now, r.c.Reports.Work.Draw(r.rng).Seconds())
+		r.machine.AddWork(now, r.c.Reports.ProbeWork.Draw(r.rng).Seconds())
 		r.ledger.Count.Probes++
 		switch {
 		case r.draining && r.c.Leaving:
@@ -294,8 +294,8 @@
 		}
 	}
 	c := &r.c.Classes[s.class]
-	work := c.Work.Draw(r.rng).Seconds()
-	if r.machine.Behind(now) > c.SetUp/3 {
+	work := c.SetUpWork.Draw(r.rng).Seconds()
+	if r.machine.Behind(now) > c.SetUpTarget/3 {
 		r.behind = now
 	}
 	until := now.Add(o.Wait)
@@ -362,7 +362,7 @@
 	c := &r.c.Classes[s.class]
 	// A client's load is its own, wherever it goes: two runs with one seed compare the same loads.
 	own := rand.New(rand.NewPCG(r.c.Seed, xxhash.Sum64String(s.open.Key)))
-	s.base = r.c.Usual * c.Load * math.Exp(c.Sigma*own.NormFloat64()-c.Sigma*c.Sigma/2)
+	s.base = r.c.Usual * c.LoadFactor * math.Exp(c.LoadSigma*own.NormFloat64()-c.LoadSigma*c.LoadSigma/2)
 	if r.c.Costly != nil {
 		if part, times := r.c.Costly(c.Name); part > 0 && own.Float64() < part {
 			s.base *= times
@@ -377,7 +377,7 @@
 			r.machine.AddLoad(now, r.c.Group*r.c.Usual)
 		}
 	}
-	s.change = now.Add(c.Change.Draw(r.rng))
+	s.change = now.Add(c.ChangeInterval.Draw(r.rng))
 	if s.say("UP "+s.open.ID+"\r\n") != nil {
 		s.end()
 		return
@@ -390,10 +390,10 @@
 	r := s.r
 	now := r.loop.Now()
 	c := &r.c.Classes[s.class]
-	load := s.base * math.Exp(c.Swing*r.rng.NormFloat64()-c.Swing*c.Swing/2)
+	load := s.base * math.Exp(c.ChangeSigma*r.rng.NormFloat64()-c.ChangeSigma*c.ChangeSigma/2)
 	r.machine.AddLoad(now, load-s.load)
 	s.load = load
-	s.change = now.Add(c.Change.Draw(r.rng))
+	s.change = now.Add(c.ChangeInterval.Draw(r.rng))
 	s.tell()
 }
 
--- a/internal/lab/coldbudget.go
+++ b/internal/lab/coldbudget.go
@@ -57,7 +57,7 @@
 		multiple: d.s.Rules.FallMultiple, within: d.s.Rules.FallWithin, work: make(map[string]float64), servers: make(map[string]*coldServer),
 	}
 	for _, c := range d.classes {
-		w := (c.Work.From+c.Work.To).Seconds()/2 + d.usual*c.Load*c.Life*d.traffic.Life.Seconds()
+		w := (c.SetUpWork.From+c.SetUpWork.To).Seconds()/2 + d.usual*c.LoadFactor*c.LifeFactor*d.traffic.MeanLife.Seconds()
 		b.work[c.Name] = w
 		b.mean += c.Share * w
 	}
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -48,7 +48,7 @@
 type relayPlan struct {
 	id    string
 	site  string
-	kind  *fleet.Kind
+	kind  *fleet.RelayKind
 	speed float64
 	late  bool // it is not there at the start
 }
@@ -68,16 +68,16 @@
 	}
 	for _, c := range s.Classes {
 		d.classes = append(d.classes, fleet.Class{
-			Name: c.Name, Share: (c.Share.From + c.Share.To) / 2 / share, SetUp: c.SetUp, GiveUp: c.GiveUp, Message: c.Message, Worth: c.Worth,
-			Work: c.Work, Load: c.Load.Draw(r), Life: c.Life.Draw(r), Sigma: c.Sigma.Draw(r), Swing: c.Swing.Draw(r), Change: c.Change,
-			Once: c.repeat() == "single_shot" || c.repeat() == "guarded" && c.scope() != "all",
+			Name: c.Name, Share: (c.Share.From + c.Share.To) / 2 / share, SetUpTarget: c.SetUp, AttemptTimeout: c.GiveUp, MessageTarget: c.Message, Worth: c.Worth,
+			SetUpWork: c.Work, LoadFactor: c.Load.Draw(r), LifeFactor: c.Life.Draw(r), LoadSigma: c.Sigma.Draw(r), ChangeSigma: c.Swing.Draw(r), ChangeInterval: c.Change,
+			SingleShot: c.repeat() == "single_shot" || c.repeat() == "guarded" && c.scope() != "all",
 		})
 	}
 	t := &s.Traffic
 	d.traffic = fleet.Traffic{
-		Rate: t.Rate, Swing: t.Swing.Draw(r), Period: t.Period.Draw(r), Life: t.Life.Draw(r), GroupSize: t.Group.Draw(r),
-		GroupCost: s.Relays.Group, Every: t.Every, Retries: t.Retries, Backoff: t.Backoff, Honour: t.Honour.Draw(r),
-		Rejoin: t.Rejoin, Impatient: t.Impatient.Draw(r),
+		Rate: t.Rate, RateSwing: t.Swing.Draw(r), SwingPeriod: t.Period.Draw(r), MeanLife: t.Life.Draw(r), GroupSize: t.Group.Draw(r),
+		GroupCost: s.Relays.Group, MessageInterval: t.Every, QuickRetries: t.Retries, Backoff: t.Backoff, HonourFraction: t.Honour.Draw(r),
+		ReconnectDelay: t.Rejoin, ImpatientFraction: t.Impatient.Draw(r),
 	}
 	d.skew, d.phase = s.Run.Skew.Draw(r), 2*math.Pi*r.Float64()
 	d.usual = 1 / s.Relays.PerCore.Draw(r)
@@ -94,7 +94,7 @@
 	// Little's law gives how many are there at a time; so many groups have that many members.
 	life := 0.0
 	for _, c := range d.classes {
-		life += c.Share * c.Life * d.traffic.Life.Seconds()
+		life += c.Share * c.LifeFactor * d.traffic.MeanLife.Seconds()
 	}
 	d.groups = max(int(math.Round(t.Rate*life/d.traffic.GroupSize/float64(len(s.Sites)))), 1)
 	for _, w := range s.Waves {
@@ -143,7 +143,7 @@
 	} else {
 		part -= d.skew * part
 	}
-	r := d.traffic.Rate * part * (1 + d.traffic.Swing*math.Sin(d.phase+2*math.Pi*at.Seconds()/d.traffic.Period.Seconds()))
+	r := d.traffic.Rate * part * (1 + d.traffic.RateSwing*math.Sin(d.phase+2*math.Pi*at.Seconds()/d.traffic.SwingPeriod.Seconds()))
 	for _, w := range d.waves {
 		if at >= w.from && at < w.until && listed(w.sites, site) {
 			r *= w.times
@@ -176,9 +176,9 @@
 	for i, c := range d.classes {
 		classes = append(classes, object{
 			"Name": c.Name, "Repeat": s.Classes[i].repeat(), "DedupScope": s.Classes[i].scope(), "WindowUs": us(s.Classes[i].Window),
-			"TargetUs": us(c.SetUp), "HardLimitUs": us(c.GiveUp), "Worth": c.Worth,
+			"TargetUs": us(c.SetUpTarget), "HardLimitUs": us(c.AttemptTimeout), "Worth": c.Worth,
 		})
-		aims = append(aims, us(c.Message))
+		aims = append(aims, us(c.MessageTarget))
 	}
 	discovery := "subscribe"
 	if s.Allow.Pushed {
@@ -234,7 +234,7 @@
 		FallMultiple: d.s.Rules.FallMultiple, FallWithin: d.s.Rules.FallWithin,
 	}
 	if cold {
-		m.ColdFrom, m.WarmIn = p.kind.ColdFrom.Draw(r), p.kind.Cold.Draw(r)
+		m.ColdFrom, m.WarmIn = p.kind.ColdFrom.Draw(r), p.kind.WarmUp.Draw(r)
 	}
 	return m
 }
@@ -242,12 +242,12 @@
 // relay is what a relay is made of.
 func (d *day) relay(p *relayPlan, cold bool, r *rand.Rand) fleet.RelayConfig {
 	errs := d.s.Relays.Errors
-	if p.kind.Errors.To > 0 {
-		errs = p.kind.Errors.Draw(r)
+	if p.kind.ErrorFraction.To > 0 {
+		errs = p.kind.ErrorFraction.Draw(r)
 	}
 	return fleet.RelayConfig{
 		ID: p.id, Site: p.site, Kind: p.kind.Name, Machine: d.machine(p, cold, r), Classes: d.classes,
-		Reports: fleet.Reports{Period: d.s.Relays.Period, Delay: d.s.Relays.Delay, Noise: d.noise, Work: d.s.Relays.Probe},
+		Reports: fleet.ReportConfig{Period: d.s.Relays.Period, Delay: d.s.Relays.Delay, Noise: d.noise, ProbeWork: d.s.Relays.Probe},
 		Usual:   d.usual, Group: d.s.Relays.Group, Most: int(d.most * float64(p.kind.Cores)), Buffer: d.buffer, Errors: errs, Leaving: d.s.Relays.Leaving,
 		Seed: d.seed,
 	}
--- a/internal/lab/fuzz.go
+++ b/internal/lab/fuzz.go
@@ -37,7 +37,7 @@
 		classes = nil
 	}
 	for _, k := range kinds {
-		inifile.Encode(&b, "kind "+k.Name, kind{k.Share, k.Cores, k.Speed, k.ColdFrom, k.Cold, k.Errors}, nil)
+		inifile.Encode(&b, "kind "+k.Name, kind{k.Share, k.Cores, k.Speed, k.ColdFrom, k.WarmUp, k.ErrorFraction}, nil)
 	}
 	for _, c := range classes {
 		inifile.Encode(&b, "class "+c.Name, c, nil)
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -21,7 +21,7 @@
 	Sites     []string
 	Proxies   Proxies
 	Relays    Relays
-	Kinds     []fleet.Kind
+	Kinds     []fleet.RelayKind
 	Classes   []Class
 	Network   Network
 	Traffic   Traffic
@@ -236,12 +236,12 @@
 }
 
 // defaultKinds and defaultClasses serve where a file names none.
-func defaultKinds() []fleet.Kind {
+func defaultKinds() []fleet.RelayKind {
 	cold := fleet.DurationRange{From: 10 * time.Second, To: 24 * time.Second}
-	return []fleet.Kind{
-		{Name: "r3-fast", Share: 0.35, Cores: 3, Speed: fleet.Range{From: 1.7, To: 2.3}, ColdFrom: fleet.Range{From: 0.13, To: 0.32}, Cold: cold, Errors: fleet.Range{To: 0.0005}},
-		{Name: "r2-small", Share: 0.27, Cores: 2, Speed: fleet.Range{From: 1, To: 1.4}, ColdFrom: fleet.Range{From: 0.17, To: 0.31}, Cold: cold, Errors: fleet.Range{To: 0.002}},
-		{Name: "r4-slow", Share: 0.38, Cores: 4, Speed: fleet.Range{From: 0.68, To: 0.92}, ColdFrom: fleet.Range{From: 0.18, To: 0.33}, Cold: cold, Errors: fleet.Range{To: 0.002}},
+	return []fleet.RelayKind{
+		{Name: "r3-fast", Share: 0.35, Cores: 3, Speed: fleet.Range{From: 1.7, To: 2.3}, ColdFrom: fleet.Range{From: 0.13, To: 0.32}, WarmUp: cold, ErrorFraction: fleet.Range{To: 0.0005}},
+		{Name: "r2-small", Share: 0.27, Cores: 2, Speed: fleet.Range{From: 1, To: 1.4}, ColdFrom: fleet.Range{From: 0.17, To: 0.31}, WarmUp: cold, ErrorFraction: fleet.Range{To: 0.002}},
+		{Name: "r4-slow", Share: 0.38, Cores: 4, Speed: fleet.Range{From: 0.68, To: 0.92}, ColdFrom: fleet.Range{From: 0.18, To: 0.33}, WarmUp: cold, ErrorFraction: fleet.Range{To: 0.002}},
 	}
 }
 
@@ -309,7 +309,7 @@
 	for _, n := range f.Kind("kind") {
 		k := kind{Share: 1, Cores: 1, Speed: fleet.Range{From: 1, To: 1}, ColdFrom: fleet.Range{From: 0.2, To: 0.2}, Cold: fleet.DurationRange{From: 15 * time.Second, To: 15 * time.Second}}
 		f.Decode("kind "+n, &k)
-		s.Kinds = append(s.Kinds, fleet.Kind{Name: n, Share: k.Share, Cores: k.Cores, Speed: k.Speed, ColdFrom: k.ColdFrom, Cold: k.Cold, Errors: k.Errors})
+		s.Kinds = append(s.Kinds, fleet.RelayKind{Name: n, Share: k.Share, Cores: k.Cores, Speed: k.Speed, ColdFrom: k.ColdFrom, WarmUp: k.Cold, ErrorFraction: k.Errors})
 	}
 	if len(s.Kinds) == 0 {
 		s.Kinds = defaultKinds()
