--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -17,14 +17,14 @@
 
 // Entry is a relay as discovery names it.
 type Entry struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Kind   string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"` // SERVING, DRAINING or DELETED
-	Share  float64 `json:"share"`
-	BornMS int64   `json:"born_ms"` // Unix time; 0: long ago
+	Host      string  `json:"host"`
+	Dial      string  `json:"dial"`
+	Site      string  `json:"site"`
+	Kind      string  `json:"class"`
+	Block     int     `json:"block"`
+	Health    string  `json:"health"` // SERVING, DRAINING or DELETED
+	Share     float64 `json:"share"`
+	StartedMS int64   `json:"born_ms"` // Unix time; 0: long ago
 }
 
 // The words for Entry.Health.
@@ -36,15 +36,15 @@
 
 // DiscoveryConfig is what discovery can do.
 type DiscoveryConfig struct {
-	// Call is what one call takes; calls are answered in turn. One that goes on with a watch within watchGap of its last answer
+	// CallWork is what one call takes; calls are answered in turn. One that goes on with a watch within watchGap of its last answer
 	// takes none.
-	Call time.Duration
-	Line time.Duration // for each entry of an answer
-	// Timeout is how long a call may wait for its turn. One that would wait longer is answered 503 at once, for nothing. 0: any
+	CallWork  time.Duration
+	EntryWork time.Duration // for each entry of an answer
+	// QueueTimeout is how long a call may wait for its turn. One that would wait longer is answered 503 at once, for nothing. 0: any
 	// call waits.
-	Timeout time.Duration
-	// Resets is the part of these calls whose connection is reset in place of the 503, 0 to 1.
-	Resets float64
+	QueueTimeout time.Duration
+	// ResetFraction is the part of these calls whose connection is reset in place of the 503, 0 to 1.
+	ResetFraction float64
 }
 
 // watchGap is how soon the next call of a watch has to follow its last answer.
@@ -52,9 +52,9 @@
 
 // Registry is the list that discovery tells of. It outlives a discovery that goes down.
 type Registry struct {
-	seq     int64
-	entries map[string]*versioned
-	Changed func(e Entry) // called for each entry that is set; nil: for none
+	seq      int64
+	entries  map[string]*versioned
+	OnChange func(e Entry) // called for each entry that is set; nil: for none
 }
 
 type versioned struct {
@@ -69,13 +69,13 @@
 func (g *Registry) Set(e Entry) {
 	g.seq++
 	g.entries[e.Host] = &versioned{e, g.seq}
-	if g.Changed != nil {
-		g.Changed(e)
+	if g.OnChange != nil {
+		g.OnChange(e)
 	}
 }
 
-// Health changes the health of an entry.
-func (g *Registry) Health(host, health string) {
+// SetHealth changes the health of an entry.
+func (g *Registry) SetHealth(host, health string) {
 	if v := g.entries[host]; v != nil {
 		e := v.Entry
 		e.Health = health
@@ -83,8 +83,8 @@
 	}
 }
 
-// HealthOf is the health of an entry; ok tells that there is one.
-func (g *Registry) HealthOf(host string) (health string, ok bool) {
+// Health is the health of an entry; ok tells that there is one.
+func (g *Registry) Health(host string) (health string, ok bool) {
 	v := g.entries[host]
 	if v == nil {
 		return "", false
@@ -144,8 +144,8 @@
 // Addr is where it listens.
 func (d *Discovery) Addr() netip.AddrPort { return d.listener.Addr() }
 
-// News tells that the list has changed: watches, which had their turns, end with an answer.
-func (d *Discovery) News() {
+// NotifyWatches tells that the list has changed: watches, which had their turns, end with an answer.
+func (d *Discovery) NotifyWatches() {
 	now := d.loop.Now()
 	for _, k := range slices.Clone(d.calls) {
 		if k.state == callWatching {
@@ -158,22 +158,22 @@
 // work books what a call takes.
 func (d *Discovery) work(now time.Time, k *discoveryCall, call time.Duration) {
 	entries, _ := d.list.list(k.after)
-	d.Occupy(now, call+time.Duration(len(entries))*d.c.Line)
+	d.AddWork(now, call+time.Duration(len(entries))*d.c.EntryWork)
 }
 
-// Occupy puts so much work into its queue.
-func (d *Discovery) Occupy(now time.Time, work time.Duration) {
+// AddWork puts so much work into its queue.
+func (d *Discovery) AddWork(now time.Time, work time.Duration) {
 	if d.free.Before(now) {
 		d.free = now
 	}
 	d.free = d.free.Add(work)
 }
 
-// Hang has it send half of each answer and then nothing, or go on as usual.
-func (d *Discovery) Hang(on bool) { d.hang = on }
+// SetHanging has it send half of each answer and then nothing, or go on as usual.
+func (d *Discovery) SetHanging(on bool) { d.hang = on }
 
-// Hangs tells whether it does the former.
-func (d *Discovery) Hangs() bool { return d.hang }
+// Hanging tells whether it does the former.
+func (d *Discovery) Hanging() bool { return d.hang }
 
 // SilenceWatches has all watches that are open fall silent: their connections stay, and nothing comes on them any more. Other calls
 // are answered.
@@ -289,11 +289,11 @@
 	now := d.loop.Now()
 	k.state = callQueued
 	queue := max(d.free.Sub(now), 0)
-	cost := d.c.Call
+	cost := d.c.CallWork
 	if k.goesOn(now) {
 		cost, queue = 0, 0
 	}
-	if limit := d.c.Timeout; limit > 0 && queue > limit {
+	if limit := d.c.QueueTimeout; limit > 0 && queue > limit {
 		k.full = true
 		k.due()
 		return
@@ -345,7 +345,7 @@
 func (k *discoveryCall) refuse() {
 	d := k.d
 	d.refused++
-	if float64(d.reset+1) <= d.c.Resets*float64(d.refused) {
+	if float64(d.reset+1) <= d.c.ResetFraction*float64(d.refused) {
 		d.reset++
 		k.sock.Reset()
 		k.forget()
--- a/internal/fleet/front.go
+++ b/internal/fleet/front.go
@@ -9,8 +9,8 @@
 	"ospreyspan/internal/poll"
 )
 
-// FrontConfig is how a front watches its proxies.
-type FrontConfig struct {
+// FrontBalancer is how a front watches its proxies.
+type FrontBalancer struct {
 	Every  time.Duration // between two checks of a proxy
 	Notice DurationRange // a proxy that fails its checks is given no more clients after this
 }
@@ -18,7 +18,7 @@
 // Front hands clients out to the proxies of a site. A proxy is admitted once it has answered PING with PONG, and one
 // that is dead is noticed late; where a site has none left, its clients go to those of the others.
 type Front struct {
-	c     FrontConfig
+	c     FrontBalancer
 	loop  *poll.Loop
 	rng   *rand.Rand
 	seats []*seat
@@ -38,8 +38,8 @@
 	got      []byte
 }
 
-// NewFront returns a front without proxies.
-func NewFront(loop *poll.Loop, c FrontConfig, rng *rand.Rand) *Front {
+// NewFrontBalancer returns a front without proxies.
+func NewFrontBalancer(loop *poll.Loop, c FrontBalancer, rng *rand.Rand) *Front {
 	return &Front{c: c, loop: loop, rng: rng}
 }
 
--- a/internal/instance/start_test.go
+++ b/internal/instance/start_test.go
@@ -50,7 +50,7 @@
 	startDiscovery := func() {
 		err := discovery.Start(func(k poll.Kernel) (func() error, error) {
 			loop := poll.NewOn(k, func() {})
-			_, err := platform.NewDiscovery(loop, discoveryAt, platform.DiscoveryConfig{Call: c.callTime, Timeout: 2 * time.Second}, registry,
+			_, err := platform.NewDiscovery(loop, discoveryAt, platform.DiscoveryConfig{CallWork: c.callTime, QueueTimeout: 2 * time.Second}, registry,
 				platform.NewLedger(f.world.Now(), time.Minute, nil))
 			return func() error { return loop.Turn(true) }, err
 		})
@@ -106,7 +106,7 @@
 	host := f.world.AddHost("front", netip.MustParseAddr("10.3.0.1"), vnet.Limits{})
 	err := host.Start(func(k poll.Kernel) (func() error, error) {
 		loop := poll.NewOn(k, func() {})
-		f.front = platform.NewFront(loop, platform.FrontConfig{Every: time.Second}, rand.New(rand.NewPCG(1, 2)))
+		f.front = platform.NewFrontBalancer(loop, platform.FrontBalancer{Every: time.Second}, rand.New(rand.NewPCG(1, 2)))
 		for i := range proxyCount {
 			f.front.Add(proxyAddr(i), true)
 		}
--- a/internal/lab/hollow/discovery.go
+++ b/internal/lab/hollow/discovery.go
@@ -48,7 +48,7 @@
 
 func (d *discovery) tell() {
 	if d.service != nil {
-		d.service.News()
+		d.service.NotifyWatches()
 	}
 }
 
--- a/internal/lab/news.go
+++ b/internal/lab/news.go
@@ -23,8 +23,8 @@
 	return n.host.Start(func(k poll.Kernel) (func() error, error) {
 		loop := n.on(k, s)
 		c := fleet.DiscoveryConfig{
-			Call: s.s.Discovery.Call, Line: s.s.Discovery.Line, Timeout: s.s.Discovery.Timeout,
-			Resets: s.s.Discovery.Resets,
+			CallWork: s.s.Discovery.Call, EntryWork: s.s.Discovery.Line, QueueTimeout: s.s.Discovery.Timeout,
+			ResetFraction: s.s.Discovery.Resets,
 		}
 		d, err := fleet.NewDiscovery(loop, netip.AddrPortFrom(n.host.Addr(), discoveryPort), c, s.registry, s.ledger)
 		if err != nil {
@@ -41,7 +41,7 @@
 	s.after(after+s.late, func() {
 		change()
 		if s.discovery.host.Up() {
-			s.discovery.post(s.discovery.d.News)
+			s.discovery.post(s.discovery.d.NotifyWatches)
 		}
 		s.agents(0)
 	})
@@ -58,13 +58,13 @@
 	}
 	s.after(after, func() {
 		h := s.discovery.host.(*vnet.Host)
-		if !h.Up() || s.discovery.d == nil || s.discovery.d.Hangs() || s.world.Now().Before(s.silent) {
+		if !h.Up() || s.discovery.d == nil || s.discovery.d.Hanging() || s.world.Now().Before(s.silent) {
 			return
 		}
 		for _, p := range s.proxies {
 			if p.running() && s.world.Reaches(h, p.virtual()) {
 				for _, n := range s.nodes {
-					if health, ok := s.registry.HealthOf(n.plan.id); ok {
+					if health, ok := s.registry.Health(n.plan.id); ok {
 						s.ledger.Told(s.world.Now(), p.host.Addr(), n.plan.id, health == fleet.Serving)
 					}
 				}
@@ -79,7 +79,7 @@
 		return
 	}
 	h := s.discovery.host.(*vnet.Host)
-	answers := h.Up() && s.discovery.d != nil && !s.discovery.d.Hangs()
+	answers := h.Up() && s.discovery.d != nil && !s.discovery.d.Hanging()
 	for _, p := range s.proxies {
 		if p.running() {
 			s.judge.clock.look(p.host.Addr(), answers && s.world.Reaches(h, p.virtual()))
@@ -98,7 +98,7 @@
 	now := s.world.Now()
 	for _, n := range s.nodes {
 		cold := n.relay != nil && !n.born.IsZero() && n.relay.Machine().Warmth(now) < 1
-		if health, ok := s.registry.HealthOf(n.plan.id); cold && ok && health == fleet.Serving {
+		if health, ok := s.registry.Health(n.plan.id); cold && ok && health == fleet.Serving {
 			s.judge.cold.runs(n.relay.Machine(), now, clockStep)
 		}
 	}
--- a/internal/lab/newsclock.go
+++ b/internal/lab/newsclock.go
@@ -102,7 +102,7 @@
 	if was, ok := n.changes[e.Host]; ok && !serving && !was.serving {
 		return // it counts from when the server took nothing new
 	}
-	n.changes[e.Host] = listChange{serving: serving, bornMS: e.BornMS, at: n.world.Now()}
+	n.changes[e.Host] = listChange{serving: serving, bornMS: e.StartedMS, at: n.world.Now()}
 	if serving {
 		n.forget(e.Host)
 	}
@@ -125,8 +125,8 @@
 
 // arrived takes down that an entry has reached a proxy.
 func (n *newsClock) arrived(proxy netip.Addr, e fleet.Entry) {
-	if e.Health == fleet.Serving && e.BornMS > 0 {
-		n.started[notice{proxy, e.Host}] = e.BornMS
+	if e.Health == fleet.Serving && e.StartedMS > 0 {
+		n.started[notice{proxy, e.Host}] = e.StartedMS
 	}
 }
 
--- a/internal/lab/relays.go
+++ b/internal/lab/relays.go
@@ -44,7 +44,7 @@
 func (s *stage) entry(n *relayNode, bornMS int64) fleet.Entry {
 	return fleet.Entry{
 		Host: n.plan.id, Dial: netip.AddrPortFrom(n.host.Addr(), relayPort).String(), Site: n.plan.site, Kind: n.plan.kind.Name,
-		Health: fleet.Serving, Share: 1, BornMS: bornMS, Block: slices.Index(s.nodes, n) % 2,
+		Health: fleet.Serving, Share: 1, StartedMS: bornMS, Block: slices.Index(s.nodes, n) % 2,
 	}
 }
 
--- a/internal/lab/stage.go
+++ b/internal/lab/stage.go
@@ -55,7 +55,7 @@
 	s.ledger = fleet.NewLedger(s.world.Now().Add(d.s.Run.WarmUp), d.s.Run.Length, d.classes)
 	s.ledger.Shared = d.s.Proxies.Keepers > 0
 	s.judge = newJudge(s.world, s.ledger, &d.s.Rules, newNewsClock(s.world, &d.s.Rules, &d.s.Allow))
-	s.registry.Changed = s.judge.clock.changed
+	s.registry.OnChange = s.judge.clock.changed
 	if d.s.Rules.ColdBudget {
 		s.judge.cold, s.judge.relay = newColdBudget(d), s.coldRelay
 	}
--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -146,15 +146,15 @@
 			s.agents(0)
 		})
 	case "discovery-hang":
-		s.during(at, span, func() { s.discovery.d.Hang(true) }, func() {
-			s.discovery.d.Hang(false)
+		s.during(at, span, func() { s.discovery.d.SetHanging(true) }, func() {
+			s.discovery.d.SetHanging(false)
 			s.silent = s.now().Add(silentFor)
 			s.agents(silentFor)
 		})
 	case "discovery-queue": // others ask it, all at once
 		s.after(at, func() {
 			if d := s.discovery; d.host.Up() {
-				d.post(func() { d.d.Occupy(d.loop.Now(), span) })
+				d.post(func() { d.d.AddWork(d.loop.Now(), span) })
 			}
 		})
 	case "watches-silent":
@@ -273,7 +273,7 @@
 		n.relay = nil
 		s.news(notice, func() {
 			if n.lives == life { // else it is back already
-				s.registry.Health(n.plan.id, fleet.Deleted)
+				s.registry.SetHealth(n.plan.id, fleet.Deleted)
 			}
 		})
 		s.after(span, func() {
@@ -320,11 +320,11 @@
 			}
 		}
 		n.relay.Drain()
-		s.news(told, same(func() { s.registry.Health(n.plan.id, fleet.Draining) }))
+		s.news(told, same(func() { s.registry.SetHealth(n.plan.id, fleet.Draining) }))
 		s.after(span, same(func() {
 			n.host.Kill()
 			n.relay = nil
-			s.news(gone, same(func() { s.registry.Health(n.plan.id, fleet.Deleted) }))
+			s.news(gone, same(func() { s.registry.SetHealth(n.plan.id, fleet.Deleted) }))
 			s.after(away, func() { s.comeBack(n, back) })
 		}))
 	})
@@ -336,7 +336,7 @@
 	s.after(at, func() {
 		n.host.Kill()
 		n.relay, n.gone = nil, true
-		s.news(notice, func() { s.registry.Health(n.plan.id, fleet.Deleted) })
+		s.news(notice, func() { s.registry.SetHealth(n.plan.id, fleet.Deleted) })
 	})
 }
 
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -210,7 +210,7 @@
 	}
 	i := r.rng.IntN(targets)
 	r.set(i, []string{fleet.Serving, fleet.Draining}[r.rng.IntN(2)])
-	r.discovery.News()
+	r.discovery.NotifyWatches()
 	r.after(every, func() { r.changeList(every) })
 }
 
