--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -95,7 +95,7 @@
 	c.pcg.Seed(w.c.Seed, w.rng.Uint64())
 	c.timer.Fire = c.due
 	w.clients = append(w.clients, c)
-	w.ledger.Count.Clients++
+	w.ledger.Counts.Clients++
 	c.connect()
 	w.wait()
 }
@@ -174,13 +174,13 @@
 	w := c.w
 	at, ok := w.front.Pick()
 	if !ok {
-		w.ledger.Count.Unmade++
+		w.ledger.Counts.ConnectFailures++
 		c.retry(0)
 		return
 	}
 	sock, err := w.loop.Dial(at, c)
 	if err != nil {
-		w.ledger.Count.Unmade++
+		w.ledger.Counts.ConnectFailures++
 		c.retry(0)
 		return
 	}
@@ -286,7 +286,7 @@
 	case clientResting:
 		c.connect()
 	case clientDialing:
-		w.ledger.Count.Unmade++
+		w.ledger.Counts.ConnectFailures++
 		c.retry(0)
 	case clientAsking:
 		switch {
@@ -296,7 +296,7 @@
 		case c.leaves:
 			c.retry(0)
 		default:
-			w.ledger.Count.Silent++
+			w.ledger.Counts.Unanswered++
 			c.refail()
 		}
 	case clientUp:
@@ -313,7 +313,7 @@
 // finish ends the sending: the client has had what it wanted.
 func (c *client) finish() {
 	c.settle()
-	c.w.ledger.Count.Done++
+	c.w.ledger.Counts.Completed++
 	c.state = clientEnding
 	c.sock.CloseWrite()
 	c.w.loop.After(&c.timer, dialWait)
@@ -330,7 +330,7 @@
 	now := w.loop.Now()
 	c.count(now)
 	if n, err := c.sock.Write(message); err != nil {
-		w.ledger.Count.Cut++
+		w.ledger.Counts.Cut++
 		c.comeBack()
 		return
 	} else if n == len(message) { // else it has no room: nothing is answered
@@ -346,7 +346,7 @@
 	w := c.w
 	if c.state == clientDialing {
 		if c.sock.DialError() != nil {
-			w.ledger.Count.Unmade++
+			w.ledger.Counts.ConnectFailures++
 			c.retry(0)
 			return
 		}
@@ -394,11 +394,11 @@
 		c.key, c.conns, c.key, class.Name, class.AttemptTimeout.Milliseconds(), c.group, again)
 	n, err := c.sock.Write(first)
 	if err != nil || n < len(first) {
-		w.ledger.Count.Unmade++
+		w.ledger.Counts.ConnectFailures++
 		c.retry(0)
 		return
 	}
-	w.ledger.Count.Requests++
+	w.ledger.Counts.Requests++
 	c.state, c.asked, c.moved = clientAsking, w.loop.Now(), false
 	c.sock.Want(true, false)
 	if c.leaves = w.leaving > 0 && c.draw() < w.leaving; c.leaves {
@@ -415,16 +415,16 @@
 		word, rest := line.ParseWord(text)
 		switch word {
 		case line.Up:
-			w.ledger.Count.Up++
+			w.ledger.Counts.Up++
 			w.ledger.SetUp[c.class].add(now.Sub(c.asked))
 			c.state, c.up, c.interval, c.good, c.fails = clientUp, now, now, false, 0
 			c.line()
 		case line.Busy:
-			w.ledger.Count.Refused++
+			w.ledger.Counts.Refused++
 			ms, _ := strconv.ParseInt(string(rest), 10, 64)
 			c.retry(time.Duration(ms) * time.Millisecond)
 		default:
-			w.ledger.Count.Failed++
+			w.ledger.Counts.Failed++
 			c.refail()
 		}
 		return
@@ -454,10 +454,10 @@
 func (c *client) ended() {
 	switch c.state {
 	case clientAsking:
-		c.w.ledger.Count.Lost++
+		c.w.ledger.Counts.Lost++
 		c.refail()
 	case clientUp:
-		c.w.ledger.Count.Cut++
+		c.w.ledger.Counts.Cut++
 		c.comeBack()
 	case clientEnding:
 		c.done()
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/ledger.go
@@ -14,39 +14,39 @@
 type Ledger struct {
 	Classes []Class
 	begin   time.Time
-	end     time.Time   // nothing after this counts
-	asked   [][]float64 // by class and second: connection seconds that were wanted
-	served  [][]float64 // those that were well served
-	SetUp   []Histogram // by class: from a client's line to its UP
-	Message []Histogram // by class: from a line to its answer
-	Count   Tally       // what clients saw
-	Moves   []int       // by second
+	end     time.Time    // nothing after this counts
+	asked   [][]float64  // by class and second: connection seconds that were wanted
+	served  [][]float64  // those that were well served
+	SetUp   []Histogram  // by class: from a client's line to its UP
+	Message []Histogram  // by class: from a line to its answer
+	Counts  ClientCounts // what clients saw
+	Moves   []int        // by second
 	told    map[told]time.Time
-	// Shared says that proxies pass on what discovery told one of them: a relay that is known to serve again is so to all.
-	Shared bool
-	Broken func(rule string, detail string) // called for what breaks a rule
-	// Telling is called when discovery is about to write an entry to a proxy; nil: it counts as told then.
-	Telling func(proxy netip.Addr, e Entry)
-	// Silenced is called when a proxy's open watch falls silent; nil: nobody wants to know.
-	Silenced func(proxy netip.Addr)
-}
-
-// Tally counts what clients saw.
-type Tally struct {
-	Clients  int `json:"clients"`  // that came
-	Done     int `json:"done"`     // that had their connection for as long as they wanted it
-	Requests int `json:"requests"` // first lines
-	Up       int `json:"up"`
-	Refused  int `json:"refused"`
-	Failed   int `json:"failed"`
-	Silent   int `json:"unanswered"` // requests given up without an answer
-	Lost     int `json:"lost"`       // requests whose connection ended without an answer
-	Unmade   int `json:"unmade"`     // connections to a proxy that never came up, or broke before the line was out
-	Moved    int `json:"moved"`
-	Cut      int `json:"cut"` // standing connections that ended without a word
-	Crossing int `json:"crossing"`
-	Probes   int `json:"probes"`
-	Failing  int `json:"failing"` // requests that relays in trouble answered with an error
+	// ListShared says that proxies pass on what discovery told one of them: a relay that is known to serve again is so to all.
+	ListShared  bool
+	OnViolation func(rule string, detail string) // called for what breaks a rule
+	// OnTell is called when discovery is about to write an entry to a proxy; nil: it counts as told then.
+	OnTell func(proxy netip.Addr, e Entry)
+	// OnWatchSilenced is called when a proxy's open watch falls silent; nil: nobody wants to know.
+	OnWatchSilenced func(proxy netip.Addr)
+}
+
+// ClientCounts counts what clients saw.
+type ClientCounts struct {
+	Clients         int `json:"clients"`  // that came
+	Completed       int `json:"done"`     // that had their connection for as long as they wanted it
+	Requests        int `json:"requests"` // first lines
+	Up              int `json:"up"`
+	Refused         int `json:"refused"`
+	Failed          int `json:"failed"`
+	Unanswered      int `json:"unanswered"` // requests given up without an answer
+	Lost            int `json:"lost"`       // requests whose connection ended without an answer
+	ConnectFailures int `json:"unmade"`     // connections to a proxy that never came up, or broke before the line was out
+	Moved           int `json:"moved"`
+	Cut             int `json:"cut"` // standing connections that ended without a word
+	Crossing        int `json:"crossing"`
+	Probes          int `json:"probes"`
+	FaultErrors     int `json:"failing"` // requests that relays in trouble answered with an error
 }
 
 // told names what discovery told to whom.
@@ -82,7 +82,7 @@
 		l.Message = append(l.Message, newHistogram())
 	}
 	l.Moves = make([]int, n)
-	l.Broken = func(string, string) {}
+	l.OnViolation = func(string, string) {}
 	return l
 }
 
@@ -115,16 +115,16 @@
 func (l *Ledger) serve(class int, from, until time.Time) { l.spread(l.served[class], from, until) }
 
 func (l *Ledger) moved(now time.Time) {
-	l.Count.Moved++
+	l.Counts.Moved++
 	if i := int(now.Sub(l.begin) / time.Second); i >= 0 && i < len(l.Moves) {
 		l.Moves[i]++
 	}
 }
 
-// Told takes down that discovery has written to a proxy whether a relay takes new work.
-func (l *Ledger) Told(now time.Time, proxy netip.Addr, relay string, serving bool) {
+// RecordTold takes down that discovery has written to a proxy whether a relay takes new work.
+func (l *Ledger) RecordTold(now time.Time, proxy netip.Addr, relay string, serving bool) {
 	key := told{proxy, relay}
-	if serving && l.Shared {
+	if serving && l.ListShared {
 		for k := range l.told { // all that match go, in whatever order
 			if k.relay == relay {
 				delete(l.told, k)
@@ -140,21 +140,21 @@
 
 // tell is Told, or Telling where somebody knows better when it is.
 func (l *Ledger) tell(now time.Time, proxy netip.Addr, e Entry) {
-	if l.Telling != nil {
-		l.Telling(proxy, e)
+	if l.OnTell != nil {
+		l.OnTell(proxy, e)
 	} else {
-		l.Told(now, proxy, e.Host, e.Health == Serving)
+		l.RecordTold(now, proxy, e.Host, e.Health == Serving)
 	}
 }
 
 func (l *Ledger) silenced(proxy netip.Addr) {
-	if l.Silenced != nil {
-		l.Silenced(proxy)
+	if l.OnWatchSilenced != nil {
+		l.OnWatchSilenced(proxy)
 	}
 }
 
-// ToldSince tells since when a proxy knows that a relay takes no new work.
-func (l *Ledger) ToldSince(proxy netip.Addr, relay string) (time.Time, bool) {
+// NotServingSince tells since when a proxy knows that a relay takes no new work.
+func (l *Ledger) NotServingSince(proxy netip.Addr, relay string) (time.Time, bool) {
 	t, ok := l.told[told{proxy, relay}]
 	return t, ok
 }
@@ -193,8 +193,8 @@
 // worstSpan is the window of which the worst one counts.
 const worstSpan = 10
 
-// Worst is the service in the worst window of 10 s, and the second in which that begins. A shorter run is one window.
-func (l *Ledger) Worst() (service float64, from int) {
+// WorstWindow is the service in the worst window of 10 s, and the second in which that begins. A shorter run is one window.
+func (l *Ledger) WorstWindow() (service float64, from int) {
 	service = math.Inf(1)
 	for i := 0; i+min(worstSpan, l.Seconds()) <= l.Seconds(); i++ {
 		if s := l.Service(-1, i, i+worstSpan); s < service {
@@ -207,7 +207,7 @@
 // Goal mixes the whole run (35 parts in 100), the worst window (45) and the worst-served class (20), less 3.2 points for
 // each client being moved once and 2.2 for each request crossing sites once.
 func (l *Ledger) Goal() float64 {
-	worst, _ := l.Worst()
+	worst, _ := l.WorstWindow()
 	class := math.Inf(1)
 	for c := range l.Classes {
 		if s := l.Service(c, 0, l.Seconds()); s < class {
@@ -215,15 +215,15 @@
 		}
 	}
 	g := 0.35*l.Service(-1, 0, l.Seconds()) + 0.45*worst + 0.20*class
-	if l.Count.Clients > 0 {
-		g -= 0.032 * float64(l.Count.Moved) / float64(l.Count.Clients)
+	if l.Counts.Clients > 0 {
+		g -= 0.032 * float64(l.Counts.Moved) / float64(l.Counts.Clients)
 	}
-	if l.Count.Requests > 0 {
-		g -= 0.022 * float64(l.Count.Crossing) / float64(l.Count.Requests)
+	if l.Counts.Requests > 0 {
+		g -= 0.022 * float64(l.Counts.Crossing) / float64(l.Counts.Requests)
 	}
 	return g
 }
 
 func (l *Ledger) broken(rule, format string, args ...any) {
-	l.Broken(rule, fmt.Sprintf(format, args...))
+	l.OnViolation(rule, fmt.Sprintf(format, args...))
 }
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -114,7 +114,7 @@
 	if got := l.Service(-1, 0, 30); !near(got, (3*22.5+30)/(4*30)) {
 		t.Errorf("service of all %v", got)
 	}
-	if got, from := l.Worst(); !near(got, (3*2.5+10)/40) || from < 10 || from > 12 {
+	if got, from := l.WorstWindow(); !near(got, (3*2.5+10)/40) || from < 10 || from > 12 {
 		t.Errorf("worst %v from %d", got, from)
 	}
 	if got := l.Service(0, 12, 13); !near(got, 0.5) {
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -258,7 +258,7 @@
 		s.refuse("ERR\r\n")
 	case string(text) == "PING" || string(text) == "STATS":
 		r.machine.AddWork(now, r.c.Reports.ProbeWork.Draw(r.rng).Seconds())
-		r.ledger.Count.Probes++
+		r.ledger.Counts.Probes++
 		switch {
 		case r.draining && r.c.Leaving:
 			s.refuse("ERR\r\n")
@@ -285,7 +285,7 @@
 	s.asked, s.open, s.class = true, o, 0
 	if r.c.SiteOf != nil {
 		if from := r.c.SiteOf(s.sock.RemoteAddr().Addr()); from != "" && from != r.c.Site {
-			r.ledger.Count.Crossing++
+			r.ledger.Counts.Crossing++
 		}
 	}
 	for i := range r.c.Classes {
@@ -304,7 +304,7 @@
 		s.refuse("BUSY\r\n")
 	case r.rng.Float64() < max(r.c.Errors, r.failing):
 		if r.failing > 0 {
-			r.ledger.Count.Failing++
+			r.ledger.Counts.FaultErrors++
 		}
 		s.refuse("ERR\r\n")
 	case ready.After(until): // it is behind by more than the client waits
--- a/internal/lab/attempts.go
+++ b/internal/lab/attempts.go
@@ -23,7 +23,7 @@
 	}
 	j.Attempts++
 	now := j.world.Now()
-	if since, told := j.ledger.ToldSince(proxy.Addr(), id); told && now.Sub(since) > j.rules.DrainGrace {
+	if since, told := j.ledger.NotServingSince(proxy.Addr(), id); told && now.Sub(since) > j.rules.DrainGrace {
 		j.broken("drain-grace", "%s sends request %s to %s %v after it was told that this one takes no new work",
 			proxy.Name(), o.ID, id, now.Sub(since))
 	}
@@ -59,7 +59,7 @@
 // One that shares news with others is not held to it: another may ask in its place.
 func (j *judge) asksAgain(proxy *vnet.Host) {
 	most := j.rules.AskAgain
-	if most <= 0 || j.ledger.Shared || j.world.Now().Before(j.excused[proxy]) {
+	if most <= 0 || j.ledger.ListShared || j.world.Now().Before(j.excused[proxy]) {
 		return
 	}
 	if rest := j.clock.restsFor(proxy.Addr()); rest > most+clockSlack+j.lag[proxy] {
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -99,7 +99,7 @@
 	add("calls that fail, of all", per(k.WatchesFailed, k.Watches))
 	add("hops that fail, a request", per(k.HopError+k.HopTimeout+k.HopNoConnect+k.HopBroken, k.Exchanges))
 	add("hops a request", per(k.Hops, k.Exchanges))
-	add("answered with an error by relays that fail, a request", per(r.Clients.Failing, k.Exchanges))
+	add("answered with an error by relays that fail, a request", per(r.Clients.FaultErrors, k.Exchanges))
 	add("verdicts against relays, a proxy", round(float64(k.Condemned)/float64(r.Proxies)))
 	wrong := 0
 	if r.Shared != nil {
--- a/internal/lab/hollow/discovery.go
+++ b/internal/lab/hollow/discovery.go
@@ -31,7 +31,7 @@
 	return d.host.Start(func(kernel poll.Kernel) (func() error, error) {
 		d.loop = poll.NewOn(kernel, d.tell)
 		ledger := fleet.NewLedger(d.loop.Now(), time.Second, nil)
-		ledger.Telling = func(netip.Addr, fleet.Entry) {}
+		ledger.OnTell = func(netip.Addr, fleet.Entry) {}
 		var err error
 		d.service, err = fleet.NewDiscovery(d.loop, d.address(), fleet.DiscoveryConfig{}, k.registry, ledger)
 		if err != nil {
--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -74,11 +74,11 @@
 		sites: make(map[string]string), blocks: make(map[string]int), lag: make(map[*vnet.Host]time.Duration), classes: make(map[string]*Class),
 		requests: make(map[string]*request), excused: make(map[*vnet.Host]time.Time),
 	}
-	l.Telling = func(proxy netip.Addr, e fleet.Entry) {
+	l.OnTell = func(proxy netip.Addr, e fleet.Entry) {
 		j.telling = append(j.telling, news{proxy: proxy, entry: e})
 	}
-	l.Silenced = clock.silences
-	l.Broken = func(rule, detail string) { j.broken(rule, "%s", detail) }
+	l.OnWatchSilenced = clock.silences
+	l.OnViolation = func(rule, detail string) { j.broken(rule, "%s", detail) }
 	w.SetTap(j)
 	return j
 }
@@ -219,7 +219,7 @@
 	for len(d.news) > 0 && d.news[0].at <= d.arrived {
 		n := d.news[0]
 		d.news = d.news[1:]
-		j.ledger.Told(j.world.Now(), n.proxy, n.entry.Host, n.entry.Health == fleet.Serving)
+		j.ledger.RecordTold(j.world.Now(), n.proxy, n.entry.Host, n.entry.Health == fleet.Serving)
 		j.clock.arrived(n.proxy, n.entry)
 	}
 	j.clock.hears(c.Dialler.Addr(), d, data)
--- a/internal/lab/news.go
+++ b/internal/lab/news.go
@@ -65,7 +65,7 @@
 			if p.running() && s.world.Reaches(h, p.virtual()) {
 				for _, n := range s.nodes {
 					if health, ok := s.registry.Health(n.plan.id); ok {
-						s.ledger.Told(s.world.Now(), p.host.Addr(), n.plan.id, health == fleet.Serving)
+						s.ledger.RecordTold(s.world.Now(), p.host.Addr(), n.plan.id, health == fleet.Serving)
 					}
 				}
 			}
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -67,7 +67,7 @@
 	}
 	s.ledger = fleet.NewLedger(loop.Now().Add(sc.Run.WarmUp), sc.Run.Length, d.classes)
 	var broken error
-	s.ledger.Broken = func(rule, detail string) {
+	s.ledger.OnViolation = func(rule, detail string) {
 		if broken == nil {
 			broken = &Violation{rule, detail}
 		}
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -38,26 +38,26 @@
 
 // Result is what came of a day. It holds no time of the real clock: the same scenario and seed give the same Result.
 type Result struct {
-	Scenario string         `json:"scenario"`
-	About    string         `json:"about,omitempty"`
-	Seed     uint64         `json:"seed"`
-	Length   float64        `json:"length_s"`
-	WarmUp   float64        `json:"warm_up_s"`
-	Proxies  int            `json:"proxies"`
-	Relays   int            `json:"relays"`
-	Goal     float64        `json:"goal"`    // service mixed as the operators count it
-	Service  float64        `json:"service"` // over all classes
-	Worst    float64        `json:"worst"`   // the worst 10 s
-	WorstAt  int            `json:"worst_at_s"`
-	Classes  []ClassResult  `json:"classes"`
-	Clients  fleet.Tally    `json:"clients"`
-	Most     int            `json:"most_open"` // clients that wanted a connection at a time, at the most
-	Counters stats.Counters `json:"counters"`  // of all proxies
-	Shared   *Shared        `json:"shared,omitempty"`
-	Wires    *Wires         `json:"wires,omitempty"`
-	Requests int            `json:"requests_judged"`
-	Attempts int            `json:"attempts_judged"`
-	Falls    int            `json:"cold_falls,omitempty"` // of cold relays, by what all proxies sent them; where the budget is judged
+	Scenario string             `json:"scenario"`
+	About    string             `json:"about,omitempty"`
+	Seed     uint64             `json:"seed"`
+	Length   float64            `json:"length_s"`
+	WarmUp   float64            `json:"warm_up_s"`
+	Proxies  int                `json:"proxies"`
+	Relays   int                `json:"relays"`
+	Goal     float64            `json:"goal"`    // service mixed as the operators count it
+	Service  float64            `json:"service"` // over all classes
+	Worst    float64            `json:"worst"`   // the worst 10 s
+	WorstAt  int                `json:"worst_at_s"`
+	Classes  []ClassResult      `json:"classes"`
+	Clients  fleet.ClientCounts `json:"clients"`
+	Most     int                `json:"most_open"` // clients that wanted a connection at a time, at the most
+	Counters stats.Counters     `json:"counters"`  // of all proxies
+	Shared   *Shared            `json:"shared,omitempty"`
+	Wires    *Wires             `json:"wires,omitempty"`
+	Requests int                `json:"requests_judged"`
+	Attempts int                `json:"attempts_judged"`
+	Falls    int                `json:"cold_falls,omitempty"` // of cold relays, by what all proxies sent them; where the budget is judged
 	// While clients were refused: ColdRoom is how many requests of mean work the settings allowed cold relays that the list named,
 	// ColdUsed how many they got.
 	ColdRoom float64 `json:"cold_room,omitempty"`
@@ -110,7 +110,7 @@
 	r := &Result{
 		Scenario: s.s.Name, About: s.s.Run.Text, Seed: s.seed, Length: s.s.Run.Length.Seconds(), WarmUp: s.s.Run.WarmUp.Seconds(),
 		Proxies: len(s.proxies), Relays: len(s.nodes), Goal: round(l.Goal()), Service: round(l.Service(-1, 0, l.Seconds())),
-		Clients: l.Count, Counters: s.ended,
+		Clients: l.Counts, Counters: s.ended,
 	}
 	if s.world != nil {
 		r.Requests, r.Attempts = s.judge.Requests, s.judge.Attempts
@@ -129,7 +129,7 @@
 	if s.s.Proxies.Keepers > 0 {
 		r.Shared = &shared
 	}
-	worst, at := l.Worst()
+	worst, at := l.WorstWindow()
 	r.Worst, r.WorstAt = round(worst), at
 	ms := func(d time.Duration) float64 { return math.Round(float64(d)/float64(time.Millisecond)*100) / 100 }
 	for c := range s.classes {
--- a/internal/lab/stage.go
+++ b/internal/lab/stage.go
@@ -53,7 +53,7 @@
 	s := &stage{day: d, o: o, costly: make(map[string]costly), registry: fleet.NewRegistry()}
 	s.world = vnet.New(d.seed, s.link)
 	s.ledger = fleet.NewLedger(s.world.Now().Add(d.s.Run.WarmUp), d.s.Run.Length, d.classes)
-	s.ledger.Shared = d.s.Proxies.Keepers > 0
+	s.ledger.ListShared = d.s.Proxies.Keepers > 0
 	s.judge = newJudge(s.world, s.ledger, &d.s.Rules, newNewsClock(s.world, &d.s.Rules, &d.s.Allow))
 	s.registry.OnChange = s.judge.clock.changed
 	if d.s.Rules.ColdBudget {
--- a/internal/lab/table.go
+++ b/internal/lab/table.go
@@ -28,8 +28,8 @@
 	return append(rows,
 		[2]string{"clients", n(t.Clients)}, [2]string{"most at a time", n(r.Most)}, [2]string{"requests", n(t.Requests)},
 		[2]string{"up", n(t.Up)}, [2]string{"refused", n(t.Refused)}, [2]string{"failed", n(t.Failed)},
-		[2]string{"unanswered", n(t.Silent)}, [2]string{"connection ended unanswered", n(t.Lost)},
-		[2]string{"no connection", n(t.Unmade)}, [2]string{"moved", n(t.Moved)}, [2]string{"cut off", n(t.Cut)},
+		[2]string{"unanswered", n(t.Unanswered)}, [2]string{"connection ended unanswered", n(t.Lost)},
+		[2]string{"no connection", n(t.ConnectFailures)}, [2]string{"moved", n(t.Moved)}, [2]string{"cut off", n(t.Cut)},
 		[2]string{"requests crossing sites", n(t.Crossing)}, [2]string{"probes", n(t.Probes)},
 		[2]string{"events", strconv.FormatUint(r.Events, 10)}, [2]string{"trace", r.Trace},
 	)
--- a/internal/lab/verdicts_test.go
+++ b/internal/lab/verdicts_test.go
@@ -35,9 +35,9 @@
 	slow(t)
 	alone, with, wrong, told := 0, 0, 0, 0
 	for seed := range uint64(3) {
-		alone += play(t, must(t, badRelays), seed+1).Clients.Failing
+		alone += play(t, must(t, badRelays), seed+1).Clients.FaultErrors
 		r := play(t, must(t, badRelays).with(func(s *Scenario) { s.Proxies.Verdicts = true }), seed+1)
-		with += r.Clients.Failing
+		with += r.Clients.FaultErrors
 		wrong += r.Shared.False
 		told += r.Counters.Condemned
 	}
