--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -34,9 +34,9 @@
 type MachineConfig struct {
 	Cores        int
 	Speed        float64
-	Service      float64       // work of an average message, in seconds of a standard core
+	MessageWork  float64       // work of an average message, in seconds of a standard core
 	ColdFrom     float64       // part of its capacity with which it starts
-	WarmIn       time.Duration // time after which it has all of it; 0: it is warm from the start
+	WarmUp       time.Duration // time after which it has all of it; 0: it is warm from the start
 	FallMultiple float64       // work above this many times the present capacity, while it is cold...
 	FallWithin   time.Duration // ...for this long makes it fall over; 0: it never does
 }
@@ -44,13 +44,13 @@
 // NewMachine returns a machine that starts now.
 func NewMachine(now time.Time, c MachineConfig) *Machine {
 	return &Machine{
-		cores: c.Cores, speed: c.Speed, service: c.Service, started: now, coldFrom: c.ColdFrom, warmIn: c.WarmIn,
+		cores: c.Cores, speed: c.Speed, service: c.MessageWork, started: now, coldFrom: c.ColdFrom, warmIn: c.WarmUp,
 		slow: 1, at: now, fallMultiple: c.FallMultiple, fallWithin: c.FallWithin,
 	}
 }
 
-// Warmth is the part of its capacity that the machine has by its age, 0 to 1.
-func (m *Machine) Warmth(now time.Time) float64 {
+// WarmFraction is the part of its capacity that the machine has by its age, 0 to 1.
+func (m *Machine) WarmFraction(now time.Time) float64 {
 	age := now.Sub(m.started)
 	if age >= m.warmIn {
 		return 1
@@ -60,7 +60,7 @@
 
 // Capacity is the work that it can do in a second, now.
 func (m *Machine) Capacity(now time.Time) float64 {
-	return float64(m.cores) * m.speed * m.Warmth(now) / m.slow * (1 - m.neighbour)
+	return float64(m.cores) * m.speed * m.WarmFraction(now) / m.slow * (1 - m.neighbour)
 }
 
 // advance lets the backlog grow or shrink up to now. Capacity changes slowly within a step: its mean is near that in
@@ -90,26 +90,26 @@
 	m.backlog += work
 }
 
-// Slow makes it so many times slower than usual; 1 is as usual.
-func (m *Machine) Slow(now time.Time, times float64) {
+// SetSlowdown makes it so many times slower than usual; 1 is as usual.
+func (m *Machine) SetSlowdown(now time.Time, times float64) {
 	m.advance(now)
 	m.slow = max(times, 1)
 }
 
-// Neighbour has another program take a share of it, 0 to 0.95.
-func (m *Machine) Neighbour(now time.Time, share float64) {
+// SetNeighbourShare has another program take a share of it, 0 to 0.95.
+func (m *Machine) SetNeighbourShare(now time.Time, share float64) {
 	m.advance(now)
 	m.neighbour = min(max(share, 0), 0.95)
 }
 
-// Load is the load asked over what it can do.
-func (m *Machine) Load(now time.Time) float64 { return m.load / m.Capacity(now) }
+// Utilization is the load asked over what it can do.
+func (m *Machine) Utilization(now time.Time) float64 { return m.load / m.Capacity(now) }
 
-// Asked is the load asked, in standard cores.
-func (m *Machine) Asked() float64 { return m.load }
+// OfferedLoad is the load asked, in standard cores.
+func (m *Machine) OfferedLoad() float64 { return m.load }
 
-// Behind is how long the work that has piled up takes.
-func (m *Machine) Behind(now time.Time) time.Duration {
+// BacklogTime is how long the work that has piled up takes.
+func (m *Machine) BacklogTime(now time.Time) time.Duration {
 	m.advance(now)
 	return seconds(m.backlog / m.Capacity(now))
 }
@@ -119,19 +119,19 @@
 // Delay draws how long a message that comes now takes: its own work, the wait for a core that is free (Sakasegawa's
 // approximation for a queue with several servers, drawn from an exponential) and all that has piled up.
 func (m *Machine) Delay(now time.Time, rng *rand.Rand) time.Duration {
-	behind := m.Behind(now)
-	each := m.service * m.slow / m.speed / m.Warmth(now)
-	busy := min(m.Load(now), 0.995)
+	behind := m.BacklogTime(now)
+	each := m.service * m.slow / m.speed / m.WarmFraction(now)
+	busy := min(m.Utilization(now), 0.995)
 	c := float64(m.cores)
 	wait := math.Pow(busy, math.Sqrt(2*(c+1))) / (c * (1 - busy)) * each
 	return behind + seconds(each*(0.5+rng.Float64())+wait*rng.ExpFloat64())
 }
 
-// Fallen tells whether it has been asked for so much while it was cold that it falls over. It must be called at least
+// ColdOverload tells whether it has been asked for so much while it was cold that it falls over. It must be called at least
 // every 100 ms or so to be near the rule.
-func (m *Machine) Fallen(now time.Time) bool {
+func (m *Machine) ColdOverload(now time.Time) bool {
 	m.advance(now)
-	if m.fallWithin <= 0 || m.Warmth(now) >= 1 || m.load <= m.fallMultiple*m.Capacity(now) {
+	if m.fallWithin <= 0 || m.WarmFraction(now) >= 1 || m.load <= m.fallMultiple*m.Capacity(now) {
 		m.pushed = time.Time{}
 		return false
 	}
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -15,35 +15,35 @@
 
 // Work piles up while more is asked for than can be done, and is done afterwards at the rate that is left.
 func TestBacklog(t *testing.T) {
-	m := NewMachine(start, MachineConfig{Cores: 2, Speed: 1.5, Service: 0.004})
+	m := NewMachine(start, MachineConfig{Cores: 2, Speed: 1.5, MessageWork: 0.004})
 	m.AddLoad(start, 4) // of 3
-	if !near(m.Load(start), 4.0/3) {
-		t.Errorf("load %v", m.Load(start))
+	if !near(m.Utilization(start), 4.0/3) {
+		t.Errorf("load %v", m.Utilization(start))
 	}
-	if got := m.Behind(at(3 * time.Second)); got != time.Second { // 1 too much for 3 s is a second of 3
+	if got := m.BacklogTime(at(3 * time.Second)); got != time.Second { // 1 too much for 3 s is a second of 3
 		t.Errorf("after 3 s it is behind by %v", got)
 	}
 	m.AddLoad(at(3*time.Second), -2)
-	if got := m.Behind(at(5 * time.Second)); got.Round(time.Millisecond) != 333*time.Millisecond {
+	if got := m.BacklogTime(at(5 * time.Second)); got.Round(time.Millisecond) != 333*time.Millisecond {
 		t.Errorf("2 s later it is behind by %v", got)
 	}
-	if got := m.Behind(at(time.Minute)); got != 0 {
+	if got := m.BacklogTime(at(time.Minute)); got != 0 {
 		t.Errorf("a minute later it is behind by %v", got)
 	}
-	m.Slow(at(time.Minute), 3)
-	m.Neighbour(at(time.Minute), 0.5)
+	m.SetSlowdown(at(time.Minute), 3)
+	m.SetNeighbourShare(at(time.Minute), 0.5)
 	if c := m.Capacity(at(time.Minute)); !near(c, 0.5) {
 		t.Errorf("three times slower with half of it taken: %v", c)
 	}
 	m.AddLoad(at(time.Minute), -5)
-	if m.Asked() != 0 {
-		t.Errorf("asked for %v after all is over", m.Asked())
+	if m.OfferedLoad() != 0 {
+		t.Errorf("asked for %v after all is over", m.OfferedLoad())
 	}
 }
 
 // A machine that has started has a part of its capacity, which grows evenly.
 func TestWarmUp(t *testing.T) {
-	m := NewMachine(start, MachineConfig{Cores: 1, Speed: 1, ColdFrom: 0.2, WarmIn: 20 * time.Second, FallMultiple: 3, FallWithin: 1500 * time.Millisecond})
+	m := NewMachine(start, MachineConfig{Cores: 1, Speed: 1, ColdFrom: 0.2, WarmUp: 20 * time.Second, FallMultiple: 3, FallWithin: 1500 * time.Millisecond})
 	for d, want := range map[time.Duration]float64{0: 0.2, 10 * time.Second: 0.6, 20 * time.Second: 1, time.Hour: 1} {
 		if got := m.Capacity(at(d)); !near(got, want) {
 			t.Errorf("after %v: %v, want %v", d, got, want)
@@ -54,30 +54,30 @@
 // A cold machine falls over when it is asked for more than the multiple for as long as that, and not for a moment or when
 // it is warm.
 func TestFallsWhenPushedCold(t *testing.T) {
-	c := MachineConfig{Cores: 1, Speed: 1, ColdFrom: 0.2, WarmIn: 20 * time.Second, FallMultiple: 3, FallWithin: 1500 * time.Millisecond}
+	c := MachineConfig{Cores: 1, Speed: 1, ColdFrom: 0.2, WarmUp: 20 * time.Second, FallMultiple: 3, FallWithin: 1500 * time.Millisecond}
 	m := NewMachine(start, c)
 	m.AddLoad(start, 1)
 	for d := time.Duration(0); d <= 1400*time.Millisecond; d += 100 * time.Millisecond {
-		if m.Fallen(at(d)) {
+		if m.ColdOverload(at(d)) {
 			t.Fatalf("it fell after %v", d)
 		}
 	}
-	if !m.Fallen(at(1500 * time.Millisecond)) {
+	if !m.ColdOverload(at(1500 * time.Millisecond)) {
 		t.Error("it stands after 1.5 s of five times its capacity")
 	}
 	m = NewMachine(start, c)
 	m.AddLoad(start, 1)
-	m.Fallen(start)
+	m.ColdOverload(start)
 	m.AddLoad(at(time.Second), -1)
-	m.Fallen(at(time.Second))
+	m.ColdOverload(at(time.Second))
 	m.AddLoad(at(1100*time.Millisecond), 1)
-	if m.Fallen(at(1600 * time.Millisecond)) {
+	if m.ColdOverload(at(1600 * time.Millisecond)) {
 		t.Error("two moments counted as one")
 	}
-	c.WarmIn = 0
+	c.WarmUp = 0
 	m = NewMachine(start, c)
 	m.AddLoad(start, 100)
-	if m.Fallen(start); m.Fallen(at(time.Minute)) {
+	if m.ColdOverload(start); m.ColdOverload(at(time.Minute)) {
 		t.Error("a warm machine fell")
 	}
 }
@@ -86,7 +86,7 @@
 func TestDelayGrowsWithLoad(t *testing.T) {
 	mean := func(load float64) time.Duration {
 		rng := rand.New(rand.NewPCG(1, 2))
-		m := NewMachine(start, MachineConfig{Cores: 3, Speed: 1, Service: 0.005})
+		m := NewMachine(start, MachineConfig{Cores: 3, Speed: 1, MessageWork: 0.005})
 		m.AddLoad(start, 3*load)
 		sum := time.Duration(0)
 		for range 2000 {
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -17,21 +17,21 @@
 
 // RelayConfig is what a relay is made of.
 type RelayConfig struct {
-	ID      string
-	Site    string
-	Kind    string
-	Machine MachineConfig
-	Classes []Class
-	Reports ReportConfig
-	Usual   float64                                  // load of a usual connection, in standard cores
-	Group   float64                                  // usual loads that it pays for each group
-	Most    int                                      // connections that it holds; 0: without limit
-	Buffer  time.Duration                            // work that may pile up before it drops connections; 0: without end
-	Errors  float64                                  // part of the connections that it answers with an error
-	Leaving bool                                     // it answers probes with an error while it drains
-	Seed    uint64                                   // of the clients' loads
-	SiteOf  func(proxy netip.Addr) string            // empty: unknown
-	Costly  func(class string) (part, times float64) // costly connections at present; nil: none
+	ID                string
+	Site              string
+	Kind              string
+	Machine           MachineConfig
+	Classes           []Class
+	Reports           ReportConfig
+	TypicalLoad       float64                                  // load of a usual connection, in standard cores
+	GroupCost         float64                                  // usual loads that it pays for each group
+	MaxConnections    int                                      // connections that it holds; 0: without limit
+	MaxBacklog        time.Duration                            // work that may pile up before it drops connections; 0: without end
+	ErrorFraction     float64                                  // part of the connections that it answers with an error
+	DrainFailsProbes  bool                                     // it answers probes with an error while it drains
+	Seed              uint64                                   // of the clients' loads
+	SiteOf            func(proxy netip.Addr) string            // empty: unknown
+	CostlyConnections func(class string) (part, times float64) // costly connections at present; nil: none
 }
 
 // Relay is one egress target: it takes connections, answers their lines as late as its machine is busy, and tells of
@@ -56,7 +56,7 @@
 	scratch  []byte
 	tick     poll.Timer
 	reporter poll.Timer
-	Fell     func() // called when it falls over
+	OnCrash  func() // called when it falls over
 }
 
 // relayTick is how often a relay looks whether too much is piled up.
@@ -83,21 +83,21 @@
 // Machine is what it computes with.
 func (r *Relay) Machine() *Machine { return r.machine }
 
-// Behind is when it last kept a client waiting for a third of the time within which the class wants to be set up: who has a first
+// LastSlowSetUp is when it last kept a client waiting for a third of the time within which the class wants to be set up: who has a first
 // attempt in that time is right to call it slow. Zero: never.
-func (r *Relay) Behind() time.Time { return r.behind }
+func (r *Relay) LastSlowSetUp() time.Time { return r.behind }
 
-// Standing is how many connections it holds.
-func (r *Relay) Standing() int { return r.standing }
+// ConnectionCount is how many connections it holds.
+func (r *Relay) ConnectionCount() int { return r.standing }
 
 // Drain has it take nothing new.
 func (r *Relay) Drain() { r.draining = true }
 
-// Failing has it answer a part of the requests with an error at once, 0 to 1, while all else about it looks well.
-func (r *Relay) Failing(part float64) { r.failing = part }
+// SetErrorFraction has it answer a part of the requests with an error at once, 0 to 1, while all else about it looks well.
+func (r *Relay) SetErrorFraction(part float64) { r.failing = part }
 
-// Silence has it read and say nothing any more, or go on. It plays a machine that vanished where none can be made to.
-func (r *Relay) Silence(on bool) {
+// SetSilent has it read and say nothing any more, or go on. It plays a machine that vanished where none can be made to.
+func (r *Relay) SetSilent(on bool) {
 	r.silent = on
 	for _, s := range r.sessions {
 		s.want()
@@ -119,16 +119,16 @@
 func (r *Relay) look() {
 	r.loop.After(&r.tick, relayTick)
 	now := r.loop.Now()
-	if r.machine.Fallen(now) && !r.fell {
+	if r.machine.ColdOverload(now) && !r.fell {
 		r.fell = true
 		r.ledger.broken("cold-relay-pushed-over", "relay %s: asked for %.2f cores at %.2f of its capacity of %.2f",
-			r.c.ID, r.machine.Asked(), r.machine.Warmth(now), r.machine.Capacity(now))
-		if r.Fell != nil {
-			r.Fell()
+			r.c.ID, r.machine.OfferedLoad(), r.machine.WarmFraction(now), r.machine.Capacity(now))
+		if r.OnCrash != nil {
+			r.OnCrash()
 			return
 		}
 	}
-	if r.c.Buffer > 0 && r.machine.Behind(now) > r.c.Buffer && !r.silent {
+	if r.c.MaxBacklog > 0 && r.machine.BacklogTime(now) > r.c.MaxBacklog && !r.silent {
 		r.dropHeaviest()
 	}
 }
@@ -157,7 +157,7 @@
 }
 
 func (r *Relay) figures() string {
-	load := r.machine.Load(r.loop.Now())
+	load := r.machine.Utilization(r.loop.Now())
 	noisy := func(v float64) float64 { return max(v*(1+r.c.Reports.Noise*r.rng.NormFloat64()), 0) }
 	period := (r.c.Reports.Period.From + r.c.Reports.Period.To) / 2
 	rate := 0.0
@@ -260,7 +260,7 @@
 		r.machine.AddWork(now, r.c.Reports.ProbeWork.Draw(r.rng).Seconds())
 		r.ledger.Counts.Probes++
 		switch {
-		case r.draining && r.c.Leaving:
+		case r.draining && r.c.DrainFailsProbes:
 			s.refuse("ERR\r\n")
 		case string(text) == "PING":
 			_ = s.say("PONG\r\n")
@@ -295,14 +295,14 @@
 	}
 	c := &r.c.Classes[s.class]
 	work := c.SetUpWork.Draw(r.rng).Seconds()
-	if r.machine.Behind(now) > c.SetUpTarget/3 {
+	if r.machine.BacklogTime(now) > c.SetUpTarget/3 {
 		r.behind = now
 	}
 	until := now.Add(o.Wait)
-	switch ready := now.Add(r.machine.Behind(now) + seconds(work/r.machine.speed*r.machine.slow)); {
-	case r.draining || r.c.Most > 0 && r.standing >= r.c.Most:
+	switch ready := now.Add(r.machine.BacklogTime(now) + seconds(work/r.machine.speed*r.machine.slow)); {
+	case r.draining || r.c.MaxConnections > 0 && r.standing >= r.c.MaxConnections:
 		s.refuse("BUSY\r\n")
-	case r.rng.Float64() < max(r.c.Errors, r.failing):
+	case r.rng.Float64() < max(r.c.ErrorFraction, r.failing):
 		if r.failing > 0 {
 			r.ledger.Counts.FaultErrors++
 		}
@@ -362,9 +362,9 @@
 	c := &r.c.Classes[s.class]
 	// A client's load is its own, wherever it goes: two runs with one seed compare the same loads.
 	own := rand.New(rand.NewPCG(r.c.Seed, xxhash.Sum64String(s.open.Key)))
-	s.base = r.c.Usual * c.LoadFactor * math.Exp(c.LoadSigma*own.NormFloat64()-c.LoadSigma*c.LoadSigma/2)
-	if r.c.Costly != nil {
-		if part, times := r.c.Costly(c.Name); part > 0 && own.Float64() < part {
+	s.base = r.c.TypicalLoad * c.LoadFactor * math.Exp(c.LoadSigma*own.NormFloat64()-c.LoadSigma*c.LoadSigma/2)
+	if r.c.CostlyConnections != nil {
+		if part, times := r.c.CostlyConnections(c.Name); part > 0 && own.Float64() < part {
 			s.base *= times
 		}
 	}
@@ -374,7 +374,7 @@
 	r.standing++
 	if g := s.open.Group; g != "" {
 		if r.groups[g]++; r.groups[g] == 1 {
-			r.machine.AddLoad(now, r.c.Group*r.c.Usual)
+			r.machine.AddLoad(now, r.c.GroupCost*r.c.TypicalLoad)
 		}
 	}
 	s.change = now.Add(c.ChangeInterval.Draw(r.rng))
@@ -447,7 +447,7 @@
 		if g := s.open.Group; g != "" {
 			if r.groups[g]--; r.groups[g] == 0 {
 				delete(r.groups, g)
-				r.machine.AddLoad(now, -r.c.Group*r.c.Usual)
+				r.machine.AddLoad(now, -r.c.GroupCost*r.c.TypicalLoad)
 			}
 		}
 	}
--- a/internal/lab/coldbudget.go
+++ b/internal/lab/coldbudget.go
@@ -140,7 +140,7 @@
 	}
 	r, ok := j.relay(relay)
 	now := j.world.Now()
-	if !ok || r.machine.Warmth(now) >= 1 {
+	if !ok || r.machine.WarmFraction(now) >= 1 {
 		return
 	}
 	f := j.cold.sent(now, relay, r.bornMS, r.machine, class, j.clock.knowsStart(proxy, relay, r.bornMS))
@@ -148,5 +148,5 @@
 		return
 	}
 	j.broken("cold-budget", "%s, at %.2f of its capacity, gets %.1f requests of mean work in %v, the last from %s, %.1f from proxies that were told of its start; it bears %.1f",
-		relay, r.machine.Warmth(now), f.got, j.cold.within, name, f.told, f.allowed)
+		relay, r.machine.WarmFraction(now), f.got, j.cold.within, name, f.told, f.allowed)
 }
--- a/internal/lab/coldbudget_test.go
+++ b/internal/lab/coldbudget_test.go
@@ -13,7 +13,7 @@
 	now := time.Unix(1e9, 0)
 	// A quarter of four cores: N = 2 x 1 x 2 s / 1 s = 4, and it bears 4 + 6 + 3 requests.
 	machine := func() *fleet.Machine {
-		return fleet.NewMachine(now, fleet.MachineConfig{Cores: 4, Speed: 1, ColdFrom: 0.25, WarmIn: time.Hour})
+		return fleet.NewMachine(now, fleet.MachineConfig{Cores: 4, Speed: 1, ColdFrom: 0.25, WarmUp: time.Hour})
 	}
 	budget := func() *coldBudget {
 		return &coldBudget{multiple: 2, within: 2 * time.Second, mean: 1, work: map[string]float64{"half": 0.5}, servers: make(map[string]*coldServer)}
@@ -56,7 +56,7 @@
 	}
 	// A large one: N = 2 x 16 x 2 s / 1 s = 64, and it bears 64 + 16 + 2.
 	large := func() *fleet.Machine {
-		return fleet.NewMachine(now, fleet.MachineConfig{Cores: 64, Speed: 1, ColdFrom: 0.25, WarmIn: time.Hour})
+		return fleet.NewMachine(now, fleet.MachineConfig{Cores: 64, Speed: 1, ColdFrom: 0.25, WarmUp: time.Hour})
 	}
 	if send(budget(), large(), 82, time.Millisecond, "one", all) != nil || send(budget(), large(), 83, time.Millisecond, "one", all) == nil {
 		t.Error("a large server does not bear N + 2√N + 2")
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -230,11 +230,11 @@
 // machine is what a relay computes with; a cold one has just started.
 func (d *day) machine(p *relayPlan, cold bool, r *rand.Rand) fleet.MachineConfig {
 	m := fleet.MachineConfig{
-		Cores: p.kind.Cores, Speed: p.speed, Service: d.service.Seconds(),
+		Cores: p.kind.Cores, Speed: p.speed, MessageWork: d.service.Seconds(),
 		FallMultiple: d.s.Rules.FallMultiple, FallWithin: d.s.Rules.FallWithin,
 	}
 	if cold {
-		m.ColdFrom, m.WarmIn = p.kind.ColdFrom.Draw(r), p.kind.WarmUp.Draw(r)
+		m.ColdFrom, m.WarmUp = p.kind.ColdFrom.Draw(r), p.kind.WarmUp.Draw(r)
 	}
 	return m
 }
@@ -247,8 +247,8 @@
 	}
 	return fleet.RelayConfig{
 		ID: p.id, Site: p.site, Kind: p.kind.Name, Machine: d.machine(p, cold, r), Classes: d.classes,
-		Reports: fleet.ReportConfig{Period: d.s.Relays.Period, Delay: d.s.Relays.Delay, Noise: d.noise, ProbeWork: d.s.Relays.Probe},
-		Usual:   d.usual, Group: d.s.Relays.Group, Most: int(d.most * float64(p.kind.Cores)), Buffer: d.buffer, Errors: errs, Leaving: d.s.Relays.Leaving,
+		Reports:     fleet.ReportConfig{Period: d.s.Relays.Period, Delay: d.s.Relays.Delay, Noise: d.noise, ProbeWork: d.s.Relays.Probe},
+		TypicalLoad: d.usual, GroupCost: d.s.Relays.Group, MaxConnections: int(d.most * float64(p.kind.Cores)), MaxBacklog: d.buffer, ErrorFraction: errs, DrainFailsProbes: d.s.Relays.Leaving,
 		Seed: d.seed,
 	}
 }
--- a/internal/lab/news.go
+++ b/internal/lab/news.go
@@ -97,7 +97,7 @@
 	}
 	now := s.world.Now()
 	for _, n := range s.nodes {
-		cold := n.relay != nil && !n.born.IsZero() && n.relay.Machine().Warmth(now) < 1
+		cold := n.relay != nil && !n.born.IsZero() && n.relay.Machine().WarmFraction(now) < 1
 		if health, ok := s.registry.Health(n.plan.id); cold && ok && health == fleet.Serving {
 			s.judge.cold.runs(n.relay.Machine(), now, clockStep)
 		}
--- a/internal/lab/relays.go
+++ b/internal/lab/relays.go
@@ -64,14 +64,14 @@
 		loop := n.on(k, s)
 		c := s.relay(n.plan, cold, rng)
 		c.SiteOf = s.siteOf
-		c.Costly = func(class string) (float64, float64) { return s.costly[class].part, s.costly[class].times }
+		c.CostlyConnections = func(class string) (float64, float64) { return s.costly[class].part, s.costly[class].times }
 		r, err := fleet.NewRelay(loop, netip.AddrPortFrom(n.host.Addr(), relayPort), c, rng, s.ledger)
 		if err != nil {
 			return nil, err
 		}
 		n.relay = r
-		r.Fell = func() { n.host.Kill(); n.relay, n.gone = nil, true }
-		s.owns(n.host, r.Stop, r.Silence)
+		r.OnCrash = func() { n.host.Kill(); n.relay, n.gone = nil, true }
+		s.owns(n.host, r.Stop, r.SetSilent)
 		return func() error { return loop.Turn(true) }, nil
 	})
 }
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -25,7 +25,7 @@
 	for i, n := range s.nodes {
 		load, stand := math.NaN(), math.NaN()
 		if r := n.relay; r != nil {
-			load, stand = r.Machine().Load(now), float64(r.Standing())
+			load, stand = r.Machine().Utilization(now), float64(r.ConnectionCount())
 		}
 		m.load[i], m.stand[i] = append(m.load[i], load), append(m.stand[i], stand)
 	}
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -89,7 +89,7 @@
 	n := 0
 	for _, r := range s.nodes {
 		if r.relay != nil {
-			n += r.relay.Standing()
+			n += r.relay.ConnectionCount()
 		}
 	}
 	return n
@@ -156,7 +156,7 @@
 
 // wasBehind tells whether the relay was really slow of late, for more clients than it can take.
 func (n *relayNode) wasBehind(now time.Time) bool {
-	return n.relay != nil && !n.relay.Behind().IsZero() && now.Sub(n.relay.Behind()) <= falseAfter
+	return n.relay != nil && !n.relay.LastSlowSetUp().IsZero() && now.Sub(n.relay.LastSlowSetUp()) <= falseAfter
 }
 
 // falseAfter is how long after the end of a relay's trouble a verdict against it still rests on that.
--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -35,8 +35,8 @@
 		}
 	case "slow":
 		for _, n := range s.someRelays(t, r) {
-			s.during(at, span, func() { n.tell(func(m *fleet.Machine, now time.Time) { m.Slow(now, size) }) },
-				func() { n.tell(func(m *fleet.Machine, now time.Time) { m.Slow(now, 1) }) })
+			s.during(at, span, func() { n.tell(func(m *fleet.Machine, now time.Time) { m.SetSlowdown(now, size) }) },
+				func() { n.tell(func(m *fleet.Machine, now time.Time) { m.SetSlowdown(now, 1) }) })
 		}
 	case "failing":
 		for _, n := range s.someRelays(t, r) {
@@ -53,8 +53,8 @@
 				on = span
 			}
 			for begin := at; begin < at+span; begin += 2 * on { // on and off
-				s.during(begin, min(on, at+span-begin), func() { n.tell(func(m *fleet.Machine, now time.Time) { m.Neighbour(now, size) }) },
-					func() { n.tell(func(m *fleet.Machine, now time.Time) { m.Neighbour(now, 0) }) })
+				s.during(begin, min(on, at+span-begin), func() { n.tell(func(m *fleet.Machine, now time.Time) { m.SetNeighbourShare(now, size) }) },
+					func() { n.tell(func(m *fleet.Machine, now time.Time) { m.SetNeighbourShare(now, 0) }) })
 			}
 		}
 	case "costly":
@@ -257,7 +257,7 @@
 
 func (n *relayNode) fail(part float64) {
 	if r := n.relay; r != nil {
-		n.post(func() { r.Failing(part) })
+		n.post(func() { r.SetErrorFraction(part) })
 	}
 }
 
