--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -30,7 +30,7 @@
 type LoadGenerator struct {
 	c        LoadGeneratorConfig
 	loop     *poll.Loop
-	front    *Front
+	front    *FrontBalancer
 	ledger   *Ledger
 	rng      *rand.Rand // arrivals
 	plants   []float64  // running sums of the groups' shares
@@ -43,7 +43,7 @@
 }
 
 // NewLoadGenerator starts the clients' arrivals.
-func NewLoadGenerator(loop *poll.Loop, c LoadGeneratorConfig, front *Front, rng *rand.Rand, ledger *Ledger) *LoadGenerator {
+func NewLoadGenerator(loop *poll.Loop, c LoadGeneratorConfig, front *FrontBalancer, rng *rand.Rand, ledger *Ledger) *LoadGenerator {
 	w := &LoadGenerator{c: c, loop: loop, front: front, ledger: ledger, rng: rng, scratch: make([]byte, 16<<10)}
 	sum := 0.0
 	for i := range max(c.Groups, 1) { // plants differ in size, by Zipf's law
--- a/internal/fleet/front.go
+++ b/internal/fleet/front.go
@@ -9,16 +9,16 @@
 	"ospreyspan/internal/poll"
 )
 
-// FrontBalancer is how a front watches its proxies.
-type FrontBalancer struct {
-	Every  time.Duration // between two checks of a proxy
-	Notice DurationRange // a proxy that fails its checks is given no more clients after this
+// FrontBalancerConfig is how a front watches its proxies.
+type FrontBalancerConfig struct {
+	CheckInterval time.Duration // between two checks of a proxy
+	FailureDelay  DurationRange // a proxy that fails its checks is given no more clients after this
 }
 
-// Front hands clients out to the proxies of a site. A proxy is admitted once it has answered PING with PONG, and one
+// FrontBalancer hands clients out to the proxies of a site. A proxy is admitted once it has answered PING with PONG, and one
 // that is dead is noticed late; where a site has none left, its clients go to those of the others.
-type Front struct {
-	c     FrontBalancer
+type FrontBalancer struct {
+	c     FrontBalancerConfig
 	loop  *poll.Loop
 	rng   *rand.Rand
 	seats []*seat
@@ -26,7 +26,7 @@
 
 // seat is a proxy as a front sees it.
 type seat struct {
-	f        *Front
+	f        *FrontBalancer
 	addr     netip.AddrPort
 	home     bool // it is of the front's site
 	admitted bool
@@ -39,12 +39,12 @@
 }
 
 // NewFrontBalancer returns a front without proxies.
-func NewFrontBalancer(loop *poll.Loop, c FrontBalancer, rng *rand.Rand) *Front {
-	return &Front{c: c, loop: loop, rng: rng}
+func NewFrontBalancer(loop *poll.Loop, c FrontBalancerConfig, rng *rand.Rand) *FrontBalancer {
+	return &FrontBalancer{c: c, loop: loop, rng: rng}
 }
 
 // Add has the front watch a proxy; home tells that it is of its own site.
-func (f *Front) Add(addr netip.AddrPort, home bool) {
+func (f *FrontBalancer) Add(addr netip.AddrPort, home bool) {
 	s := &seat{f: f, addr: addr, home: home}
 	s.timer.Fire = s.check
 	f.seats = append(f.seats, s)
@@ -52,7 +52,7 @@
 }
 
 // Withdraw gives a proxy no more clients until it is admitted anew: it was told to stop.
-func (f *Front) Withdraw(addr netip.AddrPort) {
+func (f *FrontBalancer) Withdraw(addr netip.AddrPort) {
 	for _, s := range f.seats {
 		if s.addr == addr {
 			s.admitted, s.out = false, true
@@ -60,8 +60,8 @@
 	}
 }
 
-// Expect lets a proxy that was withdrawn be admitted again once it answers.
-func (f *Front) Expect(addr netip.AddrPort) {
+// AllowReadmission lets a proxy that was withdrawn be admitted again once it answers.
+func (f *FrontBalancer) AllowReadmission(addr netip.AddrPort) {
 	for _, s := range f.seats {
 		if s.addr == addr {
 			s.out = false
@@ -70,7 +70,7 @@
 }
 
 // Pick returns a proxy for a client; ok is false if none is admitted.
-func (f *Front) Pick() (at netip.AddrPort, ok bool) {
+func (f *FrontBalancer) Pick() (at netip.AddrPort, ok bool) {
 	for _, home := range []bool{true, false} {
 		n := 0
 		for _, s := range f.seats { // one of those that fit, drawn as they come
@@ -88,7 +88,7 @@
 }
 
 // Admitted tells how many proxies get clients.
-func (f *Front) Admitted() int {
+func (f *FrontBalancer) Admitted() int {
 	n := 0
 	for _, s := range f.seats {
 		if s.admitted {
@@ -99,7 +99,7 @@
 }
 
 // Stop ends the watch.
-func (f *Front) Stop() {
+func (f *FrontBalancer) Stop() {
 	for _, s := range f.seats {
 		f.loop.Disarm(&s.timer)
 		s.hangUp()
@@ -120,7 +120,7 @@
 		s.hangUp()
 		s.fails()
 	}
-	s.f.loop.After(&s.timer, s.f.c.Every)
+	s.f.loop.After(&s.timer, s.f.c.CheckInterval)
 	s.got = s.got[:0]
 	sock, err := s.f.loop.Dial(s.addr, s)
 	if err != nil {
@@ -133,7 +133,7 @@
 func (s *seat) fails() {
 	now := s.f.loop.Now()
 	if s.failing.IsZero() {
-		s.failing, s.late = now, s.f.c.Notice.Draw(s.f.rng)
+		s.failing, s.late = now, s.f.c.FailureDelay.Draw(s.f.rng)
 	}
 	if now.Sub(s.failing) >= s.late {
 		s.admitted = false
--- a/internal/instance/start_test.go
+++ b/internal/instance/start_test.go
@@ -35,7 +35,7 @@
 type testFleet struct {
 	t     *testing.T
 	world *vnet.World
-	front *platform.Front
+	front *platform.FrontBalancer
 }
 
 func (c startCase) start(t *testing.T) *testFleet {
@@ -106,7 +106,7 @@
 	host := f.world.AddHost("front", netip.MustParseAddr("10.3.0.1"), vnet.Limits{})
 	err := host.Start(func(k poll.Kernel) (func() error, error) {
 		loop := poll.NewOn(k, func() {})
-		f.front = platform.NewFrontBalancer(loop, platform.FrontBalancer{Every: time.Second}, rand.New(rand.NewPCG(1, 2)))
+		f.front = platform.NewFrontBalancer(loop, platform.FrontBalancerConfig{CheckInterval: time.Second}, rand.New(rand.NewPCG(1, 2)))
 		for i := range proxyCount {
 			f.front.Add(proxyAddr(i), true)
 		}
--- a/internal/lab/crowds.go
+++ b/internal/lab/crowds.go
@@ -12,7 +12,7 @@
 	node
 	site  string
 	host  machine
-	front *fleet.Front
+	front *fleet.FrontBalancer
 	crowd *fleet.LoadGenerator
 }
 
@@ -23,7 +23,7 @@
 	s.crowds = append(s.crowds, n)
 	return h.Start(func(k poll.Kernel) (func() error, error) {
 		loop := n.on(k, s)
-		n.front = fleet.NewFrontBalancer(loop, fleet.FrontBalancer{Every: s.s.Front.Every, Notice: s.s.Front.Notice}, stream(s.seed, "front "+site))
+		n.front = fleet.NewFrontBalancer(loop, fleet.FrontBalancerConfig{CheckInterval: s.s.Front.Every, FailureDelay: s.s.Front.Notice}, stream(s.seed, "front "+site))
 		for _, p := range s.proxies {
 			n.front.Add(p.addr(), p.site == site)
 		}
--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -415,7 +415,7 @@
 		s.failed(err)
 	}
 	for _, c := range s.crowds {
-		c.front.Expect(p.addr())
+		c.front.AllowReadmission(p.addr())
 	}
 }
 
