--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -28,438 +28,438 @@
 // LoadGenerator is the clients of one site. Who comes when, and what for, is drawn ahead of all that happens to them, so that
 // two runs with the same seed see the same clients whatever the proxies do.
 type LoadGenerator struct {
-	c        LoadGeneratorConfig
-	loop     *poll.Loop
-	front    *FrontBalancer
-	ledger   *Ledger
-	rng      *rand.Rand // arrivals
-	plants   []float64  // running sums of the groups' shares
-	clients  []*client
-	next     poll.Timer
-	stopped  bool
-	leaving  float64 // see Leaving
-	arrivals int
-	scratch  []byte
+	config                LoadGeneratorConfig
+	loop                  *poll.Loop
+	front                 *FrontBalancer
+	ledger                *Ledger
+	rng                   *rand.Rand // arrivals
+	cumulativeGroupShares []float64  // running sums of the groups' shares
+	clients               []*client
+	arrivalTimer          poll.Timer
+	stopped               bool
+	earlyLeaveFraction    float64 // see Leaving
+	arrivals              int
+	scratch               []byte
 }
 
 // NewLoadGenerator starts the clients' arrivals.
 func NewLoadGenerator(loop *poll.Loop, c LoadGeneratorConfig, front *FrontBalancer, rng *rand.Rand, ledger *Ledger) *LoadGenerator {
-	w := &LoadGenerator{c: c, loop: loop, front: front, ledger: ledger, rng: rng, scratch: make([]byte, 16<<10)}
+	g := &LoadGenerator{config: c, loop: loop, front: front, ledger: ledger, rng: rng, scratch: make([]byte, 16<<10)}
 	sum := 0.0
 	for i := range max(c.Groups, 1) { // plants differ in size, by Zipf's law
 		sum += 1 / math.Pow(float64(i+1), 0.95)
-		w.plants = append(w.plants, sum)
+		g.cumulativeGroupShares = append(g.cumulativeGroupShares, sum)
 	}
-	w.next.Fire = w.arrive
-	w.wait()
-	return w
+	g.arrivalTimer.Fire = g.arrive
+	g.scheduleArrival()
+	return g
 }
 
 // Open tells how many clients are there that still want something.
-func (w *LoadGenerator) Open() int { return len(w.clients) }
+func (g *LoadGenerator) Open() int { return len(g.clients) }
 
-// idleWait is how often a rate of nothing is looked at again.
-const idleWait = 100 * time.Millisecond
+// zeroRatePoll is how often a rate of nothing is looked at again.
+const zeroRatePoll = 100 * time.Millisecond
 
-func (w *LoadGenerator) wait() {
-	if rate := w.c.Rate(w.loop.Now()); rate > 0 {
-		w.loop.After(&w.next, min(seconds(w.rng.ExpFloat64()/rate), time.Minute))
+func (g *LoadGenerator) scheduleArrival() {
+	if rate := g.config.Rate(g.loop.Now()); rate > 0 {
+		g.loop.After(&g.arrivalTimer, min(seconds(g.rng.ExpFloat64()/rate), time.Minute))
 	} else {
-		w.loop.After(&w.next, idleWait)
+		g.loop.After(&g.arrivalTimer, zeroRatePoll)
 	}
 }
 
-func (w *LoadGenerator) arrive() {
-	if w.stopped {
+func (g *LoadGenerator) arrive() {
+	if g.stopped {
 		return
 	}
-	if w.c.Rate(w.loop.Now()) <= 0 {
-		w.wait()
+	if g.config.Rate(g.loop.Now()) <= 0 {
+		g.scheduleArrival()
 		return
 	}
-	w.arrivals++
-	t := w.c.Traffic
-	x, class := w.rng.Float64(), 0
-	for ; class < len(w.c.Classes)-1 && x >= w.c.Classes[class].Share; class++ {
-		x -= w.c.Classes[class].Share
+	g.arrivals++
+	t := g.config.Traffic
+	x, class := g.rng.Float64(), 0
+	for ; class < len(g.config.Classes)-1 && x >= g.config.Classes[class].Share; class++ {
+		x -= g.config.Classes[class].Share
 	}
-	plant := sort.SearchFloat64s(w.plants, w.rng.Float64()*w.plants[len(w.plants)-1])
+	plant := sort.SearchFloat64s(g.cumulativeGroupShares, g.rng.Float64()*g.cumulativeGroupShares[len(g.cumulativeGroupShares)-1])
 	c := &client{
-		w: w, class: class, pos: len(w.clients), arrived: w.loop.Now(),
-		group:     fmt.Sprintf("%s-%d", w.c.Site, plant),
-		key:       fmt.Sprintf("%s%d", w.c.Site, w.arrivals),
-		life:      seconds(w.rng.ExpFloat64() * t.MeanLife.Seconds() * w.c.Classes[class].LifeFactor),
-		honours:   w.rng.Float64() < t.HonourFraction,
-		impatient: w.rng.Float64() < t.ImpatientFraction,
+		generator: g, class: class, index: len(g.clients), arrived: g.loop.Now(),
+		group:         fmt.Sprintf("%s-%d", g.config.Site, plant),
+		key:           fmt.Sprintf("%s%d", g.config.Site, g.arrivals),
+		remaining:     seconds(g.rng.ExpFloat64() * t.MeanLife.Seconds() * g.config.Classes[class].LifeFactor),
+		honoursAdvice: g.rng.Float64() < t.HonourFraction,
+		impatient:     g.rng.Float64() < t.ImpatientFraction,
 	}
-	c.pcg.Seed(w.c.Seed, w.rng.Uint64())
-	c.timer.Fire = c.due
-	w.clients = append(w.clients, c)
-	w.ledger.Counts.Clients++
+	c.pcg.Seed(g.config.Seed, g.rng.Uint64())
+	c.timer.Fire = c.onTimer
+	g.clients = append(g.clients, c)
+	g.ledger.Counts.Clients++
 	c.connect()
-	w.wait()
+	g.scheduleArrival()
 }
 
 // Stop ends the arrivals.
-func (w *LoadGenerator) Stop() {
-	w.stopped = true
-	w.loop.Disarm(&w.next)
+func (g *LoadGenerator) Stop() {
+	g.stopped = true
+	g.loop.Disarm(&g.arrivalTimer)
 }
 
 // SetEarlyLeaveFraction has a part of the clients leave while they wait for their answer, 0 to 1: soon, as somebody who changed his mind. They
 // come again like others that got none.
-func (w *LoadGenerator) SetEarlyLeaveFraction(part float64) { w.leaving = part }
+func (g *LoadGenerator) SetEarlyLeaveFraction(part float64) { g.earlyLeaveFraction = part }
 
-// leaveMost is when such a client is gone at the latest.
-const leaveMost = 400 * time.Millisecond
+// maxEarlyLeaveDelay is when such a client is gone at the latest.
+const maxEarlyLeaveDelay = 400 * time.Millisecond
 
 // Finish takes all that clients still want into the ledger, and lets them go.
-func (w *LoadGenerator) Finish() {
-	w.Stop()
-	for len(w.clients) > 0 {
-		c := w.clients[len(w.clients)-1]
-		c.settle()
-		c.hangUp()
-		c.leave()
+func (g *LoadGenerator) Finish() {
+	g.Stop()
+	for len(g.clients) > 0 {
+		c := g.clients[len(g.clients)-1]
+		c.recordWanted()
+		c.closeSocket()
+		c.remove()
 	}
 }
 
 type clientState uint8
 
 const (
-	clientResting clientState = iota
+	clientWaiting clientState = iota
 	clientDialing
-	clientAsking
-	clientUp
-	clientEnding // it has ended its sending
+	clientRequesting
+	clientConnected
+	clientClosing // it has ended its sending
 	clientGone
 )
 
 // client wants one connection for as long as its life, and comes again until it has had it.
 type client struct {
-	w         *LoadGenerator
-	class     int
-	group     string
-	key       string
-	life      time.Duration // still to be had
-	arrived   time.Time
-	honours   bool
-	impatient bool
-	again     bool
-	pos       int
-	pcg       rand.PCG
-
-	state    clientState
-	sock     *poll.Socket
-	proxy    netip.AddrPort
-	timer    poll.Timer
-	rest     []byte
-	conns    int
-	fails    int
-	asked    time.Time // its first line
-	leaves   bool      // it leaves before its answer, by the timer
-	up       time.Time // that its connection stands since
-	interval time.Time // its last line
-	good     bool      // that was answered in time
-	sent     []time.Time
-	moved    bool
+	generator     *LoadGenerator
+	class         int
+	group         string
+	key           string
+	remaining     time.Duration // still to be had
+	arrived       time.Time
+	honoursAdvice bool
+	impatient     bool
+	reconnecting  bool
+	index         int
+	pcg           rand.PCG
+
+	state          clientState
+	sock           *poll.Socket
+	proxy          netip.AddrPort
+	timer          poll.Timer
+	partialLine    []byte
+	attempts       int
+	failures       int
+	requestedAt    time.Time // its first line
+	leavesEarly    bool      // it leaves before its answer, by the timer
+	connectedAt    time.Time // that its connection stands since
+	intervalStart  time.Time // its last line
+	answeredInTime bool      // that was answered in time
+	sentTimes      []time.Time
+	moveReceived   bool
 }
 
-func (c *client) draw() float64 { return rand.New(&c.pcg).Float64() }
+func (c *client) random() float64 { return rand.New(&c.pcg).Float64() }
 
-// dialWait is how long a client waits for a proxy's machine.
-const dialWait = time.Second
+// dialTimeout is how long a client waits for a proxy's machine.
+const dialTimeout = time.Second
 
 func (c *client) connect() {
-	w := c.w
-	at, ok := w.front.Pick()
+	g := c.generator
+	at, ok := g.front.Pick()
 	if !ok {
-		w.ledger.Counts.ConnectFailures++
+		g.ledger.Counts.ConnectFailures++
 		c.retry(0)
 		return
 	}
-	sock, err := w.loop.Dial(at, c)
+	sock, err := g.loop.Dial(at, c)
 	if err != nil {
-		w.ledger.Counts.ConnectFailures++
+		g.ledger.Counts.ConnectFailures++
 		c.retry(0)
 		return
 	}
 	c.sock, c.proxy, c.state = sock, at, clientDialing
-	w.loop.After(&c.timer, dialWait)
+	g.loop.After(&c.timer, dialTimeout)
 }
 
-func (c *client) hangUp() {
+func (c *client) closeSocket() {
 	if c.sock != nil {
 		c.sock.Close()
 		c.sock = nil
 	}
-	c.rest, c.sent = nil, nil
-	c.w.loop.Disarm(&c.timer)
+	c.partialLine, c.sentTimes = nil, nil
+	c.generator.loop.Disarm(&c.timer)
 }
 
 // retry has the client come again later; advice is what it was told, 0 if nothing.
 func (c *client) retry(advice time.Duration) {
-	c.hangUp()
-	c.state = clientResting
-	t := c.w.c.Traffic
+	c.closeSocket()
+	c.state = clientWaiting
+	t := c.generator.config.Traffic
 	quick := t.QuickRetries + 1
-	c.fails++
+	c.failures++
 	var wait time.Duration
-	if c.fails%quick != 0 {
-		first := t.Backoff.From + time.Duration(float64(t.Backoff.To-t.Backoff.From)*c.draw())
-		wait = first << min(c.fails%quick-1, 8)
+	if c.failures%quick != 0 {
+		first := t.Backoff.From + time.Duration(float64(t.Backoff.To-t.Backoff.From)*c.random())
+		wait = first << min(c.failures%quick-1, 8)
 	} else { // a whole try failed: it waits longer, the more have
-		wait = time.Duration(float64(time.Second) * (1 + c.draw()) * float64(min(c.fails/quick, 4)))
+		wait = time.Duration(float64(time.Second) * (1 + c.random()) * float64(min(c.failures/quick, 4)))
 	}
-	if c.honours {
+	if c.honoursAdvice {
 		wait = max(wait, advice)
 	}
 	if c.impatient {
 		wait = min(wait, t.Backoff.From)
 	}
-	c.w.loop.After(&c.timer, wait)
+	c.generator.loop.After(&c.timer, wait)
 }
 
-// refail has a client come again whose request failed, if its effect may be repeated.
-func (c *client) refail() {
-	if c.w.c.Classes[c.class].SingleShot {
-		c.settle()
-		c.done()
+// retryFailedRequest has a client come again whose request failed, if its effect may be repeated.
+func (c *client) retryFailedRequest() {
+	if c.generator.config.Classes[c.class].SingleShot {
+		c.recordWanted()
+		c.closeAndRemove()
 		return
 	}
 	c.retry(0)
 }
 
-// comeBack has a client come again whose connection was moved or broke.
-func (c *client) comeBack() {
-	c.stand()
-	c.hangUp()
-	c.state, c.again, c.fails = clientResting, true, 0
-	r := c.w.c.Traffic.ReconnectDelay
-	c.w.loop.After(&c.timer, r.From+time.Duration(float64(r.To-r.From)*c.draw()))
+// reconnect has a client come again whose connection was moved or broke.
+func (c *client) reconnect() {
+	c.deductConnectedTime()
+	c.closeSocket()
+	c.state, c.reconnecting, c.failures = clientWaiting, true, 0
+	r := c.generator.config.Traffic.ReconnectDelay
+	c.generator.loop.After(&c.timer, r.From+time.Duration(float64(r.To-r.From)*c.random()))
 }
 
-// stand takes the standing connection's time up to now off what the client wants.
-func (c *client) stand() {
-	if c.up.IsZero() {
+// deductConnectedTime takes the standing connection's time up to now off what the client wants.
+func (c *client) deductConnectedTime() {
+	if c.connectedAt.IsZero() {
 		return
 	}
-	now := c.w.loop.Now()
-	c.count(now)
-	c.life -= now.Sub(c.up)
-	c.up = time.Time{}
+	now := c.generator.loop.Now()
+	c.recordInterval(now)
+	c.remaining -= now.Sub(c.connectedAt)
+	c.connectedAt = time.Time{}
 }
 
-// count takes the time since the last line into the ledger: it is well served if that line was answered in time.
-func (c *client) count(now time.Time) {
-	if c.good {
-		c.w.ledger.serve(c.class, c.interval, now)
+// recordInterval takes the time since the last line into the ledger: it is well served if that line was answered in time.
+func (c *client) recordInterval(now time.Time) {
+	if c.answeredInTime {
+		c.generator.ledger.addServed(c.class, c.intervalStart, now)
 	}
-	c.interval, c.good = now, false
+	c.intervalStart, c.answeredInTime = now, false
 }
 
-// settle closes the client's account: all the time from its arrival on was wanted.
-func (c *client) settle() {
-	if c.state == clientEnding || c.state == clientGone {
+// recordWanted closes the client's account: all the time from its arrival on was wanted.
+func (c *client) recordWanted() {
+	if c.state == clientClosing || c.state == clientGone {
 		return // it was closed when the client had what it wanted
 	}
-	c.stand()
-	c.w.ledger.want(c.class, c.arrived, c.w.loop.Now())
+	c.deductConnectedTime()
+	c.generator.ledger.addWanted(c.class, c.arrived, c.generator.loop.Now())
 }
 
-// leave takes the client off the list.
-func (c *client) leave() {
-	w := c.w
+// remove takes the client off the list.
+func (c *client) remove() {
+	g := c.generator
 	c.state = clientGone
-	last := len(w.clients) - 1
-	w.clients[c.pos] = w.clients[last]
-	w.clients[c.pos].pos = c.pos
-	w.clients[last] = nil
-	w.clients = w.clients[:last]
+	last := len(g.clients) - 1
+	g.clients[c.index] = g.clients[last]
+	g.clients[c.index].index = c.index
+	g.clients[last] = nil
+	g.clients = g.clients[:last]
 }
 
-// due is called by the timer.
-func (c *client) due() {
-	w := c.w
-	now := w.loop.Now()
+// onTimer is called by the timer.
+func (c *client) onTimer() {
+	g := c.generator
+	now := g.loop.Now()
 	switch c.state {
-	case clientResting:
+	case clientWaiting:
 		c.connect()
 	case clientDialing:
-		w.ledger.Counts.ConnectFailures++
+		g.ledger.Counts.ConnectFailures++
 		c.retry(0)
-	case clientAsking:
+	case clientRequesting:
 		switch {
-		case c.leaves && c.draw() < 0.5:
+		case c.leavesEarly && c.random() < 0.5:
 			c.sock.Reset()
 			c.retry(0)
-		case c.leaves:
+		case c.leavesEarly:
 			c.retry(0)
 		default:
-			w.ledger.Counts.Unanswered++
-			c.refail()
+			g.ledger.Counts.Unanswered++
+			c.retryFailedRequest()
 		}
-	case clientUp:
-		if left := c.life - now.Sub(c.up); left <= 0 {
+	case clientConnected:
+		if left := c.remaining - now.Sub(c.connectedAt); left <= 0 {
 			c.finish()
 			return
 		}
-		c.line()
-	case clientEnding:
-		c.done()
+		c.sendMessage()
+	case clientClosing:
+		c.closeAndRemove()
 	}
 }
 
 // finish ends the sending: the client has had what it wanted.
 func (c *client) finish() {
-	c.settle()
-	c.w.ledger.Counts.Completed++
-	c.state = clientEnding
+	c.recordWanted()
+	c.generator.ledger.Counts.Completed++
+	c.state = clientClosing
 	c.sock.CloseWrite()
-	c.w.loop.After(&c.timer, dialWait)
+	c.generator.loop.After(&c.timer, dialTimeout)
 }
 
-func (c *client) done() {
-	c.hangUp()
-	c.leave()
+func (c *client) closeAndRemove() {
+	c.closeSocket()
+	c.remove()
 }
 
-// line sends the next line.
-func (c *client) line() {
-	w := c.w
-	now := w.loop.Now()
-	c.count(now)
+// sendMessage sends the next sendMessage.
+func (c *client) sendMessage() {
+	g := c.generator
+	now := g.loop.Now()
+	c.recordInterval(now)
 	if n, err := c.sock.Write(message); err != nil {
-		w.ledger.Counts.Cut++
-		c.comeBack()
+		g.ledger.Counts.Cut++
+		c.reconnect()
 		return
 	} else if n == len(message) { // else it has no room: nothing is answered
-		c.sent = append(c.sent, now)
+		c.sentTimes = append(c.sentTimes, now)
 	}
-	w.loop.After(&c.timer, max(min(w.c.Traffic.MessageInterval, c.life-now.Sub(c.up)), time.Millisecond))
+	g.loop.After(&c.timer, max(min(g.config.Traffic.MessageInterval, c.remaining-now.Sub(c.connectedAt)), time.Millisecond))
 }
 
 var message = []byte("reading 7.25 bar 81.3 C\r\n")
 
 // Ready is called by the loop.
 func (c *client) Ready(r poll.Ready) {
-	w := c.w
+	g := c.generator
 	if c.state == clientDialing {
 		if c.sock.DialError() != nil {
-			w.ledger.Counts.ConnectFailures++
+			g.ledger.Counts.ConnectFailures++
 			c.retry(0)
 			return
 		}
-		c.ask()
+		c.sendRequest()
 		return
 	}
 	if !r.Read {
 		return
 	}
-	held := copy(w.scratch, c.rest)
-	n, err := c.sock.Read(w.scratch[held:])
+	held := copy(g.scratch, c.partialLine)
+	n, err := c.sock.Read(g.scratch[held:])
 	if errors.Is(err, poll.ErrAgain) {
 		return
 	}
 	if err != nil {
-		c.ended()
+		c.handleClosed()
 		return
 	}
-	whole, rest, err := line.SplitComplete(w.scratch[:held+n])
+	whole, rest, err := line.SplitComplete(g.scratch[:held+n])
 	if err != nil {
-		w.ledger.broken("line-too-long", "client %s got a line over the limit", c.key)
-		c.ended()
+		g.ledger.reportViolation("line-too-long", "client %s got a line over the limit", c.key)
+		c.handleClosed()
 		return
 	}
-	c.rest = append(c.rest[:0], rest...)
+	c.partialLine = append(c.partialLine[:0], rest...)
 	for len(whole) > 0 && c.sock != nil {
 		var first []byte
 		first, whole = line.Next(whole)
-		c.hear(line.TrimLineEnd(first))
+		c.handleLine(line.TrimLineEnd(first))
 	}
 }
 
-// patience is how much longer than it said a client waits, so that an answer which comes late is seen to be late.
-const patience = 250 * time.Millisecond
+// answerGrace is how much longer than it said a client waits, so that an answer which comes late is seen to be late.
+const answerGrace = 250 * time.Millisecond
 
-func (c *client) ask() {
-	w := c.w
-	c.conns++
-	class := &w.c.Classes[c.class]
+func (c *client) sendRequest() {
+	g := c.generator
+	c.attempts++
+	class := &g.config.Classes[c.class]
 	again := ""
-	if c.again {
+	if c.reconnecting {
 		again = ",again=1"
 	}
 	first := fmt.Appendf(nil, "OPEN %s.%d %s c=%s,d=%d,g=%s%s\r\n",
-		c.key, c.conns, c.key, class.Name, class.AttemptTimeout.Milliseconds(), c.group, again)
+		c.key, c.attempts, c.key, class.Name, class.AttemptTimeout.Milliseconds(), c.group, again)
 	n, err := c.sock.Write(first)
 	if err != nil || n < len(first) {
-		w.ledger.Counts.ConnectFailures++
+		g.ledger.Counts.ConnectFailures++
 		c.retry(0)
 		return
 	}
-	w.ledger.Counts.Requests++
-	c.state, c.asked, c.moved = clientAsking, w.loop.Now(), false
+	g.ledger.Counts.Requests++
+	c.state, c.requestedAt, c.moveReceived = clientRequesting, g.loop.Now(), false
 	c.sock.Want(true, false)
-	if c.leaves = w.leaving > 0 && c.draw() < w.leaving; c.leaves {
-		w.loop.After(&c.timer, time.Duration(c.draw()*float64(min(leaveMost, class.AttemptTimeout))))
+	if c.leavesEarly = g.earlyLeaveFraction > 0 && c.random() < g.earlyLeaveFraction; c.leavesEarly {
+		g.loop.After(&c.timer, time.Duration(c.random()*float64(min(maxEarlyLeaveDelay, class.AttemptTimeout))))
 		return
 	}
-	w.loop.After(&c.timer, class.AttemptTimeout+patience)
+	g.loop.After(&c.timer, class.AttemptTimeout+answerGrace)
 }
 
-func (c *client) hear(text []byte) {
-	w := c.w
-	now := w.loop.Now()
-	if c.state == clientAsking {
+func (c *client) handleLine(text []byte) {
+	g := c.generator
+	now := g.loop.Now()
+	if c.state == clientRequesting {
 		word, rest := line.ParseWord(text)
 		switch word {
 		case line.Up:
-			w.ledger.Counts.Up++
-			w.ledger.SetUp[c.class].add(now.Sub(c.asked))
-			c.state, c.up, c.interval, c.good, c.fails = clientUp, now, now, false, 0
-			c.line()
+			g.ledger.Counts.Up++
+			g.ledger.SetUp[c.class].add(now.Sub(c.requestedAt))
+			c.state, c.connectedAt, c.intervalStart, c.answeredInTime, c.failures = clientConnected, now, now, false, 0
+			c.sendMessage()
 		case line.Busy:
-			w.ledger.Counts.Refused++
+			g.ledger.Counts.Refused++
 			ms, _ := strconv.ParseInt(string(rest), 10, 64)
 			c.retry(time.Duration(ms) * time.Millisecond)
 		default:
-			w.ledger.Counts.Failed++
-			c.refail()
+			g.ledger.Counts.Failed++
+			c.retryFailedRequest()
 		}
 		return
 	}
 	switch {
 	case bytes.Equal(text, []byte("seen")):
-		if len(c.sent) == 0 {
+		if len(c.sentTimes) == 0 {
 			return
 		}
-		took := now.Sub(c.sent[0])
-		last := len(c.sent) == 1
-		c.sent = c.sent[1:]
-		w.ledger.Message[c.class].add(took)
-		if last && took <= w.c.Classes[c.class].MessageTarget {
-			c.good = true
+		took := now.Sub(c.sentTimes[0])
+		last := len(c.sentTimes) == 1
+		c.sentTimes = c.sentTimes[1:]
+		g.ledger.Message[c.class].add(took)
+		if last && took <= g.config.Classes[c.class].MessageTarget {
+			c.answeredInTime = true
 		}
 	case bytes.Equal(text, []byte("MOVE")):
-		c.moved = true
-		if c.state == clientUp {
-			w.ledger.moved(now)
-			c.comeBack()
+		c.moveReceived = true
+		if c.state == clientConnected {
+			g.ledger.addMove(now)
+			c.reconnect()
 		}
 	}
 }
 
-// ended deals with a connection that the other side ended.
-func (c *client) ended() {
+// handleClosed deals with a connection that the other side handleClosed.
+func (c *client) handleClosed() {
 	switch c.state {
-	case clientAsking:
-		c.w.ledger.Counts.Lost++
-		c.refail()
-	case clientUp:
-		c.w.ledger.Counts.Cut++
-		c.comeBack()
-	case clientEnding:
-		c.done()
+	case clientRequesting:
+		c.generator.ledger.Counts.Lost++
+		c.retryFailedRequest()
+	case clientConnected:
+		c.generator.ledger.Counts.Cut++
+		c.reconnect()
+	case clientClosing:
+		c.closeAndRemove()
 	}
 }
--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -47,8 +47,8 @@
 	ResetFraction float64
 }
 
-// watchGap is how soon the next call of a watch has to follow its last answer.
-const watchGap = 200 * time.Millisecond
+// maxWatchGap is how soon the next call of a watch has to follow its last answer.
+const maxWatchGap = 200 * time.Millisecond
 
 // Registry is the list that discovery tells of. It outlives a discovery that goes down.
 type Registry struct {
@@ -66,37 +66,37 @@
 func NewRegistry() *Registry { return &Registry{entries: make(map[string]*versioned)} }
 
 // Set changes an entry, or adds it.
-func (g *Registry) Set(e Entry) {
-	g.seq++
-	g.entries[e.Host] = &versioned{e, g.seq}
-	if g.OnChange != nil {
-		g.OnChange(e)
+func (r *Registry) Set(e Entry) {
+	r.seq++
+	r.entries[e.Host] = &versioned{e, r.seq}
+	if r.OnChange != nil {
+		r.OnChange(e)
 	}
 }
 
 // SetHealth changes the health of an entry.
-func (g *Registry) SetHealth(host, health string) {
-	if v := g.entries[host]; v != nil {
+func (r *Registry) SetHealth(host, health string) {
+	if v := r.entries[host]; v != nil {
 		e := v.Entry
 		e.Health = health
-		g.Set(e)
+		r.Set(e)
 	}
 }
 
 // Health is the health of an entry; ok tells that there is one.
-func (g *Registry) Health(host string) (health string, ok bool) {
-	v := g.entries[host]
+func (r *Registry) Health(host string) (health string, ok bool) {
+	v := r.entries[host]
 	if v == nil {
 		return "", false
 	}
 	return v.Health, true
 }
 
-// list is an answer: the entries that are newer than a version, or all if that is below 0 or from another time.
-func (g *Registry) list(after int64) (entries []Entry, whole bool) {
-	whole = after < 0 || after > g.seq
+// entriesAfter is an answer: the entries that are newer than a version, or all if that is below 0 or from another time.
+func (r *Registry) entriesAfter(after int64) (entries []Entry, whole bool) {
+	whole = after < 0 || after > r.seq
 	var found []*versioned
-	for _, v := range g.entries {
+	for _, v := range r.entries {
 		if whole && v.Health != Deleted || !whole && v.seq > after {
 			found = append(found, v)
 		}
@@ -112,31 +112,31 @@
 // Discovery is the service that tells proxies of the relays: the whole list or a watch on changes, over HTTP/1.1. One
 // value is one life of its process.
 type Discovery struct {
-	c        DiscoveryConfig
-	loop     *poll.Loop
-	ledger   *Ledger
-	list     *Registry
-	listener *poll.Listener
-	calls    []*discoveryCall
-	free     time.Time // when it has answered what it took so far
-	refused  int       // calls that waited too long
-	reset    int       // of these
-	hang     bool
+	config       DiscoveryConfig
+	loop         *poll.Loop
+	ledger       *Ledger
+	registry     *Registry
+	listener     *poll.Listener
+	connections  []*discoveryConn
+	busyUntil    time.Time // when it has answered what it took so far
+	refusedCalls int       // calls that waited too long
+	resetCalls   int       // of these
+	hanging      bool
 }
 
 // NewDiscovery starts discovery at an address.
 func NewDiscovery(loop *poll.Loop, at netip.AddrPort, c DiscoveryConfig, list *Registry, ledger *Ledger) (*Discovery, error) {
-	d := &Discovery{c: c, loop: loop, list: list, ledger: ledger}
+	d := &Discovery{config: c, loop: loop, registry: list, ledger: ledger}
 	var err error
 	d.listener, err = loop.Listen(at, func(s *poll.Socket, last bool) poll.Handler {
-		k := &discoveryCall{d: d, sock: s}
-		k.timer.Fire = k.due
+		conn := &discoveryConn{discovery: d, sock: s}
+		conn.timer.Fire = conn.onTimer
 		if last {
 			s.Close()
-			return k
+			return conn
 		}
-		d.calls = append(d.calls, k)
-		return k
+		d.connections = append(d.connections, conn)
+		return conn
 	})
 	return d, err
 }
@@ -147,42 +147,42 @@
 // NotifyWatches tells that the list has changed: watches, which had their turns, end with an answer.
 func (d *Discovery) NotifyWatches() {
 	now := d.loop.Now()
-	for _, k := range slices.Clone(d.calls) {
-		if k.state == callWatching {
-			d.work(now, k, 0)
-			k.due()
+	for _, conn := range slices.Clone(d.connections) {
+		if conn.state == callWatching {
+			d.addCallWork(now, conn, 0)
+			conn.onTimer()
 		}
 	}
 }
 
-// work books what a call takes.
-func (d *Discovery) work(now time.Time, k *discoveryCall, call time.Duration) {
-	entries, _ := d.list.list(k.after)
-	d.AddWork(now, call+time.Duration(len(entries))*d.c.EntryWork)
+// addCallWork books what a call takes.
+func (d *Discovery) addCallWork(now time.Time, conn *discoveryConn, call time.Duration) {
+	entries, _ := d.registry.entriesAfter(conn.afterSeq)
+	d.AddWork(now, call+time.Duration(len(entries))*d.config.EntryWork)
 }
 
 // AddWork puts so much work into its queue.
 func (d *Discovery) AddWork(now time.Time, work time.Duration) {
-	if d.free.Before(now) {
-		d.free = now
+	if d.busyUntil.Before(now) {
+		d.busyUntil = now
 	}
-	d.free = d.free.Add(work)
+	d.busyUntil = d.busyUntil.Add(work)
 }
 
 // SetHanging has it send half of each answer and then nothing, or go on as usual.
-func (d *Discovery) SetHanging(on bool) { d.hang = on }
+func (d *Discovery) SetHanging(on bool) { d.hanging = on }
 
 // Hanging tells whether it does the former.
-func (d *Discovery) Hanging() bool { return d.hang }
+func (d *Discovery) Hanging() bool { return d.hanging }
 
 // SilenceWatches has all watches that are open fall silent: their connections stay, and nothing comes on them any more. Other calls
 // are answered.
 func (d *Discovery) SilenceWatches() {
-	for _, k := range d.calls {
-		if k.state == callWatching {
-			k.state = callSilent
-			d.loop.Disarm(&k.timer)
-			d.ledger.silenced(k.sock.RemoteAddr().Addr())
+	for _, conn := range d.connections {
+		if conn.state == callWatching {
+			conn.state = callSilent
+			d.loop.Disarm(&conn.timer)
+			d.ledger.notifyWatchSilenced(conn.sock.RemoteAddr().Addr())
 		}
 	}
 }
@@ -190,9 +190,9 @@
 // Stop ends it: its connections are reset.
 func (d *Discovery) Stop() {
 	d.listener.Close()
-	for _, k := range slices.Clone(d.calls) {
-		k.sock.Reset()
-		k.forget()
+	for _, conn := range slices.Clone(d.connections) {
+		conn.sock.Reset()
+		conn.remove()
 	}
 }
 
@@ -203,188 +203,188 @@
 	callQueued            // it waits for its turn
 	callWatching
 	callSilent // its watch fell silent
-	callGone
+	callClosed
 )
 
-// discoveryCall is a connection to discovery with the call that is on it.
-type discoveryCall struct {
-	d     *Discovery
-	sock  *poll.Socket
-	state callState
-	in    []byte
-	out   []byte
-	after int64
-	wait  time.Time // a watch ends then; zero: it is none
-	full  bool      // it would wait too long for its turn
+// discoveryConn is a connection to discovery with the call that is on it.
+type discoveryConn struct {
+	discovery  *Discovery
+	sock       *poll.Socket
+	state      callState
+	input      []byte
+	output     []byte
+	afterSeq   int64
+	watchUntil time.Time // a watch ends then; zero: it is none
+	overdue    bool      // it would wait too long for its turn
 	// Of the last answer:
-	watched  bool // it belonged to a watch
-	told     int64
-	answered time.Time
-	timer    poll.Timer
+	answeredWatch bool // it belonged to a watch
+	answeredSeq   int64
+	answeredAt    time.Time
+	timer         poll.Timer
 }
 
 // maxRequest is the longest request that is read.
 const maxRequest = 8 << 10
 
-func (k *discoveryCall) Ready(e poll.Ready) {
-	if e.Write && len(k.out) > 0 {
-		n, err := k.sock.Write(k.out)
+func (conn *discoveryConn) Ready(e poll.Ready) {
+	if e.Write && len(conn.output) > 0 {
+		n, err := conn.sock.Write(conn.output)
 		if err != nil {
-			k.end()
+			conn.close()
 			return
 		}
-		k.out = k.out[n:]
-		k.sock.Want(true, len(k.out) > 0)
+		conn.output = conn.output[n:]
+		conn.sock.Want(true, len(conn.output) > 0)
 	}
 	if !e.Read {
 		return
 	}
 	var buf [2048]byte
-	n, err := k.sock.Read(buf[:])
+	n, err := conn.sock.Read(buf[:])
 	if errors.Is(err, poll.ErrAgain) {
 		return
 	}
-	if k.in = append(k.in, buf[:n]...); err != nil || len(k.in) > maxRequest {
-		k.end()
+	if conn.input = append(conn.input, buf[:n]...); err != nil || len(conn.input) > maxRequest {
+		conn.close()
 		return
 	}
-	k.next()
+	conn.readRequest()
 }
 
-// next takes the next request, if all of it is there.
-func (k *discoveryCall) next() {
-	if k.state != callReading {
+// readRequest takes the readRequest request, if all of it is there.
+func (conn *discoveryConn) readRequest() {
+	if conn.state != callReading {
 		return
 	}
-	head, rest, ok := bytes.Cut(k.in, []byte("\r\n\r\n"))
+	head, rest, ok := bytes.Cut(conn.input, []byte("\r\n\r\n"))
 	if !ok {
 		return
 	}
 	first, _, _ := bytes.Cut(head, []byte("\r\n"))
-	k.in = append([]byte(nil), rest...)
+	conn.input = append([]byte(nil), rest...)
 	parts := bytes.Split(first, []byte(" "))
 	if len(parts) != 3 || string(parts[0]) != "GET" {
-		k.write("400 Bad Request", nil)
+		conn.write("400 Bad Request", nil)
 		return
 	}
 	u, err := url.Parse(string(parts[1]))
 	if err != nil || u.Path != "/registry/instances" {
-		k.write("404 Not Found", nil)
+		conn.write("404 Not Found", nil)
 		return
 	}
-	now := k.d.loop.Now()
-	k.after, k.wait, k.full = -1, time.Time{}, false
+	now := conn.discovery.loop.Now()
+	conn.afterSeq, conn.watchUntil, conn.overdue = -1, time.Time{}, false
 	if q := u.Query(); q.Has("index") {
-		k.after, _ = strconv.ParseInt(q.Get("index"), 10, 64)
+		conn.afterSeq, _ = strconv.ParseInt(q.Get("index"), 10, 64)
 		if ms, err := strconv.Atoi(q.Get("wait")); err == nil {
-			k.wait = now.Add(time.Duration(min(max(ms, 0), 60000)) * time.Millisecond)
+			conn.watchUntil = now.Add(time.Duration(min(max(ms, 0), 60000)) * time.Millisecond)
 		}
 	}
-	k.turn()
+	conn.enqueue()
 }
 
-// turn has the call wait for its turn.
-func (k *discoveryCall) turn() {
-	d := k.d
+// enqueue has the call wait for its enqueue.
+func (conn *discoveryConn) enqueue() {
+	d := conn.discovery
 	now := d.loop.Now()
-	k.state = callQueued
-	queue := max(d.free.Sub(now), 0)
-	cost := d.c.CallWork
-	if k.goesOn(now) {
+	conn.state = callQueued
+	queue := max(d.busyUntil.Sub(now), 0)
+	cost := d.config.CallWork
+	if conn.continuesWatch(now) {
 		cost, queue = 0, 0
 	}
-	if limit := d.c.QueueTimeout; limit > 0 && queue > limit {
-		k.full = true
-		k.due()
+	if limit := d.config.QueueTimeout; limit > 0 && queue > limit {
+		conn.overdue = true
+		conn.onTimer()
 		return
 	}
-	d.loop.Arm(&k.timer, now.Add(queue+cost))
-	d.work(now, k, cost)
+	d.loop.Arm(&conn.timer, now.Add(queue+cost))
+	d.addCallWork(now, conn, cost)
 }
 
-// goesOn tells whether the call goes on with a watch that this connection's last answer belongs to.
-func (k *discoveryCall) goesOn(now time.Time) bool {
-	return k.watched && k.after == k.told && now.Sub(k.answered) <= watchGap
+// continuesWatch tells whether the call goes on with a watch that this connection's last answer belongs to.
+func (conn *discoveryConn) continuesWatch(now time.Time) bool {
+	return conn.answeredWatch && conn.afterSeq == conn.answeredSeq && now.Sub(conn.answeredAt) <= maxWatchGap
 }
 
-// due answers: the call's turn is over, or its watch is.
-func (k *discoveryCall) due() {
-	if k.full {
-		k.refuse()
+// onTimer answers: the call's turn is over, or its watch is.
+func (conn *discoveryConn) onTimer() {
+	if conn.overdue {
+		conn.refuseOverdue()
 		return
 	}
-	if k.state == callQueued && k.after >= 0 && k.after == k.d.list.seq && k.d.loop.Now().Before(k.wait) { // nothing new yet
-		k.state = callWatching
-		k.d.loop.Arm(&k.timer, k.wait)
+	if conn.state == callQueued && conn.afterSeq >= 0 && conn.afterSeq == conn.discovery.registry.seq && conn.discovery.loop.Now().Before(conn.watchUntil) { // nothing new yet
+		conn.state = callWatching
+		conn.discovery.loop.Arm(&conn.timer, conn.watchUntil)
 		return
 	}
-	entries, whole := k.d.list.list(k.after)
+	entries, whole := conn.discovery.registry.entriesAfter(conn.afterSeq)
 	body, err := json.Marshal(struct {
 		Seq   int64   `json:"seq"`
 		Whole bool    `json:"whole"`
 		Hosts []Entry `json:"hosts"`
-	}{k.d.list.seq, whole, entries})
+	}{conn.discovery.registry.seq, whole, entries})
 	if err != nil {
 		panic(err) // it is made of strings and numbers
 	}
-	if k.d.hang {
-		k.out = fmt.Appendf(k.out, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)/2])
-		k.state = callQueued // and stays there
-		k.flush()
+	if conn.discovery.hanging {
+		conn.output = fmt.Appendf(conn.output, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)/2])
+		conn.state = callQueued // and stays there
+		conn.flush()
 		return
 	}
-	now, proxy := k.d.loop.Now(), k.sock.RemoteAddr().Addr()
+	now, proxy := conn.discovery.loop.Now(), conn.sock.RemoteAddr().Addr()
 	for _, e := range entries {
-		k.d.ledger.tell(now, proxy, e)
+		conn.discovery.ledger.notifyTell(now, proxy, e)
 	}
-	k.watched, k.told, k.answered = k.after >= 0, k.d.list.seq, now
-	k.write("200 OK", body)
+	conn.answeredWatch, conn.answeredSeq, conn.answeredAt = conn.afterSeq >= 0, conn.discovery.registry.seq, now
+	conn.write("200 OK", body)
 }
 
-// refuse ends a call that waited too long: with 503, or for a part of them with a reset.
-func (k *discoveryCall) refuse() {
-	d := k.d
-	d.refused++
-	if float64(d.reset+1) <= d.c.ResetFraction*float64(d.refused) {
-		d.reset++
-		k.sock.Reset()
-		k.forget()
+// refuseOverdue ends a call that waited too long: with 503, or for a part of them with a reset.
+func (conn *discoveryConn) refuseOverdue() {
+	d := conn.discovery
+	d.refusedCalls++
+	if float64(d.resetCalls+1) <= d.config.ResetFraction*float64(d.refusedCalls) {
+		d.resetCalls++
+		conn.sock.Reset()
+		conn.remove()
 		return
 	}
-	k.write("503 Service Unavailable", nil)
+	conn.write("503 Service Unavailable", nil)
 }
 
-func (k *discoveryCall) write(status string, body []byte) {
-	k.out = fmt.Appendf(k.out, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
-	k.state = callReading
-	if k.flush() {
-		k.next()
+func (conn *discoveryConn) write(status string, body []byte) {
+	conn.output = fmt.Appendf(conn.output, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
+	conn.state = callReading
+	if conn.flush() {
+		conn.readRequest()
 	}
 }
 
-func (k *discoveryCall) flush() bool {
-	n, err := k.sock.Write(k.out)
+func (conn *discoveryConn) flush() bool {
+	n, err := conn.sock.Write(conn.output)
 	if err != nil {
-		k.end()
+		conn.close()
 		return false
 	}
-	k.out = k.out[n:]
-	k.sock.Want(true, len(k.out) > 0)
+	conn.output = conn.output[n:]
+	conn.sock.Want(true, len(conn.output) > 0)
 	return true
 }
 
-func (k *discoveryCall) end() {
-	k.sock.Close()
-	k.forget()
+func (conn *discoveryConn) close() {
+	conn.sock.Close()
+	conn.remove()
 }
 
-func (k *discoveryCall) forget() {
-	if k.state == callGone {
+func (conn *discoveryConn) remove() {
+	if conn.state == callClosed {
 		return
 	}
-	k.state = callGone
-	k.d.loop.Disarm(&k.timer)
-	if i := slices.Index(k.d.calls, k); i >= 0 {
-		k.d.calls = slices.Delete(k.d.calls, i, i+1)
+	conn.state = callClosed
+	conn.discovery.loop.Disarm(&conn.timer)
+	if i := slices.Index(conn.discovery.connections, conn); i >= 0 {
+		conn.discovery.connections = slices.Delete(conn.discovery.connections, i, i+1)
 	}
 }
--- a/internal/fleet/front.go
+++ b/internal/fleet/front.go
@@ -18,53 +18,53 @@
 // FrontBalancer hands clients out to the proxies of a site. A proxy is admitted once it has answered PING with PONG, and one
 // that is dead is noticed late; where a site has none left, its clients go to those of the others.
 type FrontBalancer struct {
-	c     FrontBalancerConfig
-	loop  *poll.Loop
-	rng   *rand.Rand
-	seats []*seat
+	config  FrontBalancerConfig
+	loop    *poll.Loop
+	rng     *rand.Rand
+	proxies []*proxyState
 }
 
-// seat is a proxy as a front sees it.
-type seat struct {
-	f        *FrontBalancer
-	addr     netip.AddrPort
-	home     bool // it is of the front's site
-	admitted bool
-	out      bool // it is to stop: no more clients
-	failing  time.Time
-	late     time.Duration // drawn anew for each failure
-	sock     *poll.Socket
-	timer    poll.Timer
-	got      []byte
+// proxyState is a proxy as a front sees it.
+type proxyState struct {
+	front        *FrontBalancer
+	addr         netip.AddrPort
+	sameSite     bool // it is of the front's site
+	admitted     bool
+	withdrawn    bool // it is to stop: no more clients
+	failingSince time.Time
+	failureDelay time.Duration // drawn anew for each failure
+	sock         *poll.Socket
+	timer        poll.Timer
+	answer       []byte
 }
 
 // NewFrontBalancer returns a front without proxies.
 func NewFrontBalancer(loop *poll.Loop, c FrontBalancerConfig, rng *rand.Rand) *FrontBalancer {
-	return &FrontBalancer{c: c, loop: loop, rng: rng}
+	return &FrontBalancer{config: c, loop: loop, rng: rng}
 }
 
 // Add has the front watch a proxy; home tells that it is of its own site.
 func (f *FrontBalancer) Add(addr netip.AddrPort, home bool) {
-	s := &seat{f: f, addr: addr, home: home}
+	s := &proxyState{front: f, addr: addr, sameSite: home}
 	s.timer.Fire = s.check
-	f.seats = append(f.seats, s)
+	f.proxies = append(f.proxies, s)
 	f.loop.After(&s.timer, 0)
 }
 
 // Withdraw gives a proxy no more clients until it is admitted anew: it was told to stop.
 func (f *FrontBalancer) Withdraw(addr netip.AddrPort) {
-	for _, s := range f.seats {
+	for _, s := range f.proxies {
 		if s.addr == addr {
-			s.admitted, s.out = false, true
+			s.admitted, s.withdrawn = false, true
 		}
 	}
 }
 
 // AllowReadmission lets a proxy that was withdrawn be admitted again once it answers.
 func (f *FrontBalancer) AllowReadmission(addr netip.AddrPort) {
-	for _, s := range f.seats {
+	for _, s := range f.proxies {
 		if s.addr == addr {
-			s.out = false
+			s.withdrawn = false
 		}
 	}
 }
@@ -73,8 +73,8 @@
 func (f *FrontBalancer) Pick() (at netip.AddrPort, ok bool) {
 	for _, home := range []bool{true, false} {
 		n := 0
-		for _, s := range f.seats { // one of those that fit, drawn as they come
-			if s.admitted && s.home == home {
+		for _, s := range f.proxies { // one of those that fit, drawn as they come
+			if s.admitted && s.sameSite == home {
 				if n++; f.rng.IntN(n) == 0 {
 					at = s.addr
 				}
@@ -90,7 +90,7 @@
 // Admitted tells how many proxies get clients.
 func (f *FrontBalancer) Admitted() int {
 	n := 0
-	for _, s := range f.seats {
+	for _, s := range f.proxies {
 		if s.admitted {
 			n++
 		}
@@ -100,14 +100,14 @@
 
 // Stop ends the watch.
 func (f *FrontBalancer) Stop() {
-	for _, s := range f.seats {
+	for _, s := range f.proxies {
 		f.loop.Disarm(&s.timer)
-		s.hangUp()
+		s.closeSocket()
 	}
-	f.seats = slices.Delete(f.seats, 0, len(f.seats))
+	f.proxies = slices.Delete(f.proxies, 0, len(f.proxies))
 }
 
-func (s *seat) hangUp() {
+func (s *proxyState) closeSocket() {
 	if s.sock != nil {
 		s.sock.Close()
 		s.sock = nil
@@ -115,42 +115,42 @@
 }
 
 // check asks the proxy; what is still out from the last time has failed.
-func (s *seat) check() {
+func (s *proxyState) check() {
 	if s.sock != nil {
-		s.hangUp()
-		s.fails()
+		s.closeSocket()
+		s.recordFailure()
 	}
-	s.f.loop.After(&s.timer, s.f.c.CheckInterval)
-	s.got = s.got[:0]
-	sock, err := s.f.loop.Dial(s.addr, s)
+	s.front.loop.After(&s.timer, s.front.config.CheckInterval)
+	s.answer = s.answer[:0]
+	sock, err := s.front.loop.Dial(s.addr, s)
 	if err != nil {
-		s.fails()
+		s.recordFailure()
 		return
 	}
 	s.sock = sock
 }
 
-func (s *seat) fails() {
-	now := s.f.loop.Now()
-	if s.failing.IsZero() {
-		s.failing, s.late = now, s.f.c.FailureDelay.Draw(s.f.rng)
+func (s *proxyState) recordFailure() {
+	now := s.front.loop.Now()
+	if s.failingSince.IsZero() {
+		s.failingSince, s.failureDelay = now, s.front.config.FailureDelay.Draw(s.front.rng)
 	}
-	if now.Sub(s.failing) >= s.late {
+	if now.Sub(s.failingSince) >= s.failureDelay {
 		s.admitted = false
 	}
 }
 
 // Ready is called by the loop.
-func (s *seat) Ready(r poll.Ready) {
-	if len(s.got) == 0 && r.Write {
+func (s *proxyState) Ready(r poll.Ready) {
+	if len(s.answer) == 0 && r.Write {
 		if s.sock.DialError() != nil {
-			s.hangUp()
-			s.fails()
+			s.closeSocket()
+			s.recordFailure()
 			return
 		}
 		if _, err := s.sock.Write([]byte("PING\r\n")); err != nil {
-			s.hangUp()
-			s.fails()
+			s.closeSocket()
+			s.recordFailure()
 			return
 		}
 		s.sock.Want(true, false)
@@ -160,14 +160,14 @@
 	}
 	var buf [64]byte
 	n, err := s.sock.Read(buf[:])
-	if s.got = append(s.got, buf[:n]...); string(s.got) == "PONG\r\n" {
-		s.hangUp()
-		s.failing = time.Time{}
-		s.admitted = !s.out
+	if s.answer = append(s.answer, buf[:n]...); string(s.answer) == "PONG\r\n" {
+		s.closeSocket()
+		s.failingSince = time.Time{}
+		s.admitted = !s.withdrawn
 		return
 	}
-	if err != nil && err != poll.ErrAgain || len(s.got) > len("PONG\r\n") {
-		s.hangUp()
-		s.fails()
+	if err != nil && err != poll.ErrAgain || len(s.answer) > len("PONG\r\n") {
+		s.closeSocket()
+		s.recordFailure()
 	}
 }
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/ledger.go
@@ -12,16 +12,16 @@
 // Ledger is what the parts of a fleet saw: service by class and second, answers, and what broke a rule. It belongs to
 // one goroutine.
 type Ledger struct {
-	Classes []Class
-	begin   time.Time
-	end     time.Time    // nothing after this counts
-	asked   [][]float64  // by class and second: connection seconds that were wanted
-	served  [][]float64  // those that were well served
-	SetUp   []Histogram  // by class: from a client's line to its UP
-	Message []Histogram  // by class: from a line to its answer
-	Counts  ClientCounts // what clients saw
-	Moves   []int        // by second
-	told    map[told]time.Time
+	Classes         []Class
+	begin           time.Time
+	countUntil      time.Time    // nothing after this counts
+	wanted          [][]float64  // by class and second: connection seconds that were wanted
+	served          [][]float64  // those that were well served
+	SetUp           []Histogram  // by class: from a client's line to its UP
+	Message         []Histogram  // by class: from a line to its answer
+	Counts          ClientCounts // what clients saw
+	Moves           []int        // by second
+	notServingSince map[notServingKey]time.Time
 	// ListShared says that proxies pass on what discovery told one of them: a relay that is known to serve again is so to all.
 	ListShared  bool
 	OnViolation func(rule string, detail string) // called for what breaks a rule
@@ -49,8 +49,8 @@
 	FaultErrors     int `json:"failing"` // requests that relays in trouble answered with an error
 }
 
-// told names what discovery told to whom.
-type told struct {
+// notServingKey names what discovery notServingKey to whom.
+type notServingKey struct {
 	proxy netip.Addr
 	relay string
 }
@@ -73,10 +73,10 @@
 
 // NewLedger returns a ledger for a run that begins now and counts for as long.
 func NewLedger(begin time.Time, length time.Duration, classes []Class) *Ledger {
-	l := &Ledger{Classes: classes, begin: begin, end: begin.Add(length), told: make(map[told]time.Time)}
+	l := &Ledger{Classes: classes, begin: begin, countUntil: begin.Add(length), notServingSince: make(map[notServingKey]time.Time)}
 	n := int(length/time.Second) + 1
 	for range classes {
-		l.asked = append(l.asked, make([]float64, n))
+		l.wanted = append(l.wanted, make([]float64, n))
 		l.served = append(l.served, make([]float64, n))
 		l.SetUp = append(l.SetUp, newHistogram())
 		l.Message = append(l.Message, newHistogram())
@@ -90,15 +90,15 @@
 func (l *Ledger) Begin() time.Time { return l.begin }
 
 // End is when nothing counts any more.
-func (l *Ledger) End() time.Time { return l.end }
+func (l *Ledger) End() time.Time { return l.countUntil }
 
-// spread adds the seconds between two times to the buckets that they fall in.
-func (l *Ledger) spread(to []float64, from, until time.Time) {
+// addSeconds adds the seconds between two times to the buckets that they fall in.
+func (l *Ledger) addSeconds(to []float64, from, until time.Time) {
 	if from.Before(l.begin) {
 		from = l.begin
 	}
-	if until.After(l.end) {
-		until = l.end
+	if until.After(l.countUntil) {
+		until = l.countUntil
 	}
 	for from.Before(until) {
 		i := int(from.Sub(l.begin) / time.Second)
@@ -111,10 +111,14 @@
 	}
 }
 
-func (l *Ledger) want(class int, from, until time.Time)  { l.spread(l.asked[class], from, until) }
-func (l *Ledger) serve(class int, from, until time.Time) { l.spread(l.served[class], from, until) }
+func (l *Ledger) addWanted(class int, from, until time.Time) {
+	l.addSeconds(l.wanted[class], from, until)
+}
+func (l *Ledger) addServed(class int, from, until time.Time) {
+	l.addSeconds(l.served[class], from, until)
+}
 
-func (l *Ledger) moved(now time.Time) {
+func (l *Ledger) addMove(now time.Time) {
 	l.Counts.Moved++
 	if i := int(now.Sub(l.begin) / time.Second); i >= 0 && i < len(l.Moves) {
 		l.Moves[i]++
@@ -123,23 +127,23 @@
 
 // RecordTold takes down that discovery has written to a proxy whether a relay takes new work.
 func (l *Ledger) RecordTold(now time.Time, proxy netip.Addr, relay string, serving bool) {
-	key := told{proxy, relay}
+	key := notServingKey{proxy, relay}
 	if serving && l.ListShared {
-		for k := range l.told { // all that match go, in whatever order
+		for k := range l.notServingSince { // all that match go, in whatever order
 			if k.relay == relay {
-				delete(l.told, k)
+				delete(l.notServingSince, k)
 			}
 		}
 	}
 	if serving {
-		delete(l.told, key)
-	} else if _, known := l.told[key]; !known {
-		l.told[key] = now
+		delete(l.notServingSince, key)
+	} else if _, known := l.notServingSince[key]; !known {
+		l.notServingSince[key] = now
 	}
 }
 
-// tell is Told, or Telling where somebody knows better when it is.
-func (l *Ledger) tell(now time.Time, proxy netip.Addr, e Entry) {
+// notifyTell is Told, or Telling where somebody knows better when it is.
+func (l *Ledger) notifyTell(now time.Time, proxy netip.Addr, e Entry) {
 	if l.OnTell != nil {
 		l.OnTell(proxy, e)
 	} else {
@@ -147,7 +151,7 @@
 	}
 }
 
-func (l *Ledger) silenced(proxy netip.Addr) {
+func (l *Ledger) notifyWatchSilenced(proxy netip.Addr) {
 	if l.OnWatchSilenced != nil {
 		l.OnWatchSilenced(proxy)
 	}
@@ -155,15 +159,15 @@
 
 // NotServingSince tells since when a proxy knows that a relay takes no new work.
 func (l *Ledger) NotServingSince(proxy netip.Addr, relay string) (time.Time, bool) {
-	t, ok := l.told[told{proxy, relay}]
+	t, ok := l.notServingSince[notServingKey{proxy, relay}]
 	return t, ok
 }
 
 // ForgetProxy drops what was told to a proxy that has ended.
 func (l *Ledger) ForgetProxy(proxy netip.Addr) {
-	for k := range l.told { // all that match go, in whatever order
+	for k := range l.notServingSince { // all that match go, in whatever order
 		if k.proxy == proxy {
-			delete(l.told, k)
+			delete(l.notServingSince, k)
 		}
 	}
 }
@@ -176,8 +180,8 @@
 		if class >= 0 && c != class {
 			continue
 		}
-		for i := max(from, 0); i < min(to, len(l.asked[c])); i++ {
-			asked += l.Classes[c].Worth * l.asked[c][i]
+		for i := max(from, 0); i < min(to, len(l.wanted[c])); i++ {
+			asked += l.Classes[c].Worth * l.wanted[c][i]
 			served += l.Classes[c].Worth * l.served[c][i]
 		}
 	}
@@ -188,16 +192,16 @@
 }
 
 // Seconds is how many seconds the run counts.
-func (l *Ledger) Seconds() int { return len(l.asked[0]) - 1 }
+func (l *Ledger) Seconds() int { return len(l.wanted[0]) - 1 }
 
-// worstSpan is the window of which the worst one counts.
-const worstSpan = 10
+// worstWindowSeconds is the window of which the worst one counts.
+const worstWindowSeconds = 10
 
 // WorstWindow is the service in the worst window of 10 s, and the second in which that begins. A shorter run is one window.
 func (l *Ledger) WorstWindow() (service float64, from int) {
 	service = math.Inf(1)
-	for i := 0; i+min(worstSpan, l.Seconds()) <= l.Seconds(); i++ {
-		if s := l.Service(-1, i, i+worstSpan); s < service {
+	for i := 0; i+min(worstWindowSeconds, l.Seconds()) <= l.Seconds(); i++ {
+		if s := l.Service(-1, i, i+worstWindowSeconds); s < service {
 			service, from = s, i
 		}
 	}
@@ -224,6 +228,6 @@
 	return g
 }
 
-func (l *Ledger) broken(rule, format string, args ...any) {
+func (l *Ledger) reportViolation(rule, format string, args ...any) {
 	l.OnViolation(rule, fmt.Sprintf(format, args...))
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -12,22 +12,22 @@
 //
 // Work is counted in seconds of a standard core, load in such seconds a second.
 type Machine struct {
-	cores    int
-	speed    float64 // of a core, where 1 is a standard one
-	service  float64 // work of an average message
-	started  time.Time
-	coldFrom float64
-	warmIn   time.Duration // 0: it is warm
-
-	slow      float64 // times slower than usual, 1 and above
-	neighbour float64 // share of the machine that another program takes
-	load      float64
-	backlog   float64
-	at        time.Time
-
-	fallMultiple float64
-	fallWithin   time.Duration
-	pushed       time.Time // since when it is asked for too much while it is cold; zero: it is not
+	cores       int
+	speed       float64 // of a core, where 1 is a standard one
+	messageWork float64 // work of an average message
+	started     time.Time
+	coldFrom    float64
+	warmUp      time.Duration // 0: it is warm
+
+	slowdown       float64 // times slower than usual, 1 and above
+	neighbourShare float64 // share of the machine that another program takes
+	load           float64
+	backlog        float64
+	updatedAt      time.Time
+
+	overloadMultiple float64
+	overloadTime     time.Duration
+	overloadedSince  time.Time // since when it is asked for too much while it is cold; zero: it is not
 }
 
 // MachineConfig is what a Machine is made of.
@@ -44,35 +44,35 @@
 // NewMachine returns a machine that starts now.
 func NewMachine(now time.Time, c MachineConfig) *Machine {
 	return &Machine{
-		cores: c.Cores, speed: c.Speed, service: c.MessageWork, started: now, coldFrom: c.ColdFrom, warmIn: c.WarmUp,
-		slow: 1, at: now, fallMultiple: c.FallMultiple, fallWithin: c.FallWithin,
+		cores: c.Cores, speed: c.Speed, messageWork: c.MessageWork, started: now, coldFrom: c.ColdFrom, warmUp: c.WarmUp,
+		slowdown: 1, updatedAt: now, overloadMultiple: c.FallMultiple, overloadTime: c.FallWithin,
 	}
 }
 
 // WarmFraction is the part of its capacity that the machine has by its age, 0 to 1.
 func (m *Machine) WarmFraction(now time.Time) float64 {
 	age := now.Sub(m.started)
-	if age >= m.warmIn {
+	if age >= m.warmUp {
 		return 1
 	}
-	return m.coldFrom + (1-m.coldFrom)*float64(age)/float64(m.warmIn)
+	return m.coldFrom + (1-m.coldFrom)*float64(age)/float64(m.warmUp)
 }
 
 // Capacity is the work that it can do in a second, now.
 func (m *Machine) Capacity(now time.Time) float64 {
-	return float64(m.cores) * m.speed * m.WarmFraction(now) / m.slow * (1 - m.neighbour)
+	return float64(m.cores) * m.speed * m.WarmFraction(now) / m.slowdown * (1 - m.neighbourShare)
 }
 
 // advance lets the backlog grow or shrink up to now. Capacity changes slowly within a step: its mean is near that in
 // the middle.
 func (m *Machine) advance(now time.Time) {
-	d := now.Sub(m.at).Seconds()
+	d := now.Sub(m.updatedAt).Seconds()
 	if d <= 0 {
 		return
 	}
-	mid := m.at.Add(now.Sub(m.at) / 2)
+	mid := m.updatedAt.Add(now.Sub(m.updatedAt) / 2)
 	m.backlog = max(m.backlog+(m.load-m.Capacity(mid))*d, 0)
-	m.at = now
+	m.updatedAt = now
 }
 
 // AddLoad changes the load that connections ask for; below 0 for one that ends.
@@ -93,13 +93,13 @@
 // SetSlowdown makes it so many times slower than usual; 1 is as usual.
 func (m *Machine) SetSlowdown(now time.Time, times float64) {
 	m.advance(now)
-	m.slow = max(times, 1)
+	m.slowdown = max(times, 1)
 }
 
 // SetNeighbourShare has another program take a share of it, 0 to 0.95.
 func (m *Machine) SetNeighbourShare(now time.Time, share float64) {
 	m.advance(now)
-	m.neighbour = min(max(share, 0), 0.95)
+	m.neighbourShare = min(max(share, 0), 0.95)
 }
 
 // Utilization is the load asked over what it can do.
@@ -120,7 +120,7 @@
 // approximation for a queue with several servers, drawn from an exponential) and all that has piled up.
 func (m *Machine) Delay(now time.Time, rng *rand.Rand) time.Duration {
 	behind := m.BacklogTime(now)
-	each := m.service * m.slow / m.speed / m.WarmFraction(now)
+	each := m.messageWork * m.slowdown / m.speed / m.WarmFraction(now)
 	busy := min(m.Utilization(now), 0.995)
 	c := float64(m.cores)
 	wait := math.Pow(busy, math.Sqrt(2*(c+1))) / (c * (1 - busy)) * each
@@ -131,12 +131,12 @@
 // every 100 ms or so to be near the rule.
 func (m *Machine) ColdOverload(now time.Time) bool {
 	m.advance(now)
-	if m.fallWithin <= 0 || m.WarmFraction(now) >= 1 || m.load <= m.fallMultiple*m.Capacity(now) {
-		m.pushed = time.Time{}
+	if m.overloadTime <= 0 || m.WarmFraction(now) >= 1 || m.load <= m.overloadMultiple*m.Capacity(now) {
+		m.overloadedSince = time.Time{}
 		return false
 	}
-	if m.pushed.IsZero() {
-		m.pushed = now
+	if m.overloadedSince.IsZero() {
+		m.overloadedSince = now
 	}
-	return now.Sub(m.pushed) >= m.fallWithin
+	return now.Sub(m.overloadedSince) >= m.overloadTime
 }
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -9,33 +9,33 @@
 
 var start = time.Unix(1000, 0)
 
-func at(d time.Duration) time.Time { return start.Add(d) }
+func after(d time.Duration) time.Time { return start.Add(d) }
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-6*math.Max(1, math.Abs(b)) }
+func approxEqual(a, b float64) bool { return math.Abs(a-b) < 1e-6*math.Max(1, math.Abs(b)) }
 
 // Work piles up while more is asked for than can be done, and is done afterwards at the rate that is left.
 func TestBacklog(t *testing.T) {
 	m := NewMachine(start, MachineConfig{Cores: 2, Speed: 1.5, MessageWork: 0.004})
 	m.AddLoad(start, 4) // of 3
-	if !near(m.Utilization(start), 4.0/3) {
+	if !approxEqual(m.Utilization(start), 4.0/3) {
 		t.Errorf("load %v", m.Utilization(start))
 	}
-	if got := m.BacklogTime(at(3 * time.Second)); got != time.Second { // 1 too much for 3 s is a second of 3
+	if got := m.BacklogTime(after(3 * time.Second)); got != time.Second { // 1 too much for 3 s is a second of 3
 		t.Errorf("after 3 s it is behind by %v", got)
 	}
-	m.AddLoad(at(3*time.Second), -2)
-	if got := m.BacklogTime(at(5 * time.Second)); got.Round(time.Millisecond) != 333*time.Millisecond {
+	m.AddLoad(after(3*time.Second), -2)
+	if got := m.BacklogTime(after(5 * time.Second)); got.Round(time.Millisecond) != 333*time.Millisecond {
 		t.Errorf("2 s later it is behind by %v", got)
 	}
-	if got := m.BacklogTime(at(time.Minute)); got != 0 {
+	if got := m.BacklogTime(after(time.Minute)); got != 0 {
 		t.Errorf("a minute later it is behind by %v", got)
 	}
-	m.SetSlowdown(at(time.Minute), 3)
-	m.SetNeighbourShare(at(time.Minute), 0.5)
-	if c := m.Capacity(at(time.Minute)); !near(c, 0.5) {
+	m.SetSlowdown(after(time.Minute), 3)
+	m.SetNeighbourShare(after(time.Minute), 0.5)
+	if c := m.Capacity(after(time.Minute)); !approxEqual(c, 0.5) {
 		t.Errorf("three times slower with half of it taken: %v", c)
 	}
-	m.AddLoad(at(time.Minute), -5)
+	m.AddLoad(after(time.Minute), -5)
 	if m.OfferedLoad() != 0 {
 		t.Errorf("asked for %v after all is over", m.OfferedLoad())
 	}
@@ -45,7 +45,7 @@
 func TestWarmUp(t *testing.T) {
 	m := NewMachine(start, MachineConfig{Cores: 1, Speed: 1, ColdFrom: 0.2, WarmUp: 20 * time.Second, FallMultiple: 3, FallWithin: 1500 * time.Millisecond})
 	for d, want := range map[time.Duration]float64{0: 0.2, 10 * time.Second: 0.6, 20 * time.Second: 1, time.Hour: 1} {
-		if got := m.Capacity(at(d)); !near(got, want) {
+		if got := m.Capacity(after(d)); !approxEqual(got, want) {
 			t.Errorf("after %v: %v, want %v", d, got, want)
 		}
 	}
@@ -53,31 +53,31 @@
 
 // A cold machine falls over when it is asked for more than the multiple for as long as that, and not for a moment or when
 // it is warm.
-func TestFallsWhenPushedCold(t *testing.T) {
+func TestFallsUnderColdOverload(t *testing.T) {
 	c := MachineConfig{Cores: 1, Speed: 1, ColdFrom: 0.2, WarmUp: 20 * time.Second, FallMultiple: 3, FallWithin: 1500 * time.Millisecond}
 	m := NewMachine(start, c)
 	m.AddLoad(start, 1)
 	for d := time.Duration(0); d <= 1400*time.Millisecond; d += 100 * time.Millisecond {
-		if m.ColdOverload(at(d)) {
+		if m.ColdOverload(after(d)) {
 			t.Fatalf("it fell after %v", d)
 		}
 	}
-	if !m.ColdOverload(at(1500 * time.Millisecond)) {
+	if !m.ColdOverload(after(1500 * time.Millisecond)) {
 		t.Error("it stands after 1.5 s of five times its capacity")
 	}
 	m = NewMachine(start, c)
 	m.AddLoad(start, 1)
 	m.ColdOverload(start)
-	m.AddLoad(at(time.Second), -1)
-	m.ColdOverload(at(time.Second))
-	m.AddLoad(at(1100*time.Millisecond), 1)
-	if m.ColdOverload(at(1600 * time.Millisecond)) {
+	m.AddLoad(after(time.Second), -1)
+	m.ColdOverload(after(time.Second))
+	m.AddLoad(after(1100*time.Millisecond), 1)
+	if m.ColdOverload(after(1600 * time.Millisecond)) {
 		t.Error("two moments counted as one")
 	}
 	c.WarmUp = 0
 	m = NewMachine(start, c)
 	m.AddLoad(start, 100)
-	if m.ColdOverload(start); m.ColdOverload(at(time.Minute)) {
+	if m.ColdOverload(start); m.ColdOverload(after(time.Minute)) {
 		t.Error("a warm machine fell")
 	}
 }
@@ -103,21 +103,21 @@
 // Seconds that were wanted and well served fall into the right windows, and the worst of them is found.
 func TestLedger(t *testing.T) {
 	l := NewLedger(start, 30*time.Second, []Class{{Name: "a", Worth: 3}, {Name: "b", Worth: 1}})
-	l.want(0, at(-5*time.Second), at(30*time.Second))
-	l.serve(0, at(-5*time.Second), at(12500*time.Millisecond))
-	l.serve(0, at(20*time.Second), at(40*time.Second))
-	l.want(1, at(0), at(30*time.Second))
-	l.serve(1, at(0), at(30*time.Second))
-	if got := l.Service(0, 0, 30); !near(got, 22.5/30) {
+	l.addWanted(0, after(-5*time.Second), after(30*time.Second))
+	l.addServed(0, after(-5*time.Second), after(12500*time.Millisecond))
+	l.addServed(0, after(20*time.Second), after(40*time.Second))
+	l.addWanted(1, after(0), after(30*time.Second))
+	l.addServed(1, after(0), after(30*time.Second))
+	if got := l.Service(0, 0, 30); !approxEqual(got, 22.5/30) {
 		t.Errorf("service %v", got)
 	}
-	if got := l.Service(-1, 0, 30); !near(got, (3*22.5+30)/(4*30)) {
+	if got := l.Service(-1, 0, 30); !approxEqual(got, (3*22.5+30)/(4*30)) {
 		t.Errorf("service of all %v", got)
 	}
-	if got, from := l.WorstWindow(); !near(got, (3*2.5+10)/40) || from < 10 || from > 12 {
+	if got, from := l.WorstWindow(); !approxEqual(got, (3*2.5+10)/40) || from < 10 || from > 12 {
 		t.Errorf("worst %v from %d", got, from)
 	}
-	if got := l.Service(0, 12, 13); !near(got, 0.5) {
+	if got := l.Service(0, 12, 13); !approxEqual(got, 0.5) {
 		t.Errorf("the thirteenth second: %v", got)
 	}
 }
--- a/internal/fleet/rude.go
+++ b/internal/fleet/rude.go
@@ -12,54 +12,54 @@
 
 // BadClients is a source of clients that break the protocol: they say nothing, or nonsense, or too much, or leave at once.
 type BadClients struct {
-	loop  *poll.Loop
-	rng   *rand.Rand
-	to    []netip.AddrPort
-	rate  float64 // connections a second
-	timer poll.Timer
-	open  []*rudeClient
-	made  int
+	loop        *poll.Loop
+	rng         *rand.Rand
+	proxies     []netip.AddrPort
+	rate        float64 // connections a second
+	timer       poll.Timer
+	clients     []*badClient
+	connections int
 }
 
-// rudeMost is how many of its connections are open at a time; the oldest makes room.
-const rudeMost = 2000
+// maxBadClients is how many of its connections are open at a time; the oldest makes room.
+const maxBadClients = 2000
 
 // NewBadClients starts bad clients that come to these proxies at that rate.
 func NewBadClients(loop *poll.Loop, to []netip.AddrPort, rate float64, rng *rand.Rand) *BadClients {
-	r := &BadClients{loop: loop, rng: rng, to: to, rate: rate}
-	r.timer.Fire = r.come
+	r := &BadClients{loop: loop, rng: rng, proxies: to, rate: rate}
+	r.timer.Fire = r.connect
 	loop.After(&r.timer, 0)
 	return r
 }
 
 // Connections tells how many there were.
-func (r *BadClients) Connections() int { return r.made }
+func (r *BadClients) Connections() int { return r.connections }
 
 // Stop ends them.
 func (r *BadClients) Stop() {
 	r.loop.Disarm(&r.timer)
-	for len(r.open) > 0 {
-		r.open[0].end()
+	for len(r.clients) > 0 {
+		r.clients[0].close()
 	}
 }
 
-func (r *BadClients) come() {
+func (r *BadClients) connect() {
 	r.loop.After(&r.timer, min(seconds(r.rng.ExpFloat64()/r.rate), time.Second))
-	if len(r.open) >= rudeMost {
-		r.open[0].end()
+	if len(r.clients) >= maxBadClients {
+		r.clients[0].close()
 	}
-	c := &rudeClient{r: r, kind: r.rng.IntN(len(rudeLines) + 2)}
-	sock, err := r.loop.Dial(r.to[r.rng.IntN(len(r.to))], c)
+	c := &badClient{source: r, kind: r.rng.IntN(len(malformedLines) + 2)}
+	sock, err := r.loop.Dial(r.proxies[r.rng.IntN(len(r.proxies))], c)
 	if err != nil {
 		return
 	}
-	r.made++
+	r.connections++
 	c.sock = sock
-	r.open = append(r.open, c)
+	r.clients = append(r.clients, c)
 }
 
-// rudeLines are what they say. Ids of their own would need no format: none of these is to reach a relay.
-var rudeLines = [][]byte{
+// malformedLines are what they say. Ids of their own would need no format: none of these is to reach a relay.
+var malformedLines = [][]byte{
 	[]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
 	[]byte("OPEN\r\n"),
 	[]byte("OPEN rude k c=none,d=1000\r\n"),
@@ -74,29 +74,29 @@
 	fmt.Appendf(nil, "OPEN rude k c=readings,d=%d\r\n", 1<<60),
 }
 
-// rudeClient is one of them. Those beyond rudeLines say nothing, or leave at once.
-type rudeClient struct {
-	r    *BadClients
-	kind int
-	sock *poll.Socket
-	up   bool
+// badClient is one of them. Those beyond rudeLines say nothing, or leave at once.
+type badClient struct {
+	source    *BadClients
+	kind      int
+	sock      *poll.Socket
+	connected bool
 }
 
-func (c *rudeClient) Ready(e poll.Ready) {
-	if !c.up {
+func (c *badClient) Ready(e poll.Ready) {
+	if !c.connected {
 		if c.sock.DialError() != nil {
-			c.end()
+			c.close()
 			return
 		}
-		c.up = true
+		c.connected = true
 		switch {
-		case c.kind < len(rudeLines):
-			if _, err := c.sock.Write(rudeLines[c.kind]); err != nil {
-				c.end()
+		case c.kind < len(malformedLines):
+			if _, err := c.sock.Write(malformedLines[c.kind]); err != nil {
+				c.close()
 				return
 			}
-		case c.kind == len(rudeLines):
-			c.end()
+		case c.kind == len(malformedLines):
+			c.close()
 			return
 		}
 		c.sock.Want(true, false)
@@ -104,15 +104,15 @@
 	}
 	var buf [256]byte
 	if _, err := c.sock.Read(buf[:]); err != nil && err != poll.ErrAgain {
-		c.end()
+		c.close()
 	}
 }
 
-func (c *rudeClient) end() {
+func (c *badClient) close() {
 	c.sock.Close()
-	for i, o := range c.r.open {
+	for i, o := range c.source.clients {
 		if o == c {
-			c.r.open = append(c.r.open[:i], c.r.open[i+1:]...)
+			c.source.clients = append(c.source.clients[:i], c.source.clients[i+1:]...)
 			return
 		}
 	}
--- a/internal/fleet/text.go
+++ b/internal/fleet/text.go
@@ -13,7 +13,7 @@
 
 // UnmarshalText reads a Range.
 func (r *Range) UnmarshalText(text []byte) error {
-	return ends(string(text), inifile.Number, &r.From, &r.To)
+	return parseEnds(string(text), inifile.Number, &r.From, &r.To)
 }
 
 // Bounds are the range's ends.
@@ -21,13 +21,13 @@
 
 // UnmarshalText reads Spans.
 func (s *DurationRange) UnmarshalText(text []byte) error {
-	return ends(string(text), inifile.Duration, &s.From, &s.To)
+	return parseEnds(string(text), inifile.Duration, &s.From, &s.To)
 }
 
 // Bounds are the ends in seconds.
 func (s *DurationRange) Bounds() (least, most float64) { return s.From.Seconds(), s.To.Seconds() }
 
-func ends[T float64 | time.Duration](text string, read func(string) (T, error), from, to *T) error {
+func parseEnds[T float64 | time.Duration](text string, read func(string) (T, error), from, to *T) error {
 	first, last, both := strings.Cut(text, "..")
 	if !both {
 		last = first
