--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -15,38 +15,39 @@
 	"ospreyspan/internal/poll"
 )
 
-// LoadGeneratorConfig is what the clients of one site are.
+// LoadGeneratorConfig describes the clients of one site.
 type LoadGeneratorConfig struct {
 	Site    string
 	Traffic Traffic
 	Classes []Class
-	Groups  int                         // plants of the site
-	Seed    uint64                      // of each client's own draws
-	Rate    func(now time.Time) float64 // new clients a second
+	Groups  int                         // number of client groups of the site
+	Seed    uint64                      // of the random draws that each client makes itself
+	Rate    func(now time.Time) float64 // new clients per second
 }
 
-// LoadGenerator is the clients of one site. Who comes when, and what for, is drawn ahead of all that happens to them, so that
-// two runs with the same seed see the same clients whatever the proxies do.
+// LoadGenerator creates the clients of one site. Arrival times and what each client wants are drawn
+// independently of what happens to the clients, so that two runs with the same seed see the same
+// clients whatever the proxies do.
 type LoadGenerator struct {
 	config                LoadGeneratorConfig
 	loop                  *poll.Loop
 	front                 *FrontBalancer
 	ledger                *Ledger
-	rng                   *rand.Rand // arrivals
-	cumulativeGroupShares []float64  // running sums of the groups' shares
+	rng                   *rand.Rand // draws the arrivals
+	cumulativeGroupShares []float64  // running sums of the groups' weights
 	clients               []*client
 	arrivalTimer          poll.Timer
 	stopped               bool
-	earlyLeaveFraction    float64 // see Leaving
+	earlyLeaveFraction    float64 // see SetEarlyLeaveFraction
 	arrivals              int
 	scratch               []byte
 }
 
-// NewLoadGenerator starts the clients' arrivals.
+// NewLoadGenerator returns a generator whose clients start to arrive.
 func NewLoadGenerator(loop *poll.Loop, c LoadGeneratorConfig, front *FrontBalancer, rng *rand.Rand, ledger *Ledger) *LoadGenerator {
 	g := &LoadGenerator{config: c, loop: loop, front: front, ledger: ledger, rng: rng, scratch: make([]byte, 16<<10)}
 	sum := 0.0
-	for i := range max(c.Groups, 1) { // plants differ in size, by Zipf's law
+	for i := range max(c.Groups, 1) { // group sizes follow Zipf's law
 		sum += 1 / math.Pow(float64(i+1), 0.95)
 		g.cumulativeGroupShares = append(g.cumulativeGroupShares, sum)
 	}
@@ -55,10 +56,10 @@
 	return g
 }
 
-// Open tells how many clients are there that still want something.
+// Open returns the number of clients that have not left yet.
 func (g *LoadGenerator) Open() int { return len(g.clients) }
 
-// zeroRatePoll is how often a rate of nothing is looked at again.
+// zeroRatePoll is the interval at which the arrival rate is read again while it is zero.
 const zeroRatePoll = 100 * time.Millisecond
 
 func (g *LoadGenerator) scheduleArrival() {
@@ -83,10 +84,10 @@
 	for ; class < len(g.config.Classes)-1 && x >= g.config.Classes[class].Share; class++ {
 		x -= g.config.Classes[class].Share
 	}
-	plant := sort.SearchFloat64s(g.cumulativeGroupShares, g.rng.Float64()*g.cumulativeGroupShares[len(g.cumulativeGroupShares)-1])
+	group := sort.SearchFloat64s(g.cumulativeGroupShares, g.rng.Float64()*g.cumulativeGroupShares[len(g.cumulativeGroupShares)-1])
 	c := &client{
 		generator: g, class: class, index: len(g.clients), arrived: g.loop.Now(),
-		group:         fmt.Sprintf("%s-%d", g.config.Site, plant),
+		group:         fmt.Sprintf("%s-%d", g.config.Site, group),
 		key:           fmt.Sprintf("%s%d", g.config.Site, g.arrivals),
 		remaining:     seconds(g.rng.ExpFloat64() * t.MeanLife.Seconds() * g.config.Classes[class].LifeFactor),
 		honoursAdvice: g.rng.Float64() < t.HonourFraction,
@@ -100,20 +101,21 @@
 	g.scheduleArrival()
 }
 
-// Stop ends the arrivals.
+// Stop ends the arrivals. Clients that have arrived stay.
 func (g *LoadGenerator) Stop() {
 	g.stopped = true
 	g.loop.Disarm(&g.arrivalTimer)
 }
 
-// SetEarlyLeaveFraction has a part of the clients leave while they wait for their answer, 0 to 1: soon, as somebody who changed his mind. They
-// come again like others that got none.
+// SetEarlyLeaveFraction sets the fraction of requests, 0 to 1, that a client abandons shortly after
+// sending them, before their answer. Such a client retries like one that got no answer.
 func (g *LoadGenerator) SetEarlyLeaveFraction(part float64) { g.earlyLeaveFraction = part }
 
-// maxEarlyLeaveDelay is when such a client is gone at the latest.
+// maxEarlyLeaveDelay is the longest time for which a client that abandons its request waits.
 const maxEarlyLeaveDelay = 400 * time.Millisecond
 
-// Finish takes all that clients still want into the ledger, and lets them go.
+// Finish stops the arrivals, records in the ledger all the time that clients still want, and closes
+// their connections.
 func (g *LoadGenerator) Finish() {
 	g.Stop()
 	for len(g.clients) > 0 {
@@ -131,17 +133,17 @@
 	clientDialing
 	clientRequesting
 	clientConnected
-	clientClosing // it has ended its sending
+	clientClosing // it has ended its sending direction
 	clientGone
 )
 
-// client wants one connection for as long as its life, and comes again until it has had it.
+// client wants one connection for a total time and reconnects until it has had that much of it.
 type client struct {
 	generator     *LoadGenerator
 	class         int
 	group         string
 	key           string
-	remaining     time.Duration // still to be had
+	remaining     time.Duration // connected time that it still wants
 	arrived       time.Time
 	honoursAdvice bool
 	impatient     bool
@@ -156,18 +158,19 @@
 	partialLine    []byte
 	attempts       int
 	failures       int
-	requestedAt    time.Time // its first line
-	leavesEarly    bool      // it leaves before its answer, by the timer
-	connectedAt    time.Time // that its connection stands since
-	intervalStart  time.Time // its last line
-	answeredInTime bool      // that was answered in time
+	requestedAt    time.Time // when it sent its OPEN line
+	leavesEarly    bool      // it abandons the request when the timer fires
+	connectedAt    time.Time // when the current connection was established; zero: none
+	intervalStart  time.Time // when it sent its last message
+	answeredInTime bool      // the last message was answered in time and none is outstanding
 	sentTimes      []time.Time
 	moveReceived   bool
 }
 
 func (c *client) random() float64 { return rand.New(&c.pcg).Float64() }
 
-// dialTimeout is how long a client waits for a proxy's machine.
+// dialTimeout bounds the time that a client waits for a proxy to accept its connection, and for the
+// proxy to close a connection that the client has finished with.
 const dialTimeout = time.Second
 
 func (c *client) connect() {
@@ -197,7 +200,8 @@
 	c.generator.loop.Disarm(&c.timer)
 }
 
-// retry has the client come again later; advice is what it was told, 0 if nothing.
+// retry schedules the next attempt. Advice is the delay that the proxy asked for, 0 if it asked for
+// none.
 func (c *client) retry(advice time.Duration) {
 	c.closeSocket()
 	c.state = clientWaiting
@@ -208,7 +212,7 @@
 	if c.failures%quick != 0 {
 		first := t.Backoff.From + time.Duration(float64(t.Backoff.To-t.Backoff.From)*c.random())
 		wait = first << min(c.failures%quick-1, 8)
-	} else { // a whole try failed: it waits longer, the more have
+	} else { // all quick retries failed: wait longer with each such round, up to the fourth
 		wait = time.Duration(float64(time.Second) * (1 + c.random()) * float64(min(c.failures/quick, 4)))
 	}
 	if c.honoursAdvice {
@@ -220,7 +224,8 @@
 	c.generator.loop.After(&c.timer, wait)
 }
 
-// retryFailedRequest has a client come again whose request failed, if its effect may be repeated.
+// retryFailedRequest retries a request that failed, unless its class is SingleShot: then the client
+// leaves.
 func (c *client) retryFailedRequest() {
 	if c.generator.config.Classes[c.class].SingleShot {
 		c.recordWanted()
@@ -230,7 +235,7 @@
 	c.retry(0)
 }
 
-// reconnect has a client come again whose connection was moved or broke.
+// reconnect schedules a new connection after one that was moved or broke.
 func (c *client) reconnect() {
 	c.deductConnectedTime()
 	c.closeSocket()
@@ -239,7 +244,8 @@
 	c.generator.loop.After(&c.timer, r.From+time.Duration(float64(r.To-r.From)*c.random()))
 }
 
-// deductConnectedTime takes the standing connection's time up to now off what the client wants.
+// deductConnectedTime subtracts the time of the current connection up to now from the time that the
+// client still wants.
 func (c *client) deductConnectedTime() {
 	if c.connectedAt.IsZero() {
 		return
@@ -250,7 +256,8 @@
 	c.connectedAt = time.Time{}
 }
 
-// recordInterval takes the time since the last line into the ledger: it is well served if that line was answered in time.
+// recordInterval records the time since the last message in the ledger, as served if that message
+// was answered in time.
 func (c *client) recordInterval(now time.Time) {
 	if c.answeredInTime {
 		c.generator.ledger.addServed(c.class, c.intervalStart, now)
@@ -258,16 +265,16 @@
 	c.intervalStart, c.answeredInTime = now, false
 }
 
-// recordWanted closes the client's account: all the time from its arrival on was wanted.
+// recordWanted records in the ledger that the client wanted service from its arrival until now.
 func (c *client) recordWanted() {
 	if c.state == clientClosing || c.state == clientGone {
-		return // it was closed when the client had what it wanted
+		return // it was recorded when the client had all the connected time that it wanted
 	}
 	c.deductConnectedTime()
 	c.generator.ledger.addWanted(c.class, c.arrived, c.generator.loop.Now())
 }
 
-// remove takes the client off the list.
+// remove takes the client off the generator's list.
 func (c *client) remove() {
 	g := c.generator
 	c.state = clientGone
@@ -278,7 +285,7 @@
 	g.clients = g.clients[:last]
 }
 
-// onTimer is called by the timer.
+// onTimer handles the client's timer, whose meaning depends on the state.
 func (c *client) onTimer() {
 	g := c.generator
 	now := g.loop.Now()
@@ -310,7 +317,7 @@
 	}
 }
 
-// finish ends the sending: the client has had what it wanted.
+// finish ends the sending direction once the client has had all the connected time that it wanted.
 func (c *client) finish() {
 	c.recordWanted()
 	c.generator.ledger.Counts.Completed++
@@ -324,7 +331,7 @@
 	c.remove()
 }
 
-// sendMessage sends the next sendMessage.
+// sendMessage sends the next message.
 func (c *client) sendMessage() {
 	g := c.generator
 	now := g.loop.Now()
@@ -333,7 +340,7 @@
 		g.ledger.Counts.Cut++
 		c.reconnect()
 		return
-	} else if n == len(message) { // else it has no room: nothing is answered
+	} else if n == len(message) { // a message that does not fit gets no answer
 		c.sentTimes = append(c.sentTimes, now)
 	}
 	g.loop.After(&c.timer, max(min(g.config.Traffic.MessageInterval, c.remaining-now.Sub(c.connectedAt)), time.Millisecond))
@@ -341,7 +348,7 @@
 
 var message = []byte("reading 7.25 bar 81.3 C\r\n")
 
-// Ready is called by the loop.
+// Ready handles readiness of the client's socket.
 func (c *client) Ready(r poll.Ready) {
 	g := c.generator
 	if c.state == clientDialing {
@@ -367,7 +374,7 @@
 	}
 	whole, rest, err := line.SplitComplete(g.scratch[:held+n])
 	if err != nil {
-		g.ledger.reportViolation("line-too-long", "client %s got a line over the limit", c.key)
+		g.ledger.reportViolation("line-too-long", "client %s received a line longer than the limit", c.key)
 		c.handleClosed()
 		return
 	}
@@ -379,7 +386,8 @@
 	}
 }
 
-// answerGrace is how much longer than it said a client waits, so that an answer which comes late is seen to be late.
+// answerGrace is how much longer than its announced deadline a client waits, so that a late answer
+// is recorded as late.
 const answerGrace = 250 * time.Millisecond
 
 func (c *client) sendRequest() {
@@ -450,7 +458,7 @@
 	}
 }
 
-// handleClosed deals with a connection that the other side handleClosed.
+// handleClosed handles a connection that the other side has closed.
 func (c *client) handleClosed() {
 	switch c.state {
 	case clientRequesting:
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -1,7 +1,8 @@
-// Package fleet is a model of what a proxy works with: relays with cores that tire, the discovery that names them, a front
-// that hands clients to proxies, and the clients. All parts speak the platform's protocol over poll.Loop, so that the
-// same code runs on a virtual network and on real loopback sockets. What they see goes into a Ledger, which is also the
-// judge of the rules.
+// Package fleet emulates the surroundings of a proxy: relays whose capacity varies, the discovery
+// service that lists them, a front balancer that assigns clients to proxies, and the clients. All
+// parts speak the platform's protocol over poll.Loop, so that the same code runs on a virtual
+// network and on real loopback sockets. Their observations go into a Ledger, which also reports
+// violations of the rules.
 package fleet
 
 import (
@@ -9,79 +10,80 @@
 	"time"
 )
 
-// Range is a figure that differs from day to day or from one to the other: drawn evenly between From and To.
+// Range is a pair of bounds from which a value is drawn uniformly, for example once for each run or
+// once for each relay.
 type Range struct{ From, To float64 }
 
-// Draw draws a figure.
+// Draw returns a value drawn uniformly between From and To.
 func (r Range) Draw(rng *rand.Rand) float64 { return r.From + (r.To-r.From)*rng.Float64() }
 
-// DurationRange is a Range of times.
+// DurationRange is a pair of bounds from which a duration is drawn uniformly.
 type DurationRange struct{ From, To time.Duration }
 
-// Draw draws a time.
+// Draw returns a duration drawn uniformly between From and To.
 func (s DurationRange) Draw(rng *rand.Rand) time.Duration {
 	return s.From + time.Duration(float64(s.To-s.From)*rng.Float64())
 }
 
-// Class is a kind of connection.
+// Class describes a class of connections.
 type Class struct {
 	Name           string
-	Share          float64       // of new connections
-	SetUpTarget    time.Duration // wanted within this
-	AttemptTimeout time.Duration // a try is given up after this
-	MessageTarget  time.Duration // a message is wanted within this
-	Worth          float64       // of a second
-	SetUpWork      DurationRange // of setting one up, on a standard core
-	LoadFactor     float64       // times the usual load
-	LifeFactor     float64       // times the usual life
-	LoadSigma      float64       // of a connection's load, lognormal
-	ChangeSigma    float64       // of its changes, lognormal
-	ChangeInterval DurationRange // between these
-	SingleShot     bool          // a client whose request may have run does not come again
+	Share          float64       // fraction of new connections
+	SetUpTarget    time.Duration // set-up counts as in time within this
+	AttemptTimeout time.Duration // the client gives up an attempt after this
+	MessageTarget  time.Duration // an answer to a message counts as in time within this
+	Worth          float64       // value of one second of service
+	SetUpWork      DurationRange // work of setting up one connection, on a standard core
+	LoadFactor     float64       // multiple of the typical load
+	LifeFactor     float64       // multiple of the mean life
+	LoadSigma      float64       // of the lognormal distribution of a connection's mean load
+	ChangeSigma    float64       // of the lognormal distribution of changes of a connection's load
+	ChangeInterval DurationRange // time between two changes of the load
+	SingleShot     bool          // a request that may have run is not repeated by the client
 }
 
-// RelayKind is a kind of relay.
+// RelayKind describes a kind of relay.
 type RelayKind struct {
 	Name          string
-	Share         float64 // of the relays
+	Share         float64 // fraction of the relays
 	Cores         int
-	Speed         Range         // of a core, where 1 is a standard one
-	ColdFrom      Range         // part of its capacity with which one starts
-	WarmUp        DurationRange // until it is warm
-	ErrorFraction Range         // part of the connections that are answered with an error
+	Speed         Range         // of one core; a standard core has 1
+	ColdFrom      Range         // fraction of its capacity that a relay has when it starts
+	WarmUp        DurationRange // time from the start to full capacity
+	ErrorFraction Range         // fraction of the connections that are answered with an error
 }
 
-// Traffic is what clients do.
+// Traffic describes what the clients do.
 type Traffic struct {
-	Rate               float64       // new clients a second, on the average of the day
-	RateSwing          float64       // part by which the rate swings about that
-	SwingPeriod        time.Duration // of the swing
-	MeanLife           time.Duration // mean time that a client wants its connection
-	ConnectionsPerCore float64       // usual connections that fill a standard core
-	GroupSize          float64       // mean number of clients that are there at a time of a group
-	GroupCost          float64       // usual loads that a relay pays for each group that it holds any of
-	MessageInterval    time.Duration // a message
-	QuickRetries       int           // quick ones, of a try
-	Backoff            DurationRange // before the first; doubles
-	HonourFraction     float64       // part of the clients that keep to advice
-	ReconnectDelay     DurationRange // after a move or a break
-	ImpatientFraction  float64       // part of the clients that come again at once
-	ZoneSkew           float64       // part of the traffic that is moved to the first site
-	CostlyFraction     float64       // part of connections that are costly now, of one class
-	CostlyFactor       float64       // times as costly
+	Rate               float64       // new clients per second, averaged over the run
+	RateSwing          float64       // relative amplitude of the rate's variation
+	SwingPeriod        time.Duration // period of the rate's variation
+	MeanLife           time.Duration // mean time for which a client wants its connection
+	ConnectionsPerCore float64       // typical connections that fill a standard core
+	GroupSize          float64       // mean number of clients of a group that are present at a time
+	GroupCost          float64       // typical loads that each group present costs a relay
+	MessageInterval    time.Duration // time between two messages of a connection
+	QuickRetries       int           // quick retries that belong to one attempt
+	Backoff            DurationRange // delay before the first quick retry; it doubles with each one
+	HonourFraction     float64       // fraction of the clients that wait as BUSY advises
+	ReconnectDelay     DurationRange // delay after a move or a broken connection
+	ImpatientFraction  float64       // fraction of the clients that wait at most Backoff.From
+	ZoneSkew           float64       // fraction of the traffic that is moved to the first site
+	CostlyFraction     float64       // fraction of one class's connections that are costly
+	CostlyFactor       float64       // multiple of the load that a costly connection has
 }
 
-// ReportConfig is how relays tell of their load.
+// ReportConfig describes how relays report their load.
 type ReportConfig struct {
-	Period    DurationRange // between two
-	Delay     DurationRange // until one can be read
-	Noise     float64       // relative, normal
-	ProbeWork DurationRange // of answering a probe, on a standard core
+	Period    DurationRange // time between two reports
+	Delay     DurationRange // time until a report can be read
+	Noise     float64       // standard deviation of the normal noise, relative
+	ProbeWork DurationRange // work of answering a probe, on a standard core
 }
 
-// Rules are the figures of the rules that the Ledger judges by.
+// Rules holds the figures of the rules that the Ledger judges by.
 type Rules struct {
-	AnswerSlack  time.Duration // after a client's deadline
+	AnswerSlack  time.Duration // time that an answer may come after the client's deadline
 	DrainGrace   time.Duration
 	FallMultiple float64
 	FallWithin   time.Duration
--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -15,46 +15,48 @@
 	"ospreyspan/internal/poll"
 )
 
-// Entry is a relay as discovery names it.
+// Entry describes a relay in discovery's list.
 type Entry struct {
 	Host      string  `json:"host"`
 	Dial      string  `json:"dial"`
 	Site      string  `json:"site"`
 	Kind      string  `json:"class"`
 	Block     int     `json:"block"`
-	Health    string  `json:"health"` // SERVING, DRAINING or DELETED
+	Health    string  `json:"health"` // Serving, Draining or Deleted
 	Share     float64 `json:"share"`
-	StartedMS int64   `json:"born_ms"` // Unix time; 0: long ago
+	StartedMS int64   `json:"born_ms"` // Unix time of the relay's start; 0: long ago
 }
 
-// The words for Entry.Health.
+// Values of Entry.Health.
 const (
 	Serving  = "SERVING"
 	Draining = "DRAINING"
 	Deleted  = "DELETED"
 )
 
-// DiscoveryConfig is what discovery can do.
+// DiscoveryConfig holds the capacity of the discovery service.
 type DiscoveryConfig struct {
-	// CallWork is what one call takes; calls are answered in turn. One that goes on with a watch within watchGap of its last answer
-	// takes none.
+	// CallWork is the time that one call takes; calls are answered one after the other. A call that
+	// continues a watch within maxWatchGap of the watch's last answer takes none.
 	CallWork  time.Duration
 	EntryWork time.Duration // for each entry of an answer
-	// QueueTimeout is how long a call may wait for its turn. One that would wait longer is answered 503 at once, for nothing. 0: any
-	// call waits.
+	// QueueTimeout bounds the time that a call waits for its turn. A call that would wait longer is
+	// answered with 503 at once and takes no time. 0: no bound.
 	QueueTimeout time.Duration
-	// ResetFraction is the part of these calls whose connection is reset in place of the 503, 0 to 1.
+	// ResetFraction is the fraction, 0 to 1, of the calls over QueueTimeout whose connection is
+	// reset instead of answered with 503.
 	ResetFraction float64
 }
 
-// maxWatchGap is how soon the next call of a watch has to follow its last answer.
+// maxWatchGap is the longest time between an answer of a watch and the call that continues the
+// watch.
 const maxWatchGap = 200 * time.Millisecond
 
-// Registry is the list that discovery tells of. It outlives a discovery that goes down.
+// Registry is the list of relays that discovery serves. It outlives a Discovery that stops.
 type Registry struct {
 	seq      int64
 	entries  map[string]*versioned
-	OnChange func(e Entry) // called for each entry that is set; nil: for none
+	OnChange func(e Entry) // called for each entry that is set; may be nil
 }
 
 type versioned struct {
@@ -62,10 +64,10 @@
 	seq int64
 }
 
-// NewRegistry returns an empty list.
+// NewRegistry returns an empty registry.
 func NewRegistry() *Registry { return &Registry{entries: make(map[string]*versioned)} }
 
-// Set changes an entry, or adds it.
+// Set adds an entry or replaces the one of the same host.
 func (r *Registry) Set(e Entry) {
 	r.seq++
 	r.entries[e.Host] = &versioned{e, r.seq}
@@ -74,7 +76,7 @@
 	}
 }
 
-// SetHealth changes the health of an entry.
+// SetHealth changes the health of an entry. A host without an entry is ignored.
 func (r *Registry) SetHealth(host, health string) {
 	if v := r.entries[host]; v != nil {
 		e := v.Entry
@@ -83,7 +85,7 @@
 	}
 }
 
-// Health is the health of an entry; ok tells that there is one.
+// Health returns the health of an entry; ok is false if there is none.
 func (r *Registry) Health(host string) (health string, ok bool) {
 	v := r.entries[host]
 	if v == nil {
@@ -92,7 +94,8 @@
 	return v.Health, true
 }
 
-// entriesAfter is an answer: the entries that are newer than a version, or all if that is below 0 or from another time.
+// entriesAfter returns the entries of an answer: those that changed after a sequence number, or all
+// if that number is negative or higher than the registry's own.
 func (r *Registry) entriesAfter(after int64) (entries []Entry, whole bool) {
 	whole = after < 0 || after > r.seq
 	var found []*versioned
@@ -109,8 +112,8 @@
 	return entries, whole
 }
 
-// Discovery is the service that tells proxies of the relays: the whole list or a watch on changes, over HTTP/1.1. One
-// value is one life of its process.
+// Discovery is the HTTP/1.1 service that tells proxies of the relays: the whole list, or a watch on
+// changes. One value is one run of its process.
 type Discovery struct {
 	config       DiscoveryConfig
 	loop         *poll.Loop
@@ -118,13 +121,13 @@
 	registry     *Registry
 	listener     *poll.Listener
 	connections  []*discoveryConn
-	busyUntil    time.Time // when it has answered what it took so far
-	refusedCalls int       // calls that waited too long
-	resetCalls   int       // of these
+	busyUntil    time.Time // when all calls taken so far will have been answered
+	refusedCalls int       // calls that would have waited longer than QueueTimeout
+	resetCalls   int       // refused calls whose connection was reset
 	hanging      bool
 }
 
-// NewDiscovery starts discovery at an address.
+// NewDiscovery starts a discovery service at an address.
 func NewDiscovery(loop *poll.Loop, at netip.AddrPort, c DiscoveryConfig, list *Registry, ledger *Ledger) (*Discovery, error) {
 	d := &Discovery{config: c, loop: loop, registry: list, ledger: ledger}
 	var err error
@@ -141,10 +144,10 @@
 	return d, err
 }
 
-// Addr is where it listens.
+// Addr returns the address that the service listens on.
 func (d *Discovery) Addr() netip.AddrPort { return d.listener.Addr() }
 
-// NotifyWatches tells that the list has changed: watches, which had their turns, end with an answer.
+// NotifyWatches answers all open watches after a change of the registry. They do not queue again.
 func (d *Discovery) NotifyWatches() {
 	now := d.loop.Now()
 	for _, conn := range slices.Clone(d.connections) {
@@ -155,13 +158,13 @@
 	}
 }
 
-// addCallWork books what a call takes.
+// addCallWork adds the work of a call and of the entries of its answer to the queue.
 func (d *Discovery) addCallWork(now time.Time, conn *discoveryConn, call time.Duration) {
 	entries, _ := d.registry.entriesAfter(conn.afterSeq)
 	d.AddWork(now, call+time.Duration(len(entries))*d.config.EntryWork)
 }
 
-// AddWork puts so much work into its queue.
+// AddWork adds work to the queue of calls.
 func (d *Discovery) AddWork(now time.Time, work time.Duration) {
 	if d.busyUntil.Before(now) {
 		d.busyUntil = now
@@ -169,14 +172,14 @@
 	d.busyUntil = d.busyUntil.Add(work)
 }
 
-// SetHanging has it send half of each answer and then nothing, or go on as usual.
+// SetHanging makes the service send half of each answer and then nothing, or answer as usual again.
 func (d *Discovery) SetHanging(on bool) { d.hanging = on }
 
-// Hanging tells whether it does the former.
+// Hanging reports whether the service sends only half of each answer.
 func (d *Discovery) Hanging() bool { return d.hanging }
 
-// SilenceWatches has all watches that are open fall silent: their connections stay, and nothing comes on them any more. Other calls
-// are answered.
+// SilenceWatches stops all open watches without closing their connections: nothing more is sent on
+// these. Other calls are answered as usual.
 func (d *Discovery) SilenceWatches() {
 	for _, conn := range d.connections {
 		if conn.state == callWatching {
@@ -187,7 +190,7 @@
 	}
 }
 
-// Stop ends it: its connections are reset.
+// Stop closes the listener and resets all connections.
 func (d *Discovery) Stop() {
 	d.listener.Close()
 	for _, conn := range slices.Clone(d.connections) {
@@ -202,28 +205,28 @@
 	callReading callState = iota
 	callQueued            // it waits for its turn
 	callWatching
-	callSilent // its watch fell silent
+	callSilent // its watch was silenced
 	callClosed
 )
 
-// discoveryConn is a connection to discovery with the call that is on it.
+// discoveryConn is a connection to discovery with its current call.
 type discoveryConn struct {
-	discovery  *Discovery
-	sock       *poll.Socket
-	state      callState
-	input      []byte
-	output     []byte
-	afterSeq   int64
-	watchUntil time.Time // a watch ends then; zero: it is none
-	overdue    bool      // it would wait too long for its turn
-	// Of the last answer:
-	answeredWatch bool // it belonged to a watch
-	answeredSeq   int64
-	answeredAt    time.Time
-	timer         poll.Timer
+	discovery     *Discovery
+	sock          *poll.Socket
+	state         callState
+	input         []byte
+	output        []byte
+	afterSeq      int64
+	watchUntil    time.Time // end of the watch; zero: not a watch
+	overdue       bool      // it would wait longer than QueueTimeout
+	answeredWatch bool      // the last answer belonged to a watch
+	// Sequence number and time of the last answer.
+	answeredSeq int64
+	answeredAt  time.Time
+	timer       poll.Timer
 }
 
-// maxRequest is the longest request that is read.
+// maxRequest is the longest request that is read, in bytes.
 const maxRequest = 8 << 10
 
 func (conn *discoveryConn) Ready(e poll.Ready) {
@@ -251,7 +254,7 @@
 	conn.readRequest()
 }
 
-// readRequest takes the readRequest request, if all of it is there.
+// readRequest handles the next request if it has been received completely.
 func (conn *discoveryConn) readRequest() {
 	if conn.state != callReading {
 		return
@@ -283,7 +286,8 @@
 	conn.enqueue()
 }
 
-// enqueue has the call wait for its enqueue.
+// enqueue schedules the call's answer after the calls before it, or refuses it if that takes too
+// long.
 func (conn *discoveryConn) enqueue() {
 	d := conn.discovery
 	now := d.loop.Now()
@@ -302,18 +306,20 @@
 	d.addCallWork(now, conn, cost)
 }
 
-// continuesWatch tells whether the call goes on with a watch that this connection's last answer belongs to.
+// continuesWatch reports whether the call continues the watch that the connection's last answer
+// belonged to.
 func (conn *discoveryConn) continuesWatch(now time.Time) bool {
 	return conn.answeredWatch && conn.afterSeq == conn.answeredSeq && now.Sub(conn.answeredAt) <= maxWatchGap
 }
 
-// onTimer answers: the call's turn is over, or its watch is.
+// onTimer answers the call when its turn has come or its watch ends.
 func (conn *discoveryConn) onTimer() {
 	if conn.overdue {
 		conn.refuseOverdue()
 		return
 	}
-	if conn.state == callQueued && conn.afterSeq >= 0 && conn.afterSeq == conn.discovery.registry.seq && conn.discovery.loop.Now().Before(conn.watchUntil) { // nothing new yet
+	// Nothing has changed since the call's sequence number: it becomes a watch.
+	if conn.state == callQueued && conn.afterSeq >= 0 && conn.afterSeq == conn.discovery.registry.seq && conn.discovery.loop.Now().Before(conn.watchUntil) {
 		conn.state = callWatching
 		conn.discovery.loop.Arm(&conn.timer, conn.watchUntil)
 		return
@@ -325,11 +331,11 @@
 		Hosts []Entry `json:"hosts"`
 	}{conn.discovery.registry.seq, whole, entries})
 	if err != nil {
-		panic(err) // it is made of strings and numbers
+		panic(err) // strings and numbers can always be encoded
 	}
 	if conn.discovery.hanging {
 		conn.output = fmt.Appendf(conn.output, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)/2])
-		conn.state = callQueued // and stays there
+		conn.state = callQueued // no further request is read
 		conn.flush()
 		return
 	}
@@ -341,7 +347,8 @@
 	conn.write("200 OK", body)
 }
 
-// refuseOverdue ends a call that waited too long: with 503, or for a part of them with a reset.
+// refuseOverdue ends a call over QueueTimeout: with a reset for ResetFraction of these calls, with
+// 503 for the others.
 func (conn *discoveryConn) refuseOverdue() {
 	d := conn.discovery
 	d.refusedCalls++
--- a/internal/fleet/front.go
+++ b/internal/fleet/front.go
@@ -9,14 +9,15 @@
 	"ospreyspan/internal/poll"
 )
 
-// FrontBalancerConfig is how a front watches its proxies.
+// FrontBalancerConfig describes how a front balancer checks its proxies.
 type FrontBalancerConfig struct {
 	CheckInterval time.Duration // between two checks of a proxy
-	FailureDelay  DurationRange // a proxy that fails its checks is given no more clients after this
+	FailureDelay  DurationRange // failing checks for this long withdraws the admission
 }
 
-// FrontBalancer hands clients out to the proxies of a site. A proxy is admitted once it has answered PING with PONG, and one
-// that is dead is noticed late; where a site has none left, its clients go to those of the others.
+// FrontBalancer assigns clients to the proxies of a site. A proxy is admitted once it has answered
+// PING with PONG, and a failed proxy is removed with a delay. If the site has no admitted proxy,
+// its clients go to the proxies of other sites.
 type FrontBalancer struct {
 	config  FrontBalancerConfig
 	loop    *poll.Loop
@@ -24,26 +25,26 @@
 	proxies []*proxyState
 }
 
-// proxyState is a proxy as a front sees it.
+// proxyState is the state of one proxy at a front balancer.
 type proxyState struct {
 	front        *FrontBalancer
 	addr         netip.AddrPort
-	sameSite     bool // it is of the front's site
+	sameSite     bool // it is in the balancer's site
 	admitted     bool
-	withdrawn    bool // it is to stop: no more clients
+	withdrawn    bool // it is to stop and gets no more clients
 	failingSince time.Time
-	failureDelay time.Duration // drawn anew for each failure
+	failureDelay time.Duration // drawn again for each failure
 	sock         *poll.Socket
 	timer        poll.Timer
 	answer       []byte
 }
 
-// NewFrontBalancer returns a front without proxies.
+// NewFrontBalancer returns a front balancer without proxies.
 func NewFrontBalancer(loop *poll.Loop, c FrontBalancerConfig, rng *rand.Rand) *FrontBalancer {
 	return &FrontBalancer{config: c, loop: loop, rng: rng}
 }
 
-// Add has the front watch a proxy; home tells that it is of its own site.
+// Add starts the checks of a proxy; home tells whether it is in the balancer's own site.
 func (f *FrontBalancer) Add(addr netip.AddrPort, home bool) {
 	s := &proxyState{front: f, addr: addr, sameSite: home}
 	s.timer.Fire = s.check
@@ -51,7 +52,7 @@
 	f.loop.After(&s.timer, 0)
 }
 
-// Withdraw gives a proxy no more clients until it is admitted anew: it was told to stop.
+// Withdraw stops assigning clients to a proxy that was told to stop, until AllowReadmission.
 func (f *FrontBalancer) Withdraw(addr netip.AddrPort) {
 	for _, s := range f.proxies {
 		if s.addr == addr {
@@ -60,7 +61,7 @@
 	}
 }
 
-// AllowReadmission lets a proxy that was withdrawn be admitted again once it answers.
+// AllowReadmission lets a withdrawn proxy be admitted again once it answers a check.
 func (f *FrontBalancer) AllowReadmission(addr netip.AddrPort) {
 	for _, s := range f.proxies {
 		if s.addr == addr {
@@ -73,7 +74,7 @@
 func (f *FrontBalancer) Pick() (at netip.AddrPort, ok bool) {
 	for _, home := range []bool{true, false} {
 		n := 0
-		for _, s := range f.proxies { // one of those that fit, drawn as they come
+		for _, s := range f.proxies { // reservoir sampling: each matching proxy is equally likely
 			if s.admitted && s.sameSite == home {
 				if n++; f.rng.IntN(n) == 0 {
 					at = s.addr
@@ -87,7 +88,7 @@
 	return at, false
 }
 
-// Admitted tells how many proxies get clients.
+// Admitted returns the number of proxies that get clients.
 func (f *FrontBalancer) Admitted() int {
 	n := 0
 	for _, s := range f.proxies {
@@ -98,7 +99,7 @@
 	return n
 }
 
-// Stop ends the watch.
+// Stop ends all checks and removes all proxies.
 func (f *FrontBalancer) Stop() {
 	for _, s := range f.proxies {
 		f.loop.Disarm(&s.timer)
@@ -114,7 +115,7 @@
 	}
 }
 
-// check asks the proxy; what is still out from the last time has failed.
+// check starts the next check of the proxy. A check that is still open by then has failed.
 func (s *proxyState) check() {
 	if s.sock != nil {
 		s.closeSocket()
@@ -140,7 +141,7 @@
 	}
 }
 
-// Ready is called by the loop.
+// Ready handles readiness of the check's socket.
 func (s *proxyState) Ready(r poll.Ready) {
 	if len(s.answer) == 0 && r.Write {
 		if s.sock.DialError() != nil {
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/ledger.go
@@ -9,53 +9,57 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Ledger is what the parts of a fleet saw: service by class and second, answers, and what broke a rule. It belongs to
-// one goroutine.
+// Ledger records what the parts of a fleet observe: service by class and second, answers, and
+// violations of rules. It must be used by one goroutine only.
 type Ledger struct {
-	Classes         []Class
-	begin           time.Time
-	countUntil      time.Time    // nothing after this counts
-	wanted          [][]float64  // by class and second: connection seconds that were wanted
-	served          [][]float64  // those that were well served
-	SetUp           []Histogram  // by class: from a client's line to its UP
-	Message         []Histogram  // by class: from a line to its answer
-	Counts          ClientCounts // what clients saw
-	Moves           []int        // by second
+	Classes []Class
+	begin   time.Time
+	end     time.Time    // nothing after this counts
+	wanted  [][]float64  // wanted connection seconds, by class and second
+	served  [][]float64  // well-served connection seconds, by class and second
+	SetUp   []Histogram  // by class: from a client's OPEN line to its UP
+	Message []Histogram  // by class: from a message to its answer
+	Counts  ClientCounts // what the clients saw
+	Moves   []int        // moved connections, by second
+	// notServingSince holds when discovery told a proxy that a relay takes no new work. An entry is
+	// deleted when the proxy is told that the relay serves.
 	notServingSince map[notServingKey]time.Time
-	// ListShared says that proxies pass on what discovery told one of them: a relay that is known to serve again is so to all.
+	// ListShared tells that proxies pass on what discovery told one of them: a relay that one proxy
+	// knows to serve again counts as known to all.
 	ListShared  bool
-	OnViolation func(rule string, detail string) // called for what breaks a rule
-	// OnTell is called when discovery is about to write an entry to a proxy; nil: it counts as told then.
+	OnViolation func(rule string, detail string) // called for each violation of a rule; not nil
+	// OnTell is called when discovery is about to write an entry to a proxy. If it is nil, the
+	// entry counts as told at that time.
 	OnTell func(proxy netip.Addr, e Entry)
-	// OnWatchSilenced is called when a proxy's open watch falls silent; nil: nobody wants to know.
+	// OnWatchSilenced is called when an open watch of a proxy is silenced; may be nil.
 	OnWatchSilenced func(proxy netip.Addr)
 }
 
-// ClientCounts counts what clients saw.
+// ClientCounts counts what the clients saw.
 type ClientCounts struct {
-	Clients         int `json:"clients"`  // that came
-	Completed       int `json:"done"`     // that had their connection for as long as they wanted it
-	Requests        int `json:"requests"` // first lines
+	Clients         int `json:"clients"`  // clients that arrived
+	Completed       int `json:"done"`     // clients that had all the connected time they wanted
+	Requests        int `json:"requests"` // OPEN lines that were sent
 	Up              int `json:"up"`
 	Refused         int `json:"refused"`
 	Failed          int `json:"failed"`
 	Unanswered      int `json:"unanswered"` // requests given up without an answer
 	Lost            int `json:"lost"`       // requests whose connection ended without an answer
-	ConnectFailures int `json:"unmade"`     // connections to a proxy that never came up, or broke before the line was out
+	ConnectFailures int `json:"unmade"`     // connections that failed before the OPEN line was sent
 	Moved           int `json:"moved"`
-	Cut             int `json:"cut"` // standing connections that ended without a word
-	Crossing        int `json:"crossing"`
+	Cut             int `json:"cut"`      // established connections that ended without a MOVE
+	Crossing        int `json:"crossing"` // requests that reached a relay from a proxy of another site
 	Probes          int `json:"probes"`
-	FaultErrors     int `json:"failing"` // requests that relays in trouble answered with an error
+	FaultErrors     int `json:"failing"` // requests that failing relays answered with an error
 }
 
-// notServingKey names what discovery notServingKey to whom.
+// notServingKey identifies a relay and the proxy that discovery told of it.
 type notServingKey struct {
 	proxy netip.Addr
 	relay string
 }
 
-// Histogram is of times, in microseconds, with three significant digits.
+// Histogram holds durations in microseconds with three significant digits.
 type Histogram struct{ *hdrhistogram.Histogram }
 
 func newHistogram() Histogram {
@@ -63,17 +67,19 @@
 }
 
 func (h Histogram) add(d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), time.Minute.Microseconds())) // in its range by that
+	// RecordValue cannot fail: the value is within the histogram's range.
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), time.Minute.Microseconds()))
 }
 
-// Quantile is the time that a part of them keep, 0 to 1.
+// Quantile returns the duration that the given part, 0 to 1, of the values does not exceed.
 func (h Histogram) Quantile(part float64) time.Duration {
 	return time.Duration(h.ValueAtQuantile(100*part)) * time.Microsecond
 }
 
-// NewLedger returns a ledger for a run that begins now and counts for as long.
+// NewLedger returns a ledger for a run that begins at the given time and counts for the given
+// length.
 func NewLedger(begin time.Time, length time.Duration, classes []Class) *Ledger {
-	l := &Ledger{Classes: classes, begin: begin, countUntil: begin.Add(length), notServingSince: make(map[notServingKey]time.Time)}
+	l := &Ledger{Classes: classes, begin: begin, end: begin.Add(length), notServingSince: make(map[notServingKey]time.Time)}
 	n := int(length/time.Second) + 1
 	for range classes {
 		l.wanted = append(l.wanted, make([]float64, n))
@@ -86,19 +92,19 @@
 	return l
 }
 
-// Begin and End bound what counts.
+// Begin returns the time from which on observations count.
 func (l *Ledger) Begin() time.Time { return l.begin }
 
-// End is when nothing counts any more.
-func (l *Ledger) End() time.Time { return l.countUntil }
+// End returns the time after which observations no longer count.
+func (l *Ledger) End() time.Time { return l.end }
 
-// addSeconds adds the seconds between two times to the buckets that they fall in.
+// addSeconds adds the time between from and until to the buckets of one second that it falls in.
 func (l *Ledger) addSeconds(to []float64, from, until time.Time) {
 	if from.Before(l.begin) {
 		from = l.begin
 	}
-	if until.After(l.countUntil) {
-		until = l.countUntil
+	if until.After(l.end) {
+		until = l.end
 	}
 	for from.Before(until) {
 		i := int(from.Sub(l.begin) / time.Second)
@@ -125,11 +131,11 @@
 	}
 }
 
-// RecordTold takes down that discovery has written to a proxy whether a relay takes new work.
+// RecordTold records that discovery has written to a proxy whether a relay takes new work.
 func (l *Ledger) RecordTold(now time.Time, proxy netip.Addr, relay string, serving bool) {
 	key := notServingKey{proxy, relay}
 	if serving && l.ListShared {
-		for k := range l.notServingSince { // all that match go, in whatever order
+		for k := range l.notServingSince { // removes all matches, so the order does not matter
 			if k.relay == relay {
 				delete(l.notServingSince, k)
 			}
@@ -142,7 +148,7 @@
 	}
 }
 
-// notifyTell is Told, or Telling where somebody knows better when it is.
+// notifyTell calls OnTell if it is set, and RecordTold otherwise.
 func (l *Ledger) notifyTell(now time.Time, proxy netip.Addr, e Entry) {
 	if l.OnTell != nil {
 		l.OnTell(proxy, e)
@@ -157,23 +163,23 @@
 	}
 }
 
-// NotServingSince tells since when a proxy knows that a relay takes no new work.
+// NotServingSince returns since when a proxy knows that a relay takes no new work.
 func (l *Ledger) NotServingSince(proxy netip.Addr, relay string) (time.Time, bool) {
 	t, ok := l.notServingSince[notServingKey{proxy, relay}]
 	return t, ok
 }
 
-// ForgetProxy drops what was told to a proxy that has ended.
+// ForgetProxy drops the records of a proxy that has ended.
 func (l *Ledger) ForgetProxy(proxy netip.Addr) {
-	for k := range l.notServingSince { // all that match go, in whatever order
+	for k := range l.notServingSince { // removes all matches, so the order does not matter
 		if k.proxy == proxy {
 			delete(l.notServingSince, k)
 		}
 	}
 }
 
-// Service is the worth of the well-served seconds over that of all that were wanted, of the seconds [from, to). Class -1
-// stands for all classes. It is NaN where nothing was wanted.
+// Service returns the worth of the served seconds over the worth of the wanted seconds, in the
+// seconds [from, to). Class -1 stands for all classes. The result is NaN where nothing was wanted.
 func (l *Ledger) Service(class, from, to int) float64 {
 	asked, served := 0.0, 0.0
 	for c := range l.Classes {
@@ -191,13 +197,14 @@
 	return served / asked
 }
 
-// Seconds is how many seconds the run counts.
+// Seconds returns the number of seconds of the run that count.
 func (l *Ledger) Seconds() int { return len(l.wanted[0]) - 1 }
 
-// worstWindowSeconds is the window of which the worst one counts.
+// worstWindowSeconds is the length of the window in WorstWindow.
 const worstWindowSeconds = 10
 
-// WorstWindow is the service in the worst window of 10 s, and the second in which that begins. A shorter run is one window.
+// WorstWindow returns the lowest service of any window of 10 s and the second in which that window
+// begins. A run shorter than 10 s is one window.
 func (l *Ledger) WorstWindow() (service float64, from int) {
 	service = math.Inf(1)
 	for i := 0; i+min(worstWindowSeconds, l.Seconds()) <= l.Seconds(); i++ {
@@ -208,8 +215,9 @@
 	return service, from
 }
 
-// Goal mixes the whole run (35 parts in 100), the worst window (45) and the worst-served class (20), less 3.2 points for
-// each client being moved once and 2.2 for each request crossing sites once.
+// Goal returns the weighted service of the whole run (35%), of the worst window (45%) and of the
+// worst-served class (20%), less 3.2 percentage points for one move per client and 2.2 for one
+// request per request that crosses sites.
 func (l *Ledger) Goal() float64 {
 	worst, _ := l.WorstWindow()
 	class := math.Inf(1)
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// Machine is what a relay computes with: cores that are cold after a start, slow for a while or taken by a neighbour,
-// the load of the connections that it holds and the work that has piled up. It has no clock and does no I/O; each call
-// tells the time, which must not run back.
+// Machine models the computing capacity of a relay: cores that start cold, may be slowed down or
+// partly taken by another program, the load of the established connections, and the backlog of
+// work. It has no clock and does no I/O: each call passes the time, which must not run backwards.
 //
-// Work is counted in seconds of a standard core, load in such seconds a second.
+// Work is measured in seconds of a standard core, load in such seconds per second.
 type Machine struct {
 	cores       int
-	speed       float64 // of a core, where 1 is a standard one
+	speed       float64 // of one core; a standard core has 1
 	messageWork float64 // work of an average message
 	started     time.Time
 	coldFrom    float64
-	warmUp      time.Duration // 0: it is warm
+	warmUp      time.Duration // time from the start to full capacity; 0: warm from the start
 
-	slowdown       float64 // times slower than usual, 1 and above
-	neighbourShare float64 // share of the machine that another program takes
+	slowdown       float64 // divisor of the capacity, at least 1
+	neighbourShare float64 // fraction of the machine that another program takes
 	load           float64
 	backlog        float64
 	updatedAt      time.Time
 
 	overloadMultiple float64
 	overloadTime     time.Duration
-	overloadedSince  time.Time // since when it is asked for too much while it is cold; zero: it is not
+	overloadedSince  time.Time // start of the present cold overload; zero: none
 }
 
-// MachineConfig is what a Machine is made of.
+// MachineConfig describes a Machine.
 type MachineConfig struct {
 	Cores        int
 	Speed        float64
 	MessageWork  float64       // work of an average message, in seconds of a standard core
-	ColdFrom     float64       // part of its capacity with which it starts
-	WarmUp       time.Duration // time after which it has all of it; 0: it is warm from the start
-	FallMultiple float64       // work above this many times the present capacity, while it is cold...
-	FallWithin   time.Duration // ...for this long makes it fall over; 0: it never does
+	ColdFrom     float64       // fraction of its capacity that the machine has when it starts
+	WarmUp       time.Duration // time from the start to full capacity; 0: warm from the start
+	FallMultiple float64       // multiple of the present capacity that overloads it while cold
+	FallWithin   time.Duration // it crashes when overloaded for this long while cold; 0: never
 }
 
 // NewMachine returns a machine that starts now.
@@ -49,7 +49,7 @@
 	}
 }
 
-// WarmFraction is the part of its capacity that the machine has by its age, 0 to 1.
+// WarmFraction returns the fraction of its capacity, 0 to 1, that the machine has by its age.
 func (m *Machine) WarmFraction(now time.Time) float64 {
 	age := now.Sub(m.started)
 	if age >= m.warmUp {
@@ -58,13 +58,13 @@
 	return m.coldFrom + (1-m.coldFrom)*float64(age)/float64(m.warmUp)
 }
 
-// Capacity is the work that it can do in a second, now.
+// Capacity returns the present capacity, in standard cores.
 func (m *Machine) Capacity(now time.Time) float64 {
 	return float64(m.cores) * m.speed * m.WarmFraction(now) / m.slowdown * (1 - m.neighbourShare)
 }
 
-// advance lets the backlog grow or shrink up to now. Capacity changes slowly within a step: its mean is near that in
-// the middle.
+// advance updates the backlog to the present time. It uses the capacity in the middle of the step
+// as the step's mean, since capacity changes slowly within a step.
 func (m *Machine) advance(now time.Time) {
 	d := now.Sub(m.updatedAt).Seconds()
 	if d <= 0 {
@@ -75,40 +75,41 @@
 	m.updatedAt = now
 }
 
-// AddLoad changes the load that connections ask for; below 0 for one that ends.
+// AddLoad adds to the load of the connections; a connection that ends adds a negative load.
 func (m *Machine) AddLoad(now time.Time, load float64) {
 	m.advance(now)
 	m.load = max(m.load+load, 0)
 	if m.load < 1e-9 {
-		m.load = 0 // what floating-point sums leave over must not pass for load
+		m.load = 0 // rounding errors of floating-point sums must not count as load
 	}
 }
 
-// AddWork adds work that is done once: setting a connection up, answering a probe.
+// AddWork adds work that is done once, such as setting up a connection or answering a probe.
 func (m *Machine) AddWork(now time.Time, work float64) {
 	m.advance(now)
 	m.backlog += work
 }
 
-// SetSlowdown makes it so many times slower than usual; 1 is as usual.
+// SetSlowdown makes the machine slower than usual by the given factor; 1 is the usual speed.
 func (m *Machine) SetSlowdown(now time.Time, times float64) {
 	m.advance(now)
 	m.slowdown = max(times, 1)
 }
 
-// SetNeighbourShare has another program take a share of it, 0 to 0.95.
+// SetNeighbourShare sets the fraction of the machine, 0 to 0.95, that another program takes.
 func (m *Machine) SetNeighbourShare(now time.Time, share float64) {
 	m.advance(now)
 	m.neighbourShare = min(max(share, 0), 0.95)
 }
 
-// Utilization is the load asked over what it can do.
+// Utilization returns the load over the present capacity. It exceeds 1 while the machine is
+// overloaded.
 func (m *Machine) Utilization(now time.Time) float64 { return m.load / m.Capacity(now) }
 
-// OfferedLoad is the load asked, in standard cores.
+// OfferedLoad returns the load of the connections, in standard cores.
 func (m *Machine) OfferedLoad() float64 { return m.load }
 
-// BacklogTime is how long the work that has piled up takes.
+// BacklogTime returns the time that the machine needs for its backlog.
 func (m *Machine) BacklogTime(now time.Time) time.Duration {
 	m.advance(now)
 	return seconds(m.backlog / m.Capacity(now))
@@ -116,8 +117,9 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Delay draws how long a message that comes now takes: its own work, the wait for a core that is free (Sakasegawa's
-// approximation for a queue with several servers, drawn from an exponential) and all that has piled up.
+// Delay draws the time until a message that arrives now is answered: the time for the backlog, the
+// message's own work and the wait for a free core. The wait is exponential with a mean by
+// Sakasegawa's approximation for a queue with several servers.
 func (m *Machine) Delay(now time.Time, rng *rand.Rand) time.Duration {
 	behind := m.BacklogTime(now)
 	each := m.messageWork * m.slowdown / m.speed / m.WarmFraction(now)
@@ -127,8 +129,8 @@
 	return behind + seconds(each*(0.5+rng.Float64())+wait*rng.ExpFloat64())
 }
 
-// ColdOverload tells whether it has been asked for so much while it was cold that it falls over. It must be called at least
-// every 100 ms or so to be near the rule.
+// ColdOverload reports whether the machine has been overloaded for so long while it was cold that
+// it crashes. It must be called at least every 100 ms or so to apply the rule accurately.
 func (m *Machine) ColdOverload(now time.Time) bool {
 	m.advance(now)
 	if m.overloadTime <= 0 || m.WarmFraction(now) >= 1 || m.load <= m.overloadMultiple*m.Capacity(now) {
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -15,27 +15,30 @@
 	"ospreyspan/internal/poll"
 )
 
-// RelayConfig is what a relay is made of.
+// RelayConfig describes a relay.
 type RelayConfig struct {
-	ID                string
-	Site              string
-	Kind              string
-	Machine           MachineConfig
-	Classes           []Class
-	Reports           ReportConfig
-	TypicalLoad       float64                                  // load of a usual connection, in standard cores
-	GroupCost         float64                                  // usual loads that it pays for each group
-	MaxConnections    int                                      // connections that it holds; 0: without limit
-	MaxBacklog        time.Duration                            // work that may pile up before it drops connections; 0: without end
-	ErrorFraction     float64                                  // part of the connections that it answers with an error
-	DrainFailsProbes  bool                                     // it answers probes with an error while it drains
-	Seed              uint64                                   // of the clients' loads
-	SiteOf            func(proxy netip.Addr) string            // empty: unknown
-	CostlyConnections func(class string) (part, times float64) // costly connections at present; nil: none
+	ID               string
+	Site             string
+	Kind             string
+	Machine          MachineConfig
+	Classes          []Class
+	Reports          ReportConfig
+	TypicalLoad      float64                       // of a connection, in standard cores
+	GroupCost        float64                       // of each group present, in typical loads
+	MaxConnections   int                           // 0: no limit
+	MaxBacklog       time.Duration                 // connections are dropped above it; 0: no limit
+	ErrorFraction    float64                       // requests that are answered with an error
+	DrainFailsProbes bool                          // draining answers probes with an error
+	Seed             uint64                        // of the connections' own loads
+	SiteOf           func(proxy netip.Addr) string // "" if unknown; nil: none is known
+	// CostlyConnections returns the fraction of a class's connections that are costly at present, and
+	// the multiple of the typical load that these have. nil: none are.
+	CostlyConnections func(class string) (part, times float64)
 }
 
-// Relay is one egress target: it takes connections, answers their lines as late as its machine is busy, and tells of
-// its load when asked. One value is one life of its process.
+// Relay emulates one server: it accepts connections, answers their messages after a delay that
+// depends on its machine's load, and reports its load when probed. One value is one run of its
+// process.
 type Relay struct {
 	config            RelayConfig
 	loop              *poll.Loop
@@ -44,22 +47,23 @@
 	machine           *Machine
 	listener          *poll.Listener
 	sessions          []*relaySession
-	groupConnections  map[string]int // connections of each
+	groupConnections  map[string]int // number of connections of each group
 	connectionCount   int
 	errorFraction     float64
 	draining          bool
-	silent            bool // it reads nothing and says nothing
+	silent            bool // it neither reads nor writes
 	crashed           bool
-	setUpsSinceReport int       // since the last report
-	lastSlowSetUp     time.Time // see Behind
+	setUpsSinceReport int       // connections whose set-up began since the last report
+	lastSlowSetUp     time.Time // see LastSlowSetUp
 	report            string
 	scratch           []byte
 	tickTimer         poll.Timer
 	reportTimer       poll.Timer
-	OnCrash           func() // called when it falls over
+	OnCrash           func() // called when the relay crashes; may be nil
 }
 
-// overloadCheckInterval is how often a relay looks whether too much is piled up.
+// overloadCheckInterval is the time between two checks for overload and for a backlog above the
+// limit.
 const overloadCheckInterval = 50 * time.Millisecond
 
 // NewRelay starts a relay at an address.
@@ -80,23 +84,26 @@
 	return r, nil
 }
 
-// Machine is what it computes with.
+// Machine returns the model of the relay's machine.
 func (r *Relay) Machine() *Machine { return r.machine }
 
-// LastSlowSetUp is when it last kept a client waiting for a third of the time within which the class wants to be set up: who has a first
-// attempt in that time is right to call it slow. Zero: never.
+// LastSlowSetUp returns the time of the last request that arrived while the backlog took longer
+// than a third of the class's SetUpTarget, or zero if there was none. A proxy that allows a first
+// attempt that third is right to judge the relay slow.
 func (r *Relay) LastSlowSetUp() time.Time { return r.lastSlowSetUp }
 
-// ConnectionCount is how many connections it holds.
+// ConnectionCount returns the number of established connections.
 func (r *Relay) ConnectionCount() int { return r.connectionCount }
 
-// Drain has it take nothing new.
+// Drain makes the relay answer new requests with BUSY.
 func (r *Relay) Drain() { r.draining = true }
 
-// SetErrorFraction has it answer a part of the requests with an error at once, 0 to 1, while all else about it looks well.
+// SetErrorFraction sets the fraction of the requests, 0 to 1, that the relay answers with an error
+// at once. Nothing else about the relay shows that it fails.
 func (r *Relay) SetErrorFraction(part float64) { r.errorFraction = part }
 
-// SetSilent has it read and say nothing any more, or go on. It plays a machine that vanished where none can be made to.
+// SetSilent makes the relay stop reading and writing, or resume. It stands for a machine that
+// vanished, where the network cannot emulate that.
 func (r *Relay) SetSilent(on bool) {
 	r.silent = on
 	for _, s := range r.sessions {
@@ -104,7 +111,7 @@
 	}
 }
 
-// Stop ends it: its connections are reset.
+// Stop closes the listener and resets all connections.
 func (r *Relay) Stop() {
 	r.listener.Close()
 	r.loop.Disarm(&r.tickTimer)
@@ -121,7 +128,7 @@
 	now := r.loop.Now()
 	if r.machine.ColdOverload(now) && !r.crashed {
 		r.crashed = true
-		r.ledger.reportViolation("cold-relay-pushed-over", "relay %s: asked for %.2f cores at %.2f of its capacity of %.2f",
+		r.ledger.reportViolation("cold-relay-pushed-over", "cold relay %s overloaded: load of %.2f cores at a warm fraction of %.2f and a capacity of %.2f cores",
 			r.config.ID, r.machine.OfferedLoad(), r.machine.WarmFraction(now), r.machine.Capacity(now))
 		if r.OnCrash != nil {
 			r.OnCrash()
@@ -133,7 +140,7 @@
 	}
 }
 
-// dropHeaviest cuts off the connection that costs most: too much is piled up.
+// dropHeaviest resets the established connection with the highest load.
 func (r *Relay) dropHeaviest() {
 	var worst *relaySession
 	for _, s := range r.sessions {
@@ -147,7 +154,7 @@
 	}
 }
 
-// publishReport makes a report, which can be read a little later.
+// publishReport takes a report, which can be read after the report delay.
 func (r *Relay) publishReport() {
 	text := r.formatReport()
 	r.setUpsSinceReport = 0
@@ -187,18 +194,18 @@
 	relay            *Relay
 	sock             *poll.Socket
 	index            int
-	partialLine      []byte // a line that has not ended, and what waits to be written
-	output           []byte
+	partialLine      []byte // received start of a line that is not complete
+	output           []byte // waits to be written
 	open             line.Open
 	class            int
-	requested        bool // its first line is there
+	requested        bool // its OPEN line was received
 	up               bool
-	closed           bool    // it was forgotten
-	baseLoad         float64 // its own mean load
+	closed           bool    // it was removed from the relay
+	baseLoad         float64 // mean load of this connection
 	load             float64
-	nextLoadChange   time.Time   // of its load
-	refuseAtDeadline bool        // it can't be set up in time: refused at the end of that
-	answerTimes      []time.Time // when its lines are to be answered
+	nextLoadChange   time.Time   // time of the load's next change
+	refuseAtDeadline bool        // it cannot be set up by the client's deadline and gets BUSY then
+	answerTimes      []time.Time // when its pending messages are to be answered, in order
 	timer            poll.Timer
 }
 
@@ -227,7 +234,7 @@
 	case errors.Is(err, poll.ErrAgain):
 		return
 	case errors.Is(err, io.EOF) && s.up:
-		_ = s.write("BYE\r\n") // a far end that is gone hears nothing
+		_ = s.write("BYE\r\n") // the connection is closed whether the client gets BYE or not
 		s.close()
 		return
 	case err != nil:
@@ -272,13 +279,13 @@
 	}
 }
 
-// handleOpen takes the line that asks for a connection.
+// handleOpen handles the line that asks for a connection.
 func (s *relaySession) handleOpen(text []byte) {
 	r := s.relay
 	now := r.loop.Now()
 	o, err := line.ParseOpen(text)
 	if err != nil {
-		r.ledger.reportViolation("syntax", "relay %s got %q as a first line", r.config.ID, text)
+		r.ledger.reportViolation("syntax", "relay %s received %q, want a valid OPEN line", r.config.ID, text)
 		s.refuse("SYNTAX\r\n")
 		return
 	}
@@ -307,7 +314,7 @@
 			r.ledger.Counts.FaultErrors++
 		}
 		s.refuse("ERR\r\n")
-	case ready.After(until): // it is behind by more than the client waits
+	case ready.After(until): // the backlog takes longer than the client waits
 		s.refuseAtDeadline = true
 		r.loop.Arm(&s.timer, until)
 	default:
@@ -317,7 +324,8 @@
 	}
 }
 
-// onTimer is called by the timer: the connection is set up or given up, a line's answer is onTimer, or the load changes.
+// onTimer sets the connection up or refuses it, or, once it is established, sends the answers that
+// are due and changes its load.
 func (s *relaySession) onTimer() {
 	r := s.relay
 	if s.closed || r.silent {
@@ -360,7 +368,8 @@
 	r := s.relay
 	now := r.loop.Now()
 	c := &r.config.Classes[s.class]
-	// A client's load is its own, wherever it goes: two runs with one seed compare the same loads.
+	// A client's load depends only on the seed and its key, not on the relay: two runs with the
+	// same seed compare the same loads.
 	own := rand.New(rand.NewPCG(r.config.Seed, xxhash.Sum64String(s.open.Key)))
 	s.baseLoad = r.config.TypicalLoad * c.LoadFactor * math.Exp(c.LoadSigma*own.NormFloat64()-c.LoadSigma*c.LoadSigma/2)
 	if r.config.CostlyConnections != nil {
@@ -385,7 +394,7 @@
 	s.reportLoad()
 }
 
-// changeLoad changes the connection's load.
+// changeLoad draws the connection's load anew and reports it.
 func (s *relaySession) changeLoad() {
 	r := s.relay
 	now := r.loop.Now()
@@ -397,7 +406,7 @@
 	s.reportLoad()
 }
 
-// reportLoad reports the connection's load, in microseconds of work a second.
+// reportLoad reports the connection's load, in microseconds of work per second.
 func (s *relaySession) reportLoad() {
 	if s.write(fmt.Sprintf("LOAD %.0f\r\n", s.load*1e6)) != nil {
 		s.close()
@@ -432,7 +441,7 @@
 	}
 }
 
-// remove gives back what the session holds of its relay.
+// remove takes the session off the relay's list and releases its load.
 func (s *relaySession) remove() {
 	if s.closed {
 		return
--- a/internal/fleet/rude.go
+++ b/internal/fleet/rude.go
@@ -10,21 +10,23 @@
 	"ospreyspan/internal/poll"
 )
 
-// BadClients is a source of clients that break the protocol: they say nothing, or nonsense, or too much, or leave at once.
+// BadClients creates clients that break the protocol: they send nothing, malformed lines or too
+// much, or disconnect at once.
 type BadClients struct {
 	loop        *poll.Loop
 	rng         *rand.Rand
 	proxies     []netip.AddrPort
-	rate        float64 // connections a second
+	rate        float64 // connections per second
 	timer       poll.Timer
 	clients     []*badClient
 	connections int
 }
 
-// maxBadClients is how many of its connections are open at a time; the oldest makes room.
+// maxBadClients bounds the number of open connections; the oldest is closed to make room.
 const maxBadClients = 2000
 
-// NewBadClients starts bad clients that come to these proxies at that rate.
+// NewBadClients starts bad clients that connect to random ones of the given proxies at a rate per
+// second.
 func NewBadClients(loop *poll.Loop, to []netip.AddrPort, rate float64, rng *rand.Rand) *BadClients {
 	r := &BadClients{loop: loop, rng: rng, proxies: to, rate: rate}
 	r.timer.Fire = r.connect
@@ -32,10 +34,10 @@
 	return r
 }
 
-// Connections tells how many there were.
+// Connections returns the number of connections that were started.
 func (r *BadClients) Connections() int { return r.connections }
 
-// Stop ends them.
+// Stop ends the arrivals and closes all connections.
 func (r *BadClients) Stop() {
 	r.loop.Disarm(&r.timer)
 	for len(r.clients) > 0 {
@@ -58,7 +60,8 @@
 	r.clients = append(r.clients, c)
 }
 
-// malformedLines are what they say. Ids of their own would need no format: none of these is to reach a relay.
+// malformedLines are the inputs that bad clients send. Their connection ids need not differ, since
+// none of these lines may reach a relay.
 var malformedLines = [][]byte{
 	[]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
 	[]byte("OPEN\r\n"),
@@ -74,7 +77,8 @@
 	fmt.Appendf(nil, "OPEN rude k c=readings,d=%d\r\n", 1<<60),
 }
 
-// badClient is one of them. Those beyond rudeLines say nothing, or leave at once.
+// badClient is one of the BadClients. With a kind beyond malformedLines it sends nothing or
+// disconnects at once.
 type badClient struct {
 	source    *BadClients
 	kind      int
--- a/internal/fleet/text.go
+++ b/internal/fleet/text.go
@@ -9,22 +9,23 @@
 	"ospreyspan/internal/inifile"
 )
 
-// A Range is written 0.2..0.4, Spans 1s..2s; where both ends are the same, one figure will do.
+// A Range is written as 0.2..0.4 and a DurationRange as 1s..2s. A single value stands for both
+// bounds.
 
-// UnmarshalText reads a Range.
+// UnmarshalText parses a Range.
 func (r *Range) UnmarshalText(text []byte) error {
 	return parseEnds(string(text), inifile.Number, &r.From, &r.To)
 }
 
-// Bounds are the range's ends.
+// Bounds returns the bounds of the range.
 func (r *Range) Bounds() (least, most float64) { return r.From, r.To }
 
-// UnmarshalText reads Spans.
+// UnmarshalText parses a DurationRange.
 func (s *DurationRange) UnmarshalText(text []byte) error {
 	return parseEnds(string(text), inifile.Duration, &s.From, &s.To)
 }
 
-// Bounds are the ends in seconds.
+// Bounds returns the bounds in seconds.
 func (s *DurationRange) Bounds() (least, most float64) { return s.From.Seconds(), s.To.Seconds() }
 
 func parseEnds[T float64 | time.Duration](text string, read func(string) (T, error), from, to *T) error {
@@ -45,12 +46,12 @@
 	return nil
 }
 
-// MarshalText writes a Range as UnmarshalText reads it.
+// MarshalText formats a Range in the form that UnmarshalText parses.
 func (r Range) MarshalText() ([]byte, error) {
 	return fmt.Appendf(nil, "%s..%s", strconv.FormatFloat(r.From, 'g', -1, 64), strconv.FormatFloat(r.To, 'g', -1, 64)), nil
 }
 
-// MarshalText writes Spans as UnmarshalText reads them.
+// MarshalText formats a DurationRange in the form that UnmarshalText parses.
 func (s DurationRange) MarshalText() ([]byte, error) {
 	return fmt.Appendf(nil, "%v..%v", s.From, s.To), nil
 }
