--- a/internal/fleet/rude.go
+++ b/internal/fleet/bad_clients.go
@@ -27,37 +27,37 @@
 
 // NewBadClients starts bad clients that connect to random ones of the given proxies at a rate per
 // second.
-func NewBadClients(loop *poll.Loop, to []netip.AddrPort, rate float64, rng *rand.Rand) *BadClients {
-	r := &BadClients{loop: loop, rng: rng, proxies: to, rate: rate}
-	r.timer.Fire = r.connect
-	loop.After(&r.timer, 0)
-	return r
+func NewBadClients(loop *poll.Loop, proxies []netip.AddrPort, rate float64, rng *rand.Rand) *BadClients {
+	b := &BadClients{loop: loop, rng: rng, proxies: proxies, rate: rate}
+	b.timer.Fire = b.connect
+	loop.After(&b.timer, 0)
+	return b
 }
 
 // Connections returns the number of connections that were started.
-func (r *BadClients) Connections() int { return r.connections }
+func (b *BadClients) Connections() int { return b.connections }
 
 // Stop ends the arrivals and closes all connections.
-func (r *BadClients) Stop() {
-	r.loop.Disarm(&r.timer)
-	for len(r.clients) > 0 {
-		r.clients[0].close()
+func (b *BadClients) Stop() {
+	b.loop.Disarm(&b.timer)
+	for len(b.clients) > 0 {
+		b.clients[0].close()
 	}
 }
 
-func (r *BadClients) connect() {
-	r.loop.After(&r.timer, min(seconds(r.rng.ExpFloat64()/r.rate), time.Second))
-	if len(r.clients) >= maxBadClients {
-		r.clients[0].close()
+func (b *BadClients) connect() {
+	b.loop.After(&b.timer, min(seconds(b.rng.ExpFloat64()/b.rate), time.Second))
+	if len(b.clients) >= maxBadClients {
+		b.clients[0].close()
 	}
-	c := &badClient{source: r, kind: r.rng.IntN(len(malformedLines) + 2)}
-	sock, err := r.loop.Dial(r.proxies[r.rng.IntN(len(r.proxies))], c)
+	c := &badClient{source: b, kind: b.rng.IntN(len(malformedLines) + 2)}
+	sock, err := b.loop.Dial(b.proxies[b.rng.IntN(len(b.proxies))], c)
 	if err != nil {
 		return
 	}
-	r.connections++
+	b.connections++
 	c.sock = sock
-	r.clients = append(r.clients, c)
+	b.clients = append(b.clients, c)
 }
 
 // malformedLines are the inputs that bad clients send. Their connection ids need not differ, since
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -80,9 +80,9 @@
 	}
 	g.arrivals++
 	t := g.config.Traffic
-	x, class := g.rng.Float64(), 0
-	for ; class < len(g.config.Classes)-1 && x >= g.config.Classes[class].Share; class++ {
-		x -= g.config.Classes[class].Share
+	share, class := g.rng.Float64(), 0
+	for ; class < len(g.config.Classes)-1 && share >= g.config.Classes[class].Share; class++ {
+		share -= g.config.Classes[class].Share
 	}
 	group := sort.SearchFloat64s(g.cumulativeGroupShares, g.rng.Float64()*g.cumulativeGroupShares[len(g.cumulativeGroupShares)-1])
 	c := &client{
@@ -109,7 +109,7 @@
 
 // SetEarlyLeaveFraction sets the fraction of requests, 0 to 1, that a client abandons shortly after
 // sending them, before their answer. Such a client retries like one that got no answer.
-func (g *LoadGenerator) SetEarlyLeaveFraction(part float64) { g.earlyLeaveFraction = part }
+func (g *LoadGenerator) SetEarlyLeaveFraction(fraction float64) { g.earlyLeaveFraction = fraction }
 
 // maxEarlyLeaveDelay is the longest time for which a client that abandons its request waits.
 const maxEarlyLeaveDelay = 400 * time.Millisecond
@@ -175,19 +175,19 @@
 
 func (c *client) connect() {
 	g := c.generator
-	at, ok := g.front.Pick()
+	proxy, ok := g.front.Pick()
 	if !ok {
 		g.ledger.Counts.ConnectFailures++
 		c.retry(0)
 		return
 	}
-	sock, err := g.loop.Dial(at, c)
+	sock, err := g.loop.Dial(proxy, c)
 	if err != nil {
 		g.ledger.Counts.ConnectFailures++
 		c.retry(0)
 		return
 	}
-	c.sock, c.proxy, c.state = sock, at, clientDialing
+	c.sock, c.proxy, c.state = sock, proxy, clientDialing
 	g.loop.After(&c.timer, dialTimeout)
 }
 
@@ -206,14 +206,14 @@
 	c.closeSocket()
 	c.state = clientWaiting
 	t := c.generator.config.Traffic
-	quick := t.QuickRetries + 1
+	attemptsPerRound := t.QuickRetries + 1
 	c.failures++
 	var wait time.Duration
-	if c.failures%quick != 0 {
+	if c.failures%attemptsPerRound != 0 {
 		first := t.Backoff.From + time.Duration(float64(t.Backoff.To-t.Backoff.From)*c.random())
-		wait = first << min(c.failures%quick-1, 8)
+		wait = first << min(c.failures%attemptsPerRound-1, 8)
 	} else { // all quick retries failed: wait longer with each such round, up to the fourth
-		wait = time.Duration(float64(time.Second) * (1 + c.random()) * float64(min(c.failures/quick, 4)))
+		wait = time.Duration(float64(time.Second) * (1 + c.random()) * float64(min(c.failures/attemptsPerRound, 4)))
 	}
 	if c.honoursAdvice {
 		wait = max(wait, advice)
@@ -372,16 +372,16 @@
 		c.handleClosed()
 		return
 	}
-	whole, rest, err := line.SplitComplete(g.scratch[:held+n])
+	lines, rest, err := line.SplitComplete(g.scratch[:held+n])
 	if err != nil {
 		g.ledger.reportViolation("line-too-long", "client %s received a line longer than the limit", c.key)
 		c.handleClosed()
 		return
 	}
 	c.partialLine = append(c.partialLine[:0], rest...)
-	for len(whole) > 0 && c.sock != nil {
+	for len(lines) > 0 && c.sock != nil {
 		var first []byte
-		first, whole = line.Next(whole)
+		first, lines = line.Next(lines)
 		c.handleLine(line.TrimLineEnd(first))
 	}
 }
@@ -398,10 +398,10 @@
 	if c.reconnecting {
 		again = ",again=1"
 	}
-	first := fmt.Appendf(nil, "OPEN %s.%d %s c=%s,d=%d,g=%s%s\r\n",
+	openLine := fmt.Appendf(nil, "OPEN %s.%d %s c=%s,d=%d,g=%s%s\r\n",
 		c.key, c.attempts, c.key, class.Name, class.AttemptTimeout.Milliseconds(), c.group, again)
-	n, err := c.sock.Write(first)
-	if err != nil || n < len(first) {
+	n, err := c.sock.Write(openLine)
+	if err != nil || n < len(openLine) {
 		g.ledger.Counts.ConnectFailures++
 		c.retry(0)
 		return
@@ -442,11 +442,11 @@
 		if len(c.sentTimes) == 0 {
 			return
 		}
-		took := now.Sub(c.sentTimes[0])
+		latency := now.Sub(c.sentTimes[0])
 		last := len(c.sentTimes) == 1
 		c.sentTimes = c.sentTimes[1:]
-		g.ledger.Message[c.class].add(took)
-		if last && took <= g.config.Classes[c.class].MessageTarget {
+		g.ledger.Message[c.class].add(latency)
+		if last && latency <= g.config.Classes[c.class].MessageTarget {
 			c.answeredInTime = true
 		}
 	case bytes.Equal(text, []byte("MOVE")):
--- a/internal/fleet/front.go
+++ b/internal/fleet/front.go
@@ -44,15 +44,16 @@
 	return &FrontBalancer{config: c, loop: loop, rng: rng}
 }
 
-// Add starts the checks of a proxy; home tells whether it is in the balancer's own site.
-func (f *FrontBalancer) Add(addr netip.AddrPort, home bool) {
-	s := &proxyState{front: f, addr: addr, sameSite: home}
+// Add starts the checks of a proxy; sameSite tells whether it is in the balancer's own site.
+func (f *FrontBalancer) Add(addr netip.AddrPort, sameSite bool) {
+	s := &proxyState{front: f, addr: addr, sameSite: sameSite}
 	s.timer.Fire = s.check
 	f.proxies = append(f.proxies, s)
 	f.loop.After(&s.timer, 0)
 }
 
-// Withdraw stops assigning clients to a proxy that was told to stop, until AllowReadmission.
+// Withdraw stops assigning clients to a proxy that was told to stop. It is admitted again only after
+// AllowReadmission and a check that it answers.
 func (f *FrontBalancer) Withdraw(addr netip.AddrPort) {
 	for _, s := range f.proxies {
 		if s.addr == addr {
@@ -72,10 +73,10 @@
 
 // Pick returns a proxy for a client; ok is false if none is admitted.
 func (f *FrontBalancer) Pick() (at netip.AddrPort, ok bool) {
-	for _, home := range []bool{true, false} {
+	for _, sameSite := range []bool{true, false} {
 		n := 0
 		for _, s := range f.proxies { // reservoir sampling: each matching proxy is equally likely
-			if s.admitted && s.sameSite == home {
+			if s.admitted && s.sameSite == sameSite {
 				if n++; f.rng.IntN(n) == 0 {
 					at = s.addr
 				}
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/ledger.go
@@ -48,7 +48,7 @@
 	ConnectFailures int `json:"unmade"`     // connections that failed before the OPEN line was sent
 	Moved           int `json:"moved"`
 	Cut             int `json:"cut"`      // established connections that ended without a MOVE
-	Crossing        int `json:"crossing"` // requests that reached a relay from a proxy of another site
+	Crossing        int `json:"crossing"` // requests from a proxy of another site
 	Probes          int `json:"probes"`
 	FaultErrors     int `json:"failing"` // requests that failing relays answered with an error
 }
@@ -71,9 +71,9 @@
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), time.Minute.Microseconds()))
 }
 
-// Quantile returns the duration that the given part, 0 to 1, of the values does not exceed.
-func (h Histogram) Quantile(part float64) time.Duration {
-	return time.Duration(h.ValueAtQuantile(100*part)) * time.Microsecond
+// Quantile returns the duration that the given part of the values, 0 to 1, does not exceed.
+func (h Histogram) Quantile(quantile float64) time.Duration {
+	return time.Duration(h.ValueAtQuantile(100*quantile)) * time.Microsecond
 }
 
 // NewLedger returns a ledger for a run that begins at the given time and counts for the given
@@ -99,7 +99,7 @@
 func (l *Ledger) End() time.Time { return l.end }
 
 // addSeconds adds the time between from and until to the buckets of one second that it falls in.
-func (l *Ledger) addSeconds(to []float64, from, until time.Time) {
+func (l *Ledger) addSeconds(buckets []float64, from, until time.Time) {
 	if from.Before(l.begin) {
 		from = l.begin
 	}
@@ -112,7 +112,7 @@
 		if next.After(until) {
 			next = until
 		}
-		to[i] += next.Sub(from).Seconds()
+		buckets[i] += next.Sub(from).Seconds()
 		from = next
 	}
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -66,12 +66,12 @@
 // advance updates the backlog to the present time. It uses the capacity in the middle of the step
 // as the step's mean, since capacity changes slowly within a step.
 func (m *Machine) advance(now time.Time) {
-	d := now.Sub(m.updatedAt).Seconds()
-	if d <= 0 {
+	elapsed := now.Sub(m.updatedAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	mid := m.updatedAt.Add(now.Sub(m.updatedAt) / 2)
-	m.backlog = max(m.backlog+(m.load-m.Capacity(mid))*d, 0)
+	middle := m.updatedAt.Add(now.Sub(m.updatedAt) / 2)
+	m.backlog = max(m.backlog+(m.load-m.Capacity(middle))*elapsed, 0)
 	m.updatedAt = now
 }
 
@@ -91,9 +91,9 @@
 }
 
 // SetSlowdown makes the machine slower than usual by the given factor; 1 is the usual speed.
-func (m *Machine) SetSlowdown(now time.Time, times float64) {
+func (m *Machine) SetSlowdown(now time.Time, factor float64) {
 	m.advance(now)
-	m.slowdown = max(times, 1)
+	m.slowdown = max(factor, 1)
 }
 
 // SetNeighbourShare sets the fraction of the machine, 0 to 0.95, that another program takes.
@@ -121,12 +121,12 @@
 // message's own work and the wait for a free core. The wait is exponential with a mean by
 // Sakasegawa's approximation for a queue with several servers.
 func (m *Machine) Delay(now time.Time, rng *rand.Rand) time.Duration {
-	behind := m.BacklogTime(now)
-	each := m.messageWork * m.slowdown / m.speed / m.WarmFraction(now)
-	busy := min(m.Utilization(now), 0.995)
-	c := float64(m.cores)
-	wait := math.Pow(busy, math.Sqrt(2*(c+1))) / (c * (1 - busy)) * each
-	return behind + seconds(each*(0.5+rng.Float64())+wait*rng.ExpFloat64())
+	backlogTime := m.BacklogTime(now)
+	messageTime := m.messageWork * m.slowdown / m.speed / m.WarmFraction(now)
+	utilization := min(m.Utilization(now), 0.995)
+	cores := float64(m.cores)
+	wait := math.Pow(utilization, math.Sqrt(2*(cores+1))) / (cores * (1 - utilization)) * messageTime
+	return backlogTime + seconds(messageTime*(0.5+rng.Float64())+wait*rng.ExpFloat64())
 }
 
 // ColdOverload reports whether the machine has been overloaded for so long while it was cold that
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -21,7 +21,8 @@
 	if !approxEqual(m.Utilization(start), 4.0/3) {
 		t.Errorf("utilization %v, want 4/3", m.Utilization(start))
 	}
-	if got := m.BacklogTime(after(3 * time.Second)); got != time.Second { // 3 s with an excess of 1, at 3
+	// An excess of 1 over 3 s is 3 s of work, which takes 1 s at a capacity of 3.
+	if got := m.BacklogTime(after(3 * time.Second)); got != time.Second {
 		t.Errorf("backlog time after 3 s: %v, want 1s", got)
 	}
 	m.AddLoad(after(3*time.Second), -2)
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -31,9 +31,9 @@
 	DrainFailsProbes bool                          // draining answers probes with an error
 	Seed             uint64                        // of the connections' own loads
 	SiteOf           func(proxy netip.Addr) string // "" if unknown; nil: none is known
-	// CostlyConnections returns the fraction of a class's connections that are costly at present, and
-	// the multiple of the typical load that these have. nil: none are.
-	CostlyConnections func(class string) (part, times float64)
+	// CostlyConnections returns the fraction of a class's connections that are costly at present,
+	// and the multiple of their usual load that these have. nil: none are.
+	CostlyConnections func(class string) (fraction, factor float64)
 }
 
 // Relay emulates one server: it accepts connections, answers their messages after a delay that
@@ -100,7 +100,7 @@
 
 // SetErrorFraction sets the fraction of the requests, 0 to 1, that the relay answers with an error
 // at once. Nothing else about the relay shows that it fails.
-func (r *Relay) SetErrorFraction(part float64) { r.errorFraction = part }
+func (r *Relay) SetErrorFraction(fraction float64) { r.errorFraction = fraction }
 
 // SetSilent makes the relay stop reading and writing, or resume. It stands for a machine that
 // vanished, where the network cannot emulate that.
@@ -142,15 +142,15 @@
 
 // dropHeaviest resets the established connection with the highest load.
 func (r *Relay) dropHeaviest() {
-	var worst *relaySession
+	var heaviest *relaySession
 	for _, s := range r.sessions {
-		if s.up && (worst == nil || s.load > worst.load) {
-			worst = s
+		if s.established && (heaviest == nil || s.load > heaviest.load) {
+			heaviest = s
 		}
 	}
-	if worst != nil {
-		worst.sock.Reset()
-		worst.remove()
+	if heaviest != nil {
+		heaviest.sock.Reset()
+		heaviest.remove()
 	}
 }
 
@@ -196,10 +196,10 @@
 	index            int
 	partialLine      []byte // received start of a line that is not complete
 	output           []byte // waits to be written
-	open             line.Open
+	request          line.Open
 	class            int
 	requested        bool // its OPEN line was received
-	up               bool
+	established      bool
 	closed           bool    // it was removed from the relay
 	baseLoad         float64 // mean load of this connection
 	load             float64
@@ -233,7 +233,7 @@
 	switch {
 	case errors.Is(err, poll.ErrAgain):
 		return
-	case errors.Is(err, io.EOF) && s.up:
+	case errors.Is(err, io.EOF) && s.established:
 		_ = s.write("BYE\r\n") // the connection is closed whether the client gets BYE or not
 		s.close()
 		return
@@ -241,15 +241,15 @@
 		s.close()
 		return
 	}
-	whole, rest, err := line.SplitComplete(scratch[:held+n])
+	lines, rest, err := line.SplitComplete(scratch[:held+n])
 	if err != nil {
 		s.close()
 		return
 	}
 	s.partialLine = append(s.partialLine[:0], rest...)
-	for len(whole) > 0 && !s.closed {
+	for len(lines) > 0 && !s.closed {
 		var first []byte
-		first, whole = line.Next(whole)
+		first, lines = line.Next(lines)
 		s.handleLine(line.TrimLineEnd(first))
 	}
 }
@@ -258,7 +258,7 @@
 	r := s.relay
 	now := r.loop.Now()
 	switch {
-	case s.up:
+	case s.established:
 		s.answerTimes = append(s.answerTimes, now.Add(r.machine.Delay(now, r.rng)))
 		s.armTimer()
 	case s.requested:
@@ -283,20 +283,20 @@
 func (s *relaySession) handleOpen(text []byte) {
 	r := s.relay
 	now := r.loop.Now()
-	o, err := line.ParseOpen(text)
+	request, err := line.ParseOpen(text)
 	if err != nil {
 		r.ledger.reportViolation("syntax", "relay %s received %q, want a valid OPEN line", r.config.ID, text)
 		s.refuse("SYNTAX\r\n")
 		return
 	}
-	s.requested, s.open, s.class = true, o, 0
+	s.requested, s.request, s.class = true, request, 0
 	if r.config.SiteOf != nil {
-		if from := r.config.SiteOf(s.sock.RemoteAddr().Addr()); from != "" && from != r.config.Site {
+		if proxySite := r.config.SiteOf(s.sock.RemoteAddr().Addr()); proxySite != "" && proxySite != r.config.Site {
 			r.ledger.Counts.Crossing++
 		}
 	}
 	for i := range r.config.Classes {
-		if r.config.Classes[i].Name == o.Class {
+		if r.config.Classes[i].Name == request.Class {
 			s.class = i
 		}
 	}
@@ -305,7 +305,7 @@
 	if r.machine.BacklogTime(now) > c.SetUpTarget/3 {
 		r.lastSlowSetUp = now
 	}
-	until := now.Add(o.Wait)
+	deadline := now.Add(request.Wait)
 	switch ready := now.Add(r.machine.BacklogTime(now) + seconds(work/r.machine.speed*r.machine.slowdown)); {
 	case r.draining || r.config.MaxConnections > 0 && r.connectionCount >= r.config.MaxConnections:
 		s.refuse("BUSY\r\n")
@@ -314,9 +314,9 @@
 			r.ledger.Counts.FaultErrors++
 		}
 		s.refuse("ERR\r\n")
-	case ready.After(until): // the backlog takes longer than the client waits
+	case ready.After(deadline): // the backlog takes longer than the client waits
 		s.refuseAtDeadline = true
-		r.loop.Arm(&s.timer, until)
+		r.loop.Arm(&s.timer, deadline)
 	default:
 		r.machine.AddWork(now, work)
 		r.setUpsSinceReport++
@@ -335,7 +335,7 @@
 	switch {
 	case s.refuseAtDeadline:
 		s.refuse("BUSY\r\n")
-	case !s.up:
+	case !s.established:
 		s.establish()
 	default:
 		if !s.nextLoadChange.After(now) {
@@ -351,7 +351,7 @@
 			s.answerTimes = nil
 		}
 	}
-	if !s.closed && s.up {
+	if !s.closed && s.established {
 		s.armTimer()
 	}
 }
@@ -370,24 +370,24 @@
 	c := &r.config.Classes[s.class]
 	// A client's load depends only on the seed and its key, not on the relay: two runs with the
 	// same seed compare the same loads.
-	own := rand.New(rand.NewPCG(r.config.Seed, xxhash.Sum64String(s.open.Key)))
-	s.baseLoad = r.config.TypicalLoad * c.LoadFactor * math.Exp(c.LoadSigma*own.NormFloat64()-c.LoadSigma*c.LoadSigma/2)
+	clientRand := rand.New(rand.NewPCG(r.config.Seed, xxhash.Sum64String(s.request.Key)))
+	s.baseLoad = r.config.TypicalLoad * c.LoadFactor * math.Exp(c.LoadSigma*clientRand.NormFloat64()-c.LoadSigma*c.LoadSigma/2)
 	if r.config.CostlyConnections != nil {
-		if part, times := r.config.CostlyConnections(c.Name); part > 0 && own.Float64() < part {
-			s.baseLoad *= times
+		if fraction, factor := r.config.CostlyConnections(c.Name); fraction > 0 && clientRand.Float64() < fraction {
+			s.baseLoad *= factor
 		}
 	}
 	s.load = s.baseLoad
 	r.machine.AddLoad(now, s.load)
-	s.up = true
+	s.established = true
 	r.connectionCount++
-	if g := s.open.Group; g != "" {
+	if g := s.request.Group; g != "" {
 		if r.groupConnections[g]++; r.groupConnections[g] == 1 {
 			r.machine.AddLoad(now, r.config.GroupCost*r.config.TypicalLoad)
 		}
 	}
 	s.nextLoadChange = now.Add(c.ChangeInterval.Draw(r.rng))
-	if s.write("UP "+s.open.ID+"\r\n") != nil {
+	if s.write("UP "+s.request.ID+"\r\n") != nil {
 		s.close()
 		return
 	}
@@ -450,10 +450,10 @@
 	r := s.relay
 	now := r.loop.Now()
 	r.loop.Disarm(&s.timer)
-	if s.up {
+	if s.established {
 		r.connectionCount--
 		r.machine.AddLoad(now, -s.load)
-		if g := s.open.Group; g != "" {
+		if g := s.request.Group; g != "" {
 			if r.groupConnections[g]--; r.groupConnections[g] == 0 {
 				delete(r.groupConnections, g)
 				r.machine.AddLoad(now, -r.config.GroupCost*r.config.TypicalLoad)
