--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -21,8 +21,8 @@
 type DurationRange struct{ From, To time.Duration }
 
 // Draw returns a duration drawn uniformly between From and To.
-func (s DurationRange) Draw(rng *rand.Rand) time.Duration {
-	return s.From + time.Duration(float64(s.To-s.From)*rng.Float64())
+func (r DurationRange) Draw(rng *rand.Rand) time.Duration {
+	return r.From + time.Duration(float64(r.To-r.From)*rng.Float64())
 }
 
 // Class describes a class of connections.
--- a/internal/fleet/front.go
+++ b/internal/fleet/front.go
@@ -52,8 +52,8 @@
 	f.loop.After(&s.timer, 0)
 }
 
-// Withdraw stops assigning clients to a proxy that was told to stop. It is admitted again only after
-// AllowReadmission and a check that it answers.
+// Withdraw stops assigning clients to a proxy that was told to stop. It is admitted again only
+// after AllowReadmission and a check that it answers.
 func (f *FrontBalancer) Withdraw(addr netip.AddrPort) {
 	for _, s := range f.proxies {
 		if s.addr == addr {
@@ -72,21 +72,21 @@
 }
 
 // Pick returns a proxy for a client; ok is false if none is admitted.
-func (f *FrontBalancer) Pick() (at netip.AddrPort, ok bool) {
+func (f *FrontBalancer) Pick() (proxy netip.AddrPort, ok bool) {
 	for _, sameSite := range []bool{true, false} {
 		n := 0
 		for _, s := range f.proxies { // reservoir sampling: each matching proxy is equally likely
 			if s.admitted && s.sameSite == sameSite {
 				if n++; f.rng.IntN(n) == 0 {
-					at = s.addr
+					proxy = s.addr
 				}
 			}
 		}
 		if n > 0 {
-			return at, true
+			return proxy, true
 		}
 	}
-	return at, false
+	return proxy, false
 }
 
 // Admitted returns the number of proxies that get clients.
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -57,7 +57,7 @@
 	lastSlowSetUp     time.Time // see LastSlowSetUp
 	report            string
 	scratch           []byte
-	tickTimer         poll.Timer
+	overloadTimer     poll.Timer
 	reportTimer       poll.Timer
 	OnCrash           func() // called when the relay crashes; may be nil
 }
@@ -72,14 +72,14 @@
 		config: c, loop: loop, rng: rng, ledger: ledger, machine: NewMachine(loop.Now(), c.Machine),
 		groupConnections: make(map[string]int), scratch: make([]byte, 16<<10),
 	}
-	r.tickTimer.Fire = r.checkOverload
+	r.overloadTimer.Fire = r.checkOverload
 	r.reportTimer.Fire = r.publishReport
 	var err error
 	if r.listener, err = loop.Listen(at, r.accept); err != nil {
 		return nil, err
 	}
 	r.report = r.formatReport()
-	loop.After(&r.tickTimer, overloadCheckInterval)
+	loop.After(&r.overloadTimer, overloadCheckInterval)
 	loop.After(&r.reportTimer, c.Reports.Period.Draw(rng))
 	return r, nil
 }
@@ -114,7 +114,7 @@
 // Stop closes the listener and resets all connections.
 func (r *Relay) Stop() {
 	r.listener.Close()
-	r.loop.Disarm(&r.tickTimer)
+	r.loop.Disarm(&r.overloadTimer)
 	r.loop.Disarm(&r.reportTimer)
 	for len(r.sessions) > 0 {
 		s := r.sessions[len(r.sessions)-1]
@@ -124,7 +124,7 @@
 }
 
 func (r *Relay) checkOverload() {
-	r.loop.After(&r.tickTimer, overloadCheckInterval)
+	r.loop.After(&r.overloadTimer, overloadCheckInterval)
 	now := r.loop.Now()
 	if r.machine.ColdOverload(now) && !r.crashed {
 		r.crashed = true
--- a/internal/fleet/text.go
+++ b/internal/fleet/text.go
@@ -21,12 +21,12 @@
 func (r *Range) Bounds() (least, most float64) { return r.From, r.To }
 
 // UnmarshalText parses a DurationRange.
-func (s *DurationRange) UnmarshalText(text []byte) error {
-	return parseEnds(string(text), inifile.Duration, &s.From, &s.To)
+func (r *DurationRange) UnmarshalText(text []byte) error {
+	return parseEnds(string(text), inifile.Duration, &r.From, &r.To)
 }
 
 // Bounds returns the bounds in seconds.
-func (s *DurationRange) Bounds() (least, most float64) { return s.From.Seconds(), s.To.Seconds() }
+func (r *DurationRange) Bounds() (least, most float64) { return r.From.Seconds(), r.To.Seconds() }
 
 func parseEnds[T float64 | time.Duration](text string, read func(string) (T, error), from, to *T) error {
 	first, last, both := strings.Cut(text, "..")
@@ -52,6 +52,6 @@
 }
 
 // MarshalText formats a DurationRange in the form that UnmarshalText parses.
-func (s DurationRange) MarshalText() ([]byte, error) {
-	return fmt.Appendf(nil, "%v..%v", s.From, s.To), nil
+func (r DurationRange) MarshalText() ([]byte, error) {
+	return fmt.Appendf(nil, "%v..%v", r.From, r.To), nil
 }
