--- a/internal/lab/attempts.go
+++ b/internal/lab/attempts.go
@@ -23,7 +23,7 @@
 	}
 	j.Attempts++
 	now := j.world.Now()
-	if since, told := j.ledger.ToldSince(proxy.Addr(), id); told && now.Sub(since) > j.rules.DrainGrace {
+	if since, told := j.ledger.NotServingSince(proxy.Addr(), id); told && now.Sub(since) > j.rules.DrainGrace {
 		j.reportViolation("drain-grace", "%s sends request %s to %s %v after it was told that this one takes no new work",
 			proxy.Name(), o.ID, id, now.Sub(since))
 	}
@@ -60,7 +60,7 @@
 // may call in their place.
 func (j *judge) checkAskAgain(proxy *vnet.Host) {
 	limit := j.rules.AskAgain
-	if limit <= 0 || j.ledger.Shared || j.world.Now().Before(j.excusedUntil[proxy]) {
+	if limit <= 0 || j.ledger.ListShared || j.world.Now().Before(j.excusedUntil[proxy]) {
 		return
 	}
 	if idle := j.changeClock.idleAfterFailure(proxy.Addr()); idle > limit+clockSlack+j.maxClockLag[proxy] {
--- a/internal/lab/changeclock.go
+++ b/internal/lab/changeclock.go
@@ -107,7 +107,7 @@
 	if was, ok := n.changes[e.Host]; ok && !serving && !was.serving {
 		return // the time of the first change that ended new work counts
 	}
-	n.changes[e.Host] = listChange{serving: serving, bornMS: e.BornMS, at: n.world.Now()}
+	n.changes[e.Host] = listChange{serving: serving, bornMS: e.StartedMS, at: n.world.Now()}
 	if serving {
 		n.clearUnavailable(e.Host)
 	}
@@ -132,8 +132,8 @@
 
 // entryArrived records that an entry has reached a proxy.
 func (n *changeClock) entryArrived(proxy netip.Addr, e fleet.Entry) {
-	if e.Health == fleet.Serving && e.BornMS > 0 {
-		n.knownStarts[proxyServer{proxy, e.Host}] = e.BornMS
+	if e.Health == fleet.Serving && e.StartedMS > 0 {
+		n.knownStarts[proxyServer{proxy, e.Host}] = e.StartedMS
 	}
 }
 
--- a/internal/lab/coldbudget.go
+++ b/internal/lab/coldbudget.go
@@ -61,7 +61,7 @@
 		fallMultiple: d.scenario.Rules.FallMultiple, fallWithin: d.scenario.Rules.FallWithin, work: make(map[string]float64), servers: make(map[string]*coldServer),
 	}
 	for _, c := range d.classes {
-		work := (c.Work.From+c.Work.To).Seconds()/2 + d.usualLoad*c.Load*c.Life*d.traffic.Life.Seconds()
+		work := (c.SetUpWork.From+c.SetUpWork.To).Seconds()/2 + d.usualLoad*c.LoadFactor*c.LifeFactor*d.traffic.MeanLife.Seconds()
 		b.work[c.Name] = work
 		b.meanWork += c.Share * work
 	}
@@ -145,7 +145,7 @@
 	}
 	r, ok := j.findColdRelay(relay)
 	now := j.world.Now()
-	if !ok || r.machine.Warmth(now) >= 1 {
+	if !ok || r.machine.WarmFraction(now) >= 1 {
 		return
 	}
 	f := j.coldBudget.recordRequest(now, relay, r.bornMS, r.machine, class, j.changeClock.knowsStart(proxy, relay, r.bornMS))
@@ -153,5 +153,5 @@
 		return
 	}
 	j.reportViolation("cold-budget", "%s, at %.2f of its capacity, gets %.1f requests of mean work in %v, the last from %s, %.1f from proxies that were told of its start; it bears %.1f",
-		relay, r.machine.Warmth(now), f.received, j.coldBudget.fallWithin, name, f.informed, f.allowed)
+		relay, r.machine.WarmFraction(now), f.received, j.coldBudget.fallWithin, name, f.informed, f.allowed)
 }
--- a/internal/lab/crowds.go
+++ b/internal/lab/crowds.go
@@ -13,8 +13,8 @@
 	node
 	site  string
 	host  machine
-	front *fleet.Front
-	crowd *fleet.Crowd
+	front *fleet.FrontBalancer
+	crowd *fleet.LoadGenerator
 }
 
 func (s *stage) addCrowd(i int, site string) error {
@@ -24,12 +24,12 @@
 	s.crowds = append(s.crowds, n)
 	return h.Start(func(k poll.Kernel) (func() error, error) {
 		loop := n.newLoop(k, s)
-		n.front = fleet.NewFront(loop, fleet.FrontConfig{Every: s.scenario.Front.CheckPeriod, Notice: s.scenario.Front.Notice}, randomStream(s.seed, "front "+site))
+		n.front = fleet.NewFrontBalancer(loop, fleet.FrontBalancerConfig{CheckInterval: s.scenario.Front.CheckPeriod, FailureDelay: s.scenario.Front.Notice}, randomStream(s.seed, "front "+site))
 		for _, p := range s.proxies {
 			n.front.Add(p.addr(), p.site == site)
 		}
 		start := loop.Now()
-		n.crowd = fleet.NewCrowd(loop, fleet.CrowdConfig{
+		n.crowd = fleet.NewLoadGenerator(loop, fleet.LoadGeneratorConfig{
 			Site: site, Traffic: s.traffic, Classes: s.classes, Groups: s.groupsPerSite, Seed: s.seed,
 			Rate: func(now time.Time) float64 { return s.arrivalRate(site, now.Sub(start)) },
 		}, n.front, randomStream(s.seed, "arrivals "+site), s.ledger)
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -24,8 +24,8 @@
 	return n.host.Start(func(k poll.Kernel) (func() error, error) {
 		loop := n.newLoop(k, s)
 		c := fleet.DiscoveryConfig{
-			Call: s.scenario.Discovery.CallTime, Line: s.scenario.Discovery.LineTime, Timeout: s.scenario.Discovery.Timeout,
-			Resets: s.scenario.Discovery.ResetShare,
+			CallWork: s.scenario.Discovery.CallTime, EntryWork: s.scenario.Discovery.LineTime, QueueTimeout: s.scenario.Discovery.Timeout,
+			ResetFraction: s.scenario.Discovery.ResetShare,
 		}
 		d, err := fleet.NewDiscovery(loop, netip.AddrPortFrom(n.host.Addr(), discoveryPort), c, s.registry, s.ledger)
 		if err != nil {
@@ -42,7 +42,7 @@
 	s.after(after+s.changeDelay, func() {
 		change()
 		if s.discovery.host.Up() {
-			s.discovery.post(s.discovery.d.News)
+			s.discovery.post(s.discovery.d.NotifyWatches)
 		}
 		s.markPushedLists(0)
 	})
@@ -60,14 +60,14 @@
 	}
 	s.after(after, func() {
 		h := s.discovery.host.(*vnet.Host)
-		if !h.Up() || s.discovery.d == nil || s.discovery.d.Hangs() || s.world.Now().Before(s.silentUntil) {
+		if !h.Up() || s.discovery.d == nil || s.discovery.d.Hanging() || s.world.Now().Before(s.silentUntil) {
 			return
 		}
 		for _, p := range s.proxies {
 			if p.running() && s.world.Reaches(h, p.vnetHost()) {
 				for _, n := range s.nodes {
-					if health, ok := s.registry.HealthOf(n.plan.id); ok {
-						s.ledger.Told(s.world.Now(), p.host.Addr(), n.plan.id, health == fleet.Serving)
+					if health, ok := s.registry.Health(n.plan.id); ok {
+						s.ledger.RecordTold(s.world.Now(), p.host.Addr(), n.plan.id, health == fleet.Serving)
 					}
 				}
 			}
@@ -81,7 +81,7 @@
 		return
 	}
 	h := s.discovery.host.(*vnet.Host)
-	answers := h.Up() && s.discovery.d != nil && !s.discovery.d.Hangs()
+	answers := h.Up() && s.discovery.d != nil && !s.discovery.d.Hanging()
 	for _, p := range s.proxies {
 		if p.running() {
 			s.judge.changeClock.update(p.host.Addr(), answers && s.world.Reaches(h, p.vnetHost()))
@@ -99,8 +99,8 @@
 	}
 	now := s.world.Now()
 	for _, n := range s.nodes {
-		cold := n.relay != nil && !n.born.IsZero() && n.relay.Machine().Warmth(now) < 1
-		if health, ok := s.registry.HealthOf(n.plan.id); cold && ok && health == fleet.Serving {
+		cold := n.relay != nil && !n.born.IsZero() && n.relay.Machine().WarmFraction(now) < 1
+		if health, ok := s.registry.Health(n.plan.id); cold && ok && health == fleet.Serving {
 			s.judge.coldBudget.countAllowance(n.relay.Machine(), now, clockInterval)
 		}
 	}
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -49,7 +49,7 @@
 type relayPlan struct {
 	id         string
 	site       string
-	kind       *fleet.Kind
+	kind       *fleet.RelayKind
 	speed      float64
 	startsLate bool // it does not run from the start
 }
@@ -70,16 +70,16 @@
 	}
 	for _, c := range s.Classes {
 		d.classes = append(d.classes, fleet.Class{
-			Name: c.Name, Share: (c.Share.From + c.Share.To) / 2 / shareSum, SetUp: c.SetUp, GiveUp: c.GiveUp, Message: c.Message, Worth: c.Worth,
-			Work: c.Work, Load: c.Load.Draw(r), Life: c.Life.Draw(r), Sigma: c.Sigma.Draw(r), Swing: c.Swing.Draw(r), Change: c.Change,
-			Once: c.repeat() == "single_shot" || c.repeat() == "guarded" && c.scope() != "all",
+			Name: c.Name, Share: (c.Share.From + c.Share.To) / 2 / shareSum, SetUpTarget: c.SetUp, AttemptTimeout: c.GiveUp, MessageTarget: c.Message, Worth: c.Worth,
+			SetUpWork: c.Work, LoadFactor: c.Load.Draw(r), LifeFactor: c.Life.Draw(r), LoadSigma: c.Sigma.Draw(r), ChangeSigma: c.Swing.Draw(r), ChangeInterval: c.Change,
+			SingleShot: c.repeat() == "single_shot" || c.repeat() == "guarded" && c.scope() != "all",
 		})
 	}
 	traffic := &s.Traffic
 	d.traffic = fleet.Traffic{
-		Rate: traffic.Rate, Swing: traffic.Swing.Draw(r), Period: traffic.Period.Draw(r), Life: traffic.Life.Draw(r), GroupSize: traffic.GroupSize.Draw(r),
-		GroupCost: s.Relays.GroupCost, Every: traffic.MessagePeriod, Retries: traffic.Retries, Backoff: traffic.Backoff, Honour: traffic.HonourAdvice.Draw(r),
-		Rejoin: traffic.Rejoin, Impatient: traffic.Impatient.Draw(r),
+		Rate: traffic.Rate, RateSwing: traffic.Swing.Draw(r), SwingPeriod: traffic.Period.Draw(r), MeanLife: traffic.Life.Draw(r), GroupSize: traffic.GroupSize.Draw(r),
+		GroupCost: s.Relays.GroupCost, MessageInterval: traffic.MessagePeriod, QuickRetries: traffic.Retries, Backoff: traffic.Backoff, HonourFraction: traffic.HonourAdvice.Draw(r),
+		ReconnectDelay: traffic.Rejoin, ImpatientFraction: traffic.Impatient.Draw(r),
 	}
 	d.skew, d.swingPhase = s.Run.Skew.Draw(r), 2*math.Pi*r.Float64()
 	d.usualLoad = 1 / s.Relays.PerCore.Draw(r)
@@ -97,7 +97,7 @@
 	// the number of groups.
 	life := 0.0
 	for _, c := range d.classes {
-		life += c.Share * c.Life * d.traffic.Life.Seconds()
+		life += c.Share * c.LifeFactor * d.traffic.MeanLife.Seconds()
 	}
 	d.groupsPerSite = max(int(math.Round(traffic.Rate*life/d.traffic.GroupSize/float64(len(s.Sites)))), 1)
 	for _, wave := range s.Waves {
@@ -147,7 +147,7 @@
 	} else {
 		part -= d.skew * part
 	}
-	r := d.traffic.Rate * part * (1 + d.traffic.Swing*math.Sin(d.swingPhase+2*math.Pi*at.Seconds()/d.traffic.Period.Seconds()))
+	r := d.traffic.Rate * part * (1 + d.traffic.RateSwing*math.Sin(d.swingPhase+2*math.Pi*at.Seconds()/d.traffic.SwingPeriod.Seconds()))
 	for _, wave := range d.waves {
 		if at >= wave.from && at < wave.until && siteListed(wave.sites, site) {
 			r *= wave.rateMultiple
@@ -181,9 +181,9 @@
 	for i, c := range d.classes {
 		classes = append(classes, object{
 			"Name": c.Name, "Repeat": s.Classes[i].repeat(), "DedupScope": s.Classes[i].scope(), "WindowUs": us(s.Classes[i].Window),
-			"TargetUs": us(c.SetUp), "HardLimitUs": us(c.GiveUp), "Worth": c.Worth,
+			"TargetUs": us(c.SetUpTarget), "HardLimitUs": us(c.AttemptTimeout), "Worth": c.Worth,
 		})
-		aims = append(aims, us(c.Message))
+		aims = append(aims, us(c.MessageTarget))
 	}
 	discovery := "subscribe"
 	if s.Permissions.ListsPushed {
@@ -235,11 +235,11 @@
 // machineConfig returns the configuration of a relay's machine; a cold one has just started.
 func (d *day) machineConfig(p *relayPlan, cold bool, r *rand.Rand) fleet.MachineConfig {
 	m := fleet.MachineConfig{
-		Cores: p.kind.Cores, Speed: p.speed, Service: d.messageWork.Seconds(),
+		Cores: p.kind.Cores, Speed: p.speed, MessageWork: d.messageWork.Seconds(),
 		FallMultiple: d.scenario.Rules.FallMultiple, FallWithin: d.scenario.Rules.FallWithin,
 	}
 	if cold {
-		m.ColdFrom, m.WarmIn = p.kind.ColdFrom.Draw(r), p.kind.Cold.Draw(r)
+		m.ColdFrom, m.WarmUp = p.kind.ColdFrom.Draw(r), p.kind.WarmUp.Draw(r)
 	}
 	return m
 }
@@ -247,13 +247,13 @@
 // relayConfig returns the configuration of a relay.
 func (d *day) relayConfig(p *relayPlan, cold bool, r *rand.Rand) fleet.RelayConfig {
 	errs := d.scenario.Relays.ErrorShare
-	if p.kind.Errors.To > 0 {
-		errs = p.kind.Errors.Draw(r)
+	if p.kind.ErrorFraction.To > 0 {
+		errs = p.kind.ErrorFraction.Draw(r)
 	}
 	return fleet.RelayConfig{
 		ID: p.id, Site: p.site, Kind: p.kind.Name, Machine: d.machineConfig(p, cold, r), Classes: d.classes,
-		Reports: fleet.Reports{Period: d.scenario.Relays.ReportPeriod, Delay: d.scenario.Relays.ReportDelay, Noise: d.reportNoise, Work: d.scenario.Relays.ProbeWork},
-		Usual:   d.usualLoad, Group: d.scenario.Relays.GroupCost, Most: int(d.maxPerCore * float64(p.kind.Cores)), Buffer: d.workBuffer, Errors: errs, Leaving: d.scenario.Relays.DrainingFailsProbes,
+		Reports:     fleet.ReportConfig{Period: d.scenario.Relays.ReportPeriod, Delay: d.scenario.Relays.ReportDelay, Noise: d.reportNoise, ProbeWork: d.scenario.Relays.ProbeWork},
+		TypicalLoad: d.usualLoad, GroupCost: d.scenario.Relays.GroupCost, MaxConnections: int(d.maxPerCore * float64(p.kind.Cores)), MaxBacklog: d.workBuffer, ErrorFraction: errs, DrainFailsProbes: d.scenario.Relays.DrainingFailsProbes,
 		Seed: d.seed,
 	}
 }
--- a/internal/lab/fuzz.go
+++ b/internal/lab/fuzz.go
@@ -38,7 +38,7 @@
 		classes = nil
 	}
 	for _, k := range kinds {
-		inifile.Encode(&b, "kind "+k.Name, kindSection{k.Share, k.Cores, k.Speed, k.ColdFrom, k.Cold, k.Errors}, nil)
+		inifile.Encode(&b, "kind "+k.Name, kindSection{k.Share, k.Cores, k.Speed, k.ColdFrom, k.WarmUp, k.ErrorFraction}, nil)
 	}
 	for _, c := range classes {
 		inifile.Encode(&b, "class "+c.Name, c, nil)
@@ -75,9 +75,9 @@
 
 // span draws a duration in whole milliseconds, at least 1 ms, because the file format leaves out
 // zero values.
-func (d *scenarioDraws) span(from, to time.Duration) fleet.Spans {
-	t := max(fleet.Spans{From: from, To: to}.Draw(d.r).Round(time.Millisecond), time.Millisecond)
-	return fleet.Spans{From: t, To: t}
+func (d *scenarioDraws) span(from, to time.Duration) fleet.DurationRange {
+	t := max(fleet.DurationRange{From: from, To: to}.Draw(d.r).Round(time.Millisecond), time.Millisecond)
+	return fleet.DurationRange{From: t, To: t}
 }
 
 // value draws a number and rounds it to five decimal places.
@@ -151,7 +151,7 @@
 
 // randomizeSettings draws settings in which customers differ: effects of requests that must not
 // occur twice, and what the proxies are permitted to do.
-func (s *Scenario) randomizeSettings(r *rand.Rand, span func(from, to time.Duration) fleet.Spans) {
+func (s *Scenario) randomizeSettings(r *rand.Rand, span func(from, to time.Duration) fleet.DurationRange) {
 	for i := range s.Classes {
 		c := &s.Classes[i]
 		switch r.IntN(4) {
@@ -169,14 +169,14 @@
 		s.Permissions.DialTimeout = span(300*time.Millisecond, 1200*time.Millisecond).From
 		fraction := round(fleet.Range{From: 0.2, To: 0.8}.Draw(r))
 		s.Faults = append(s.Faults, Fault{
-			Name: "late", Kind: "late-connects", For: fleet.Spans{From: s.Run.Length, To: s.Run.Length},
+			Name: "late", Kind: "late-connects", For: fleet.DurationRange{From: s.Run.Length, To: s.Run.Length},
 			Size: fleet.Range{From: fraction, To: fraction}, Away: span(200*time.Millisecond, 1200*time.Millisecond),
 		})
 	}
 }
 
 // setFaultParameters draws the parameters that the kind of the fault needs.
-func (s *Scenario) setFaultParameters(fault *Fault, rng *rand.Rand, value func(from, to float64) fleet.Range, span func(from, to time.Duration) fleet.Spans) {
+func (s *Scenario) setFaultParameters(fault *Fault, rng *rand.Rand, value func(from, to float64) fleet.Range, span func(from, to time.Duration) fleet.DurationRange) {
 	second := time.Second
 	switch fault.Kind {
 	case "silence", "isolate":
--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -85,11 +85,11 @@
 		sites: make(map[string]string), blocks: make(map[string]int), maxClockLag: make(map[*vnet.Host]time.Duration), classes: make(map[string]*Class),
 		requests: make(map[string]*request), excusedUntil: make(map[*vnet.Host]time.Time),
 	}
-	l.Telling = func(proxy netip.Addr, e fleet.Entry) {
+	l.OnTell = func(proxy netip.Addr, e fleet.Entry) {
 		j.pendingNotifications = append(j.pendingNotifications, notification{proxy: proxy, entry: e})
 	}
-	l.Silenced = clock.watchSilenced
-	l.Broken = func(rule, detail string) { j.reportViolation(rule, "%s", detail) }
+	l.OnWatchSilenced = clock.watchSilenced
+	l.OnViolation = func(rule, detail string) { j.reportViolation(rule, "%s", detail) }
 	w.SetTap(j)
 	return j
 }
@@ -232,7 +232,7 @@
 	for len(d.notifications) > 0 && d.notifications[0].endOffset <= d.arrivedBytes {
 		n := d.notifications[0]
 		d.notifications = d.notifications[1:]
-		j.ledger.Told(j.world.Now(), n.proxy, n.entry.Host, n.entry.Health == fleet.Serving)
+		j.ledger.RecordTold(j.world.Now(), n.proxy, n.entry.Host, n.entry.Health == fleet.Serving)
 		j.changeClock.entryArrived(n.proxy, n.entry)
 	}
 	j.changeClock.answerArrived(c.Dialler.Addr(), d, data)
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -69,7 +69,7 @@
 	}
 	s.ledger = fleet.NewLedger(loop.Now().Add(sc.Run.WarmUp), sc.Run.Length, d.classes)
 	var violation error
-	s.ledger.Broken = func(rule, detail string) {
+	s.ledger.OnViolation = func(rule, detail string) {
 		if violation == nil {
 			violation = &Violation{rule, detail}
 		}
--- a/internal/lab/relays.go
+++ b/internal/lab/relays.go
@@ -46,7 +46,7 @@
 func (s *stage) entry(n *relayNode, bornMS int64) fleet.Entry {
 	return fleet.Entry{
 		Host: n.plan.id, Dial: netip.AddrPortFrom(n.host.Addr(), relayPort).String(), Site: n.plan.site, Kind: n.plan.kind.Name,
-		Health: fleet.Serving, Share: 1, BornMS: bornMS, Block: slices.Index(s.nodes, n) % 2,
+		Health: fleet.Serving, Share: 1, StartedMS: bornMS, Block: slices.Index(s.nodes, n) % 2,
 	}
 }
 
@@ -66,7 +66,7 @@
 		loop := n.newLoop(k, s)
 		c := s.relayConfig(n.plan, cold, rng)
 		c.SiteOf = s.siteOf
-		c.Costly = func(class string) (float64, float64) {
+		c.CostlyConnections = func(class string) (float64, float64) {
 			return s.costlyClasses[class].share, s.costlyClasses[class].multiple
 		}
 		r, err := fleet.NewRelay(loop, netip.AddrPortFrom(n.host.Addr(), relayPort), c, rng, s.ledger)
@@ -74,8 +74,8 @@
 			return nil, err
 		}
 		n.relay = r
-		r.Fell = func() { n.host.Kill(); n.relay, n.removed = nil, true }
-		s.setProcess(n.host, r.Stop, r.Silence)
+		r.OnCrash = func() { n.host.Kill(); n.relay, n.removed = nil, true }
+		s.setProcess(n.host, r.Stop, r.SetSilent)
 		return func() error { return loop.Turn(true) }, nil
 	})
 }
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -25,7 +25,7 @@
 	for i, n := range s.nodes {
 		load, connections := math.NaN(), math.NaN()
 		if r := n.relay; r != nil {
-			load, connections = r.Machine().Load(now), float64(r.Standing())
+			load, connections = r.Machine().Utilization(now), float64(r.ConnectionCount())
 		}
 		m.load[i], m.connections[i] = append(m.load[i], load), append(m.connections[i], connections)
 	}
@@ -39,25 +39,25 @@
 // Result holds the results of a day. It contains no real time: the same scenario and seed give the
 // same Result.
 type Result struct {
-	Scenario string         `json:"scenario"`
-	About    string         `json:"about,omitempty"`
-	Seed     uint64         `json:"seed"`
-	Length   float64        `json:"length_s"`
-	WarmUp   float64        `json:"warm_up_s"`
-	Proxies  int            `json:"proxies"`
-	Relays   int            `json:"relays"`
-	Goal     float64        `json:"goal"`       // service weighted as the operators count it
-	Service  float64        `json:"service"`    // over all classes, from 0 to 1
-	Worst    float64        `json:"worst"`      // service in the worst 10 s
-	WorstAt  int            `json:"worst_at_s"` // start of the worst 10 s, in counted seconds
-	Classes  []ClassResult  `json:"classes"`
-	Clients  fleet.Tally    `json:"clients"`
-	PeakOpen int            `json:"most_open"`        // most clients that wanted a connection at a time
-	Counters stats.Counters `json:"counters"`         // sums over all proxies
+	Scenario string             `json:"scenario"`
+	About    string             `json:"about,omitempty"`
+	Seed     uint64             `json:"seed"`
+	Length   float64            `json:"length_s"`
+	WarmUp   float64            `json:"warm_up_s"`
+	Proxies  int                `json:"proxies"`
+	Relays   int                `json:"relays"`
+	Goal     float64            `json:"goal"`       // service weighted as the operators count it
+	Service  float64            `json:"service"`    // over all classes, from 0 to 1
+	Worst    float64            `json:"worst"`      // service in the worst 10 s
+	WorstAt  int                `json:"worst_at_s"` // start of the worst 10 s, in counted seconds
+	Classes  []ClassResult      `json:"classes"`
+	Clients  fleet.ClientCounts `json:"clients"`
+	PeakOpen int                `json:"most_open"`        // most clients that wanted a connection at a time
+	Counters stats.Counters     `json:"counters"`         // sums over all proxies
 	Shared   *SharedStats   `json:"shared,omitempty"` // nil without keepers
 	Links    *LinkStats     `json:"wires,omitempty"`  // nil without lossy links
-	Requests int            `json:"requests_judged"`
-	Attempts int            `json:"attempts_judged"`
+	Requests int                `json:"requests_judged"`
+	Attempts int                `json:"attempts_judged"`
 	// ColdOverloads counts the times that cold relays received too much from all proxies together.
 	// It is counted where the cold budget is judged.
 	ColdOverloads int `json:"cold_falls,omitempty"`
@@ -114,7 +114,7 @@
 	r := &Result{
 		Scenario: s.scenario.Name, About: s.scenario.Run.About, Seed: s.seed, Length: s.scenario.Run.Length.Seconds(), WarmUp: s.scenario.Run.WarmUp.Seconds(),
 		Proxies: len(s.proxies), Relays: len(s.nodes), Goal: round(l.Goal()), Service: round(l.Service(-1, 0, l.Seconds())),
-		Clients: l.Count, Counters: s.endedCounters,
+		Clients: l.Counts, Counters: s.endedCounters,
 	}
 	if s.world != nil {
 		r.Requests, r.Attempts = s.judge.Requests, s.judge.Attempts
@@ -133,7 +133,7 @@
 	if s.scenario.Proxies.Keepers > 0 {
 		r.Shared = &shared
 	}
-	worst, at := l.Worst()
+	worst, at := l.WorstWindow()
 	r.Worst, r.WorstAt = round(worst), at
 	ms := func(d time.Duration) float64 { return math.Round(float64(d)/float64(time.Millisecond)*100) / 100 }
 	for c := range s.classes {
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -22,7 +22,7 @@
 	Sites       []string
 	Proxies     Proxies
 	Relays      Relays
-	Kinds       []fleet.Kind
+	Kinds       []fleet.RelayKind
 	Classes     []Class
 	Network     Network
 	Traffic     Traffic
@@ -78,76 +78,76 @@
 
 // Relays describes the servers that the proxies connect to.
 type Relays struct {
-	Count               int         `ini:"count" min:"1" max:"10000"`
-	PerCore             fleet.Range `ini:"per_core" above:"0"`     // usual connections that fill a standard core
-	MaxPerCore          fleet.Range `ini:"most_per_core" min:"0"`  // most connections per core of a relay; 0: no limit
-	WorkBuffer          fleet.Spans `ini:"buffer"`                 // queued work at which connections are dropped
-	MessageWork         fleet.Spans `ini:"message_work" above:"0"` // of a message, on a standard core
-	GroupCost           float64     `ini:"group_cost" min:"0"`     // usual loads for each group with a connection at the relay
-	ReportPeriod        fleet.Spans `ini:"report_every" above:"0"` // between two load reports
-	ReportDelay         fleet.Spans `ini:"report_late"`            // until a report can be read
-	ReportNoise         fleet.Range `ini:"report_noise" min:"0"`   // relative
-	ProbeWork           fleet.Spans `ini:"probe_work"`             // on a standard core
-	StartNotice         fleet.Spans `ini:"return_notice"`          // until discovery lists a started relay
-	DrainNotice         fleet.Spans `ini:"drain_notice"`           // until discovery lists a draining or stopped relay as such
-	SilenceNotice       fleet.Spans `ini:"silent_notice"`          // until discovery drops a silent relay
-	ErrorShare          float64     `ini:"errors" min:"0" max:"1"` // share of connections answered with an error, where the kind has none
-	RandomSites         float64     `ini:"spread" min:"0" max:"1"` // share of the relays placed at random sites
-	DrainingFailsProbes bool        `ini:"draining_fails_probes"`  // else probes of draining relays succeed
-	TellsDelay          bool        `ini:"tell_delay"`             // the proxies are told to watch message delays
+	Count               int                 `ini:"count" min:"1" max:"10000"`
+	PerCore             fleet.Range         `ini:"per_core" above:"0"`     // usual connections that fill a standard core
+	MaxPerCore          fleet.Range         `ini:"most_per_core" min:"0"`  // most connections per core of a relay; 0: no limit
+	WorkBuffer          fleet.DurationRange `ini:"buffer"`                 // queued work at which connections are dropped
+	MessageWork         fleet.DurationRange `ini:"message_work" above:"0"` // of a message, on a standard core
+	GroupCost           float64             `ini:"group_cost" min:"0"`     // usual loads for each group with a connection at the relay
+	ReportPeriod        fleet.DurationRange `ini:"report_every" above:"0"` // between two load reports
+	ReportDelay         fleet.DurationRange `ini:"report_late"`            // until a report can be read
+	ReportNoise         fleet.Range         `ini:"report_noise" min:"0"`   // relative
+	ProbeWork           fleet.DurationRange `ini:"probe_work"`             // on a standard core
+	StartNotice         fleet.DurationRange `ini:"return_notice"`          // until discovery lists a started relay
+	DrainNotice         fleet.DurationRange `ini:"drain_notice"`           // until discovery lists a draining or stopped relay as such
+	SilenceNotice       fleet.DurationRange `ini:"silent_notice"`          // until discovery drops a silent relay
+	ErrorShare          float64             `ini:"errors" min:"0" max:"1"` // share of connections answered with an error, where the kind has none
+	RandomSites         float64             `ini:"spread" min:"0" max:"1"` // share of the relays placed at random sites
+	DrainingFailsProbes bool                `ini:"draining_fails_probes"`  // else probes of draining relays succeed
+	TellsDelay          bool                `ini:"tell_delay"`             // the proxies are told to watch message delays
 }
 
 // Class is fleet.Class in the form of the scenario file.
 type Class struct {
 	Name    string
-	Share   fleet.Range   `ini:"share" min:"0" max:"1"`
-	SetUp   time.Duration `ini:"set_up" above:"0"`
-	GiveUp  time.Duration `ini:"give_up" above:"0"`
-	Message time.Duration `ini:"message" above:"0"`
-	Worth   float64       `ini:"worth" above:"0"`
-	Work    fleet.Spans   `ini:"work"`
-	Load    fleet.Range   `ini:"load" above:"0"`
-	Life    fleet.Range   `ini:"life" above:"0"`
-	Sigma   fleet.Range   `ini:"sigma" min:"0" max:"3"`
-	Swing   fleet.Range   `ini:"swing" min:"0" max:"3"`
-	Change  fleet.Spans   `ini:"change" above:"0"`
-	Effect  string        `ini:"effect" one:"free, single_shot, guarded"`
-	Scope   string        `ini:"scope" one:"all, zone, cell"` // of guarded: which relays drop repeats
-	Window  time.Duration `ini:"window"`                      // of guarded: for how long
+	Share   fleet.Range         `ini:"share" min:"0" max:"1"`
+	SetUp   time.Duration       `ini:"set_up" above:"0"`
+	GiveUp  time.Duration       `ini:"give_up" above:"0"`
+	Message time.Duration       `ini:"message" above:"0"`
+	Worth   float64             `ini:"worth" above:"0"`
+	Work    fleet.DurationRange `ini:"work"`
+	Load    fleet.Range         `ini:"load" above:"0"`
+	Life    fleet.Range         `ini:"life" above:"0"`
+	Sigma   fleet.Range         `ini:"sigma" min:"0" max:"3"`
+	Swing   fleet.Range         `ini:"swing" min:"0" max:"3"`
+	Change  fleet.DurationRange `ini:"change" above:"0"`
+	Effect  string              `ini:"effect" one:"free, single_shot, guarded"`
+	Scope   string              `ini:"scope" one:"all, zone, cell"` // of guarded: which relays drop repeats
+	Window  time.Duration       `ini:"window"`                      // of guarded: for how long
 }
 
 // Network holds the one-way delays, the loss and the bandwidth between machines.
 type Network struct {
-	SameSite  fleet.Spans `ini:"same_site"`
-	CrossSite fleet.Spans `ini:"cross_site"`
-	Client    fleet.Spans `ini:"client"`                 // from a client's machine to its site
-	Jitter    fleet.Range `ini:"jitter" min:"0" max:"2"` // share of a delay that is added at most
-	Loss      float64     `ini:"loss" min:"0" max:"0.9"`
-	Bandwidth float64     `ini:"bandwidth" min:"0"` // bytes per second on each path; 0: no limit
+	SameSite  fleet.DurationRange `ini:"same_site"`
+	CrossSite fleet.DurationRange `ini:"cross_site"`
+	Client    fleet.DurationRange `ini:"client"`                 // from a client's machine to its site
+	Jitter    fleet.Range         `ini:"jitter" min:"0" max:"2"` // share of a delay that is added at most
+	Loss      float64             `ini:"loss" min:"0" max:"0.9"`
+	Bandwidth float64             `ini:"bandwidth" min:"0"` // bytes per second on each path; 0: no limit
 }
 
 // Traffic is fleet.Traffic in the form of the scenario file.
 type Traffic struct {
-	Rate          float64       `ini:"rate" min:"0"` // new clients per second, at all sites
-	Swing         fleet.Range   `ini:"swing" min:"0" max:"1"`
-	Period        fleet.Spans   `ini:"period" above:"0"`
-	Life          fleet.Spans   `ini:"life" above:"0"`
-	GroupSize     fleet.Range   `ini:"group_size" above:"0"`
-	MessagePeriod time.Duration `ini:"message_every" above:"0"`
-	Retries       int           `ini:"retries" min:"0" max:"20"`
-	Backoff       fleet.Spans   `ini:"backoff" above:"0"`
-	HonourAdvice  fleet.Range   `ini:"honour" min:"0" max:"1"`
-	Rejoin        fleet.Spans   `ini:"rejoin" above:"0"`
-	Impatient     fleet.Range   `ini:"impatient" min:"0" max:"1"`
+	Rate          float64             `ini:"rate" min:"0"` // new clients per second, at all sites
+	Swing         fleet.Range         `ini:"swing" min:"0" max:"1"`
+	Period        fleet.DurationRange `ini:"period" above:"0"`
+	Life          fleet.DurationRange `ini:"life" above:"0"`
+	GroupSize     fleet.Range         `ini:"group_size" above:"0"`
+	MessagePeriod time.Duration       `ini:"message_every" above:"0"`
+	Retries       int                 `ini:"retries" min:"0" max:"20"`
+	Backoff       fleet.DurationRange `ini:"backoff" above:"0"`
+	HonourAdvice  fleet.Range         `ini:"honour" min:"0" max:"1"`
+	Rejoin        fleet.DurationRange `ini:"rejoin" above:"0"`
+	Impatient     fleet.Range         `ini:"impatient" min:"0" max:"1"`
 }
 
 // Wave is a period in which more or fewer clients arrive.
 type Wave struct {
 	Name  string
-	At    fleet.Spans `ini:"at"`
-	For   fleet.Spans `ini:"for" above:"0"`
-	Times fleet.Range `ini:"times" min:"0"` // multiple of the usual rate
-	Sites []string    `ini:"sites"`         // empty: all
+	At    fleet.DurationRange `ini:"at"`
+	For   fleet.DurationRange `ini:"for" above:"0"`
+	Times fleet.Range         `ini:"times" min:"0"` // multiple of the usual rate
+	Sites []string            `ini:"sites"`         // empty: all
 }
 
 // Discovery describes the service that lists the relays.
@@ -160,9 +160,9 @@
 
 // Front describes the load balancer that assigns clients to proxies.
 type Front struct {
-	CheckPeriod time.Duration `ini:"every" above:"0"`
-	Notice      fleet.Spans   `ini:"notice"`
-	LateClients fleet.Spans   `ini:"late_clients"` // how long clients still arrive after the proxy was told to stop
+	CheckPeriod time.Duration       `ini:"every" above:"0"`
+	Notice      fleet.DurationRange `ini:"notice"`
+	LateClients fleet.DurationRange `ini:"late_clients"` // how long clients still arrive after the proxy was told to stop
 }
 
 // Rules holds the bounds that the judge checks, most of which the proxies are told.
@@ -194,18 +194,18 @@
 // Fault is a failure or disturbance that is injected into a day.
 type Fault struct {
 	Name        string
-	Kind        string        `ini:"kind" one:"silence, slow, failing, relimit, neighbour, costly, drain, lose, grow, proxy-restart, proxy-kill, partition, isolate, stall, late-clock, descriptors, ports, rude, late-connects, leaving, discovery-down, discovery-hang, discovery-late, discovery-queue, watches-silent"`
-	At          fleet.Spans   `ini:"at"`
-	For         fleet.Spans   `ini:"for"`
-	Part        fleet.Range   `ini:"part" min:"0" max:"1"` // share of the relays, proxies or connections
-	Count       int           `ini:"count" min:"0"`        // instead of Part
-	Size        fleet.Range   `ini:"size" min:"0"`         // slowdown, cost factor, machine share, descriptors or clients per second
-	Away        fleet.Spans   `ini:"away"`                 // until what was stopped starts again
-	Every       time.Duration `ini:"every"`                // between one proxy or relay and the next
-	Class       string        `ini:"class"`
-	Sites       []string      `ini:"sites"`
-	Repeats     int           `ini:"again" min:"0" max:"100"` // further occurrences
-	RepeatAfter fleet.Spans   `ini:"after"`                   // between these
+	Kind        string              `ini:"kind" one:"silence, slow, failing, relimit, neighbour, costly, drain, lose, grow, proxy-restart, proxy-kill, partition, isolate, stall, late-clock, descriptors, ports, rude, late-connects, leaving, discovery-down, discovery-hang, discovery-late, discovery-queue, watches-silent"`
+	At          fleet.DurationRange `ini:"at"`
+	For         fleet.DurationRange `ini:"for"`
+	Part        fleet.Range         `ini:"part" min:"0" max:"1"` // share of the relays, proxies or connections
+	Count       int                 `ini:"count" min:"0"`        // instead of Part
+	Size        fleet.Range         `ini:"size" min:"0"`         // slowdown, cost factor, machine share, descriptors or clients per second
+	Away        fleet.DurationRange `ini:"away"`                 // until what was stopped starts again
+	Every       time.Duration       `ini:"every"`                // between one proxy or relay and the next
+	Class       string              `ini:"class"`
+	Sites       []string            `ini:"sites"`
+	Repeats     int                 `ini:"again" min:"0" max:"100"` // further occurrences
+	RepeatAfter fleet.DurationRange `ini:"after"`                   // between these
 }
 
 // defaults returns the values of a day without faults, from ranges observed in production.
@@ -216,24 +216,24 @@
 		Run:     Run{Length: 55 * s, WarmUp: 30 * s, CoolDown: 10 * s, Sites: []string{"winterthur", "lausanne", "chur"}, Skew: fleet.Range{From: 0.1, To: 0.25}},
 		Proxies: Proxies{Count: 3, MaxDescriptors: 1024, AnswerMargin: t.AnswerMargin, SilentAfter: t.SilentAfter, MovesSpan: t.MovesSpan, MovesDone: t.MovesDone},
 		Relays: Relays{
-			Count: 10, PerCore: fleet.Range{From: 8.1, To: 21}, MaxPerCore: fleet.Range{From: 50, To: 75}, WorkBuffer: fleet.Spans{From: s / 2, To: 3 * s},
-			MessageWork: fleet.Spans{From: 2 * ms, To: 7 * ms}, GroupCost: 3,
-			ReportPeriod: fleet.Spans{From: 43 * ms, To: 370 * ms}, ReportDelay: fleet.Spans{From: 19 * ms, To: 140 * ms}, ReportNoise: fleet.Range{From: 0.08, To: 0.18},
-			ProbeWork:   fleet.Spans{From: 1100 * time.Microsecond, To: 2300 * time.Microsecond},
-			StartNotice: fleet.Spans{From: 1100 * ms, To: 2400 * ms}, DrainNotice: fleet.Spans{From: 580 * ms, To: 3500 * ms},
-			SilenceNotice: fleet.Spans{From: 6600 * ms, To: 12 * s}, RandomSites: 0.5, TellsDelay: true,
+			Count: 10, PerCore: fleet.Range{From: 8.1, To: 21}, MaxPerCore: fleet.Range{From: 50, To: 75}, WorkBuffer: fleet.DurationRange{From: s / 2, To: 3 * s},
+			MessageWork: fleet.DurationRange{From: 2 * ms, To: 7 * ms}, GroupCost: 3,
+			ReportPeriod: fleet.DurationRange{From: 43 * ms, To: 370 * ms}, ReportDelay: fleet.DurationRange{From: 19 * ms, To: 140 * ms}, ReportNoise: fleet.Range{From: 0.08, To: 0.18},
+			ProbeWork:   fleet.DurationRange{From: 1100 * time.Microsecond, To: 2300 * time.Microsecond},
+			StartNotice: fleet.DurationRange{From: 1100 * ms, To: 2400 * ms}, DrainNotice: fleet.DurationRange{From: 580 * ms, To: 3500 * ms},
+			SilenceNotice: fleet.DurationRange{From: 6600 * ms, To: 12 * s}, RandomSites: 0.5, TellsDelay: true,
 		},
 		Network: Network{
-			SameSite: fleet.Spans{From: 180 * time.Microsecond, To: 320 * time.Microsecond}, CrossSite: fleet.Spans{From: 5600 * time.Microsecond, To: 10 * ms},
-			Client: fleet.Spans{From: 290 * time.Microsecond, To: 950 * time.Microsecond}, Jitter: fleet.Range{From: 0.05, To: 0.35},
+			SameSite: fleet.DurationRange{From: 180 * time.Microsecond, To: 320 * time.Microsecond}, CrossSite: fleet.DurationRange{From: 5600 * time.Microsecond, To: 10 * ms},
+			Client: fleet.DurationRange{From: 290 * time.Microsecond, To: 950 * time.Microsecond}, Jitter: fleet.Range{From: 0.05, To: 0.35},
 		},
 		Traffic: Traffic{
-			Rate: 5.1, Swing: fleet.Range{From: 0.2, To: 0.4}, Period: fleet.Spans{From: 15 * s, To: 40 * s}, Life: fleet.Spans{From: 22 * s, To: 48 * s},
-			GroupSize: fleet.Range{From: 32, To: 59}, MessagePeriod: 2 * s, Retries: 2, Backoff: fleet.Spans{From: 16 * ms, To: 130 * ms},
-			HonourAdvice: fleet.Range{From: 0.63, To: 0.92}, Rejoin: fleet.Spans{From: 67 * ms, To: 1100 * ms}, Impatient: fleet.Range{To: 0.03},
+			Rate: 5.1, Swing: fleet.Range{From: 0.2, To: 0.4}, Period: fleet.DurationRange{From: 15 * s, To: 40 * s}, Life: fleet.DurationRange{From: 22 * s, To: 48 * s},
+			GroupSize: fleet.Range{From: 32, To: 59}, MessagePeriod: 2 * s, Retries: 2, Backoff: fleet.DurationRange{From: 16 * ms, To: 130 * ms},
+			HonourAdvice: fleet.Range{From: 0.63, To: 0.92}, Rejoin: fleet.DurationRange{From: 67 * ms, To: 1100 * ms}, Impatient: fleet.Range{To: 0.03},
 		},
 		Discovery: Discovery{CallTime: 4 * ms, LineTime: ms / 4, Timeout: s},
-		Front:     Front{CheckPeriod: 500 * ms, Notice: fleet.Spans{From: 1300 * ms, To: 3300 * ms}, LateClients: fleet.Spans{From: 200 * ms, To: 400 * ms}},
+		Front:     Front{CheckPeriod: 500 * ms, Notice: fleet.DurationRange{From: 1300 * ms, To: 3300 * ms}, LateClients: fleet.DurationRange{From: 200 * ms, To: 400 * ms}},
 		Rules: Rules{
 			AnswerSlack: 50 * ms, DrainGrace: 500 * ms, ColdFrom: 0.13, WarmWithin: 24 * s, FallMultiple: 3, FallWithin: 1500 * ms, NewsWithin: 6 * s,
 		},
@@ -242,12 +242,12 @@
 }
 
 // defaultKinds and defaultClasses apply where a file names none.
-func defaultKinds() []fleet.Kind {
-	cold := fleet.Spans{From: 10 * time.Second, To: 24 * time.Second}
-	return []fleet.Kind{
-		{Name: "r3-fast", Share: 0.35, Cores: 3, Speed: fleet.Range{From: 1.7, To: 2.3}, ColdFrom: fleet.Range{From: 0.13, To: 0.32}, Cold: cold, Errors: fleet.Range{To: 0.0005}},
-		{Name: "r2-small", Share: 0.27, Cores: 2, Speed: fleet.Range{From: 1, To: 1.4}, ColdFrom: fleet.Range{From: 0.17, To: 0.31}, Cold: cold, Errors: fleet.Range{To: 0.002}},
-		{Name: "r4-slow", Share: 0.38, Cores: 4, Speed: fleet.Range{From: 0.68, To: 0.92}, ColdFrom: fleet.Range{From: 0.18, To: 0.33}, Cold: cold, Errors: fleet.Range{To: 0.002}},
+func defaultKinds() []fleet.RelayKind {
+	cold := fleet.DurationRange{From: 10 * time.Second, To: 24 * time.Second}
+	return []fleet.RelayKind{
+		{Name: "r3-fast", Share: 0.35, Cores: 3, Speed: fleet.Range{From: 1.7, To: 2.3}, ColdFrom: fleet.Range{From: 0.13, To: 0.32}, WarmUp: cold, ErrorFraction: fleet.Range{To: 0.0005}},
+		{Name: "r2-small", Share: 0.27, Cores: 2, Speed: fleet.Range{From: 1, To: 1.4}, ColdFrom: fleet.Range{From: 0.17, To: 0.31}, WarmUp: cold, ErrorFraction: fleet.Range{To: 0.002}},
+		{Name: "r4-slow", Share: 0.38, Cores: 4, Speed: fleet.Range{From: 0.68, To: 0.92}, ColdFrom: fleet.Range{From: 0.18, To: 0.33}, WarmUp: cold, ErrorFraction: fleet.Range{To: 0.002}},
 	}
 }
 
@@ -261,26 +261,26 @@
 	case "status":
 		return Class{
 			Name: name, Share: fleet.Range{From: 0.33, To: 0.33}, SetUp: 300 * ms, GiveUp: 1800 * ms, Message: 250 * ms, Worth: 2,
-			Work: fleet.Spans{From: 8400 * time.Microsecond, To: 18 * ms}, Load: fleet.Range{From: 0.2, To: 0.5}, Life: fleet.Range{From: 1, To: 3},
-			Sigma: fleet.Range{From: 0.59, To: 1.1}, Swing: fleet.Range{From: 0.27, To: 0.8}, Change: fleet.Spans{From: 4100 * ms, To: 20 * s},
+			Work: fleet.DurationRange{From: 8400 * time.Microsecond, To: 18 * ms}, Load: fleet.Range{From: 0.2, To: 0.5}, Life: fleet.Range{From: 1, To: 3},
+			Sigma: fleet.Range{From: 0.59, To: 1.1}, Swing: fleet.Range{From: 0.27, To: 0.8}, Change: fleet.DurationRange{From: 4100 * ms, To: 20 * s},
 		}
 	default:
 		return Class{
 			Name: name, Share: fleet.Range{From: 0.67, To: 0.67}, SetUp: 800 * ms, GiveUp: 4800 * ms, Message: 60 * ms, Worth: 3,
-			Work: fleet.Spans{From: 2100 * time.Microsecond, To: 16 * ms}, Load: one, Life: one,
-			Sigma: fleet.Range{From: 0.53, To: 1.1}, Swing: fleet.Range{From: 0.37, To: 0.88}, Change: fleet.Spans{From: 7400 * ms, To: 19 * s},
+			Work: fleet.DurationRange{From: 2100 * time.Microsecond, To: 16 * ms}, Load: one, Life: one,
+			Sigma: fleet.Range{From: 0.53, To: 1.1}, Swing: fleet.Range{From: 0.37, To: 0.88}, Change: fleet.DurationRange{From: 7400 * ms, To: 19 * s},
 		}
 	}
 }
 
 // kindSection is fleet.Kind in the form of the scenario file.
 type kindSection struct {
-	Share    float64     `ini:"share" min:"0" max:"1"`
-	Cores    int         `ini:"cores" min:"1" max:"1024"`
-	Speed    fleet.Range `ini:"speed" above:"0"`
-	ColdFrom fleet.Range `ini:"cold_from" above:"0" max:"1"`
-	Cold     fleet.Spans `ini:"cold"`
-	Errors   fleet.Range `ini:"errors" min:"0" max:"1"`
+	Share    float64             `ini:"share" min:"0" max:"1"`
+	Cores    int                 `ini:"cores" min:"1" max:"1024"`
+	Speed    fleet.Range         `ini:"speed" above:"0"`
+	ColdFrom fleet.Range         `ini:"cold_from" above:"0" max:"1"`
+	Cold     fleet.DurationRange `ini:"cold"`
+	Errors   fleet.Range         `ini:"errors" min:"0" max:"1"`
 }
 
 // Read reads a scenario file. The section.key=value pairs in set override the file. It reports all
@@ -313,9 +313,9 @@
 	f.Decode("rules", &s.Rules)
 	f.Decode("allow", &s.Permissions)
 	for _, n := range f.SectionNames("kind") {
-		k := kindSection{Share: 1, Cores: 1, Speed: fleet.Range{From: 1, To: 1}, ColdFrom: fleet.Range{From: 0.2, To: 0.2}, Cold: fleet.Spans{From: 15 * time.Second, To: 15 * time.Second}}
+		k := kindSection{Share: 1, Cores: 1, Speed: fleet.Range{From: 1, To: 1}, ColdFrom: fleet.Range{From: 0.2, To: 0.2}, Cold: fleet.DurationRange{From: 15 * time.Second, To: 15 * time.Second}}
 		f.Decode("kind "+n, &k)
-		s.Kinds = append(s.Kinds, fleet.Kind{Name: n, Share: k.Share, Cores: k.Cores, Speed: k.Speed, ColdFrom: k.ColdFrom, Cold: k.Cold, Errors: k.Errors})
+		s.Kinds = append(s.Kinds, fleet.RelayKind{Name: n, Share: k.Share, Cores: k.Cores, Speed: k.Speed, ColdFrom: k.ColdFrom, WarmUp: k.Cold, ErrorFraction: k.Errors})
 	}
 	if len(s.Kinds) == 0 {
 		s.Kinds = defaultKinds()
@@ -329,7 +329,7 @@
 		s.Classes = defaultClasses()
 	}
 	for _, n := range f.SectionNames("wave") {
-		w := Wave{Name: n, For: fleet.Spans{From: 10 * time.Second, To: 10 * time.Second}, Times: fleet.Range{From: 2, To: 2}}
+		w := Wave{Name: n, For: fleet.DurationRange{From: 10 * time.Second, To: 10 * time.Second}, Times: fleet.Range{From: 2, To: 2}}
 		f.Decode("wave "+n, &w)
 		s.checkSites(f, "wave "+n, w.Sites)
 		s.Waves = append(s.Waves, w)
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -91,7 +91,7 @@
 	n := 0
 	for _, r := range s.nodes {
 		if r.relay != nil {
-			n += r.relay.Standing()
+			n += r.relay.ConnectionCount()
 		}
 	}
 	return n
@@ -162,7 +162,7 @@
 // wasOverloaded reports whether the relay was slow within the last faultGracePeriod because it had
 // more clients than its capacity allows.
 func (n *relayNode) wasOverloaded(now time.Time) bool {
-	return n.relay != nil && !n.relay.Behind().IsZero() && now.Sub(n.relay.Behind()) <= faultGracePeriod
+	return n.relay != nil && !n.relay.LastSlowSetUp().IsZero() && now.Sub(n.relay.LastSlowSetUp()) <= faultGracePeriod
 }
 
 // faultGracePeriod is the time after the end of a relay's fault during which a verdict against the
--- a/internal/lab/stage.go
+++ b/internal/lab/stage.go
@@ -53,9 +53,9 @@
 	s := &stage{day: d, options: o, costlyClasses: make(map[string]costlyFault), registry: fleet.NewRegistry()}
 	s.world = vnet.New(d.seed, s.link)
 	s.ledger = fleet.NewLedger(s.world.Now().Add(d.scenario.Run.WarmUp), d.scenario.Run.Length, d.classes)
-	s.ledger.Shared = d.scenario.Proxies.Keepers > 0
+	s.ledger.ListShared = d.scenario.Proxies.Keepers > 0
 	s.judge = newJudge(s.world, s.ledger, &d.scenario.Rules, newChangeClock(s.world, &d.scenario.Rules, &d.scenario.Permissions))
-	s.registry.Changed = s.judge.changeClock.listChanged
+	s.registry.OnChange = s.judge.changeClock.listChanged
 	if d.scenario.Rules.ColdBudget {
 		s.judge.coldBudget, s.judge.findColdRelay = newColdBudget(d), s.coldRelay
 	}
--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -36,8 +36,8 @@
 		}
 	case "slow":
 		for _, n := range s.pickRelays(t, r) {
-			s.during(at, span, func() { n.updateMachine(func(m *fleet.Machine, now time.Time) { m.Slow(now, size) }) },
-				func() { n.updateMachine(func(m *fleet.Machine, now time.Time) { m.Slow(now, 1) }) })
+			s.during(at, span, func() { n.updateMachine(func(m *fleet.Machine, now time.Time) { m.SetSlowdown(now, size) }) },
+				func() { n.updateMachine(func(m *fleet.Machine, now time.Time) { m.SetSlowdown(now, 1) }) })
 		}
 	case "failing":
 		for _, n := range s.pickRelays(t, r) {
@@ -54,8 +54,8 @@
 				phase = span
 			}
 			for begin := at; begin < at+span; begin += 2 * phase { // alternates between on and off
-				s.during(begin, min(phase, at+span-begin), func() { n.updateMachine(func(m *fleet.Machine, now time.Time) { m.Neighbour(now, size) }) },
-					func() { n.updateMachine(func(m *fleet.Machine, now time.Time) { m.Neighbour(now, 0) }) })
+				s.during(begin, min(phase, at+span-begin), func() { n.updateMachine(func(m *fleet.Machine, now time.Time) { m.SetNeighbourShare(now, size) }) },
+					func() { n.updateMachine(func(m *fleet.Machine, now time.Time) { m.SetNeighbourShare(now, 0) }) })
 			}
 		}
 	case "costly":
@@ -139,7 +139,7 @@
 		}
 	case "leaving":
 		for _, c := range s.crowds {
-			s.during(at, span, func() { c.crowd.Leaving(size) }, func() { c.crowd.Leaving(0) })
+			s.during(at, span, func() { c.crowd.SetEarlyLeaveFraction(size) }, func() { c.crowd.SetEarlyLeaveFraction(0) })
 		}
 	case "discovery-down":
 		s.during(at, span, s.discovery.host.Kill, func() {
@@ -147,15 +147,15 @@
 			s.markPushedLists(0)
 		})
 	case "discovery-hang":
-		s.during(at, span, func() { s.discovery.d.Hang(true) }, func() {
-			s.discovery.d.Hang(false)
+		s.during(at, span, func() { s.discovery.d.SetHanging(true) }, func() {
+			s.discovery.d.SetHanging(false)
 			s.silentUntil = s.now().Add(silentWatchDelay)
 			s.markPushedLists(silentWatchDelay)
 		})
 	case "discovery-queue": // queues calls of other clients at discovery, all at once
 		s.after(at, func() {
 			if d := s.discovery; d.host.Up() {
-				d.post(func() { d.d.Occupy(d.loop.Now(), span) })
+				d.post(func() { d.d.AddWork(d.loop.Now(), span) })
 			}
 		})
 	case "watches-silent":
@@ -261,7 +261,7 @@
 
 func (n *relayNode) setFailing(part float64) {
 	if r := n.relay; r != nil {
-		n.post(func() { r.Failing(part) })
+		n.post(func() { r.SetErrorFraction(part) })
 	}
 }
 
@@ -278,7 +278,7 @@
 		n.relay = nil
 		s.scheduleListChange(silenceNotice, func() {
 			if n.starts == start { // the relay has not been restarted since
-				s.registry.Health(n.plan.id, fleet.Deleted)
+				s.registry.SetHealth(n.plan.id, fleet.Deleted)
 			}
 		})
 		s.after(span, func() {
@@ -325,11 +325,11 @@
 			}
 		}
 		n.relay.Drain()
-		s.scheduleListChange(drainNotice, same(func() { s.registry.Health(n.plan.id, fleet.Draining) }))
+		s.scheduleListChange(drainNotice, same(func() { s.registry.SetHealth(n.plan.id, fleet.Draining) }))
 		s.after(span, same(func() {
 			n.host.Kill()
 			n.relay = nil
-			s.scheduleListChange(stopNotice, same(func() { s.registry.Health(n.plan.id, fleet.Deleted) }))
+			s.scheduleListChange(stopNotice, same(func() { s.registry.SetHealth(n.plan.id, fleet.Deleted) }))
 			s.after(away, func() { s.restartRelay(n, startNotice) })
 		}))
 	})
@@ -341,7 +341,7 @@
 	s.after(at, func() {
 		n.host.Kill()
 		n.relay, n.removed = nil, true
-		s.scheduleListChange(notice, func() { s.registry.Health(n.plan.id, fleet.Deleted) })
+		s.scheduleListChange(notice, func() { s.registry.SetHealth(n.plan.id, fleet.Deleted) })
 	})
 }
 
@@ -423,7 +423,7 @@
 		s.recordError(err)
 	}
 	for _, c := range s.crowds {
-		c.front.Expect(p.addr())
+		c.front.AllowReadmission(p.addr())
 	}
 }
 
@@ -442,7 +442,7 @@
 	s.during(at, span, func() {
 		s.recordError(n.host.Start(func(k poll.Kernel) (func() error, error) {
 			loop := n.newLoop(k, s)
-			r := fleet.NewRude(loop, to, max(rate, 0.1), rng)
+			r := fleet.NewBadClients(loop, to, max(rate, 0.1), rng)
 			s.setProcess(n.host, r.Stop, nil)
 			return func() error { return loop.Turn(true) }, nil
 		}))
--- a/internal/lab/verdicts_test.go
+++ b/internal/lab/verdicts_test.go
@@ -36,9 +36,9 @@
 	skipIfSlow(t)
 	failedWithout, failedWith, falseVerdicts, verdicts := 0, 0, 0, 0
 	for seed := range uint64(3) {
-		failedWithout += play(t, mustParse(t, failingRelaysScenario), seed+1).Clients.Failing
+		failedWithout += play(t, mustParse(t, failingRelaysScenario), seed+1).Clients.FaultErrors
 		r := play(t, mustParse(t, failingRelaysScenario).with(func(s *Scenario) { s.Proxies.Verdicts = true }), seed+1)
-		failedWith += r.Clients.Failing
+		failedWith += r.Clients.FaultErrors
 		falseVerdicts += r.Shared.FalseVerdicts
 		verdicts += r.Counters.Condemned
 	}
