--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -54,8 +54,8 @@
 	Clients  fleet.ClientCounts `json:"clients"`
 	PeakOpen int                `json:"most_open"`        // most clients that wanted a connection at a time
 	Counters stats.Counters     `json:"counters"`         // sums over all proxies
-	Shared   *SharedStats   `json:"shared,omitempty"` // nil without keepers
-	Links    *LinkStats     `json:"wires,omitempty"`  // nil without lossy links
+	Shared   *SharedStats       `json:"shared,omitempty"` // nil without keepers
+	Links    *LinkStats         `json:"wires,omitempty"`  // nil without lossy links
 	Requests int                `json:"requests_judged"`
 	Attempts int                `json:"attempts_judged"`
 	// ColdOverloads counts the times that cold relays received too much from all proxies together.
