--- a/cmd/ospreyspan/command.go
+++ b/cmd/ospreyspan/command.go
@@ -251,10 +251,10 @@
 			if err != nil {
 				return err
 			}
-			if err := keeper.Create(config.Keepers.Dir, id); err != nil {
+			if err := keeper.Create(config.Keepers.LogDir, id); err != nil {
 				return err
 			}
-			fmt.Fprintf(a.out, "keeper %d: log created in %s\n", config.KeeperID, config.Keepers.Dir)
+			fmt.Fprintf(a.out, "keeper %d: log created in %s\n", config.KeeperID, config.Keepers.LogDir)
 			return nil
 		}}
 	c.AddCommand(initCommand)
--- a/cmd/ospreyspan/sharing.go
+++ b/cmd/ospreyspan/sharing.go
@@ -93,7 +93,7 @@
 	fleet := &instance.FleetConfig{Mesh: meshConfig, SameAddresses: f.config.Discovery.SameAddresses, MovesPerSecond: f.config.Moves.PerSecond}
 	if o := f.config.Verdicts; o.Enabled {
 		verdicts := instance.DefaultVerdictConfig()
-		verdicts.Judge = verdict.Config{MaxAge: o.MaxEvidenceAge, ForgetAfter: o.ForgetAfter, MinWitnesses: o.MinWitnesses, MaxFraction: o.MaxShare}
+		verdicts.Judge = verdict.Config{MaxEvidenceAge: o.MaxEvidenceAge, ForgetAfter: o.ForgetAfter, MinWitnesses: o.MinWitnesses, MaxFraction: o.MaxUnhealthyFraction}
 		verdicts.Evidence.Retention = o.ForgetAfter + verdicts.Evidence.WindowLength
 		verdicts.OnChange = f.logVerdictChange
 		fleet.Verdicts = &verdicts
@@ -146,7 +146,7 @@
 // openKeeper opens the keeper's log and makes this process a keeper. Without a log the process does
 // not become a keeper: a keeper that has lost its log must not vote as if it had never voted.
 func (f *operatorFeatures) openKeeper(meshConfig *mesh.Config, loop *poll.Loop, logger *log.Logger) error {
-	file, restored, err := keeper.OpenFile(f.config.Keepers.Dir, loop.Post)
+	file, restored, err := keeper.OpenFile(f.config.Keepers.LogDir, loop.Post)
 	if errors.Is(err, keeper.ErrEmpty) {
 		logger.Printf("%v: this process is no keeper until `ospreyspan keepers init` has made one, for a new fleet only", err)
 		return nil
--- a/internal/changes/replica.go
+++ b/internal/changes/replica.go
@@ -121,25 +121,25 @@
 // Replica is one process's copy of the state, whether the process is the source or not. A Replica
 // is not safe for concurrent use.
 type Replica struct {
-	cfg              Config
-	rng              *rand.Rand
-	tree             *Tree
-	budget           *Budget
-	state            *State
-	number           uint64
-	log              Log
-	fence            uint64    // highest epoch known; messages of lower epochs are refused
-	fenceRaisedAt    time.Time // when the fence was raised
-	stateEpoch       uint64    // epoch that the state is known to belong to
-	epochBase        uint64    // number at which that epoch began
-	isSource         bool
-	targetNumber     uint64    // highest number known in the fence's epoch
-	asOf             time.Time // the state was the source's state then, or later; zero: unknown
-	lastAppliedAt    time.Time // when the state changed last
-	pendingFreshness freshness // takes effect once the state reaches its number
-	children         leases    // members that changes are pushed to
-	snapshotClients  leases    // members that the snapshot is served to
-	pushRotation     int       // rotates the order of the children
+	cfg                Config
+	rng                *rand.Rand
+	tree               *Tree
+	budget             *Budget
+	state              *State
+	number             uint64
+	log                Log
+	fence              uint64    // highest epoch known; messages of lower epochs are refused
+	fenceRaisedAt      time.Time // when the fence was raised
+	stateEpoch         uint64    // epoch that the state is known to belong to
+	epochBase          uint64    // number at which that epoch began
+	isSource           bool
+	targetNumber       uint64    // highest number known in the fence's epoch
+	asOf               time.Time // the state was the source's state then, or later; zero: unknown
+	lastAppliedAt      time.Time // when the state changed last
+	pendingFreshness   freshness // takes effect once the state reaches its number
+	children           leases    // members that changes are pushed to
+	snapshotRequesters leases    // members that the snapshot is served to
+	pushRotation       int       // rotates the order of the children
 
 	flushedNumber uint64    // number up to which the source has pushed its changes
 	nextFlushAt   time.Time // no push before then
--- a/internal/changes/serve.go
+++ b/internal/changes/serve.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// maxSnapshotClients is the number of members to which a process serves its snapshot at the
+	// maxSnapshotRequesters is the number of members to which a process serves its snapshot at the
 	// same time. A few clients that finish early can then serve others; many clients that each have
 	// a part cannot.
-	maxSnapshotClients = 2
-	// snapshotClientLease is how long a client that sends no request keeps its slot.
-	snapshotClientLease = 2 * time.Second
+	maxSnapshotRequesters = 2
+	// snapshotRequesterLease is how long a client that sends no request keeps its slot.
+	snapshotRequesterLease = 2 * time.Second
 )
 
 // lease is the slot of a member that is served, with the time at which it expires.
@@ -110,7 +110,7 @@
 	switch {
 	case !r.isAligned() || r.snapshot != nil:
 		response.Status = StatusBehind
-	case !r.snapshotClients.acquire(now, from, now.Add(snapshotClientLease), maxSnapshotClients), !r.cfg.Flaws.BudgetExceeded && !r.budget.CanSpendAny(now, ClassSnapshot):
+	case !r.snapshotRequesters.acquire(now, from, now.Add(snapshotRequesterLease), maxSnapshotRequesters), !r.cfg.Flaws.BudgetExceeded && !r.budget.CanSpendAny(now, ClassSnapshot):
 		response.Status = StatusBusy
 		r.Counters.RefusedBusy++
 	default:
--- a/internal/changes/snapshot.go
+++ b/internal/changes/snapshot.go
@@ -18,8 +18,8 @@
 	wantedBuckets  [buckets]bool
 	nextHash       uint64 // first key hash whose entry has not been received
 	allFetched     bool
-	rangeNumbers   []rangeNumber
-	highestNumber  uint64 // highest number in rangeNumbers or replayed
+	fetchedRanges  []fetchedRange
+	highestNumber  uint64 // highest number in fetchedRanges or replayed
 	highestDigest  uint64 // digest of the state at highestNumber
 	replaying      bool
 	replayedNumber uint64 // number of the latest change that was replayed
@@ -32,8 +32,8 @@
 // another member is chosen.
 const maxBusyResponses = 10
 
-// rangeNumber states that the entries with key hashes from start to end are as of a number.
-type rangeNumber struct {
+// fetchedRange states that the entries with key hashes from start to end are as of a number.
+type fetchedRange struct {
 	start, end uint64
 	number     uint64
 }
@@ -90,7 +90,7 @@
 
 // recordRange records the number of a range, and the digest if the number is the highest so far.
 func (s *snapshotFetch) recordRange(start, end uint64, m *Message) {
-	s.rangeNumbers = append(s.rangeNumbers, rangeNumber{start, end, m.Number})
+	s.fetchedRanges = append(s.fetchedRanges, fetchedRange{start, end, m.Number})
 	if m.Number >= s.highestNumber {
 		s.highestNumber, s.highestDigest = m.Number, m.Digest
 	}
@@ -98,9 +98,9 @@
 
 // numberAt returns the change number as of which the entry with a key hash was read.
 func (s *snapshotFetch) numberAt(hash uint64) uint64 {
-	for _, rn := range s.rangeNumbers {
-		if rn.start <= hash && hash <= rn.end {
-			return rn.number
+	for _, fetched := range s.fetchedRanges {
+		if fetched.start <= hash && hash <= fetched.end {
+			return fetched.number
 		}
 	}
 	return 0
@@ -128,8 +128,8 @@
 		return
 	}
 	s.replaying, s.replayedNumber = true, math.MaxUint64
-	for _, rn := range s.rangeNumbers {
-		s.replayedNumber = min(s.replayedNumber, rn.number)
+	for _, fetched := range s.fetchedRanges {
+		s.replayedNumber = min(s.replayedNumber, fetched.number)
 	}
 }
 
--- a/internal/instance/limits.go
+++ b/internal/instance/limits.go
@@ -96,7 +96,7 @@
 func (l *limits) set(list []limit.Limit) {
 	for _, to := range list {
 		for _, lim := range l.states {
-			if lim.Name == to.Name && lim.Kind == to.Kind && lim.Slices == to.Slices && to.Check() == nil {
+			if lim.Name == to.Name && lim.Kind == to.Kind && lim.SliceCount == to.SliceCount && to.Check() == nil {
 				lim.Max = to.Max
 			}
 		}
@@ -180,7 +180,7 @@
 // capacity returns the sum of the sizes of the slices that this process holds.
 func (l *limits) capacity(now time.Time, lim *limitState) int {
 	n := 0
-	for i := range lim.Slices {
+	for i := range lim.SliceCount {
 		if _, ok := l.fleet.node.HoldsAt(now, lim.slices.DutyName(i)); ok {
 			n += lim.slices.Size(i)
 		}
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -150,7 +150,7 @@
 		text += "[verdicts]\n"
 	}
 	if l := s.limit(); l != nil {
-		text += fmt.Sprintf("[limit %s]\nkind = %v\nmost = %d\nslices = %d\n", l.Name, l.Kind, l.Max, l.Slices)
+		text += fmt.Sprintf("[limit %s]\nkind = %v\nmost = %d\nslices = %d\n", l.Name, l.Kind, l.Max, l.SliceCount)
 		if l.Period > 0 {
 			text += fmt.Sprintf("within = %v\n", l.Period)
 		}
--- a/internal/lab/shared/judge.go
+++ b/internal/lab/shared/judge.go
@@ -151,7 +151,7 @@
 	for t := range targets {
 		key := fmt.Sprint(m.name, t)
 		f := j.g.truth[t]
-		sound := f.kind == verdict.Sound && now-j.cured[t] > ageBound+judging.MaxAge || f.kind != verdict.Sound && f.zone != "" && f.zone != m.zone
+		sound := f.kind == verdict.Sound && now-j.cured[t] > ageBound+judging.MaxEvidenceAge || f.kind != verdict.Sound && f.zone != "" && f.zone != m.zone
 		since, was := j.falseSince[key]
 		switch {
 		case !holds[t] || !sound:
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -38,11 +38,11 @@
 
 // figures of the run: shorter than those that serve, so that a run sees more.
 var (
-	judging = verdict.Config{MaxAge: 3 * time.Second, ForgetAfter: 8 * time.Second, MinWitnesses: 2, MaxFraction: 0.34}
+	judging = verdict.Config{MaxEvidenceAge: 3 * time.Second, ForgetAfter: 8 * time.Second, MinWitnesses: 2, MaxFraction: 0.34}
 	soft    = limit.SoftConfig{StaleAfter: 3 * time.Second, DeadHold: 25 * time.Second}
 	softKey = evidence.LimitKey("soft")
 	softL   = limit.Limit{Name: "soft", Max: 90}
-	strictL = limit.Limit{Name: "strict", Kind: limit.StrictKind, Max: 26, Slices: 12}
+	strictL = limit.Limit{Name: "strict", Kind: limit.StrictKind, Max: 26, SliceCount: 12}
 )
 
 // Play plays one seed.
@@ -312,7 +312,7 @@
 // capacity is what the slices that are held by the process's own clock give it.
 func (m *member) capacity(now time.Time) int {
 	n := 0
-	for i := range strictL.Slices {
+	for i := range strictL.SliceCount {
 		if _, ok := m.node.HoldsAt(now, m.slices.DutyName(i)); ok {
 			n += m.slices.Size(i)
 		}
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -67,7 +67,7 @@
 	if s.slices == 0 {
 		s.slices = min(most, 2*s.s.Proxies.Count, limit.MaxSlices)
 	}
-	l := &limit.Limit{Name: "all", Max: most, Slices: s.slices, Period: s.s.Proxies.LimitWithin}
+	l := &limit.Limit{Name: "all", Max: most, SliceCount: s.slices, Period: s.s.Proxies.LimitWithin}
 	if s.s.Proxies.LimitKind == "strict" {
 		l.Kind = limit.StrictKind
 	}
@@ -79,7 +79,7 @@
 	s.s.Proxies.Limit = most
 	if inst := p.inst; inst != nil {
 		list := []limit.Limit{*s.limit()}
-		list[0].Slices = s.slices
+		list[0].SliceCount = s.slices
 		inst.SetLimits(list)
 	}
 }
--- a/internal/operator/decode.go
+++ b/internal/operator/decode.go
@@ -80,7 +80,7 @@
 	terms, verdicts, soft := owner.DefaultTerms(), verdict.DefaultConfig(), limit.DefaultSoftConfig()
 	return &Config{
 		Keepers:    Keepers{Lease: terms.Lease, Margin: terms.Margin},
-		Verdicts:   Verdicts{MaxEvidenceAge: verdicts.MaxAge, ForgetAfter: verdicts.ForgetAfter, MinWitnesses: verdicts.MinWitnesses, MaxShare: verdicts.MaxFraction},
+		Verdicts:   Verdicts{MaxEvidenceAge: verdicts.MaxEvidenceAge, ForgetAfter: verdicts.ForgetAfter, MinWitnesses: verdicts.MinWitnesses, MaxUnhealthyFraction: verdicts.MaxFraction},
 		Retries:    Retries{Ratio: 0.2, Window: 10 * time.Second, MinRetries: 10},
 		SoftLimits: SoftLimits{StaleAfter: soft.StaleAfter, HoldTime: soft.DeadHold},
 		Log:        Log{Format: "plain"},
@@ -166,7 +166,7 @@
 	for _, text := range c.Keepers.Members {
 		c.addKeeper(f, text)
 	}
-	if c.KeeperID != 0 && c.Keepers.Dir == "" {
+	if c.KeeperID != 0 && c.Keepers.LogDir == "" {
 		f.AddProblem("keepers", "dir", "missing: this process is keeper %d and needs a directory for its log", c.KeeperID)
 	}
 	if err := c.Terms().Check(); err != nil {
@@ -222,7 +222,7 @@
 	for _, name := range f.SectionNames("limit") {
 		s := limitSection{Kind: "soft", Slices: 16}
 		f.Decode("limit "+name, &s)
-		l := limit.Limit{Name: name, Max: s.MaxConnections, Period: s.Window, Slices: s.Slices, Tenant: s.Tenant, Class: s.Class}
+		l := limit.Limit{Name: name, Max: s.MaxConnections, Period: s.Window, SliceCount: s.Slices, Tenant: s.Tenant, Class: s.Class}
 		if s.Kind == "strict" {
 			l.Kind = limit.StrictKind
 		}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -48,7 +48,7 @@
 // Keepers configures the processes that agree on the owners of leases.
 type Keepers struct {
 	Members []string      `ini:"members"`                  // ID@ADDRESS of each of the 3 or 5 keepers
-	Dir     string        `ini:"dir"`                      // directory of the keeper's log
+	LogDir  string        `ini:"dir"`                      // directory of the keeper's log
 	Lease   time.Duration `ini:"lease" min:"0.2" max:"60"` // see owner.LeaseTerms
 	Margin  time.Duration `ini:"margin"`                   // see owner.LeaseTerms
 }
@@ -82,8 +82,8 @@
 	// that was marked unhealthy. Must exceed MaxEvidenceAge.
 	ForgetAfter  time.Duration `ini:"forget" min:"2" max:"300"`
 	MinWitnesses int           `ini:"witnesses" min:"2" max:"100"` // proxies that must agree to mark a target unhealthy
-	// MaxShare is the share of a zone's targets, and of all targets, that may be unhealthy at once.
-	MaxShare float64 `ini:"part" above:"0" max:"1"`
+	// MaxUnhealthyFraction is the share of a zone's targets, and of all targets, that may be unhealthy at once.
+	MaxUnhealthyFraction float64 `ini:"part" above:"0" max:"1"`
 }
 
 // SoftLimits configures the soft limits. All processes of a fleet need the same values.
--- a/internal/shared/evidence/evidence.go
+++ b/internal/shared/evidence/evidence.go
@@ -223,7 +223,9 @@
 }
 
 // OwnCounts returns what this process itself observed of a target in a window.
-func (s *Store) OwnCounts(target string, n uint32) Counts { return s.get(s.self, target, n) }
+func (s *Store) OwnCounts(target string, windowNumber uint32) Counts {
+	return s.get(s.self, target, windowNumber)
+}
 
 // put sets a cell and reports whether that changed it.
 func (s *Store) put(w *writer, target string, n uint32, c Counts) bool {
--- a/internal/shared/evidence/message.go
+++ b/internal/shared/evidence/message.go
@@ -97,11 +97,11 @@
 }
 
 type change struct {
-	seq    uint64
-	writer *writer
-	target string
-	window uint32
-	counts Counts
+	seq          uint64
+	writer       *writer
+	target       string
+	windowNumber uint32
+	counts       Counts
 }
 
 // changes lists the cells that changed after a sequence number, in the order of their changes. It
@@ -193,7 +193,7 @@
 				s.setUptime(now, &r)
 				m.Rows = append(m.Rows, r)
 			}
-			m.Rows[i].Cells = append(m.Rows[i].Cells, Cell{c.target, c.window, c.counts})
+			m.Rows[i].Cells = append(m.Rows[i].Cells, Cell{c.target, c.windowNumber, c.counts})
 			m.UpTo = c.seq
 		}
 		since = m.UpTo
--- a/internal/shared/limit/limit.go
+++ b/internal/shared/limit/limit.go
@@ -38,11 +38,11 @@
 	Kind   Kind
 	Max    int           // open connections, or new ones per Period
 	Period time.Duration // 0: Max counts open connections; else new connections in any such period
-	// Slices is the number of slices of a strict limit. Each has a size of Max/Slices, the first
+	// SliceCount is the number of slices of a strict limit. Each has a size of Max/SliceCount, the first
 	// ones one more.
-	Slices int
-	Tenant string // tenant that it applies to; empty: all
-	Class  string // class that it applies to; empty: all
+	SliceCount int
+	Tenant     string // tenant that it applies to; empty: all
+	Class      string // class that it applies to; empty: all
 }
 
 // MaxSlices is the largest number of slices of a limit. Each slice is a duty of the keepers.
@@ -55,10 +55,10 @@
 		return fmt.Errorf("most: %d is not above 0", l.Max)
 	case l.Period < 0:
 		return fmt.Errorf("within: %v is below 0", l.Period)
-	case l.Kind == StrictKind && (l.Slices < 1 || l.Slices > MaxSlices):
-		return fmt.Errorf("slices: %d is not from 1 to %d", l.Slices, MaxSlices)
-	case l.Kind == StrictKind && l.Max < l.Slices:
-		return fmt.Errorf("most: %d is below the number of slices, %d", l.Max, l.Slices)
+	case l.Kind == StrictKind && (l.SliceCount < 1 || l.SliceCount > MaxSlices):
+		return fmt.Errorf("slices: %d is not from 1 to %d", l.SliceCount, MaxSlices)
+	case l.Kind == StrictKind && l.Max < l.SliceCount:
+		return fmt.Errorf("most: %d is below the number of slices, %d", l.Max, l.SliceCount)
 	}
 	return nil
 }
@@ -149,20 +149,20 @@
 // which the process has run.
 type Gate struct {
 	SoftConfig
-	Limit       *Limit
-	Flaws       Flaws
-	remaining   int           // admissions left in the current period of StaleAfter
-	periodBegan time.Duration // start of the period of remaining
-	started     bool          // a first period has begun
-	demand      float64       // recent requests, halved each second
-	demandAt    time.Duration // when demand was last decayed
+	Limit             *Limit
+	Flaws             Flaws
+	remaining         int           // admissions left in the current period of StaleAfter
+	periodStartUptime time.Duration // start of the period of remaining
+	started           bool          // a first period has begun
+	demand            float64       // recent requests, halved each second
+	decayedAtUptime   time.Duration // when demand was last decayed
 }
 
 // RecentDemand returns the recent number of requests. Their weight halves with each second that
 // passes.
 func (g *Gate) RecentDemand(uptime time.Duration) int {
-	g.demand *= math.Exp2(-max(uptime-g.demandAt, 0).Seconds())
-	g.demandAt = uptime
+	g.demand *= math.Exp2(-max(uptime-g.decayedAtUptime, 0).Seconds())
+	g.decayedAtUptime = uptime
 	return int(math.Ceil(g.demand - 0.1))
 }
 
@@ -170,8 +170,8 @@
 // far as that is known. It must be called regularly, more often than StaleAfter.
 func (g *Gate) Update(uptime time.Duration, self Member, others []Member) (free int) {
 	free, share := g.Room(g.Limit, uptime, self, others, g.Flaws)
-	if !g.started || uptime-g.periodBegan >= g.StaleAfter {
-		g.started, g.periodBegan, g.remaining = true, uptime, share
+	if !g.started || uptime-g.periodStartUptime >= g.StaleAfter {
+		g.started, g.periodStartUptime, g.remaining = true, uptime, share
 	}
 	g.remaining = min(g.remaining, free)
 	return free
@@ -227,16 +227,16 @@
 
 // NewSlices returns the slices of a process, which claims none yet.
 func NewSlices(l *Limit, self uint64) *Slices {
-	return &Slices{limit: l, self: self, nextSlice: int(self % uint64(l.Slices))}
+	return &Slices{limit: l, self: self, nextSlice: int(self % uint64(l.SliceCount))}
 }
 
 // MinSize returns the size of the smallest slice.
-func (s *Slices) MinSize() int { return s.limit.Max / s.limit.Slices }
+func (s *Slices) MinSize() int { return s.limit.Max / s.limit.SliceCount }
 
 // Size returns the size of a slice. The first slices are larger by one if the limit does not divide
 // evenly.
 func (s *Slices) Size(i int) int {
-	if i < s.limit.Max%s.limit.Slices {
+	if i < s.limit.Max%s.limit.SliceCount {
 		return s.MinSize() + 1
 	}
 	return s.MinSize()
@@ -259,7 +259,7 @@
 			heldCount++
 		}
 	}
-	need := min((use+waiting+s.MinSize()-1)/s.MinSize(), s.limit.Slices)
+	need := min((use+waiting+s.MinSize()-1)/s.MinSize(), s.limit.SliceCount)
 	switch {
 	case heldCount > need && s.spareSince.IsZero():
 		s.spareSince = now
@@ -279,11 +279,11 @@
 		s.claims = slices.DeleteFunc(s.claims, func(i int) bool { return !held(i) && taken(i) })
 		s.lastSwitch = now
 	}
-	for tries := 0; len(s.claims) < need && tries < s.limit.Slices; tries++ {
+	for tries := 0; len(s.claims) < need && tries < s.limit.SliceCount; tries++ {
 		if i := s.nextSlice; !slices.Contains(s.claims, i) {
 			s.claims = append(s.claims, i)
 		}
-		s.nextSlice = (s.nextSlice + 1) % s.limit.Slices
+		s.nextSlice = (s.nextSlice + 1) % s.limit.SliceCount
 	}
 	if len(s.claims) > need {
 		s.claims = slices.DeleteFunc(s.claims, func(i int) bool { return !held(i) })
--- a/internal/shared/limit/limit_test.go
+++ b/internal/shared/limit/limit_test.go
@@ -115,10 +115,10 @@
 // The sizes of the slices add up to the limit. The process claims as many as it needs, gives up
 // those that others hold for others, and gives back spare ones after spareTimeout.
 func TestSlices(t *testing.T) {
-	l := &Limit{Name: "x", Kind: StrictKind, Max: 26, Slices: 12}
+	l := &Limit{Name: "x", Kind: StrictKind, Max: 26, SliceCount: 12}
 	s := NewSlices(l, 5)
 	sum := 0
-	for i := range l.Slices {
+	for i := range l.SliceCount {
 		sum += s.Size(i)
 	}
 	if sum != l.Max {
@@ -152,9 +152,9 @@
 	for want, l := range map[string]Limit{
 		"most: 0 is not above 0":                   {},
 		"within: -1s is below 0":                   {Max: 1, Period: -time.Second},
-		"slices: 65 is not from 1 to 64":           {Max: 100, Kind: StrictKind, Slices: 65},
-		"most: 3 is below the number of slices, 4": {Max: 3, Kind: StrictKind, Slices: 4},
-		"": {Max: 4, Kind: StrictKind, Slices: 4},
+		"slices: 65 is not from 1 to 64":           {Max: 100, Kind: StrictKind, SliceCount: 65},
+		"most: 3 is below the number of slices, 4": {Max: 3, Kind: StrictKind, SliceCount: 4},
+		"": {Max: 4, Kind: StrictKind, SliceCount: 4},
 	} {
 		got := ""
 		if err := l.Check(); err != nil {
--- a/internal/shared/verdict/verdict.go
+++ b/internal/shared/verdict/verdict.go
@@ -15,7 +15,7 @@
 //     reach is sound here.
 //   - At most a fraction of the targets of a zone, and of all targets, are judged unhealthy at
 //     once: the worst first.
-//   - Evidence older than Config.MaxAge judges no target unhealthy. It makes a target that was
+//   - Evidence older than Config.MaxEvidenceAge judges no target unhealthy. It makes a target that was
 //     unhealthy Returning, until Config.ForgetAfter.
 package verdict
 
@@ -53,9 +53,9 @@
 
 // Config has the settings that must be equal in all processes.
 type Config struct {
-	MaxAge time.Duration // largest age of evidence that judges a target unhealthy; above 0
+	MaxEvidenceAge time.Duration // largest age of evidence that judges a target unhealthy; above 0
 	// ForgetAfter is the age of evidence up to which a target that was unhealthy is Returning;
-	// above MaxAge.
+	// above MaxEvidenceAge.
 	ForgetAfter  time.Duration
 	MinWitnesses int // number of different witnesses that must accuse a target; at least 2
 	// MaxFraction is the fraction of a zone's targets, and of all, that may be unhealthy at once;
@@ -65,7 +65,7 @@
 
 // DefaultConfig returns the default settings.
 func DefaultConfig() Config {
-	return Config{MaxAge: 6 * time.Second, ForgetAfter: 20 * time.Second, MinWitnesses: 2, MaxFraction: 0.34}
+	return Config{MaxEvidenceAge: 6 * time.Second, ForgetAfter: 20 * time.Second, MinWitnesses: 2, MaxFraction: 0.34}
 }
 
 // Flaws are deliberate faults that tests enable. The zero value has none.
@@ -92,36 +92,36 @@
 }
 
 // opinion is what one witness holds of a target. The counts are of the evidence that is at most
-// MaxAge old.
+// MaxEvidenceAge old.
 type opinion struct {
-	name, zone     string
-	good, bad      evidence.Counts
-	goodAge        time.Duration // of the latest successful hop, however old
-	seenAge        time.Duration // of the latest answered probe, however old
-	badAge         time.Duration // of the latest failure of any kind, however old
-	failAge        time.Duration // of the latest hop that was answered with a failure, however old
-	silent, failed bool
+	name, zone                 string
+	goodCounts, badCounts      evidence.Counts
+	goodAge                    time.Duration // of the latest successful hop, however old
+	seenAge                    time.Duration // of the latest answered probe, however old
+	badAge                     time.Duration // of the latest failure of any kind, however old
+	failAge                    time.Duration // of the latest hop that was answered with a failure, however old
+	targetSilent, targetFailed bool
 }
 
 // evaluate determines whether the witness accuses the target: it does if at least half of its
 // outcomes are failures. Answered probes count against silence only, since a target may answer them
 // and fail every request.
 func (o *opinion) evaluate() {
-	o.failed = o.bad.Fail > 0 && o.bad.Fail >= o.good.OK
-	o.silent = o.bad.Silent+o.bad.Slow > 0 && o.bad.Bad() >= o.good.OK+o.good.ProbeOK
+	o.targetFailed = o.badCounts.Fail > 0 && o.badCounts.Fail >= o.goodCounts.OK
+	o.targetSilent = o.badCounts.Silent+o.badCounts.Slow > 0 && o.badCounts.Bad() >= o.goodCounts.OK+o.goodCounts.ProbeOK
 }
 
-func (o *opinion) accuses() bool { return o.failed || o.silent }
+func (o *opinion) accuses() bool { return o.targetFailed || o.targetSilent }
 
 // Judge returns the findings on targets, in the order of targets. viewer is the zone of the process
 // that asks.
-func Judge(now time.Time, s *evidence.Store, viewer string, targets []Target, c Config, f Flaws) []Finding {
+func Judge(now time.Time, s *evidence.Store, viewerZone string, targets []Target, c Config, f Flaws) []Finding {
 	views := collectOpinions(now, s, c, f)
 	unreliable := unreliableWitnesses(now, s, c)
 	var all []Finding
 	for _, t := range targets {
 		if ops := views[t.ID]; len(ops) > 0 {
-			if x, ok := judgeTarget(ops, unreliable, viewer, c, f); ok {
+			if x, ok := judgeTarget(ops, unreliable, viewerZone, c, f); ok {
 				x.Target = t.ID
 				all = append(all, x)
 			}
@@ -162,12 +162,12 @@
 		if x.Fail > 0 {
 			o.failAge = min(o.failAge, x.Age)
 		}
-		if x.Age <= c.MaxAge || f.NoAge {
-			o.good.OK += x.OK
-			o.good.ProbeOK += x.ProbeOK
-			o.bad.Fail += x.Fail
-			o.bad.Silent += x.Silent
-			o.bad.Slow += x.Slow
+		if x.Age <= c.MaxEvidenceAge || f.NoAge {
+			o.goodCounts.OK += x.OK
+			o.goodCounts.ProbeOK += x.ProbeOK
+			o.badCounts.Fail += x.Fail
+			o.badCounts.Silent += x.Silent
+			o.badCounts.Slow += x.Slow
 		}
 	})
 	for _, list := range views { // in any order
@@ -196,7 +196,7 @@
 }
 
 // judgeTarget judges one target by the opinions on it.
-func judgeTarget(ops []*opinion, unreliable map[string]bool, viewer string, c Config, f Flaws) (Finding, bool) {
+func judgeTarget(ops []*opinion, unreliable map[string]bool, viewerZone string, c Config, f Flaws) (Finding, bool) {
 	need := c.MinWitnesses
 	if f.OneWitness {
 		need = 1
@@ -208,7 +208,7 @@
 			continue
 		}
 		all = append(all, o)
-		if o.zone == viewer {
+		if o.zone == viewerZone {
 			own = append(own, o)
 		} else {
 			others = true
@@ -223,7 +223,7 @@
 	if len(own) == 0 && (len(accusingZones) >= 2 || !others) {
 		deciding = all
 	}
-	if x, ok := findUnhealthy(deciding, need); ok && (x.Age <= c.MaxAge || f.NoAge) {
+	if x, ok := findUnhealthy(deciding, need); ok && (x.Age <= c.MaxEvidenceAge || f.NoAge) {
 		return x, true
 	}
 	return findReturning(deciding, need, c)
@@ -237,7 +237,7 @@
 		var ages []time.Duration
 		for _, o := range ops {
 			switch {
-			case kind == Failing && o.failed:
+			case kind == Failing && o.targetFailed:
 				ages = append(ages, o.failAge)
 			case kind == Silent && o.accuses():
 				ages = append(ages, o.badAge)
@@ -250,13 +250,13 @@
 		maxGoodAge, opposing := ages[need-1]+opposingSlack, 0
 		var sum evidence.Counts
 		for _, o := range ops {
-			accuses := o.failed || kind == Silent && o.silent
+			accuses := o.targetFailed || kind == Silent && o.targetSilent
 			if !accuses && (o.goodAge <= maxGoodAge || kind == Silent && o.seenAge <= maxGoodAge) {
 				opposing++
 			}
 			if accuses {
-				sum.Slow += min(o.bad.Slow, 1)
-				sum.Silent += min(o.bad.Silent, 1)
+				sum.Slow += min(o.badCounts.Slow, 1)
+				sum.Silent += min(o.badCounts.Silent, 1)
 			}
 		}
 		if 2*len(ages) <= opposing {
@@ -293,10 +293,10 @@
 		return Finding{}, false
 	}
 	slices.Sort(bad)
-	if good <= bad[0] || bad[need-1] <= c.MaxAge {
+	if good <= bad[0] || bad[need-1] <= c.MaxEvidenceAge {
 		return Finding{}, false
 	}
-	return Finding{Verdict: Returning, Age: bad[need-1], Witnesses: len(bad), RecentlyTried: bad[0] <= c.MaxAge}, true
+	return Finding{Verdict: Returning, Age: bad[need-1], Witnesses: len(bad), RecentlyTried: bad[0] <= c.MaxEvidenceAge}, true
 }
 
 // capUnhealthy keeps as many unhealthy findings as MaxFraction allows, in each zone and in total.
