--- a/internal/changes/budget.go
+++ b/internal/changes/budget.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// CanSpendAny reports whether a class may spend at least 1 byte now.
+// CanSpendAny reports whether the balance of a class allows it to spend now, be it only 1 byte.
+// Messages are sent whole, and their size may take the balance below 0.
 func (b *Budget) CanSpendAny(now time.Time, class Class) bool { return b.CanSpend(now, class, 1) }
 
 // CanSpend reports whether a class may spend the given number of bytes now. A number above the
--- a/internal/changes/log.go
+++ b/internal/changes/log.go
@@ -19,7 +19,7 @@
 	Changes []Change
 }
 
-// To returns the number of the last change.
+// To returns the number of the last change, or From if the batch is empty.
 func (b *Batch) To() uint64 { return b.From + uint64(len(b.Changes)) }
 
 // estimatedSize returns the approximate size of a message with this batch, in bytes.
--- a/internal/changes/message.go
+++ b/internal/changes/message.go
@@ -51,10 +51,11 @@
 	// StatusDiverged means that the requester's state is not among the predecessors of the
 	// responder's state.
 	StatusDiverged
-	// StatusBehind means that the responder has fewer changes than the requester, or does not know
-	// yet whether its own state belongs to the current epoch.
+	// StatusBehind means that the responder is behind, not the requester: it has fewer changes than
+	// the requester, does not know yet whether its own state belongs to the current epoch, or is
+	// itself fetching a snapshot.
 	StatusBehind
-	// StatusBusy means that the responder has no bytes of its budget or no client slot left for the
+	// StatusBusy means that the responder has no bytes of its budget or no free slot left for the
 	// request.
 	StatusBusy
 	statusesEnd
--- a/internal/changes/replica.go
+++ b/internal/changes/replica.go
@@ -37,8 +37,8 @@
 	ChildLease time.Duration
 	// StaleAfter is the age of the state above which members other than the parent are asked too.
 	StaleAfter time.Duration
-	// HoldThreshold is the number of missing changes above which no update is handed to the
-	// consumer until all changes are there. MaxHold is how long updates are held back at most.
+	// HoldThreshold is a number of changes. If more than that are missing, no update is handed to
+	// the consumer until all changes are there. MaxHold is how long updates are held back at most.
 	HoldThreshold int
 	MaxHold       time.Duration
 	// MaxChildren is the maximum number of members to which changes are pushed.
@@ -88,20 +88,21 @@
 
 // Counters count the events of a Replica.
 type Counters struct {
-	Sent, Received, BytesSent, BytesReceived uint64
-	Damaged                                  uint64 // messages that could not be decoded
-	StaleEpoch                               uint64 // messages of former sources, refused
-	Duplicates                               uint64 // batches without new changes
-	Gaps                                     uint64 // batches that start after the local number
-	Mismatches                               uint64 // digests that did not match
-	Repairs                                  uint64 // repair requests
-	RepairsAtSource                          uint64 // repair requests to the source
-	Unanswered                               uint64 // requests without a response in time
-	RefusedBusy                              uint64 // requests refused for lack of bytes or slots
-	RolledBack                               uint64 // changes of former sources, rolled back
-	Snapshots, SnapshotsFailed               uint64
-	PushesSkipped                            uint64 // pushes not sent for lack of bytes
-	Ignored                                  uint64 // requests not answered for lack of bytes
+	Sent, Received             uint64 // messages
+	BytesSent, BytesReceived   uint64 // with DatagramOverhead for each message
+	Damaged                    uint64 // messages that could not be decoded
+	StaleEpoch                 uint64 // messages of former sources, refused
+	Duplicates                 uint64 // batches without new changes
+	Gaps                       uint64 // batches that start after the local number
+	Mismatches                 uint64 // digests that did not match
+	Repairs                    uint64 // repair requests
+	RepairsAtSource            uint64 // repair requests to the source
+	Unanswered                 uint64 // requests without a response in time
+	RefusedBusy                uint64 // requests refused for lack of bytes or slots
+	RolledBack                 uint64 // changes of former sources, rolled back
+	Snapshots, SnapshotsFailed uint64
+	PushesSkipped              uint64 // pushes not sent for lack of bytes
+	Ignored                    uint64 // requests not answered for lack of bytes
 }
 
 // freshness states that the state at a number was the source's state at a time, or later.
--- a/internal/changes/serve.go
+++ b/internal/changes/serve.go
@@ -7,10 +7,10 @@
 
 const (
 	// maxSnapshotRequesters is the number of members to which a process serves its snapshot at the
-	// same time. A few clients that finish early can then serve others; many clients that each have
+	// same time. A few members that finish early can then serve others; many members that each have
 	// a part cannot.
 	maxSnapshotRequesters = 2
-	// snapshotRequesterLease is how long a client that sends no request keeps its slot.
+	// snapshotRequesterLease is how long a member that sends no request keeps its slot.
 	snapshotRequesterLease = 2 * time.Second
 )
 
--- a/internal/changes/snapshot.go
+++ b/internal/changes/snapshot.go
@@ -32,7 +32,8 @@
 // another member is chosen.
 const maxBusyResponses = 10
 
-// fetchedRange states that the entries with key hashes from start to end are as of a number.
+// fetchedRange states that the entries with key hashes from start to end, inclusive, were read from
+// a state at a change number.
 type fetchedRange struct {
 	start, end uint64
 	number     uint64
--- a/internal/inifile/decode.go
+++ b/internal/inifile/decode.go
@@ -159,7 +159,8 @@
 		}
 		v.Set(reflect.ValueOf(entries).Convert(v.Type()))
 	default:
-		panic(fmt.Sprintf("inifile: unsupported field type %s", v.Type())) // a fault of the program, not of the file
+		// A fault of the program, not of the file.
+		panic(fmt.Sprintf("inifile: unsupported field type %s", v.Type()))
 	}
 	return nil
 }
@@ -191,7 +192,7 @@
 	return nil
 }
 
-// ParseNumber parses a finite number, which may be written as a percentage.
+// ParseNumber parses a finite number, which may be written as a percentage: 25% is 0.25.
 func ParseNumber(text string) (float64, error) {
 	number, percent := strings.CutSuffix(text, "%")
 	n, err := strconv.ParseFloat(strings.TrimSpace(number), 64)
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -21,7 +21,7 @@
 	Line    int // counted from 1; 0 or below if the problem has no line in the file
 	Section string
 	Key     string
-	Text    string
+	Text    string // what is wrong, without file, line, section and key
 }
 
 // Error returns the position of the problem and its text.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -28,7 +28,7 @@
 	Log        Log
 
 	KeeperAddresses []mesh.KeeperAddress // decoded from Keepers.Members
-	KeeperID        uint64               // ID of the keeper that this process runs; 0 if it runs none
+	KeeperID        uint64               // ID of the keeper that this process runs; 0: none
 	Seeds           []netip.AddrPort     // decoded from Fleet.Seeds
 }
 
@@ -47,7 +47,7 @@
 
 // Keepers configures the processes that agree on the owners of leases.
 type Keepers struct {
-	Members []string      `ini:"members"`                  // ID@ADDRESS of each of the 3 or 5 keepers
+	Members []string      `ini:"members"`                  // ID@ADDRESS of each of 3 or 5 keepers
 	LogDir  string        `ini:"dir"`                      // directory of the keeper's log
 	Lease   time.Duration `ini:"lease" min:"0.2" max:"60"` // see owner.LeaseTerms
 	Margin  time.Duration `ini:"margin"`                   // see owner.LeaseTerms
@@ -69,7 +69,7 @@
 // Moves configures the rate at which the owner of the lease "moves" lets connections move off
 // draining servers.
 type Moves struct {
-	PerSecond float64 `ini:"per_second" above:"0" max:"100000"` // moves per second, over all proxies
+	PerSecond float64 `ini:"per_second" above:"0" max:"100000"` // moves, over all proxies
 }
 
 // Verdicts configures how the health of targets is derived from what all proxies observe. All
@@ -78,17 +78,21 @@
 	Enabled bool `ini:"-"` // the file has this section
 	// MaxEvidenceAge is the age up to which evidence can mark a target unhealthy.
 	MaxEvidenceAge time.Duration `ini:"fresh" min:"1" max:"60"`
-	// ForgetAfter is the age of the evidence up to which the proxies take turns to try a target
-	// that was marked unhealthy. Must exceed MaxEvidenceAge.
-	ForgetAfter  time.Duration `ini:"forget" min:"2" max:"300"`
-	MinWitnesses int           `ini:"witnesses" min:"2" max:"100"` // proxies that must agree to mark a target unhealthy
-	// MaxUnhealthyFraction is the share of a zone's targets, and of all targets, that may be unhealthy at once.
+	// ForgetAfter is the age above which evidence against a target is forgotten. While the evidence
+	// is older than MaxEvidenceAge but not forgotten, the proxies take turns to try the target.
+	// Must exceed MaxEvidenceAge.
+	ForgetAfter time.Duration `ini:"forget" min:"2" max:"300"`
+	// MinWitnesses is the number of proxies that must agree to mark a target unhealthy.
+	MinWitnesses int `ini:"witnesses" min:"2" max:"100"`
+	// MaxUnhealthyFraction is the fraction of a zone's targets, and of all targets, that may be
+	// marked unhealthy at once.
 	MaxUnhealthyFraction float64 `ini:"part" above:"0" max:"1"`
 }
 
 // SoftLimits configures the soft limits. All processes of a fleet need the same values.
 type SoftLimits struct {
-	// StaleAfter is the age after which the usage reported by a process is no longer relied on.
+	// StaleAfter is the age above which a process's report of its usage is ignored. The process is
+	// then assumed to use an even share of the limit, or what it last reported if that is more.
 	StaleAfter time.Duration `ini:"stale" min:"1" max:"60"`
 	// HoldTime is how long a process that seems dead still counts, since it may only be
 	// unreachable.
@@ -102,8 +106,8 @@
 type Retries struct {
 	Enabled    bool          `ini:"-"`                          // the file has this section
 	Ratio      float64       `ini:"part" above:"0" max:"10"`    // retries allowed per first attempt
-	Window     time.Duration `ini:"within" min:"1" max:"60"`    // in which attempts and retries are counted
-	MinRetries int           `ini:"least" min:"0" max:"100000"` // retries allowed per Window on top of Ratio
+	Window     time.Duration `ini:"within" min:"1" max:"60"`    // for counting attempts and retries
+	MinRetries int           `ini:"least" min:"0" max:"100000"` // per Window, on top of Ratio
 }
 
 // Log configures the format of the log.
--- a/internal/shared/carrier/carrier.go
+++ b/internal/shared/carrier/carrier.go
@@ -34,13 +34,14 @@
 	nextPartner int // counter that selects the partner of the next query
 }
 
-// New returns a carrier with a store of its own. Bind must be called before any other method.
+// New returns a carrier with a store of its own. See Bind for what must be called when.
 func New(now time.Time, self evidence.Writer, c evidence.Config, f evidence.Flaws) *Carrier {
 	s := evidence.New(now, self, c, f)
 	return &Carrier{store: s, gossip: evidence.NewGossip(s, QueryInterval)}
 }
 
-// Bind sets the node through which the carrier sends.
+// Bind sets the node through which the carrier sends. Call it once the node exists and before Tick.
+// Until then Receive ignores all messages; Store can be called at any time.
 func (c *Carrier) Bind(n *mesh.Node) { c.node = n }
 
 // Store returns the evidence store of this process.
--- a/internal/shared/evidence/evidence.go
+++ b/internal/shared/evidence/evidence.go
@@ -222,7 +222,8 @@
 	return Counts{}
 }
 
-// OwnCounts returns what this process itself observed of a target in a window.
+// OwnCounts returns what this process itself observed of a target in one of its own windows, which
+// are numbered from its start.
 func (s *Store) OwnCounts(target string, windowNumber uint32) Counts {
 	return s.get(s.self, target, windowNumber)
 }
@@ -300,8 +301,9 @@
 // LimitKey returns the name of the cells of a limit.
 func LimitKey(limit string) string { return LimitPrefix + limit }
 
-// RecordUse records this process's current use of a limit and its recent demand. The limit is given
-// by its LimitKey.
+// RecordUse records this process's current use of a limit and its recent demand. Within a window it
+// does not add to earlier calls: the highest use and the highest demand are kept. The limit is
+// given by its LimitKey.
 func (s *Store) RecordUse(now time.Time, key string, use, demand int) {
 	n := s.windowAt(now)
 	c := s.get(s.self, key, n)
@@ -404,7 +406,8 @@
 	return max(now.Sub(s.startBound(now, w).Add(time.Duration(n+1)*s.cfg.WindowLength)), 0)
 }
 
-// Observation is a cell with its writer and age.
+// Observation is what one process observed of one target in one window: a cell with its writer and
+// age. An empty Target and the number Window mean the same as in Key.
 type Observation struct {
 	Writer
 	Target string
--- a/internal/shared/evidence/gossip.go
+++ b/internal/shared/evidence/gossip.go
@@ -110,7 +110,8 @@
 	return partners
 }
 
-// Forget drops the state of a peer that has left.
+// Forget drops the record of what was received from a peer that has left. If the peer is queried
+// again, it is asked for everything.
 func (g *Gossip) Forget(peer uint64) { delete(g.receivedUpTo, peer) }
 
 // UrgentUpdate returns the failures that are new since the last call, to be forwarded at once, or
--- a/internal/shared/limit/limit.go
+++ b/internal/shared/limit/limit.go
@@ -38,8 +38,8 @@
 	Kind   Kind
 	Max    int           // open connections, or new ones per Period
 	Period time.Duration // 0: Max counts open connections; else new connections in any such period
-	// SliceCount is the number of slices of a strict limit. Each has a size of Max/SliceCount, the first
-	// ones one more.
+	// SliceCount is the number of slices of a strict limit. Each has a size of Max/SliceCount, the
+	// first ones one more.
 	SliceCount int
 	Tenant     string // tenant that it applies to; empty: all
 	Class      string // class that it applies to; empty: all
@@ -77,7 +77,7 @@
 
 // SoftConfig has the settings of soft limits. They must be equal in all processes.
 type SoftConfig struct {
-	// StaleAfter is the age from which a report is ignored. Its process is then assumed to use an
+	// StaleAfter is the age above which a report is ignored. Its process is then assumed to use an
 	// even share of the limit, or its last known use if that is larger.
 	StaleAfter time.Duration
 	// DeadHold is how long a process that was declared dead still counts, since it may have lost
@@ -95,7 +95,9 @@
 
 // Flaws are deliberate faults that tests enable. The zero value has none.
 type Flaws struct {
-	ForgetLost bool // processes that are not heard from are assumed to use nothing
+	// ForgetLost counts the use of missing processes, dead ones and those whose report is stale as
+	// 0, where an even share of the limit or more should be assumed.
+	ForgetLost bool
 }
 
 // Room returns how much of a limit is free as far as this process knows, and the process's share of
@@ -152,10 +154,10 @@
 	Limit             *Limit
 	Flaws             Flaws
 	remaining         int           // admissions left in the current period of StaleAfter
-	periodStartUptime time.Duration // start of the period of remaining
+	periodStartUptime time.Duration // uptime at which the period of remaining began
 	started           bool          // a first period has begun
 	demand            float64       // recent requests, halved each second
-	decayedAtUptime   time.Duration // when demand was last decayed
+	decayedAtUptime   time.Duration // uptime at which demand was last decayed
 }
 
 // RecentDemand returns the recent number of requests. Their weight halves with each second that
@@ -202,8 +204,9 @@
 //	(partitions - 1) * Max + admitted
 //
 // partitions is the number of partitions into which the fleet was split for longer than DeadHold, 1
-// if it was not split. admitted is the number of admissions by all processes within the last
-// StaleAfter and one update interval.
+// if it was not split. admitted counts the requests that Gate.Admit let in, of all processes
+// together, within a span of StaleAfter and one update interval. It is the largest such count since
+// the total use was last at most Max.
 //
 // The bound holds because at the last admission the use that the admitting process knew of,
 // including its own, was at most Max. What it did not know of were admissions of others since their
--- a/internal/shared/limit/roster.go
+++ b/internal/shared/limit/roster.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// LiveProcess is a process that is believed to be alive.
+// LiveProcess identifies a process. Those passed to Roster.Update are believed to be alive. Those
+// that Roster.Each passes on may have been declared dead since: their deadFor is then above 0.
 type LiveProcess struct {
 	Session uint64
 	Name    string
--- a/internal/shared/verdict/verdict.go
+++ b/internal/shared/verdict/verdict.go
@@ -15,8 +15,8 @@
 //     reach is sound here.
 //   - At most a fraction of the targets of a zone, and of all targets, are judged unhealthy at
 //     once: the worst first.
-//   - Evidence older than Config.MaxEvidenceAge judges no target unhealthy. It makes a target that was
-//     unhealthy Returning, until Config.ForgetAfter.
+//   - Evidence older than Config.MaxEvidenceAge judges no target unhealthy. It makes a target that
+//     was unhealthy Returning, until Config.ForgetAfter.
 package verdict
 
 import (
@@ -94,12 +94,14 @@
 // opinion is what one witness holds of a target. The counts are of the evidence that is at most
 // MaxEvidenceAge old.
 type opinion struct {
-	name, zone                 string
-	goodCounts, badCounts      evidence.Counts
-	goodAge                    time.Duration // of the latest successful hop, however old
-	seenAge                    time.Duration // of the latest answered probe, however old
-	badAge                     time.Duration // of the latest failure of any kind, however old
-	failAge                    time.Duration // of the latest hop that was answered with a failure, however old
+	name, zone            string
+	goodCounts, badCounts evidence.Counts
+	goodAge               time.Duration // of the latest successful hop, however old
+	seenAge               time.Duration // of the latest answered probe, however old
+	badAge                time.Duration // of the latest failure of any kind, however old
+	failAge               time.Duration // of the latest hop answered with a failure, however old
+	// targetSilent and targetFailed are set if the witness accuses the target: of not answering or
+	// of answering too late, and of answering with errors.
 	targetSilent, targetFailed bool
 }
 
@@ -113,8 +115,8 @@
 
 func (o *opinion) accuses() bool { return o.targetFailed || o.targetSilent }
 
-// Judge returns the findings on targets, in the order of targets. viewer is the zone of the process
-// that asks.
+// Judge returns the findings on targets, in the order of targets. viewerZone is the name of the
+// zone of the process that asks.
 func Judge(now time.Time, s *evidence.Store, viewerZone string, targets []Target, c Config, f Flaws) []Finding {
 	views := collectOpinions(now, s, c, f)
 	unreliable := unreliableWitnesses(now, s, c)
@@ -344,8 +346,8 @@
 	return max(int(fraction*float64(n)), 1)
 }
 
-// TrialDivisor determines how many processes may send clients to a Returning target at a time:
-// about one in TrialDivisor.
+// TrialDivisor divides the number of processes: about one process in TrialDivisor may send clients
+// to a Returning target at a time (see HasTurn).
 const TrialDivisor = 8
 
 // HasTurn reports whether a process may try a target in the period with the given number, where
