--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -68,7 +68,7 @@
 	if s.limitSlices == 0 {
 		s.limitSlices = min(maximum, 2*s.scenario.Proxies.Count, limit.MaxSlices)
 	}
-	l := &limit.Limit{Name: "all", Max: maximum, Slices: s.limitSlices, Period: s.scenario.Proxies.LimitWithin}
+	l := &limit.Limit{Name: "all", Max: maximum, SliceCount: s.limitSlices, Period: s.scenario.Proxies.LimitWithin}
 	if s.scenario.Proxies.LimitKind == "strict" {
 		l.Kind = limit.StrictKind
 	}
@@ -81,7 +81,7 @@
 	s.scenario.Proxies.Limit = maximum
 	if inst := p.inst; inst != nil {
 		list := []limit.Limit{*s.limit()}
-		list[0].Slices = s.limitSlices
+		list[0].SliceCount = s.limitSlices
 		inst.SetLimits(list)
 	}
 }
