--- a/internal/fleet/ledger.go
+++ b/internal/fleet/ledger.go
@@ -29,7 +29,7 @@
 	ListShared  bool
 	OnViolation func(rule string, detail string) // called for each violation of a rule; not nil
 	// OnTell is called when discovery is about to write an entry to a proxy. If it is nil, the
-	// entry counts as told at that time.
+	// proxy is deemed to know the entry from that time on.
 	OnTell func(proxy netip.Addr, e Entry)
 	// OnWatchSilenced is called when an open watch of a proxy is silenced; may be nil.
 	OnWatchSilenced func(proxy netip.Addr)
--- a/internal/lab/capacity/datapath/datapath.go
+++ b/internal/lab/capacity/datapath/datapath.go
@@ -19,7 +19,7 @@
 type Options struct {
 	Program     string    // default bin/ospreyspan
 	Connections []int     // standing connections, from few to many; those beyond the limit of descriptors are left out
-	Lines       []float64 // delivered a second over LineConnections
+	Lines       []float64 // delivered a second over as many connections as lineConnections
 	Seeds       []uint64  // a run for each; what they number is only the runs, as the kernel draws no seeds
 	Log         io.Writer // one line for each size; nil: none
 }
--- a/internal/lab/changeclock.go
+++ b/internal/lab/changeclock.go
@@ -33,13 +33,15 @@
 //
 // It recognises calls from the bytes on the wire alone.
 type changeClock struct {
-	world       *vnet.World
-	newsWithin  time.Duration // 0: no change is deemed known
-	askWithin   time.Duration
-	clients     map[netip.Addr]*discoveryClient
-	changes     map[string]listChange     // latest change, by server
-	unavailable map[proxyServer]time.Time // since when a proxy is deemed to know that a server takes no new work
-	knownStarts map[proxyServer]int64     // start, as in Entry.BornMS, that a proxy knows or is deemed to know
+	world      *vnet.World
+	newsWithin time.Duration // 0: no change is deemed known
+	askWithin  time.Duration
+	clients    map[netip.Addr]*discoveryClient
+	changes    map[string]listChange // latest change, by server
+	// unavailable holds since when a proxy is deemed to know that a server takes no new work.
+	unavailable map[proxyServer]time.Time
+	// knownStarts holds the start, as in Entry.StartedMS, that a proxy knows or is deemed to know.
+	knownStarts map[proxyServer]int64
 }
 
 // proxyServer is a key for what a proxy knows of a server.
--- a/internal/lab/chart.go
+++ b/internal/lab/chart.go
@@ -105,8 +105,8 @@
 	from := -r.series.warmUpSeconds
 	if len(curves) <= maxRelayCurves {
 		for i, ys := range curves {
-			// One colour for each kind of relay: the kinds can be compared, and the legend stays short.
-			// The names of a dozen relays would cover the curves.
+			// One colour for each kind of relay: the kinds can be compared, and the legend stays
+			// short. The names of a dozen relays would cover the curves.
 			kind := slices.Index(r.kindNames(), r.series.relayKinds[i])
 			name := ""
 			if slices.Index(r.series.relayKinds, r.series.relayKinds[i]) == i {
--- a/internal/lab/growth.go
+++ b/internal/lab/growth.go
@@ -38,7 +38,8 @@
 	for _, t := range s.Faults {
 		if t.Count > 0 {
 			n := scaleCount(t.Count)
-			t.Count, t.Every = n, t.Every*time.Duration(t.Count)/time.Duration(n) // within the same total time
+			// All occurrences stay within the same total time.
+			t.Count, t.Every = n, t.Every*time.Duration(t.Count)/time.Duration(n)
 		}
 		scaled.Faults = append(scaled.Faults, t)
 	}
--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -51,23 +51,26 @@
 //	counts                 the proxy's own counts equal those of the sockets
 //	given-back             every descriptor, timer and table entry is released
 type judge struct {
-	world                *vnet.World
-	ledger               *fleet.Ledger
-	rules                *Rules
-	roles                map[*vnet.Host]role
-	relayID              map[*vnet.Host]string
-	sites                map[string]string // by relay id
-	blocks               map[string]int    // deduplication cell of a relay, by relay id
-	classes              map[string]*Class
-	requests             map[string]*request
-	excusedUntil         map[*vnet.Host]time.Time     // a proxy that could not run may answer late until then
-	maxClockLag          map[*vnet.Host]time.Duration // largest lag of a proxy's clock; extends its time limits
-	pendingNotifications []notification               // of entries that discovery is about to write
+	world    *vnet.World
+	ledger   *fleet.Ledger
+	rules    *Rules
+	roles    map[*vnet.Host]role
+	relayID  map[*vnet.Host]string
+	sites    map[string]string // by relay id
+	blocks   map[string]int    // deduplication cell of a relay, by relay id
+	classes  map[string]*Class
+	requests map[string]*request
+	// A proxy that could not run may answer late until excusedUntil.
+	excusedUntil map[*vnet.Host]time.Time
+	// maxClockLag is the largest lag of a proxy's clock. It extends the time limits of the proxy.
+	maxClockLag          map[*vnet.Host]time.Duration
+	pendingNotifications []notification // of entries that discovery is about to write
 	changeClock          *changeClock
-	coldBudget           *coldBudget                       // nil: the budget is not checked
-	findColdRelay        func(id string) (coldRelay, bool) // ok is false if none runs or it ran from the start
-	Requests             int
-	Attempts             int
+	coldBudget           *coldBudget // nil: the budget is not checked
+	// findColdRelay's ok is false if no relay runs under the id or it ran from the start.
+	findColdRelay func(id string) (coldRelay, bool)
+	Requests      int
+	Attempts      int
 }
 
 // notification is an entry of the relay list that discovery sends to a proxy. The proxy knows it
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -192,7 +192,8 @@
 // The interval is Student's, calculated by hand for three pairs whose differences are 1, 2 and 3.
 func TestConfidenceInterval(t *testing.T) {
 	c := FigureComparison{A: []float64{1, 1, 1}, B: []float64{2, 3, 4}}
-	if c.computeStatistics(); c.MeanDifference != 2 || c.HalfInterval < 2.484 || c.HalfInterval > 2.485 { // 4.3027 / sqrt(3)
+	// The expected half interval is 4.3027 / sqrt(3).
+	if c.computeStatistics(); c.MeanDifference != 2 || c.HalfInterval < 2.484 || c.HalfInterval > 2.485 {
 		t.Errorf("%v ± %v", c.MeanDifference, c.HalfInterval)
 	}
 }
--- a/internal/lab/limits_test.go
+++ b/internal/lab/limits_test.go
@@ -54,8 +54,8 @@
 			t.Errorf("%s: %.1f of 60 connections were open in the mean", kind, used)
 		}
 	}
-	// The limit is halved while it is full. A soft limit leaves open connections alone; a strict one
-	// moves those beyond the remaining slices.
+	// The limit is halved while it is full. A soft limit leaves open connections alone; a strict
+	// one moves those beyond the remaining slices.
 	halved := strings.Split(limitScenario, "[trouble kill]")[0] + "[trouble halve]\nkind = relimit\nat = 10s\nevery = 100ms\nsize = 30\n"
 	for _, kind := range []string{"strict", "soft"} {
 		var ends []int
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -27,8 +27,9 @@
 	loop      *poll.Loop
 	rng       *rand.Rand
 	byProcess map[netip.AddrPort]*lossyLink // by the process's own address
-	links     []*lossyLink                  // in the order of opening, so that draws are reproducible
-	closed    bool
+	// links are in the order of opening, so that draws are reproducible.
+	links  []*lossyLink
+	closed bool
 	LinkStats
 }
 
@@ -116,7 +117,8 @@
 	}
 	deliver := func() {
 		if !w.closed {
-			_ = from.sock.Send(data, to.process) // errors are ignored: the process may not be running
+			// Errors are ignored: the process may not be running.
+			_ = from.sock.Send(data, to.process)
 		}
 	}
 	switch d := w.rng.Float64(); {
--- a/internal/lab/planted_test.go
+++ b/internal/lab/planted_test.go
@@ -16,12 +16,14 @@
 // ospreylab is built with the changed file as an overlay; no other build contains it.
 type plantedFault struct {
 	name, file string
-	from, to   string   // text that occurs once in the file, and its replacement
-	function   string   // instead of from: signature of a function in the package whose body to replaces
-	days       string   // generator of the scenarios, as in fuzz --days; empty: any
-	set        []string // section.key=value pairs, as in fuzz --set
-	rules      []string // one of them must be reported as broken
-	first      int      // first seed, a little below the one that finds the fault; 0: 1
+	from, to   string // text that occurs once in the file, and its replacement
+	// function is used instead of from: signature of a function in the package whose body
+	// to replaces.
+	function string
+	days     string   // generator of the scenarios, as in fuzz --days; empty: any
+	set      []string // section.key=value pairs, as in fuzz --set
+	rules    []string // one of them must be reported as broken
+	first    int      // first seed, a little below the one that finds the fault; 0: 1
 }
 
 var plantedFaults = []plantedFault{
@@ -68,8 +70,8 @@
 		rules: []string{"effect-twice", "repeat-invited"},
 	},
 	{
-		// With these settings, windows end while connections are being established. Otherwise hardly a
-		// request is sent twice, because lists are current.
+		// With these settings, windows end while connections are being established. Otherwise
+		// hardly a request is sent twice, because lists are current.
 		name: "the window is looked at when a hop begins, and not when it is written", file: "internal/proxy/effect.go",
 		from: " || !x.mayHop(now, x.target) ||",
 		to:   " ||",
--- a/internal/lab/real_limits_test.go
+++ b/internal/lab/real_limits_test.go
@@ -21,12 +21,12 @@
 	}
 	text := strings.Replace(strings.Split(limitScenario, "[trouble stall]")[0], "length = 40s\nwarm_up = 15s", "length = 12s\nwarm_up = 8s", 1)
 	sc := mustParse(t, strings.Replace(text, "at = 12s", "at = 4s", 1)).with(func(s *Scenario) { s.Proxies.LimitKind, s.Proxies.Verdicts, s.Proxies.BadLinks = "strict", true, true })
-	// The end of one connection and the start of the next arrive at the relays on different sockets,
-	// which they may read in either order.
+	// The end of one connection and the start of the next arrive at the relays on different
+	// sockets, which they may read in either order.
 	const handoverSlack = 3
 	// The limit is checked in each run. A run in which a fault had no effect proves too little: how
-	// many clients are connected to the killed processes depends on the machine's speed. Up to three
-	// runs are made until one has shown all effects.
+	// many clients are connected to the killed processes depends on the machine's speed. Up to
+	// three runs are made until one has shown all effects.
 	for seed := uint64(1); ; seed++ {
 		// Each run has a directory of its own, because a keeper log can be created only once in a
 		// directory.
--- a/internal/lab/requests.go
+++ b/internal/lab/requests.go
@@ -94,7 +94,8 @@
 			j.onProxyWrite(r, rest)
 		}
 	}
-	if late := now.Sub(r.deadline); r.arrived && late > j.rules.AnswerSlack && !r.clientEnded { // a request may be refused before it is read
+	// A request may be refused before it is read.
+	if late := now.Sub(r.deadline); r.arrived && late > j.rules.AnswerSlack && !r.clientEnded {
 		if until, ok := j.excusedUntil[r.proxy]; !ok || r.deadline.After(until) {
 			j.reportViolation("answer-in-time", "%s: request %s is answered %v after its client gave up", r.proxy.Name(), r.id, late)
 		}
@@ -119,7 +120,8 @@
 
 // checkProxyExit checks that a proxy which exits in order leaves no client unanswered or unmoved.
 func (j *judge) checkProxyExit(proxy *vnet.Host) error {
-	for _, r := range j.requests { // any violation will do: the map's order does not decide whether there is one
+	// Any violation will do: the map's order does not decide whether there is one.
+	for _, r := range j.requests {
 		if r.proxy != proxy || r.proxyLife != proxy.Life() || r.clientEnded || !r.arrived {
 			continue
 		}
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -273,7 +273,7 @@
 	}
 }
 
-// kindSection is fleet.Kind in the form of the scenario file.
+// kindSection is fleet.RelayKind in the form of the scenario file.
 type kindSection struct {
 	Share    float64             `ini:"share" min:"0" max:"1"`
 	Cores    int                 `ini:"cores" min:"1" max:"1024"`
--- a/internal/lab/shared/judge.go
+++ b/internal/lab/shared/judge.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// ageBound is how old the evidence of a verdict may truly be: verdict.Config.MaxAge since the end of its window,
+// ageBound is how old the evidence of a verdict may truly be: verdict.Config.MaxEvidenceAge since the end of its window,
 // the window itself, and what clocks that are 2 % apart make of both.
 const ageBound = (3*time.Second + 250*time.Millisecond) * 102 / 100
 
--- a/internal/lab/stage.go
+++ b/internal/lab/stage.go
@@ -37,15 +37,16 @@
 	crowds           []*crowdNode
 	badClientSources int // machines of bad clients so far; numbers their addresses
 	costlyClasses    map[string]costlyFault
-	silentUntil      time.Time     // until then, changes missed by a silent watch are not deemed known
-	changeDelay      time.Duration // added to the delay of each change in discovery's list
-	samples          samples
-	endedCounters    stats.Counters // sums of proxies that have ended
-	limitSlices      int            // slices of the shared limit; 0: not set yet
-	limitChecks      int            // times that the use of the limit was sampled
-	shared           SharedStats    // fleet traffic of ended proxies, and use of the shared limit
-	err              error
-	faultsUntil      time.Duration // since the start, until when faults have effects
+	// Until silentUntil, changes missed by a silent watch are not deemed known.
+	silentUntil   time.Time
+	changeDelay   time.Duration // added to the delay of each change in discovery's list
+	samples       samples
+	endedCounters stats.Counters // sums of proxies that have ended
+	limitSlices   int            // slices of the shared limit; 0: not set yet
+	limitChecks   int            // times that the use of the limit was sampled
+	shared        SharedStats    // fleet traffic of ended proxies, and use of the shared limit
+	err           error
+	faultsUntil   time.Duration // since the start, until when faults have effects
 }
 
 // newStage sets up the network of the day and everything that runs from its start.
@@ -146,7 +147,8 @@
 	if err := s.world.Run(max(s.faultsUntil-s.world.Elapsed(), 0) + s.scenario.Run.CoolDown); err != nil {
 		return err
 	}
-	stopped := make(map[*proxyNode]int) // by the value of lives, since an earlier planned restart may start another process
+	// By the value of lives, since an earlier planned restart may start another process.
+	stopped := make(map[*proxyNode]int)
 	for _, p := range s.proxies {
 		if p.inst == nil || !p.host.Up() {
 			continue
--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -121,7 +121,8 @@
 	case "descriptors":
 		for _, p := range s.pickProxies(t, r) {
 			s.during(at, span, func() {
-				if p.running() { // the sockets of a process that is down do not tell what its successor needs
+				// The sockets of a process that is down do not tell what its successor needs.
+				if p.running() {
 					p.vnetHost().SetDescriptors(p.vnetHost().Open() + int(size))
 				}
 			},
