--- a/internal/lab/stage.go
+++ b/internal/lab/stage.go
@@ -147,7 +147,7 @@
 	if err := s.world.Run(max(s.faultsUntil-s.world.Elapsed(), 0) + s.scenario.Run.CoolDown); err != nil {
 		return err
 	}
-	// By the value of lives, since an earlier planned restart may start another process.
+	// By the value of starts, since an earlier planned restart may start another process.
 	stopped := make(map[*proxyNode]int)
 	for _, p := range s.proxies {
 		if p.inst == nil || !p.host.Up() {
