--- a/cmd/ospreylab/owner.go
+++ b/cmd/ospreylab/owner.go
@@ -50,8 +50,8 @@
 	c.Flags().IntVar(&seeds, "seeds", 200, "runs")
 	c.Flags().Uint64Var(&first, "first", 1, "the first seed")
 	c.Flags().StringVar(&o.Plant, "plant", "", fmt.Sprintf("a mistake to be found: one of %v", owners.Plants))
-	c.Flags().StringSliceVar(&o.Only, "only", nil, "only these faults: stall, stall-before-send, kill, leader-kill, mass-kill, cut, thirds, one-way, wipe, sync, clock")
-	c.Flags().DurationVar(&o.Trouble, "trouble", 0, "virtual time with faults; 0s: 30 s")
+	c.Flags().StringSliceVar(&o.OnlyFaults, "only", nil, "only these faults: stall, stall-before-send, kill, leader-kill, mass-kill, cut, thirds, one-way, wipe, sync, clock")
+	c.Flags().DurationVar(&o.FaultDuration, "trouble", 0, "virtual time with faults; 0s: 30 s")
 	c.Flags().IntSliceVar(&scale, "scale", nil, "numbers of members: tell what they cost and how fast they learn, without other faults")
 	c.Flags().BoolVar(&real, "real", false, "real processes on loopback, in place of the virtual network")
 	c.Flags().IntVar(&ro.Processes, "processes", 12, "with --real: processes, 3 to 250")
@@ -144,13 +144,13 @@
 			if n > 100 {
 				kills = 5 // they take long, and the lease decides
 			}
-			s, err := owners.Measure(seed, n, lease, 3, kills)
+			s, err := owners.MeasureScale(seed, n, lease, 3, kills)
 			if err != nil {
 				return err
 			}
 			ms := func(d time.Duration) time.Duration { return d.Round(10 * time.Millisecond) }
-			fmt.Fprintf(a.out, "| %d | %v | %.1f | %.0f | %v | %v | %v | %v |\n", n, lease, s.Datagrams, s.Bytes,
-				ms(owners.At(s.Deaths, 0.5)), ms(owners.At(s.Deaths, 1)), ms(owners.At(s.Gaps, 0.5)), ms(owners.At(s.Gaps, 0.99)))
+			fmt.Fprintf(a.out, "| %d | %v | %.1f | %.0f | %v | %v | %v | %v |\n", n, lease, s.DatagramsPerSecond, s.BytesPerSecond,
+				ms(owners.Quantile(s.DetectionTimes, 0.5)), ms(owners.Quantile(s.DetectionTimes, 1)), ms(owners.Quantile(s.OwnerGaps, 0.5)), ms(owners.Quantile(s.OwnerGaps, 0.99)))
 		}
 	}
 	return nil
--- a/internal/lab/owners/faults.go
+++ b/internal/lab/owners/faults.go
@@ -8,121 +8,124 @@
 	"ospreyspan/internal/vnet"
 )
 
-// hits draws whether a fault happens now. The draw is made in any case, so that leaving a fault out does not shift others.
-func (r *run) hits(fault string, part float64) bool {
-	hit := r.rng.Float64() < part
-	if r.over || r.o.NoFaults || len(r.o.Only) > 0 && !slices.Contains(r.o.Only, fault) {
+// drawFault draws whether a fault happens now. The random number is drawn in any case, so that
+// leaving out one kind of fault does not change the others.
+func (r *run) drawFault(fault string, part float64) bool {
+	hit := r.faultRNG.Float64() < part
+	if r.faultsOver || r.o.NoFaults || len(r.o.OnlyFaults) > 0 && !slices.Contains(r.o.OnlyFaults, fault) {
 		return false
 	}
 	return hit
 }
 
-// fate is what the network does to a datagram beside its links' delay and loss.
-func (r *run) fate(from, to *vnet.Host, size int) vnet.Fate {
+// datagramFate draws what the network does to a datagram in addition to the delay and loss of its
+// link.
+func (r *run) datagramFate(from, to *vnet.Host, size int) vnet.Fate {
 	var f vnet.Fate
-	switch d := r.rng.Float64(); {
-	case r.over || r.o.NoFaults:
-	case d < 0.002*r.late:
-		f.Late = time.Duration(r.rng.IntN(30000)) * time.Millisecond
+	switch d := r.faultRNG.Float64(); {
+	case r.faultsOver || r.o.NoFaults:
+	case d < 0.002*r.lateFactor:
+		f.Late = time.Duration(r.faultRNG.IntN(30000)) * time.Millisecond
 		r.judge.Late++
-	case d < 0.01*r.late:
-		f.Late = time.Duration(r.rng.IntN(1500)) * time.Millisecond
+	case d < 0.01*r.lateFactor:
+		f.Late = time.Duration(r.faultRNG.IntN(1500)) * time.Millisecond
 		r.judge.Late++
-	case d < 0.02*r.late:
-		f.Again = []time.Duration{time.Duration(r.rng.IntN(8000)) * time.Millisecond}
+	case d < 0.02*r.lateFactor:
+		f.Again = []time.Duration{time.Duration(r.faultRNG.IntN(8000)) * time.Millisecond}
 		r.judge.Repeated++
-	case d < 0.03*r.late:
+	case d < 0.03*r.lateFactor:
 		f.Drop = true
 		r.judge.Dropped++
 	}
 	return f
 }
 
-// faults plans what goes wrong.
-func (r *run) faults() {
-	r.late = 3 * r.rng.Float64()
-	for at := 3 * time.Second; at < r.o.Trouble; at += time.Duration(300+r.rng.IntN(1500)) * time.Millisecond {
-		r.world.After(at, r.fault)
+// scheduleFaults schedules the faults of the run.
+func (r *run) scheduleFaults() {
+	r.lateFactor = 3 * r.faultRNG.Float64()
+	for at := 3 * time.Second; at < r.o.FaultDuration; at += time.Duration(300+r.faultRNG.IntN(1500)) * time.Millisecond {
+		r.world.After(at, r.injectFault)
 	}
 	for _, m := range r.members {
 		if m.keeper {
-			// A leader killed between its own sync and its followers'.
+			// Kills a leader between its own sync and those of its followers.
 			m.host.Disk("keeper").OnWritten(func() {
-				if m.node != nil && m.node.Keeper() != nil && m.node.Keeper().Leading() && r.hits("leader-kill", 0.002) {
+				if m.node != nil && m.node.Keeper() != nil && m.node.Keeper().Leading() && r.drawFault("leader-kill", 0.002) {
 					r.judge.LeaderKills++
-					r.restart(m, time.Duration(200+r.rng.IntN(3000))*time.Millisecond)
+					r.restart(m, time.Duration(200+r.faultRNG.IntN(3000))*time.Millisecond)
 				}
 			})
 		}
 	}
-	r.world.After(r.o.Trouble-time.Millisecond, func() { r.over = true })
+	r.world.After(r.o.FaultDuration-time.Millisecond, func() { r.faultsOver = true })
 }
 
-func (r *run) any() *member { return r.members[r.rng.IntN(len(r.members))] }
+func (r *run) randomMember() *member { return r.members[r.faultRNG.IntN(len(r.members))] }
 
 func (r *run) restart(m *member, after time.Duration) {
 	m.kill()
 	r.world.After(after, m.start)
 }
 
-func (r *run) fault() {
-	m := r.any()
-	span := time.Duration(200+r.rng.IntN(5000)) * time.Millisecond
+func (r *run) injectFault() {
+	m := r.randomMember()
+	span := time.Duration(200+r.faultRNG.IntN(5000)) * time.Millisecond
 	long := span
-	if r.o.Span > 0 {
-		long = span * time.Duration(r.o.Span/time.Millisecond) / 5200
+	if r.o.MaxPartition > 0 {
+		long = span * time.Duration(r.o.MaxPartition/time.Millisecond) / 5200
 	}
-	pick := r.rng.Float64()
+	pick := r.faultRNG.Float64()
 	switch {
-	case pick < 0.25 && r.hits("stall", 1):
+	case pick < 0.25 && r.drawFault("stall", 1):
 		r.judge.Stalls++
 		m.host.Stall(span)
-	case pick < 0.50 && r.hits("kill", 1):
+	case pick < 0.50 && r.drawFault("kill", 1):
 		r.judge.Kills++
 		if m.keeper && m.host.Running() {
 			r.judge.Torn++
 		}
 		r.restart(m, span)
-	case pick < 0.62 && r.hits("cut", 1):
+	case pick < 0.62 && r.drawFault("cut", 1):
 		r.judge.Cuts++
-		r.cut(long, 2)
-	case pick < 0.70 && r.hits("thirds", 1):
+		r.partition(long, 2)
+	case pick < 0.70 && r.drawFault("thirds", 1):
 		r.judge.Thirds++
-		r.cut(long, 3)
-	case pick < 0.82 && r.hits("one-way", 1):
+		r.partition(long, 3)
+	case pick < 0.82 && r.drawFault("one-way", 1):
 		r.judge.CutsOneWay++
-		r.oneWay(m, span)
-	case pick < 0.85 && r.hits("mass-kill", 1):
+		r.partitionOneWay(m, span)
+	case pick < 0.85 && r.drawFault("mass-kill", 1):
 		r.judge.MassKills++
 		for _, m := range r.members {
-			if r.rng.Float64() < 0.7 {
-				r.restart(m, time.Duration(100+r.rng.IntN(3000))*time.Millisecond)
+			if r.faultRNG.Float64() < 0.7 {
+				r.restart(m, time.Duration(100+r.faultRNG.IntN(3000))*time.Millisecond)
 			}
 		}
-	case pick < 0.87 && r.hits("wipe", 1):
-		r.wipe(m, span)
-	case pick < 0.89 && r.hits("sync", 1):
-		if m.keeper && len(r.lost) == 0 && m.host.Running() {
+	case pick < 0.87 && r.drawFault("wipe", 1):
+		r.loseDisk(m, span)
+	case pick < 0.89 && r.drawFault("sync", 1):
+		if m.keeper && len(r.lostDisks) == 0 && m.host.Running() {
 			r.judge.SyncFails++
-			r.lost[m.index] = true
+			r.lostDisks[m.index] = true
 			f := m.host.Disk("keeper").Faults()
 			f.FailSync = true
 			m.host.Disk("keeper").SetFaults(f)
 		}
-	case pick < 0.91 && r.hits("clock", 0.4):
+	case pick < 0.91 && r.drawFault("clock", 0.4):
 		r.judge.ClockJumps++
-		r.judge.jumped = true
+		r.judge.clockJumped = true
 		m.host.ClockJump(10 * time.Second)
-		if r.guest != nil {
-			r.guest.Jumped(m.index)
+		if r.extension != nil {
+			r.extension.ClockJumped(m.index)
 		}
 	default:
-		// An owner is stopped, or killed, whichever it is: the rest would often miss it.
+		// Stalls the owner of the first duty: the other faults pick any member and would often
+		// miss it.
 		for _, o := range r.members {
 			if o.node != nil && o.host.Running() {
-				if _, ok := o.node.HoldsAt(o.host.ClockNow(), duties[0]); ok && r.hits("stall", 1) {
+				if _, ok := o.node.HoldsAt(o.host.ClockNow(), duties[0]); ok && r.drawFault("stall", 1) {
 					r.judge.Stalls++
-					o.host.Stall(terms.Lease + span)
+					o.host.Stall(leaseTerms.Lease + span)
 					return
 				}
 			}
@@ -130,26 +133,27 @@
 	}
 }
 
-// cut parts the fleet in two or three that don't hear each other; some of the cuts flap.
-func (r *run) cut(span time.Duration, parts int) {
+// partition divides the members into two or three groups that do not receive from each other for
+// half of span. One partition in three occurs four times, span apart.
+func (r *run) partition(span time.Duration, parts int) {
 	groups := make([][]*vnet.Host, parts)
 	for _, m := range r.members {
-		i := r.rng.IntN(parts)
+		i := r.faultRNG.IntN(parts)
 		groups[i] = append(groups[i], m.host)
 	}
 	flaps := 1
-	if r.rng.IntN(3) == 0 {
+	if r.faultRNG.IntN(3) == 0 {
 		flaps = 4
 	}
 	for f := range flaps {
 		r.world.After(span*time.Duration(f), func() {
-			if r.over {
+			if r.faultsOver {
 				return
 			}
 			for i := range groups {
 				for k := i + 1; k < parts; k++ {
 					c := r.world.Cut(groups[i], groups[k])
-					r.cuts = append(r.cuts, c)
+					r.partitions = append(r.partitions, c)
 					r.world.After(span/2, c.Heal)
 				}
 			}
@@ -157,8 +161,8 @@
 	}
 }
 
-// oneWay has one process send but not hear, or hear but not send.
-func (r *run) oneWay(m *member, span time.Duration) {
+// partitionOneWay makes one process unable to receive, or unable to send.
+func (r *run) partitionOneWay(m *member, span time.Duration) {
 	var others []*vnet.Host
 	for _, o := range r.members {
 		if o != m {
@@ -167,37 +171,38 @@
 	}
 	one := []*vnet.Host{m.host}
 	c := r.world.CutOneWay(others, one)
-	if r.rng.IntN(2) == 0 {
+	if r.faultRNG.IntN(2) == 0 {
 		c.Heal()
 		c = r.world.CutOneWay(one, others)
 	}
-	r.cuts = append(r.cuts, c)
+	r.partitions = append(r.partitions, c)
 	r.world.After(span, c.Heal)
 }
 
-// wipe loses a keeper's disk, one in a run: it comes back empty, or set up anew as if it were a new fleet's.
-func (r *run) wipe(m *member, span time.Duration) {
-	if !m.keeper || len(r.lost) > 0 {
+// loseDisk loses the disk of a keeper, at most once in a run. The keeper restarts with an empty
+// disk, or with one that was initialized as if for a new fleet.
+func (r *run) loseDisk(m *member, span time.Duration) {
+	if !m.keeper || len(r.lostDisks) > 0 {
 		return
 	}
 	r.judge.Wipes++
-	r.lost[m.index] = true
+	r.lostDisks[m.index] = true
 	m.kill()
 	var text []byte
-	if r.rng.IntN(2) == 0 {
-		text = freshDisk(r)
+	if r.faultRNG.IntN(2) == 0 {
+		text = initialDisk(r)
 	}
 	m.host.Disk("keeper").SetText(text)
 	r.world.After(span, m.start)
 }
 
-// heal ends all faults and starts all that does not run.
-func (r *run) heal() {
-	r.over = true
-	if r.guest != nil {
-		r.guest.Healed()
+// endFaults ends all faults and starts all processes that are not running.
+func (r *run) endFaults() {
+	r.faultsOver = true
+	if r.extension != nil {
+		r.extension.FaultsEnded()
 	}
-	for _, c := range r.cuts {
+	for _, c := range r.partitions {
 		c.Heal()
 	}
 	for _, m := range r.members {
@@ -205,4 +210,4 @@
 	}
 }
 
-func freshDisk(r *run) []byte { return keeper.InitialRecord(r.ids.Uint64() | 1) }
+func initialDisk(r *run) []byte { return keeper.InitialRecord(r.sessionRNG.Uint64() | 1) }
--- a/internal/lab/owners/hard_test.go
+++ b/internal/lab/owners/hard_test.go
@@ -7,25 +7,25 @@
 	"ospreyspan/internal/vnet"
 )
 
-// hard is a fleet without drawn faults: a test makes its own.
-func hard(t *testing.T, members, keepers int) *run {
+// newFaultlessRun starts a fleet without random faults, for tests that inject specific ones.
+func newFaultlessRun(t *testing.T, members, keepers int) *run {
 	t.Helper()
-	r := &run{o: Options{Members: members, Keepers: keepers, NoFaults: true, Quiet: time.Minute}, lost: make(map[int]bool), terms: terms}
+	r := &run{o: Options{Members: members, Keepers: keepers, NoFaults: true, SettleDuration: time.Minute}, lostDisks: make(map[int]bool), terms: leaseTerms}
 	r.world = vnet.New(1, func(_, _ *vnet.Host) vnet.Link {
 		return vnet.Link{Delay: time.Millisecond, Jitter: 3 * time.Millisecond}
 	})
-	r.rng, r.ids = r.world.Rand("faults"), r.world.Rand("sessions")
+	r.faultRNG, r.sessionRNG = r.world.Rand("faults"), r.world.Rand("sessions")
 	r.judge = newJudge(r.world.Fail)
-	if err := r.build(); err != nil {
+	if err := r.addMembers(); err != nil {
 		t.Fatal(err)
 	}
-	r.must(t, 5*time.Second)
+	r.mustAdvance(t, 5*time.Second)
 	return r
 }
 
-func (r *run) must(t *testing.T, d time.Duration) {
+func (r *run) mustAdvance(t *testing.T, d time.Duration) {
 	t.Helper()
-	if err := r.play(d); err != nil {
+	if err := r.advance(d); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -41,72 +41,74 @@
 	return nil
 }
 
-// A chain of three owners, each stopped between its look at the lease and its send, that wake up in the reverse order: all
-// that they send is refused.
+// Three successive owners are each stalled between the check of their lease and the send, and wake
+// up in reverse order: everything that they send is refused.
 func TestChainOfOwnersWakesUpInReverse(t *testing.T) {
-	r := hard(t, 9, 5)
+	r := newFaultlessRun(t, 9, 5)
 	begin, late := r.world.Elapsed(), 40*time.Second
 	var chain []*member
 	for i := range 3 {
 		o := r.owner()
 		for n := 0; o == nil && n < 500; n++ {
-			r.must(t, 10*time.Millisecond)
+			r.mustAdvance(t, 10*time.Millisecond)
 			o = r.owner()
 		}
 		if o == nil {
 			t.Fatalf("no owner %d", i+1)
 		}
 		chain = append(chain, o)
-		// The first wakes up last.
+		// The first owner wakes up last.
 		o.host.StallBeforeSend(begin + late - time.Duration(i)*5*time.Second - r.world.Elapsed())
 		if _, err := o.node.Announce(duties[0], []byte("late")); err != nil {
 			t.Fatal(err)
 		}
-		r.must(t, terms.Lease*3)
+		r.mustAdvance(t, leaseTerms.Lease*3)
 	}
 	before := 0
 	for _, m := range r.members {
 		before += int(m.node.Counters.AnnouncementsStale)
 	}
-	r.must(t, begin+late+5*time.Second-r.world.Elapsed())
+	r.mustAdvance(t, begin+late+5*time.Second-r.world.Elapsed())
 	refused := -before
 	for _, m := range r.members {
 		refused += int(m.node.Counters.AnnouncementsStale)
 	}
 	if refused < 3 || chain[0] == chain[1] || chain[1] == chain[2] {
-		t.Errorf("%d words of the chain were refused", refused)
+		t.Errorf("%d announcements of the three owners were refused, want at least 3", refused)
 	}
-	r.settled()
-	r.must(t, 0)
+	r.checkSettled()
+	r.mustAdvance(t, 0)
 }
 
-// All keepers are gone for a minute: owners stop within a lease, and work goes on once the keepers are back.
+// All keepers are down for a minute: owners stop within the duration of a lease, and duties are
+// granted again once the keepers are back.
 func TestAllKeepersGoneForAMinute(t *testing.T) {
-	r := hard(t, 8, 3)
+	r := newFaultlessRun(t, 8, 3)
 	for _, m := range r.members {
 		if m.keeper {
 			m.kill()
 		}
 	}
-	r.must(t, terms.Lease)
+	r.mustAdvance(t, leaseTerms.Lease)
 	if o := r.owner(); o != nil {
-		t.Errorf("%s owns the duty, a lease after the last keeper went", o.host.Name())
+		t.Errorf("%s still owns the duty one lease after the last keeper was killed", o.host.Name())
 	}
-	r.must(t, time.Minute)
+	r.mustAdvance(t, time.Minute)
 	for _, m := range r.members {
 		m.start()
 	}
-	r.must(t, 15*time.Second)
+	r.mustAdvance(t, 15*time.Second)
 	if r.owner() == nil {
 		t.Error("no owner 15 s after the keepers came back")
 	}
-	r.settled()
-	r.must(t, 0)
+	r.checkSettled()
+	r.mustAdvance(t, 0)
 }
 
-// Two of three keepers are gone for good: nobody is granted anything any more, and no loop waits for it.
+// Two of three keepers are lost for good: no lease is granted any more, and no event loop spins
+// while it waits for one.
 func TestTwoOfThreeKeepersGoneForGood(t *testing.T) {
-	r := hard(t, 6, 3)
+	r := newFaultlessRun(t, 6, 3)
 	gone := 0
 	for _, m := range r.members {
 		if m.keeper && gone < 2 {
@@ -116,9 +118,9 @@
 			m.start()
 		}
 	}
-	r.must(t, 2*terms.Lease)
+	r.mustAdvance(t, 2*leaseTerms.Lease)
 	granted, events := r.judge.granted[duties[0]], r.world.Events()
-	r.must(t, time.Minute)
+	r.mustAdvance(t, time.Minute)
 	if r.owner() != nil || r.judge.granted[duties[0]] != granted {
 		t.Errorf("a duty was granted by one keeper of three")
 	}
@@ -127,10 +129,11 @@
 	}
 }
 
-// An owner that can send but not hear, then one that can hear but not send, loses its duty to another within two leases or so.
+// An owner that can send but not receive, then one that can receive but not send, loses its duty to
+// another member within about two leases.
 func TestDeafAndMuteOwners(t *testing.T) {
 	for _, deaf := range []bool{true, false} {
-		r := hard(t, 7, 3)
+		r := newFaultlessRun(t, 7, 3)
 		o := r.owner()
 		var others []*vnet.Host
 		for _, m := range r.members {
@@ -144,16 +147,17 @@
 		} else {
 			r.world.CutOneWay(one, others)
 		}
-		r.must(t, 6*terms.Lease)
+		r.mustAdvance(t, 6*leaseTerms.Lease)
 		if now := r.owner(); now == nil || now == o {
-			t.Errorf("deaf %v: the duty is not with another one", deaf)
+			t.Errorf("unable to receive %v: the duty has no other owner", deaf)
 		}
 	}
 }
 
-// Three parts, none with a majority of the keepers: nobody owns anything until they meet again.
+// Three partitions, none with a majority of the keepers: no duty has an owner until the partitions
+// heal.
 func TestThreePartsWithoutMajority(t *testing.T) {
-	r := hard(t, 9, 3)
+	r := newFaultlessRun(t, 9, 3)
 	var parts [3][]*vnet.Host
 	for i, m := range r.members {
 		parts[i%3] = append(parts[i%3], m.host)
@@ -164,44 +168,46 @@
 			cuts = append(cuts, r.world.Cut(parts[i], parts[k]))
 		}
 	}
-	r.must(t, 2*terms.Lease)
+	r.mustAdvance(t, 2*leaseTerms.Lease)
 	granted := r.judge.granted[duties[0]]
-	r.must(t, 20*time.Second)
+	r.mustAdvance(t, 20*time.Second)
 	if r.owner() != nil || r.judge.granted[duties[0]] != granted {
-		t.Error("a part without a majority has an owner")
+		t.Error("a duty has an owner although no partition has a majority of the keepers")
 	}
 	for _, c := range cuts {
 		c.Heal()
 	}
-	r.must(t, 20*time.Second)
-	r.settled()
-	r.must(t, 0)
+	r.mustAdvance(t, 20*time.Second)
+	r.checkSettled()
+	r.mustAdvance(t, 0)
 }
 
-// A clock that jumps 10 s ahead, at the keepers' leader: its grants end early, and two may hold a duty by their own clocks;
-// effects are fenced all the same, which the judge checks throughout.
+// The clock of the keepers' leader jumps 10 s ahead: its grants end early, and two processes may
+// hold a duty at once by their own clocks. Effects are fenced nevertheless, which the judge checks
+// throughout.
 func TestLeadersClockJumps(t *testing.T) {
-	r := hard(t, 7, 3)
-	r.judge.jumped = true
+	r := newFaultlessRun(t, 7, 3)
+	r.judge.clockJumped = true
 	for range 6 {
 		for _, m := range r.members {
 			if m.node.Keeper() != nil && m.node.Keeper().Leading() {
 				m.host.ClockJump(10 * time.Second)
 			}
 		}
-		r.must(t, 3*time.Second)
+		r.mustAdvance(t, 3*time.Second)
 	}
 	if r.judge.HandOvers == 0 {
-		t.Error("no grant ended early: the jump did not bite")
+		t.Error("no grant ended early: the clock jump had no effect")
 	}
-	r.settled()
-	r.must(t, 0)
+	r.checkSettled()
+	r.mustAdvance(t, 0)
 }
 
-// The leader's disk refuses for a while and bears again: the others go on without it meanwhile, and it takes part again as the same
+// The leader's disk refuses writes for a while and then accepts them again: the other keepers go on
+// without the leader meanwhile, and afterwards it takes part again without a restart of its
 // process.
 func TestDiskRefusesForAWhile(t *testing.T) {
-	r := hard(t, 7, 3)
+	r := newFaultlessRun(t, 7, 3)
 	var x *member
 	for _, m := range r.members {
 		if m.node.Keeper() != nil && m.node.Keeper().Leading() {
@@ -212,24 +218,25 @@
 	f := d.Faults()
 	f.Refuses = true
 	d.SetFaults(f)
-	r.must(t, 10*time.Second)
+	r.mustAdvance(t, 10*time.Second)
 	if x.node.Keeper().Stopped() != nil || x.node.Keeper().Leading() || r.owner() == nil {
-		t.Fatalf("the keeper whose disk refuses: ended %v, leads %v; owner %v", x.node.Keeper().Stopped(), x.node.Keeper().Leading(), r.owner())
+		t.Fatalf("keeper whose disk refuses writes: stopped %v, leading %v; owner %v", x.node.Keeper().Stopped(), x.node.Keeper().Leading(), r.owner())
 	}
 	before := x.node.Keeper().State().Applied
 	f.Refuses = false
 	d.SetFaults(f)
-	r.must(t, 10*time.Second)
+	r.mustAdvance(t, 10*time.Second)
 	if k := x.node.Keeper(); k.Stopped() != nil || k.Leader() == 0 || k.State().Applied <= before {
-		t.Errorf("it does not take part again: ended %v, leader %d, applied %d, %d before", k.Stopped(), k.Leader(), k.State().Applied, before)
+		t.Errorf("the keeper does not take part again: stopped %v, leader %d, applied %d, %d before", k.Stopped(), k.Leader(), k.State().Applied, before)
 	}
-	r.settled()
-	r.must(t, 0)
+	r.checkSettled()
+	r.mustAdvance(t, 0)
 }
 
-// A keeper's disk is full, at the leader: it ends, the others go on without it, and it comes back once there is room.
+// The disk of the leading keeper is full: the keeper stops, the others go on without it, and it
+// takes part again after a restart once there is room.
 func TestFullDisk(t *testing.T) {
-	r := hard(t, 7, 3)
+	r := newFaultlessRun(t, 7, 3)
 	var x *member
 	for _, m := range r.members {
 		if m.node.Keeper() != nil && m.node.Keeper().Leading() {
@@ -240,19 +247,19 @@
 	f := d.Faults()
 	f.Full = len(d.Text()) + 100
 	d.SetFaults(f)
-	r.must(t, 10*time.Second)
+	r.mustAdvance(t, 10*time.Second)
 	if x.node.Keeper().Stopped() == nil || r.owner() == nil {
-		t.Fatalf("the keeper with a full disk: %v; owner %v", x.node.Keeper().Stopped(), r.owner())
+		t.Fatalf("keeper with a full disk: stopped %v; owner %v", x.node.Keeper().Stopped(), r.owner())
 	}
 	f.Full = 0
 	d.SetFaults(f)
 	x.kill()
-	x.lost = false
+	x.keeperLost = false
 	x.start()
-	r.must(t, 10*time.Second)
+	r.mustAdvance(t, 10*time.Second)
 	if k := x.node.Keeper(); k == nil || k.Stopped() != nil || k.Leader() == 0 {
-		t.Error("it does not come back")
+		t.Error("the keeper does not take part again after its restart")
 	}
-	r.settled()
-	r.must(t, 0)
+	r.checkSettled()
+	r.mustAdvance(t, 0)
 }
--- a/internal/lab/owners/judge.go
+++ b/internal/lab/owners/judge.go
@@ -9,91 +9,91 @@
 	"ospreyspan/internal/owner"
 )
 
-// judge knows everything that happens and none of the code under test. It keeps what must never happen from passing
-// unseen.
+// judge records what happens in a run and checks it without using any of the code under test.
 type judge struct {
-	fail    func(error)
-	granted map[string]uint64                // latest token of a duty that anybody was granted
-	holders map[string]map[uint64]uint64     // session by duty and token
-	taken   map[string]map[string]uint64     // latest token taken, by receiver's name and duty: over all its lives
-	ops     map[string][]porcupine.Operation // by duty
-	asked   map[[2]uint64]asked
-	since   map[string]time.Duration // the latest grant of a duty
-	renewed map[string]time.Duration // the latest answer by which somebody holds it
-	jumped  bool                     // a clock has run past what the leases' margin allows
+	fail        func(error)
+	granted     map[string]uint64                // latest token granted, by duty
+	holders     map[string]map[uint64]uint64     // session by duty and token
+	taken       map[string]map[string]uint64     // latest token accepted, by the receiver's name and duty, over all restarts of the receiver
+	ops         map[string][]porcupine.Operation // answered claims, by duty
+	pending     map[[2]uint64]pendingClaim       // claims that were sent and not answered, by session and sequence number
+	grantedAt   map[string]time.Duration         // time of the latest grant of a new token, by duty
+	renewedAt   map[string]time.Duration         // time of the latest answer that grants or renews a lease, by duty
+	clockJumped bool                             // a clock was set ahead by more than the margin of the leases
 	Counts
 }
 
-type asked struct {
+// pendingClaim is a claim that was sent and when.
+type pendingClaim struct {
 	at  time.Duration
 	ask *owner.LeaseRequest
 }
 
-// Counts are what a run injected and saw.
+// Counts holds what a run injected and observed.
 type Counts struct {
 	Seeds                                                                    int
 	Stalls, StallsBeforeSend, Kills, LeaderKills, MassKills, Wipes, Torn     int
 	Cuts, CutsOneWay, Thirds, Late, Repeated, Dropped, ClockJumps, SyncFails int
-	Twins                                                                    int
-	Claims, Grants, HandOvers, Words                                         int
+	NameConflicts                                                            int
+	Claims, Grants, HandOvers, Announcements                                 int
 	StaleSent, StaleRefused, StaleTaken, Overlaps                            int
 	Snapshots, Refuted                                                       int
 }
 
-// Add adds another run's counts.
+// Add adds the counts of another run.
 func (c *Counts) Add(o Counts) {
 	for _, p := range []struct{ to, from *int }{
 		{&c.Seeds, &o.Seeds}, {&c.Stalls, &o.Stalls}, {&c.StallsBeforeSend, &o.StallsBeforeSend}, {&c.Kills, &o.Kills},
 		{&c.LeaderKills, &o.LeaderKills}, {&c.MassKills, &o.MassKills}, {&c.Wipes, &o.Wipes}, {&c.Torn, &o.Torn},
 		{&c.Cuts, &o.Cuts}, {&c.CutsOneWay, &o.CutsOneWay}, {&c.Thirds, &o.Thirds}, {&c.Late, &o.Late},
 		{&c.Repeated, &o.Repeated}, {&c.Dropped, &o.Dropped}, {&c.ClockJumps, &o.ClockJumps}, {&c.SyncFails, &o.SyncFails},
-		{&c.Twins, &o.Twins}, {&c.Claims, &o.Claims}, {&c.Grants, &o.Grants}, {&c.HandOvers, &o.HandOvers},
-		{&c.Words, &o.Words}, {&c.StaleSent, &o.StaleSent}, {&c.StaleRefused, &o.StaleRefused},
+		{&c.NameConflicts, &o.NameConflicts}, {&c.Claims, &o.Claims}, {&c.Grants, &o.Grants}, {&c.HandOvers, &o.HandOvers},
+		{&c.Announcements, &o.Announcements}, {&c.StaleSent, &o.StaleSent}, {&c.StaleRefused, &o.StaleRefused},
 		{&c.StaleTaken, &o.StaleTaken}, {&c.Overlaps, &o.Overlaps}, {&c.Snapshots, &o.Snapshots}, {&c.Refuted, &o.Refuted},
 	} {
 		*p.to += *p.from
 	}
 }
 
-// String is the closing line.
+// String returns the closing line of the runs that are counted.
 func (c Counts) String() string {
 	return fmt.Sprintf("seeds %d; faults: stalls %d, before a send %d, kills %d, of leaders between syncs %d, mass kills %d, "+
 		"cuts %d, one way %d, in thirds %d, datagrams late %d, repeated %d, dropped %d, disks wiped %d, torn %d, syncs failed %d, "+
 		"clocks jumped %d, twins %d; claims %d, grants %d, hand-overs %d, words %d; stale effects sent %d, refused %d, "+
 		"taken: %d; overlapping owners by token: %d",
 		c.Seeds, c.Stalls, c.StallsBeforeSend, c.Kills, c.LeaderKills, c.MassKills, c.Cuts, c.CutsOneWay, c.Thirds, c.Late,
-		c.Repeated, c.Dropped, c.Wipes, c.Torn, c.SyncFails, c.ClockJumps, c.Twins, c.Claims, c.Grants, c.HandOvers, c.Words,
+		c.Repeated, c.Dropped, c.Wipes, c.Torn, c.SyncFails, c.ClockJumps, c.NameConflicts, c.Claims, c.Grants, c.HandOvers, c.Announcements,
 		c.StaleSent, c.StaleRefused, c.StaleTaken, c.Overlaps)
 }
 
 func newJudge(fail func(error)) *judge {
 	return &judge{
 		fail: fail, granted: make(map[string]uint64), holders: make(map[string]map[uint64]uint64),
-		taken: make(map[string]map[string]uint64), ops: make(map[string][]porcupine.Operation), asked: make(map[[2]uint64]asked),
-		since: make(map[string]time.Duration), renewed: make(map[string]time.Duration),
+		taken: make(map[string]map[string]uint64), ops: make(map[string][]porcupine.Operation), pending: make(map[[2]uint64]pendingClaim),
+		grantedAt: make(map[string]time.Duration), renewedAt: make(map[string]time.Duration),
 	}
 }
 
-// ask takes a claim that goes out.
-func (j *judge) ask(now time.Duration, a *owner.LeaseRequest) {
+// claimSent records a claim when it is sent.
+func (j *judge) claimSent(now time.Duration, a *owner.LeaseRequest) {
 	j.Claims++
-	j.asked[[2]uint64{a.Session, a.Seq}] = asked{now, a}
+	j.pending[[2]uint64{a.Session, a.Seq}] = pendingClaim{now, a}
 }
 
-// answer takes the answer to a claim.
-func (j *judge) answer(now time.Duration, r *owner.LeaseResponse) {
-	q, ok := j.asked[[2]uint64{r.Session, r.Seq}]
+// answerReceived records the answer to a claim.
+func (j *judge) answerReceived(now time.Duration, r *owner.LeaseResponse) {
+	q, ok := j.pending[[2]uint64{r.Session, r.Seq}]
 	if !ok {
-		j.fail(fmt.Errorf("session %x: an answer to claim %d, which it never made", r.Session, r.Seq))
+		j.fail(fmt.Errorf("session %x: received an answer to claim %d, which it never sent", r.Session, r.Seq))
 		return
 	}
-	delete(j.asked, [2]uint64{r.Session, r.Seq})
+	delete(j.pending, [2]uint64{r.Session, r.Seq})
 	for i, t := range r.Leases {
 		if t.Mine {
 			if t.Token > j.granted[t.Lease] {
-				j.since[t.Lease] = now
+				j.grantedAt[t.Lease] = now
 			}
-			j.renewed[t.Lease] = now
+			j.renewedAt[t.Lease] = now
 			j.grant(t.Lease, t.Token, r.Session)
 		}
 		j.ops[t.Lease] = append(j.ops[t.Lease], porcupine.Operation{
@@ -102,6 +102,8 @@
 	}
 }
 
+// grant records that a session was granted a token, and checks that no other session was granted
+// the same one.
 func (j *judge) grant(duty string, token, session uint64) {
 	if j.holders[duty] == nil {
 		j.holders[duty] = make(map[uint64]uint64)
@@ -109,7 +111,7 @@
 	had := j.holders[duty][token]
 	if had != 0 && had != session {
 		j.Overlaps++
-		j.fail(fmt.Errorf("duty %s: token %d was given to two sessions, %x and %x", duty, token, had, session))
+		j.fail(fmt.Errorf("duty %s: token %d was granted to two sessions, %x and %x", duty, token, had, session))
 	}
 	if had == 0 {
 		j.Grants++
@@ -121,36 +123,41 @@
 	j.granted[duty] = max(j.granted[duty], token)
 }
 
-// take takes an effect that a receiver took, whichever of its lives.
-func (j *judge) take(receiver, duty string, token uint64) {
-	j.Words++
+// effectTaken records an effect that a receiver accepted, and checks that it is not older than one
+// that the receiver accepted before, also before a restart.
+func (j *judge) effectTaken(receiver, duty string, token uint64) {
+	j.Announcements++
 	if j.taken[receiver] == nil {
 		j.taken[receiver] = make(map[string]uint64)
 	}
 	if latest := j.taken[receiver][duty]; token < latest {
 		j.StaleTaken++
-		j.fail(fmt.Errorf("duty %s: %s took an effect of token %d after one of token %d", duty, receiver, token, latest))
+		j.fail(fmt.Errorf("duty %s: %s accepted an effect of token %d after one of token %d", duty, receiver, token, latest))
 	}
 	j.taken[receiver][duty] = token
 }
 
-// claim and register are the model that claims are held against: a register per duty whose token only grows, and each of
-// whose tokens belongs to one session. A grant may end at any time, so that only answers can contradict it: a token below
-// one that was known before the claim was made, or one session's token given to another.
+// claim is an input of the model that claims are checked against for linearizability: a register
+// for each duty whose token only grows and each of whose tokens belongs to one session. A grant may
+// end at any time, so that only answers can contradict the model: by a token below one that was
+// known before the claim was sent, or by granting a token of one session to another.
 type claim struct {
 	session uint64
 	drop    bool
 }
 
+// register is the state of the linearizability model of one duty; a session of 0 is unknown.
 type register struct{ token, session uint64 }
 
+// step is the transition of the linearizability model: it reports whether the answer is allowed in
+// state s and returns the state that follows.
 func step(s register, in claim, out owner.LeaseStatus) (bool, register) {
 	switch {
 	case out.Token < s.token:
 		return false, s
 	case out.Token > s.token && out.Mine:
 		return true, register{out.Token, in.session}
-	case out.Token > s.token: // granted to somebody whose answer was lost or is later
+	case out.Token > s.token: // granted to another session, whose answer was lost or arrives later
 		return true, register{out.Token, 0}
 	case out.Mine && s.session != 0 && s.session != in.session:
 		return false, s
@@ -160,8 +167,9 @@
 	return true, s
 }
 
-// linearizable checks all claims that were answered.
-func (j *judge) linearizable(limit time.Duration) error {
+// checkLinearizable checks that all answered claims are linearizable. The check of a duty that
+// takes longer than limit counts as passed.
+func (j *judge) checkLinearizable(limit time.Duration) error {
 	model := porcupine.Model{
 		Init: func() any { return register{} },
 		Step: func(s, in, out any) (bool, any) { return step(s.(register), in.(claim), out.(owner.LeaseStatus)) },
--- a/internal/lab/owners/owners_test.go
+++ b/internal/lab/owners/owners_test.go
@@ -7,7 +7,7 @@
 	"ospreyspan/internal/vnet"
 )
 
-// play plays seeds and fails the test at the first one that breaks something.
+// play runs the seeds from first to last and fails the test at the first one whose run fails.
 func play(t *testing.T, first, last uint64, o Options) Counts {
 	t.Helper()
 	var all Counts
@@ -27,7 +27,8 @@
 	return all
 }
 
-// Fleets under all faults: no effect of a former owner is taken. Stale effects must have been sent, else nothing is shown.
+// Under all faults no receiver accepts an effect of a former owner. The test also requires that
+// stale effects were sent, since otherwise it would show nothing.
 func TestNoStaleEffectIsTaken(t *testing.T) {
 	last := uint64(40)
 	if raceOn {
@@ -36,20 +37,21 @@
 	all := play(t, 1, last, Options{})
 	t.Log(all)
 	if n := int(last) / 6; all.StaleSent < n || all.StaleRefused < n || all.HandOvers < 4*n || all.Snapshots == 0 {
-		t.Errorf("the faults did not bite: %v", all)
+		t.Errorf("too few faults took effect: %v", all)
 	}
 }
 
-// Each planted mistake is found.
+// The judge finds each planted mistake.
 func TestPlantedMistakesAreFound(t *testing.T) {
-	// Seeds from 1 on find them all within 100; these begin near the first that does.
+	// When the seeds start at 1, each mistake is found within 100 seeds. The first seeds here are
+	// near the one that finds the mistake.
 	for plant, first := range map[string]uint64{
 		"no-fence": 1, "early-grant": 1, "ack-before-sync": 60, "lease-from-answer": 1, "forgetful-receiver": 1,
 	} {
 		const most = 20
 		t.Run(plant, func(t *testing.T) {
 			if raceOn && first > 1 {
-				t.Skip("too slow under the race detector; the same runs without it")
+				t.Skip("too slow under the race detector; runs without it")
 			}
 			t.Parallel()
 			for seed := first; seed < first+most; seed++ {
@@ -58,16 +60,16 @@
 					return
 				}
 			}
-			t.Errorf("not found in %d seeds", uint64(most))
+			t.Errorf("mistake not found in %d seeds", uint64(most))
 		})
 	}
 }
 
-// One seed is one run, event for event: a failure's seed repeats it.
+// A seed determines the run, so that the seed of a failure reproduces it.
 func TestSeedsRepeat(t *testing.T) {
 	a, _ := Play(5, Options{})
 	b, _ := Play(5, Options{})
 	if a != b {
-		t.Errorf("seed 5 played twice:\n%v\n%v", a, b)
+		t.Errorf("two runs of seed 5 differ:\n%v\n%v", a, b)
 	}
 }
--- a/internal/lab/owners/run.go
+++ b/internal/lab/owners/run.go
@@ -1,7 +1,11 @@
-// Package owners plays fleets of processes that fail together: membership, keepers, leases and fences on a virtual network
-// with stalls, kills, partitions, late and repeated datagrams, bad disks and bad clocks, from one seed. A judge that knows
-// none of the code checks that no effect of a former owner is taken after one of a later owner, that no token is given
-// twice, that no two processes hold a duty by their own clocks at once, and that claims are linearizable.
+// Package owners simulates fleets of processes that elect owners of duties, under faults: cluster
+// membership, keepers, leases and fencing on a virtual network with stalled and killed processes,
+// partitions, late and repeated datagrams, failing disks and faulty clocks. A run is determined by
+// its seed.
+//
+// A judge that uses none of the code under test checks that no receiver accepts an effect of a
+// former owner after one of a later owner, that no token is granted to two sessions, that no two
+// processes hold a duty at once by their own clocks, and that claims are linearizable.
 package owners
 
 import (
@@ -20,88 +24,90 @@
 	"ospreyspan/internal/vnet"
 )
 
-// Options say what to play. Their zero value, but for the seed, is the usual run.
+// Options selects what a run simulates. The zero value is a standard run.
 type Options struct {
-	Plant    string        // a mistake, one of Plants; empty: none
-	Members  int           // 0: drawn, 5 to 12
-	Keepers  int           // 0: drawn, 3 or 5
-	Trouble  time.Duration // with faults; 0: 30 s
-	Quiet    time.Duration // without, before the last look; 0: 20 s
-	NoFaults bool
-	// Guest plays further parts of the same processes, under the same faults; nil: none.
-	Guest func(*vnet.World) Guest
-	// Span is the longest time that a cut lasts; 0: 5.2 s.
-	Span time.Duration
-	// Only, if it is not empty, has only these faults.
-	Only []string
+	Plant          string        // planted mistake, one of Plants; empty: none
+	Members        int           // 0: drawn, 5 to 12
+	Keepers        int           // 0: drawn, 3 or 5
+	FaultDuration  time.Duration // phase with faults; 0: 30 s
+	SettleDuration time.Duration // phase without faults before the final check; 0: 20 s
+	NoFaults       bool
+	// Extension adds further parts to the simulated processes, under the same faults; nil: none.
+	Extension func(*vnet.World) Extension
+	// MaxPartition is the longest duration of a partition; 0: 5.2 s.
+	MaxPartition time.Duration
+	// OnlyFaults, if it is not empty, restricts the injected faults to these kinds.
+	OnlyFaults []string
 }
 
-// Guest plays further parts of the processes of a run.
-type Guest interface {
-	// Begin is told of each start of a process, before its node is made: it may change the configuration.
-	Begin(i int, h *vnet.Host, loop *poll.Loop, c *mesh.Config)
-	// Began is told of the node.
-	Began(i int, n *mesh.Node)
-	// Killed is told of the end of a process.
+// Extension simulates further parts of the processes of a run.
+type Extension interface {
+	// BeforeStart is called at each start of process i before its node is created, and may change
+	// the node's configuration.
+	BeforeStart(i int, h *vnet.Host, loop *poll.Loop, c *mesh.Config)
+	// AfterStart is called with the node of process i once it has been created.
+	AfterStart(i int, n *mesh.Node)
+	// Killed is called after process i was killed.
 	Killed(i int)
-	// Jumped is told that a process's clock was set ahead.
-	Jumped(i int)
-	// Healed is told that there are no faults any more.
-	Healed()
-	// Settled is asked at the end, when there has been no fault for a while: an error is a finding.
-	Settled() error
+	// ClockJumped is called after the clock of process i was set ahead.
+	ClockJumped(i int)
+	// FaultsEnded is called at the end of the phase with faults.
+	FaultsEnded()
+	// CheckSettled is called at the end of the phase without faults. The run fails with the error
+	// that it returns.
+	CheckSettled() error
 }
 
-// Plants are the mistakes that can be planted, each of which the judge must find.
+// Plants lists the mistakes that can be planted. The judge must find each of them.
 var Plants = []string{"no-fence", "early-grant", "ack-before-sync", "lease-from-answer", "forgetful-receiver"}
 
-// duties are those that the members claim.
+// duties lists the duties that the members claim.
 var duties = []string{"discovery", "moves", "probes/0"}
 
-// terms are shorter than those that serve, so that a run sees more hand-overs.
-var terms = owner.LeaseTerms{Lease: 1200 * time.Millisecond, Margin: 60 * time.Millisecond}
+// leaseTerms are shorter than in production, so that a run sees more hand-overs.
+var leaseTerms = owner.LeaseTerms{Lease: 1200 * time.Millisecond, Margin: 60 * time.Millisecond}
 
 type run struct {
-	o          Options
-	world      *vnet.World
-	rng        *rand.Rand // of faults
-	ids        *rand.Rand // of sessions
-	judge      *judge
-	members    []*member
-	at         []mesh.KeeperAddress
-	late       float64 // times as often as usual that datagrams come late
-	over       bool    // no faults any more
-	cuts       []*vnet.Partition
-	lost       map[int]bool // keepers whose disk was lost
-	terms      owner.LeaseTerms
-	quietWords bool // members say no words
-	guest      Guest
+	o               Options
+	world           *vnet.World
+	faultRNG        *rand.Rand // draws the faults
+	sessionRNG      *rand.Rand // draws session numbers and the times of announcements
+	judge           *judge
+	members         []*member
+	keeperAddrs     []mesh.KeeperAddress
+	lateFactor      float64 // multiple of the usual rate of late, repeated and dropped datagrams
+	faultsOver      bool    // no faults are injected any more
+	partitions      []*vnet.Partition
+	lostDisks       map[int]bool // keepers whose disk was lost, by index of the member
+	terms           owner.LeaseTerms
+	noAnnouncements bool // owners send no announcements
+	extension       Extension
 }
 
 type member struct {
-	run    *run
-	index  int
-	host   *vnet.Host
-	node   *mesh.Node
-	loop   *poll.Loop
-	timer  poll.Timer
-	keeper bool
-	lost   bool // its disk
-	rate   float64
+	run        *run
+	index      int
+	host       *vnet.Host
+	node       *mesh.Node
+	loop       *poll.Loop
+	timer      poll.Timer
+	keeper     bool
+	keeperLost bool    // the keeper's disk is lost, so that the process runs without a keeper
+	clockRate  float64 // speed of the clock relative to true time
 }
 
-// Play plays one seed and returns its counts; an error is a *vnet.Failure if something happened that must not.
+// Play runs one seed and returns its counts. The error is a *vnet.Failure if a check failed.
 func Play(seed uint64, o Options) (Counts, error) {
 	if o.Plant != "" && !slices.Contains(Plants, o.Plant) {
-		return Counts{}, fmt.Errorf("plant %q is none of %v", o.Plant, Plants)
+		return Counts{}, fmt.Errorf("unknown planted mistake %q: want one of %v", o.Plant, Plants)
 	}
-	if o.Trouble == 0 {
-		o.Trouble = 30 * time.Second
+	if o.FaultDuration == 0 {
+		o.FaultDuration = 30 * time.Second
 	}
-	if o.Quiet == 0 {
-		o.Quiet = 20 * time.Second
+	if o.SettleDuration == 0 {
+		o.SettleDuration = 20 * time.Second
 	}
-	r := &run{o: o, lost: make(map[int]bool), terms: terms}
+	r := &run{o: o, lostDisks: make(map[int]bool), terms: leaseTerms}
 	var links *rand.Rand
 	loss := 0.0
 	r.world = vnet.New(seed, func(from, to *vnet.Host) vnet.Link {
@@ -110,46 +116,46 @@
 			Loss: loss,
 		}
 	})
-	links, r.rng, r.ids = r.world.Rand("links"), r.world.Rand("faults"), r.world.Rand("sessions")
-	if !o.NoFaults && r.rng.IntN(2) == 0 {
-		loss = 0.15 * r.rng.Float64()
+	links, r.faultRNG, r.sessionRNG = r.world.Rand("links"), r.world.Rand("faults"), r.world.Rand("sessions")
+	if !o.NoFaults && r.faultRNG.IntN(2) == 0 {
+		loss = 0.15 * r.faultRNG.Float64()
 	}
 	r.judge = newJudge(r.world.Fail)
 	r.judge.Seeds = 1
-	if o.Guest != nil {
-		r.guest = o.Guest(r.world)
+	if o.Extension != nil {
+		r.extension = o.Extension(r.world)
 	}
 	if r.o.Keepers == 0 {
-		r.o.Keepers = 3 + 2*r.rng.IntN(2)
+		r.o.Keepers = 3 + 2*r.faultRNG.IntN(2)
 	}
 	if r.o.Members == 0 {
-		r.o.Members = 5 + r.rng.IntN(8)
+		r.o.Members = 5 + r.faultRNG.IntN(8)
 	}
-	if err := r.build(); err != nil {
+	if err := r.addMembers(); err != nil {
 		return r.judge.Counts, err
 	}
-	r.world.Fates(r.fate)
+	r.world.Fates(r.datagramFate)
 	if !o.NoFaults {
-		r.faults()
+		r.scheduleFaults()
 	}
-	err := r.play(o.Trouble)
+	err := r.advance(o.FaultDuration)
 	if err == nil {
-		r.heal()
-		err = r.play(o.Quiet)
+		r.endFaults()
+		err = r.advance(o.SettleDuration)
 	}
 	if err == nil {
-		r.settled()
-		if r.guest != nil {
-			if found := r.guest.Settled(); found != nil {
+		r.checkSettled()
+		if r.extension != nil {
+			if found := r.extension.CheckSettled(); found != nil {
 				r.world.Fail(found)
 			}
 		}
 	}
 	for _, m := range r.members {
-		m.count()
+		m.collectCounters()
 	}
 	if err == nil {
-		if lin := r.judge.linearizable(20 * time.Second); lin != nil {
+		if lin := r.judge.checkLinearizable(20 * time.Second); lin != nil {
 			r.world.Fail(lin)
 		}
 		err = r.world.Run(0)
@@ -157,8 +163,8 @@
 	return r.judge.Counts, err
 }
 
-// play lets the world go on; a panic of the code under test is a finding like others.
-func (r *run) play(d time.Duration) (err error) {
+// advance runs the simulation for d. A panic of the code under test is a failure of the run.
+func (r *run) advance(d time.Duration) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			r.world.Fail(fmt.Errorf("panic: %v", p))
@@ -168,23 +174,23 @@
 	return r.world.Run(d)
 }
 
-func (r *run) build() error {
+func (r *run) addMembers() error {
 	for i := range r.o.Members {
 		h := r.world.AddHost(fmt.Sprintf("p%d", i), netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(1 + i&0xff)}), vnet.Limits{})
-		m := &member{run: r, index: i, host: h, keeper: i < r.o.Keepers, rate: 1}
+		m := &member{run: r, index: i, host: h, keeper: i < r.o.Keepers, clockRate: 1}
 		r.members = append(r.members, m)
 		if m.keeper {
-			r.at = append(r.at, mesh.KeeperAddress{ID: uint64(i + 1), Addr: netip.AddrPortFrom(h.Addr(), meshPort)})
+			r.keeperAddrs = append(r.keeperAddrs, mesh.KeeperAddress{ID: uint64(i + 1), Addr: netip.AddrPortFrom(h.Addr(), meshPort)})
 			d := h.Disk("keeper")
 			d.SetFaults(vnet.DiskFaults{Delay: time.Millisecond, Jitter: 6 * time.Millisecond, Torn: 0.7, Scrambled: 0.3})
-			d.SetText(keeper.InitialRecord(r.ids.Uint64() | 1))
+			d.SetText(keeper.InitialRecord(r.sessionRNG.Uint64() | 1))
 		}
 	}
 	for _, m := range r.members {
 		if !r.o.NoFaults {
-			m.rate = 0.99 + 0.02*r.rng.Float64()
+			m.clockRate = 0.99 + 0.02*r.faultRNG.Float64()
 		}
-		delay := time.Duration(r.rng.IntN(500)) * time.Millisecond
+		delay := time.Duration(r.faultRNG.IntN(500)) * time.Millisecond
 		r.world.After(delay, m.start)
 	}
 	return nil
@@ -197,69 +203,70 @@
 		return
 	}
 	m.host.Return()
-	err := m.host.Start(m.begin)
+	err := m.host.Start(m.startNode)
 	if err != nil {
 		m.run.world.Fail(err)
 		return
 	}
-	m.host.ClockRate(m.rate)
+	m.host.ClockRate(m.clockRate)
 }
 
-func (m *member) begin(k poll.Kernel) (func() error, error) {
+func (m *member) startNode(k poll.Kernel) (func() error, error) {
 	r := m.run
 	loop := poll.NewOn(k, func() {})
 	plant := r.o.Plant
 	c := mesh.Config{
 		Loop: loop, Cluster: "lab", Name: m.host.Name(), Listen: netip.AddrPortFrom(m.host.Addr(), meshPort),
-		Session: r.ids.Uint64() | 1, Keepers: r.at, Terms: r.terms, Duties: duties, Seed: r.world.Seed(),
+		Session: r.sessionRNG.Uint64() | 1, Keepers: r.keeperAddrs, Terms: r.terms, Duties: duties, Seed: r.world.Seed(),
 		Flaws:          owner.Flaws{LeaseFromResponse: plant == "lease-from-answer", NoFence: plant == "no-fence"},
 		ForgetFloors:   plant == "forgetful-receiver" || plant == "no-fence",
-		Seeds:          []netip.AddrPort{r.at[0].Addr, r.at[1].Addr},
-		OnAnnouncement: func(w mesh.Announcement) { r.judge.take(m.host.Name(), w.Lease, w.Token) },
-		OnRequest:      func(a *owner.LeaseRequest) { r.judge.ask(r.world.Elapsed(), a) },
-		OnResponse:     func(a *owner.LeaseResponse) { r.judge.answer(r.world.Elapsed(), a) },
+		Seeds:          []netip.AddrPort{r.keeperAddrs[0].Addr, r.keeperAddrs[1].Addr},
+		OnAnnouncement: func(w mesh.Announcement) { r.judge.effectTaken(m.host.Name(), w.Lease, w.Token) },
+		OnRequest:      func(a *owner.LeaseRequest) { r.judge.claimSent(r.world.Elapsed(), a) },
+		OnResponse:     func(a *owner.LeaseResponse) { r.judge.answerReceived(r.world.Elapsed(), a) },
 	}
 	c.OnEvent = func(e mesh.Event) {
 		switch e.Kind {
 		case "own":
-			r.overlap()
+			r.checkOverlap()
 		case "keeper-stopped":
-			m.lost = true
+			m.keeperLost = true
 		}
 	}
-	if m.keeper && !m.lost {
-		if err := m.keep(&c); err != nil {
+	if m.keeper && !m.keeperLost {
+		if err := m.restoreKeeper(&c); err != nil {
 			return nil, err
 		}
 	}
-	if r.guest != nil {
-		r.guest.Begin(m.index, m.host, loop, &c)
+	if r.extension != nil {
+		r.extension.BeforeStart(m.index, m.host, loop, &c)
 	}
 	node, err := mesh.New(c)
 	if err != nil {
 		return nil, err
 	}
 	m.node, m.loop = node, loop
-	if r.guest != nil {
-		r.guest.Began(m.index, node)
+	if r.extension != nil {
+		r.extension.AfterStart(m.index, node)
 	}
-	m.timer = poll.Timer{Fire: m.act}
-	loop.After(&m.timer, time.Duration(100+m.run.ids.IntN(100))*time.Millisecond)
+	m.timer = poll.Timer{Fire: m.announceDuties}
+	loop.After(&m.timer, time.Duration(100+m.run.sessionRNG.IntN(100))*time.Millisecond)
 	return func() error { return loop.Turn(true) }, nil
 }
 
-// keep gives the process its keeper, as far as its disk can be trusted.
-func (m *member) keep(c *mesh.Config) error {
+// restoreKeeper configures the keeper of the process from what its disk holds. The process runs
+// without a keeper if the disk is empty.
+func (m *member) restoreKeeper(c *mesh.Config) error {
 	r := m.run
 	d := m.host.Disk("keeper")
 	log, err := keeper.Restore(d.Text())
 	switch {
 	case errors.Is(err, keeper.ErrEmpty):
-		m.lost = true
+		m.keeperLost = true
 		return nil
 	case errors.Is(err, keeper.ErrDamaged):
-		// Only a kill touches these disks, and it tears no more than the last write.
-		return fmt.Errorf("%s: a kill has left a log that can't be read: %w", m.host.Name(), err)
+		// Only kills damage these disks, and a kill tears no more than the last write.
+		return fmt.Errorf("%s: the keeper's log can't be read after a kill: %w", m.host.Name(), err)
 	case err != nil:
 		return err
 	}
@@ -267,7 +274,7 @@
 	k := keeper.DefaultConfig()
 	k.ID, k.Terms, k.Seed = uint64(m.index+1), r.terms, r.world.Seed()
 	k.SnapshotEvery, k.TrailingEntries = 150, 20
-	for _, at := range r.at {
+	for _, at := range r.keeperAddrs {
 		k.Voters = append(k.Voters, at.ID)
 	}
 	k.Flaws = keeper.Flaws{EarlyGrant: r.o.Plant == "early-grant", AckBeforeSync: r.o.Plant == "ack-before-sync"}
@@ -275,21 +282,21 @@
 	return nil
 }
 
-// act is what a member does with its duties: it says a word for each that it holds, every now and then.
-func (m *member) act() {
+// announceDuties sends an announcement for each duty that the member holds, every 100 to 250 ms.
+func (m *member) announceDuties() {
 	r := m.run
-	if r.quietWords {
+	if r.noAnnouncements {
 		return
 	}
-	m.loop.After(&m.timer, time.Duration(100+r.ids.IntN(150))*time.Millisecond)
-	r.overlap()
+	m.loop.After(&m.timer, time.Duration(100+r.sessionRNG.IntN(150))*time.Millisecond)
+	r.checkOverlap()
 	for _, d := range duties {
 		if _, ok := m.node.Holds(d); !ok {
 			continue
 		}
 		stall := time.Duration(0)
-		if r.hits("stall-before-send", 0.03) {
-			stall = terms.Lease*3 + time.Duration(r.rng.IntN(2000))*time.Millisecond
+		if r.drawFault("stall-before-send", 0.03) {
+			stall = leaseTerms.Lease*3 + time.Duration(r.faultRNG.IntN(2000))*time.Millisecond
 			m.host.StallBeforeSend(stall)
 			r.judge.StallsBeforeSend++
 		}
@@ -297,7 +304,7 @@
 		if err != nil {
 			continue
 		}
-		r.judge.take(m.host.Name(), d, mark.Token) // an owner is a receiver of its own words
+		r.judge.effectTaken(m.host.Name(), d, mark.Token) // an owner receives its own announcements
 		life := m.host.Life()
 		r.world.After(stall, func() {
 			if life == m.host.Life() && mark.Token < r.judge.granted[d] {
@@ -310,9 +317,9 @@
 	}
 }
 
-// overlap checks that no two processes hold a duty by their own clocks.
-func (r *run) overlap() {
-	if r.judge.jumped {
+// checkOverlap checks that no two processes hold a duty at once by their own clocks.
+func (r *run) checkOverlap() {
+	if r.judge.clockJumped {
 		return
 	}
 	for _, d := range duties {
@@ -333,14 +340,14 @@
 	}
 }
 
-// count takes the counters of a process that ends.
-func (m *member) count() {
+// collectCounters adds the counters of a process that ends to the counts of the run.
+func (m *member) collectCounters() {
 	if m.node == nil {
 		return
 	}
 	m.run.judge.StaleRefused += int(m.node.Counters.AnnouncementsStale)
 	m.run.judge.Refuted += int(m.node.Peers().Counters.Refuted)
-	m.run.judge.Twins += int(m.node.Peers().Counters.NameConflicts)
+	m.run.judge.NameConflicts += int(m.node.Peers().Counters.NameConflicts)
 	if k := m.node.Keeper(); k != nil {
 		m.run.judge.Snapshots += int(k.Count.Snapshots)
 	}
@@ -349,32 +356,34 @@
 
 func (m *member) kill() {
 	if m.host.Running() {
-		m.count()
+		m.collectCounters()
 		m.host.Kill()
-		if m.run.guest != nil {
-			m.run.guest.Killed(m.index)
+		if m.run.extension != nil {
+			m.run.extension.Killed(m.index)
 		}
 	}
 }
 
-// calm is how long a change may take to reach everybody over links that lose datagrams.
-const calm = 6 * time.Second
+// settleTime is how long a change may take to reach all members over links that lose datagrams.
+const settleTime = 6 * time.Second
 
-// settled checks, after a time without faults, that work goes on where a majority of the keepers has its disks: all live
-// processes know each other, each duty has an owner, and everybody has a word of that owner.
-func (r *run) settled() {
+// checkSettled checks, after a phase without faults, that all live processes know each other. If a
+// majority of the keepers still has its disks, it also checks that each duty has an owner and that
+// all members have an announcement of that owner.
+func (r *run) checkSettled() {
 	sound := 0
 	for _, m := range r.members {
-		if m.keeper && m.node != nil && m.node.Keeper() != nil && m.node.Keeper().Stopped() == nil && !r.lost[m.index] {
+		if m.keeper && m.node != nil && m.node.Keeper() != nil && m.node.Keeper().Stopped() == nil && !r.lostDisks[m.index] {
 			sound++
 		}
 	}
 	for _, m := range r.members {
-		// A datagram that a link held for 30 s may name a life that is over; one that lives must not be missing.
+		// A datagram that was held up for 30 s may add a former session of a process to the list,
+		// but no live process may be missing.
 		for _, o := range r.members {
 			me := o.node.Peers().Self().Session
 			if !slices.ContainsFunc(m.node.Members(), func(p peers.Member) bool { return p.Session == me }) {
-				r.world.Fail(fmt.Errorf("%s does not know that %s lives, %v after the last fault", m.host.Name(), o.host.Name(), r.o.Quiet))
+				r.world.Fail(fmt.Errorf("%s does not list the live process %s %v after the last fault", m.host.Name(), o.host.Name(), r.o.SettleDuration))
 				return
 			}
 		}
@@ -390,16 +399,16 @@
 			}
 		}
 		now := r.world.Elapsed()
-		if owner == "" && now-r.judge.renewed[d] > calm {
-			r.world.Fail(fmt.Errorf("duty %s: no owner %v after the last fault, with %d of %d keepers", d, r.o.Quiet, sound, r.o.Keepers))
+		if owner == "" && now-r.judge.renewedAt[d] > settleTime {
+			r.world.Fail(fmt.Errorf("duty %s: no owner %v after the last fault, with %d of %d keepers in service", d, r.o.SettleDuration, sound, r.o.Keepers))
 			return
 		}
-		if owner == "" || now-r.judge.since[d] < calm {
-			continue // links may still lose one datagram in seven: it changes hands just now
+		if owner == "" || now-r.judge.grantedAt[d] < settleTime {
+			continue // a hand-over may be in progress: links may still lose one datagram in seven
 		}
 		for _, m := range r.members {
 			if w, _, ok := m.node.Latest(d); !ok || w.Token != token {
-				r.world.Fail(fmt.Errorf("duty %s: %s has the word of token %d, the owner %s has token %d; fence closed: %v; %v", d, m.host.Name(), w.Token, owner, token, m.node.Fence().Closed(), m.node.CounterValues()))
+				r.world.Fail(fmt.Errorf("duty %s: %s has the announcement of token %d, the owner %s has token %d; fence closed: %v; counters: %v", d, m.host.Name(), w.Token, owner, token, m.node.Fence().Closed(), m.node.CounterValues()))
 				return
 			}
 		}
--- a/internal/lab/owners/scale.go
+++ b/internal/lab/owners/scale.go
@@ -9,18 +9,19 @@
 	"ospreyspan/internal/vnet"
 )
 
-// Scale is what a fleet of some size costs and how fast it learns, without other faults than the kills that are measured.
+// Scale is what a fleet of a given size costs and how quickly it detects failures, measured without
+// faults other than the kills that are timed.
 type Scale struct {
-	Members   int
-	Lease     time.Duration
-	Datagrams float64         // sent a second by each, in calm
-	Bytes     float64         // likewise
-	Deaths    []time.Duration // from a kill until the last of the others knew
-	Gaps      []time.Duration // from an owner's kill until there was another one
+	Members            int
+	Lease              time.Duration
+	DatagramsPerSecond float64         // sent by each member while nothing changes
+	BytesPerSecond     float64         // sent by each member while nothing changes
+	DetectionTimes     []time.Duration // from a kill until the last of the other members knew of it
+	OwnerGaps          []time.Duration // from the kill of an owner until there was a new one
 }
 
-// At returns the value below which a part of the times lies, 0 to 1.
-func At(times []time.Duration, part float64) time.Duration {
+// Quantile returns the value below which the given fraction, 0 to 1, of the times lies.
+func Quantile(times []time.Duration, part float64) time.Duration {
 	if len(times) == 0 {
 		return 0
 	}
@@ -28,45 +29,45 @@
 	return s[min(int(part*float64(len(s))), len(s)-1)]
 }
 
-// Measure plays a fleet of n members with three keepers, kills deaths of them and owners of a duty so often, one after the
-// other, and tells what that took.
-func Measure(seed uint64, n int, lease time.Duration, deaths, kills int) (*Scale, error) {
-	r := &run{o: Options{Members: n, Keepers: 3, NoFaults: true}, lost: make(map[int]bool)}
+// MeasureScale runs a fleet of n members with three keepers. One after the other it kills as many
+// members as deaths says and as many owners of a duty as kills says, and returns what it measured.
+func MeasureScale(seed uint64, n int, lease time.Duration, deaths, kills int) (*Scale, error) {
+	r := &run{o: Options{Members: n, Keepers: 3, NoFaults: true}, lostDisks: make(map[int]bool)}
 	r.terms = owner.LeaseTerms{Lease: lease, Margin: lease / 20}
 	r.world = vnet.New(seed, func(from, to *vnet.Host) vnet.Link {
 		return vnet.Link{Delay: time.Millisecond, Jitter: 4 * time.Millisecond}
 	})
-	r.rng, r.ids = r.world.Rand("faults"), r.world.Rand("sessions")
+	r.faultRNG, r.sessionRNG = r.world.Rand("faults"), r.world.Rand("sessions")
 	r.judge = newJudge(r.world.Fail)
-	r.quietWords = true
-	if err := r.build(); err != nil {
+	r.noAnnouncements = true
+	if err := r.addMembers(); err != nil {
 		return nil, err
 	}
 	s := &Scale{Members: n, Lease: lease}
-	if err := r.world.Run(60 * time.Second); err != nil { // until the news of the start has been told
+	if err := r.world.Run(60 * time.Second); err != nil { // until the news of the start has spread
 		return nil, err
 	}
-	datagrams, bytes := r.sent()
+	datagrams, bytes := r.sentTotals()
 	const calm = 10 * time.Second
 	if err := r.world.Run(calm); err != nil {
 		return nil, err
 	}
-	d, b := r.sent()
-	s.Datagrams, s.Bytes = float64(d-datagrams)/calm.Seconds()/float64(n), float64(b-bytes)/calm.Seconds()/float64(n)
+	d, b := r.sentTotals()
+	s.DatagramsPerSecond, s.BytesPerSecond = float64(d-datagrams)/calm.Seconds()/float64(n), float64(b-bytes)/calm.Seconds()/float64(n)
 	for range deaths {
-		if err := r.death(s); err != nil {
+		if err := r.measureDetection(s); err != nil {
 			return nil, err
 		}
 	}
 	for range kills {
-		if err := r.gap(s); err != nil {
+		if err := r.measureOwnerGap(s); err != nil {
 			return nil, err
 		}
 	}
 	return s, nil
 }
 
-func (r *run) sent() (datagrams, bytes uint64) {
+func (r *run) sentTotals() (datagrams, bytes uint64) {
 	for _, m := range r.members {
 		if m.node != nil {
 			datagrams += m.node.Counters.Sent
@@ -76,11 +77,12 @@
 	return datagrams, bytes
 }
 
-// death kills a member that is no keeper and owns nothing, and waits until all others know.
-func (r *run) death(s *Scale) error {
+// measureDetection kills a member that is neither a keeper nor an owner, and waits until all others
+// know of it.
+func (r *run) measureDetection(s *Scale) error {
 	var x *member
 	for x == nil || x.keeper || !x.host.Running() || r.ownsAny(x) {
-		x = r.any()
+		x = r.randomMember()
 	}
 	session := x.node.Peers().Self().Session
 	x.kill()
@@ -97,12 +99,12 @@
 			}
 		}
 		if known {
-			s.Deaths = append(s.Deaths, r.world.Elapsed()-begin)
+			s.DetectionTimes = append(s.DetectionTimes, r.world.Elapsed()-begin)
 			x.start()
 			return r.world.Run(5 * time.Second)
 		}
 	}
-	return fmt.Errorf("%d members: a death is not known to all after 5 min", s.Members)
+	return fmt.Errorf("%d members: a killed member is still listed as live after 5 min", s.Members)
 }
 
 func (r *run) ownsAny(m *member) bool {
@@ -114,8 +116,8 @@
 	return false
 }
 
-// gap kills the owner of the first duty and waits until there is another one.
-func (r *run) gap(s *Scale) error {
+// measureOwnerGap kills the owner of the first duty and waits until there is a new one.
+func (r *run) measureOwnerGap(s *Scale) error {
 	owner := func() *member {
 		for _, m := range r.members {
 			if m.node != nil && m.host.Running() {
@@ -134,10 +136,10 @@
 		x = owner()
 	}
 	if x == nil {
-		return fmt.Errorf("%d members: nobody owns %s", s.Members, duties[0])
+		return fmt.Errorf("%d members: no owner of %s", s.Members, duties[0])
 	}
-	// At a drawn time of its lease, not just after a renewal.
-	if err := r.world.Run(time.Duration(r.rng.Int64N(int64(s.Lease)))); err != nil {
+	// Waits until a random time of its lease, so that the kill does not always follow a renewal.
+	if err := r.world.Run(time.Duration(r.faultRNG.Int64N(int64(s.Lease)))); err != nil {
 		return err
 	}
 	x.kill()
@@ -150,7 +152,7 @@
 			return err
 		}
 	}
-	s.Gaps = append(s.Gaps, r.world.Elapsed()-begin)
+	s.OwnerGaps = append(s.OwnerGaps, r.world.Elapsed()-begin)
 	x.start()
 	return r.world.Run(s.Lease * 2)
 }
--- a/internal/lab/shared/judge.go
+++ b/internal/lab/shared/judge.go
@@ -11,7 +11,7 @@
 
 // judge knows what truly happened.
 type judge struct {
-	g          *guest
+	g          *extension
 	bad        [targets][]sighting // what anybody saw go badly
 	cured      [targets]time.Duration
 	falseSince map[string]time.Duration // verdicts without a cause, by process and target
@@ -63,8 +63,8 @@
 		"sound targets condemned for over 2 s: %d; soft limit: admitted %d, refused %d, of them with room left %d, in use %.2f of it, "+
 		"most over by %d, largest part of the bound %.2f; strict limit: admitted %d, refused %d, of them with room left %d, in use %.2f of it, "+
 		"most in use %d of %d, over by %d, with connections of stopped processes %d, moved when slices ended %d",
-		c.Faults, c.Poisoned, c.Wasted, c.Verdicts, c.AgeOfBound, c.FalseLong, c.Admitted[0], c.Refused[0], c.RefusedWithRoom[0], c.part(0, softL.Max),
-		c.MostExcess, c.ExcessOfBound, c.Admitted[1], c.Refused[1], c.RefusedWithRoom[1], c.part(1, strictL.Max), c.MostStrict, strictL.Max, max(c.MostStrict-strictL.Max, 0), c.MostStrictHeld, c.Yielded)
+		c.Faults, c.Poisoned, c.Wasted, c.Verdicts, c.AgeOfBound, c.FalseLong, c.Admitted[0], c.Refused[0], c.RefusedWithRoom[0], c.part(0, softLimit.Max),
+		c.MostExcess, c.ExcessOfBound, c.Admitted[1], c.Refused[1], c.RefusedWithRoom[1], c.part(1, strictLimit.Max), c.MostStrict, strictLimit.Max, max(c.MostStrict-strictLimit.Max, 0), c.MostStrictHeld, c.Yielded)
 }
 
 // part is how much of a limit was in use in the mean.
@@ -138,20 +138,20 @@
 			return
 		}
 	}
-	most := verdict.MaxUnhealthy(judging.MaxFraction, targets/len(zones))
+	most := verdict.MaxUnhealthy(verdictConfig.MaxFraction, targets/len(zones))
 	for z, n := range byZone {
 		if n > most {
 			j.fail("%s condemns %d targets of zone %s; at most %d may be", m.name, n, zones[z], most)
 			return
 		}
 	}
-	if condemned > verdict.MaxUnhealthy(judging.MaxFraction, targets) {
+	if condemned > verdict.MaxUnhealthy(verdictConfig.MaxFraction, targets) {
 		j.fail("%s condemns %d of %d targets", m.name, condemned, targets)
 	}
 	for t := range targets {
 		key := fmt.Sprint(m.name, t)
 		f := j.g.truth[t]
-		sound := f.kind == verdict.Sound && now-j.cured[t] > ageBound+judging.MaxAge || f.kind != verdict.Sound && f.zone != "" && f.zone != m.zone
+		sound := f.kind == verdict.Sound && now-j.cured[t] > ageBound+verdictConfig.MaxAge || f.kind != verdict.Sound && f.zone != "" && f.zone != m.zone
 		since, was := j.falseSince[key]
 		switch {
 		case !holds[t] || !sound:
@@ -205,28 +205,28 @@
 // look checks the limits, and what is merged.
 func (j *judge) look() {
 	now := j.g.world.Elapsed()
-	if now/tick%10 == 0 {
+	if now/stepInterval%10 == 0 {
 		j.merged()
 	}
-	within := soft.StaleAfter*102/100 + 500*time.Millisecond // a look, a window and what clocks differ
+	within := softConfig.StaleAfter*102/100 + 500*time.Millisecond // a look, a window and what clocks differ
 	for len(j.admissions) > 0 && now-j.admissions[0] > within {
 		j.admissions = j.admissions[1:]
 	}
-	for k, name := range []string{softL.Name, strictL.Name} {
+	for k, name := range []string{softLimit.Name, strictLimit.Name} {
 		j.g.count.Used[k] += j.use(name)
 		j.g.count.Looks[k]++
 	}
-	excess := j.use(softL.Name) - softL.Max
+	excess := j.use(softLimit.Name) - softLimit.Max
 	if excess <= 0 {
 		j.peak = 0
 	}
 	j.peak = max(j.peak, len(j.admissions))
 	if excess > 0 && now >= j.excused {
-		bound := limit.MaxExcess(&softL, 1, j.peak)
+		bound := limit.MaxExcess(&softLimit, 1, j.peak)
 		j.g.count.MostExcess = max(j.g.count.MostExcess, excess)
 		j.g.count.ExcessOfBound = max(j.g.count.ExcessOfBound, float64(excess)/float64(max(bound, 1)))
 		if excess > bound {
-			j.fail("soft limit: %d over %d; the bound is %d", excess, softL.Max, bound)
+			j.fail("soft limit: %d over %d; the bound is %d", excess, softLimit.Max, bound)
 		}
 	}
 	// What slices allow by their holders' own clocks never exceeds the limit; who can't look at his clock may hold more until he can.
@@ -236,13 +236,13 @@
 		if m.node == nil || !m.host.Running() {
 			continue
 		}
-		use, room := len(m.open[strictL.Name]), m.capacity(m.host.ClockNow())
+		use, room := len(m.open[strictLimit.Name]), m.capacity(m.host.ClockNow())
 		allowed += min(use, room)
 		held += use
 	}
 	j.g.count.MostStrict = max(j.g.count.MostStrict, allowed)
 	j.g.count.MostStrictHeld = max(j.g.count.MostStrictHeld, held)
-	if allowed > strictL.Max {
-		j.fail("strict limit: %d in use of %d", allowed, strictL.Max)
+	if allowed > strictLimit.Max {
+		j.fail("strict limit: %d in use of %d", allowed, strictLimit.Max)
 	}
 }
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -30,19 +30,19 @@
 }
 
 const (
-	targets = 12
-	tick    = 50 * time.Millisecond // between two steps of a process's work
+	targets      = 12
+	stepInterval = 50 * time.Millisecond // between two steps of a process's work
 )
 
 var zones = []string{"a", "b", "c"}
 
 // figures of the run: shorter than those that serve, so that a run sees more.
 var (
-	judging = verdict.Config{MaxAge: 3 * time.Second, ForgetAfter: 8 * time.Second, MinWitnesses: 2, MaxFraction: 0.34}
-	soft    = limit.SoftConfig{StaleAfter: 3 * time.Second, DeadHold: 25 * time.Second}
-	softKey = evidence.LimitKey("soft")
-	softL   = limit.Limit{Name: "soft", Max: 90}
-	strictL = limit.Limit{Name: "strict", Kind: limit.StrictKind, Max: 26, Slices: 12}
+	verdictConfig = verdict.Config{MaxAge: 3 * time.Second, ForgetAfter: 8 * time.Second, MinWitnesses: 2, MaxFraction: 0.34}
+	softConfig    = limit.SoftConfig{StaleAfter: 3 * time.Second, DeadHold: 25 * time.Second}
+	softKey       = evidence.LimitKey("soft")
+	softLimit     = limit.Limit{Name: "soft", Max: 90}
+	strictLimit   = limit.Limit{Name: "strict", Kind: limit.StrictKind, Max: 26, Slices: 12}
 )
 
 // Play plays one seed.
@@ -50,8 +50,8 @@
 	if o.Plant != "" && !slices.Contains(Plants, o.Plant) {
 		return owners.Counts{}, Counts{}, fmt.Errorf("plant %q is none of %v", o.Plant, Plants)
 	}
-	var g *guest
-	oo := owners.Options{NoFaults: o.Calm, Span: 14 * time.Second, Guest: func(w *vnet.World) owners.Guest {
+	var g *extension
+	oo := owners.Options{NoFaults: o.Calm, MaxPartition: 14 * time.Second, Extension: func(w *vnet.World) owners.Extension {
 		g = newGuest(w, o)
 		return g
 	}}
@@ -63,8 +63,8 @@
 	return c, g.count, err
 }
 
-// guest plays the processes' further parts.
-type guest struct {
+// extension plays the processes' further parts.
+type extension struct {
 	o       Options
 	world   *vnet.World
 	rng     *rand.Rand
@@ -84,7 +84,7 @@
 }
 
 type member struct {
-	g        *guest
+	g        *extension
 	i        int
 	name     string
 	zone     string
@@ -106,25 +106,25 @@
 	hot      bool
 }
 
-func newGuest(w *vnet.World, o Options) *guest {
-	g := &guest{o: o, world: w, rng: w.Rand("shared"), members: make(map[int]*member)}
+func newGuest(w *vnet.World, o Options) *extension {
+	g := &extension{o: o, world: w, rng: w.Rand("shared"), members: make(map[int]*member)}
 	g.judge.g = g
 	for at := 4 * time.Second; at < 30*time.Second; at += time.Duration(1000+g.rng.IntN(3000)) * time.Millisecond {
-		w.After(at, g.trouble)
+		w.After(at, g.injectFault)
 	}
 	var look func()
 	look = func() {
 		if g.end == 0 || w.Elapsed() < g.end+30*time.Second {
-			w.After(tick, look)
+			w.After(stepInterval, look)
 		}
 		g.judge.look()
 	}
-	w.After(tick, look)
+	w.After(stepInterval, look)
 	return g
 }
 
-// trouble changes what is wrong with a target, or poisons a process.
-func (g *guest) trouble() {
+// injectFault changes what is wrong with a target, or poisons a process.
+func (g *extension) injectFault() {
 	if g.healed {
 		return
 	}
@@ -151,7 +151,7 @@
 	})
 }
 
-func (g *guest) Begin(i int, h *vnet.Host, loop *poll.Loop, c *mesh.Config) {
+func (g *extension) BeforeStart(i int, h *vnet.Host, loop *poll.Loop, c *mesh.Config) {
 	m := g.members[i]
 	if m == nil {
 		m = &member{g: g, i: i, name: h.Name(), zone: zones[i%len(zones)], host: h, hot: i == 1}
@@ -171,31 +171,31 @@
 	}
 	me := evidence.Writer{Session: c.Session, Name: m.name, Zone: m.zone}
 	m.carrier = carrier.New(loop.Now(), me, conf, evidence.Flaws{MergeAdds: g.o.Plant == "merge-adds"})
-	m.gate = limit.Gate{SoftConfig: soft, Limit: &softL, Flaws: limit.Flaws{ForgetLost: g.o.Plant == "forget-lost"}}
+	m.gate = limit.Gate{SoftConfig: softConfig, Limit: &softLimit, Flaws: limit.Flaws{ForgetLost: g.o.Plant == "forget-lost"}}
 	m.gate.ExpectedMembers = 5
-	m.slices = limit.NewSlices(&strictL, c.Session)
+	m.slices = limit.NewSlices(&strictLimit, c.Session)
 	c.Zone = m.zone
 	c.OnSharedMessage = func(from netip.AddrPort, s *mesh.SharedMessage) { m.carrier.Receive(loop.Now(), from, s) }
 	m.timer = poll.Timer{Fire: m.act}
-	loop.After(&m.timer, tick)
+	loop.After(&m.timer, stepInterval)
 }
 
-func (g *guest) Began(i int, n *mesh.Node) {
+func (g *extension) AfterStart(i int, n *mesh.Node) {
 	g.members[i].node = n
 	g.members[i].carrier.Bind(n)
 }
 
-func (g *guest) Killed(i int) {
+func (g *extension) Killed(i int) {
 	if m := g.members[i]; m != nil {
 		m.node = nil
 		m.open = nil // they die with it
 	}
 }
 
-// Jumped: what a clock that was set ahead says of ages is not bounded until others have learnt anew; see evidence.Store.LearnStart.
-func (g *guest) Jumped(int) { g.judge.excused = g.world.Elapsed() + 20*time.Second }
+// ClockJumped: what a clock that was set ahead says of ages is not bounded until others have learnt anew; see evidence.Store.LearnStart.
+func (g *extension) ClockJumped(int) { g.judge.excused = g.world.Elapsed() + 20*time.Second }
 
-func (g *guest) Healed() {
+func (g *extension) FaultsEnded() {
 	g.healed, g.end = true, g.world.Elapsed()
 	for t := range g.truth {
 		g.judge.ended(t)
@@ -213,7 +213,7 @@
 	if m.node == nil {
 		return
 	}
-	m.loop.After(&m.timer, tick)
+	m.loop.After(&m.timer, stepInterval)
 	now := m.loop.Now()
 	m.try(now)
 	m.clients(now)
@@ -259,20 +259,20 @@
 // clients come and go: each wants a connection under both limits.
 func (m *member) clients(now time.Time) {
 	g := m.g
-	for k, name := range []string{softL.Name, strictL.Name} {
+	for k, name := range []string{softLimit.Name, strictLimit.Name} {
 		m.open[name] = slices.DeleteFunc(m.open[name], func(end time.Time) bool { return !g.world.Now().Before(end) })
 		rate, stay := 0.045, 6000+g.rng.IntN(14000)
 		if m.hot {
 			rate *= 5
 		}
-		if name == strictL.Name {
+		if name == strictLimit.Name {
 			m.yield()
 		}
 		if g.rng.Float64() > rate {
 			continue
 		}
 		admitted := false
-		if name == strictL.Name {
+		if name == strictLimit.Name {
 			admitted = len(m.open[name]) < m.capacity(now)
 		} else {
 			admitted = m.gate.Admit(now.Sub(m.began))
@@ -287,7 +287,7 @@
 		}
 		g.count.Admitted[k]++
 		m.open[name] = append(m.open[name], g.world.Now().Add(time.Duration(stay)*time.Millisecond))
-		if name == softL.Name {
+		if name == softLimit.Name {
 			g.judge.admitted()
 			m.tellUse(now)
 		}
@@ -295,24 +295,24 @@
 }
 
 func mostOf(name string) int {
-	if name == softL.Name {
-		return softL.Max
+	if name == softLimit.Name {
+		return softLimit.Max
 	}
-	return strictL.Max
+	return strictLimit.Max
 }
 
 // yield moves clients of which the slices are gone: it does not wait for anything.
 func (m *member) yield() {
-	if over := len(m.open[strictL.Name]) - m.capacity(m.loop.Now()); over > 0 {
+	if over := len(m.open[strictLimit.Name]) - m.capacity(m.loop.Now()); over > 0 {
 		m.g.count.Yielded += over
-		m.open[strictL.Name] = m.open[strictL.Name][over:]
+		m.open[strictLimit.Name] = m.open[strictLimit.Name][over:]
 	}
 }
 
 // capacity is what the slices that are held by the process's own clock give it.
 func (m *member) capacity(now time.Time) int {
 	n := 0
-	for i := range strictL.Slices {
+	for i := range strictLimit.Slices {
 		if _, ok := m.node.HoldsAt(now, m.slices.DutyName(i)); ok {
 			n += m.slices.Size(i)
 		}
@@ -321,7 +321,7 @@
 }
 
 func (m *member) tellUse(now time.Time) {
-	m.carrier.Store().RecordUse(now, softKey, len(m.open[softL.Name]), m.gate.RecentDemand(now.Sub(m.began)))
+	m.carrier.Store().RecordUse(now, softKey, len(m.open[softLimit.Name]), m.gate.RecentDemand(now.Sub(m.began)))
 }
 
 // look does what a process does every now and then.
@@ -333,7 +333,7 @@
 	for t := range list {
 		list[t] = verdict.Target{ID: id(t), Zone: zones[t%len(zones)]}
 	}
-	conf := judging
+	conf := verdictConfig
 	if m.g.o.Plant == "cap-ignored" {
 		conf.MaxFraction = 1
 	}
@@ -352,18 +352,18 @@
 	for _, p := range m.node.Members() {
 		living = append(living, limit.LiveProcess{Session: p.Session, Name: p.Name})
 	}
-	m.roster.Update(now, soft.DeadHold, living)
+	m.roster.Update(now, softConfig.DeadHold, living)
 	known := make(map[uint64]limit.Member)
 	store.EachUse(now, softKey, func(w evidence.Writer, use, want int, age time.Duration) {
 		known[w.Session] = limit.Member{Session: w.Session, Use: use, Want: want, Age: age}
 	})
-	me := limit.Member{Session: store.Self().Session, Use: len(m.open[softL.Name]), Want: known[store.Self().Session].Want}
+	me := limit.Member{Session: store.Self().Session, Use: len(m.open[softLimit.Name]), Want: known[store.Self().Session].Want}
 	m.gate.Update(now.Sub(m.began), me, m.roster.Members(now, me.Session, known))
 	// Slices are duties like others.
 	held := func(i int) bool { _, ok := m.node.Holds(m.slices.DutyName(i)); return ok }
 	taken := func(i int) bool { return m.node.HasOwner(m.slices.DutyName(i)) }
-	want := m.slices.Claims(now, len(m.open[strictL.Name]), min(m.refused[strictL.Name], 2), time.Second, held, taken)
-	m.refused[strictL.Name] = 0
+	want := m.slices.Claims(now, len(m.open[strictLimit.Name]), min(m.refused[strictLimit.Name], 2), time.Second, held, taken)
+	m.refused[strictLimit.Name] = 0
 	duties := []string{"discovery", "moves", "probes/0"}
 	for _, i := range want {
 		duties = append(duties, m.slices.DutyName(i))
@@ -371,8 +371,8 @@
 	m.node.SetDuties(duties)
 }
 
-// Settled checks that all hold the same when there has been no fault for a while.
-func (g *guest) Settled() error {
+// CheckSettled checks that all hold the same when there has been no fault for a while.
+func (g *extension) CheckSettled() error {
 	for _, i := range g.order {
 		m := g.members[i]
 		for target, x := range m.found {
--- a/internal/lab/shared/shared_test.go
+++ b/internal/lab/shared/shared_test.go
@@ -31,7 +31,7 @@
 	}
 	f, c := play(t, 10, Options{})
 	t.Log(c)
-	if c.Verdicts < 500 || c.AgeOfBound < 0.5 || c.Poisoned < 10 || c.MostStrict < strictL.Max || c.Yielded < 20 {
+	if c.Verdicts < 500 || c.AgeOfBound < 0.5 || c.Poisoned < 10 || c.MostStrict < strictLimit.Max || c.Yielded < 20 {
 		t.Errorf("the runs show too little: %v", c)
 	}
 	if f.Kills < 20 || f.Cuts+f.Thirds < 20 || f.Stalls < 20 || f.Late < 100 {
@@ -46,7 +46,7 @@
 	}
 	_, c := play(t, 3, Options{Calm: true})
 	t.Log(c)
-	if soft, strict := c.part(0, softL.Max), c.part(1, strictL.Max); soft < 0.6 || strict < 0.7 || c.MostStrict != strictL.Max {
+	if soft, strict := c.part(0, softLimit.Max), c.part(1, strictLimit.Max); soft < 0.6 || strict < 0.7 || c.MostStrict != strictLimit.Max {
 		t.Errorf("in use %.2f and %.2f", soft, strict)
 	}
 }
