--- a/internal/lab/owners/judge.go
+++ b/internal/lab/owners/judge.go
@@ -14,12 +14,12 @@
 	fail        func(error)
 	granted     map[string]uint64                // latest token granted, by duty
 	holders     map[string]map[uint64]uint64     // session by duty and token
-	taken       map[string]map[string]uint64     // latest token accepted, by the receiver's name and duty, over all restarts of the receiver
+	taken       map[string]map[string]uint64     // latest token accepted, by receiver and duty
 	ops         map[string][]porcupine.Operation // answered claims, by duty
-	pending     map[[2]uint64]pendingClaim       // claims that were sent and not answered, by session and sequence number
-	grantedAt   map[string]time.Duration         // time of the latest grant of a new token, by duty
-	renewedAt   map[string]time.Duration         // time of the latest answer that grants or renews a lease, by duty
-	clockJumped bool                             // a clock was set ahead by more than the margin of the leases
+	pending     map[[2]uint64]pendingClaim       // unanswered claims, by session and sequence
+	grantedAt   map[string]time.Duration         // latest grant of a new token, by duty
+	renewedAt   map[string]time.Duration         // latest answer by which a session holds it
+	clockJumped bool                             // a clock jumped by more than the lease margin
 	Counts
 }
 
--- a/internal/lab/owners/scale.go
+++ b/internal/lab/owners/scale.go
@@ -48,12 +48,12 @@
 		return nil, err
 	}
 	datagrams, bytes := r.sentTotals()
-	const calm = 10 * time.Second
-	if err := r.world.Run(calm); err != nil {
+	const observation = 10 * time.Second
+	if err := r.world.Run(observation); err != nil {
 		return nil, err
 	}
 	d, b := r.sentTotals()
-	s.DatagramsPerSecond, s.BytesPerSecond = float64(d-datagrams)/calm.Seconds()/float64(n), float64(b-bytes)/calm.Seconds()/float64(n)
+	s.DatagramsPerSecond, s.BytesPerSecond = float64(d-datagrams)/observation.Seconds()/float64(n), float64(b-bytes)/observation.Seconds()/float64(n)
 	for range deaths {
 		if err := r.measureDetection(s); err != nil {
 			return nil, err
--- a/internal/lab/site/site.go
+++ b/internal/lab/site/site.go
@@ -1,8 +1,10 @@
-// Package site makes another customer's site file out of one that the bench has: a difference file holds only what differs.
+// Package site derives a site file from an existing one and a difference file, which holds only the
+// values that differ.
 //
-// A difference file is TOML. A key of the site file is given anew under the table in which it stands there; an element of a list
-// of tables is addressed by its name, as in [class.readings], or by its place from 1, as in [fam.class.1]. A key that the
-// site file lacks is a mistake, as is a value of another kind: what is misspelt must not be passed over in silence.
+// A difference file is TOML. A key of the site file gets a new value under the table in which it
+// stands there. An element of a list of tables is addressed by its name, as in [class.readings], or
+// by its position from 1, as in [fam.class.1]. A key that the site file does not have is an error,
+// as is a value of another kind, so that misspelled keys are not silently ignored.
 package site
 
 import (
@@ -18,16 +20,17 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// beside are the files that the bench wants beside a site file.
-var beside = []string{"real.json", "wire.json", "unlock.txt"}
+// companionFiles are the files that the benchmark needs in the folder of a site file.
+var companionFiles = []string{"real.json", "wire.json", "unlock.txt"}
 
-// Problems are the mistakes of a difference file, each with file, line and key.
+// Problems lists the errors in a difference file, each with file, line and key.
 type Problems []string
 
 func (p Problems) Error() string { return strings.Join(p, "\n") }
 
-// Make applies a difference file to a site file and writes the result, with what the bench wants beside it, into a folder. It
-// returns the new file's path. Nothing is written unless all holds.
+// Make applies a difference file to a site file and writes the result and the site file's companion
+// files into dir. It returns the path of the new site file. It writes nothing if it finds an error
+// in its input.
 func Make(difference, of, dir string) (string, error) {
 	text, err := os.ReadFile(difference)
 	if err != nil {
@@ -44,7 +47,7 @@
 	stem := strings.TrimSuffix(filepath.Base(difference), filepath.Ext(difference))
 	files := map[string][]byte{stem + ".toml": made}
 	var missing []error
-	for _, name := range beside {
+	for _, name := range companionFiles {
 		data, err := os.ReadFile(filepath.Join(filepath.Dir(of), name))
 		if err != nil {
 			missing = append(missing, fmt.Errorf("missing beside the site file: %w", err))
@@ -65,8 +68,8 @@
 	return filepath.Join(dir, stem+".toml"), nil
 }
 
-// Apply returns the site file with what the difference file says. The names are for errors, which are Problems where they lie in
-// the difference file.
+// Apply applies a difference file to a site file and returns the resulting site file. The file
+// names are used in errors. Errors in the difference file are returned as Problems.
 func Apply(name string, difference []byte, of string, base []byte) ([]byte, error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(base, &tree); err != nil {
@@ -81,14 +84,16 @@
 		}
 		return nil, Problems{fmt.Sprintf("%s: %v", name, err)}
 	}
-	entries, err := keys(difference)
+	entries, err := listEntries(difference)
 	if err != nil {
 		return nil, Problems{fmt.Sprintf("%s: %v", name, err)}
 	}
 	var wrong Problems
-	var sets []func() // carried out at the end: a list's element keeps the name by which it is addressed
+	// sets are called at the end, since one of them may rename a list element that later entries
+	// address by its old name.
+	var sets []func()
 	for _, e := range entries {
-		set, err := e.into(tree, values)
+		set, err := e.resolve(tree, values)
 		if err != nil {
 			wrong = append(wrong, fmt.Sprintf("%s:%d: %s: %v", name, e.line, strings.Join(e.path, "."), err))
 			continue
@@ -108,14 +113,14 @@
 	return out.Bytes(), nil
 }
 
-// entry is one key of a difference file.
+// entry is a key of a difference file with its full path.
 type entry struct {
 	path []string
 	line int
 }
 
-// keys lists the keys of a TOML text, with their tables.
-func keys(text []byte) ([]entry, error) {
+// listEntries returns the keys of a TOML text with their full paths.
+func listEntries(text []byte) ([]entry, error) {
 	var p unstable.Parser
 	p.Reset(text)
 	var all []entry
@@ -124,17 +129,18 @@
 		e := p.Expression()
 		switch e.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			table, _ = path(&p, nil, e)
+			table, _ = keyPath(&p, nil, e)
 		case unstable.KeyValue:
-			full, line := path(&p, table, e)
+			full, line := keyPath(&p, table, e)
 			all = append(all, entry{full, line})
 		}
 	}
 	return all, p.Error()
 }
 
-// path returns the parts of an expression's key behind those of its table, and the line in which it begins.
-func path(p *unstable.Parser, table []string, e *unstable.Node) (parts []string, line int) {
+// keyPath returns the full path of the key of an expression, which starts with that of its table,
+// and the line on which the key begins.
+func keyPath(p *unstable.Parser, table []string, e *unstable.Node) (parts []string, line int) {
 	parts = append(parts, table...)
 	for it := e.Key(); it.Next(); {
 		n := it.Node()
@@ -146,8 +152,9 @@
 	return parts, line
 }
 
-// into finds the place of an entry in the site's tree and returns what puts its value there.
-func (e entry) into(tree, values map[string]any) (func(), error) {
+// resolve finds the place of an entry in the tree of the site file and returns a function that sets
+// the entry's value there.
+func (e entry) resolve(tree, values map[string]any) (func(), error) {
 	at, value := tree, any(values)
 	for i, part := range e.path {
 		value = value.(map[string]any)[part]
@@ -158,11 +165,11 @@
 		case map[string]any:
 			at = next
 		case []any:
-			// Its elements are addressed by the next part.
+			// The next part of the path addresses an element of the list.
 			if i+2 >= len(e.path) {
 				return nil, errors.New("a list of tables: name the element, and a key of it")
 			}
-			el, err := element(next, e.path[i+1])
+			el, err := findElement(next, e.path[i+1])
 			if err != nil {
 				return nil, err
 			}
@@ -176,14 +183,15 @@
 	if !ok {
 		return nil, errors.New("the site file has no such key")
 	}
-	if kind(was) != kind(value) || kind(value) == "" {
+	if kindOf(was) != kindOf(value) || kindOf(value) == "" {
 		return nil, fmt.Errorf("the site file has %v there", was)
 	}
 	return func() { at[key] = value }, nil
 }
 
-// element finds a table in a list by its name, or by its place from 1.
-func element(list []any, name string) (map[string]any, error) {
+// findElement returns the table in a list that has the given name, or else the one at that position
+// from 1.
+func findElement(list []any, name string) (map[string]any, error) {
 	for _, v := range list {
 		if t, ok := v.(map[string]any); ok && t["name"] == name {
 			return t, nil
@@ -197,8 +205,10 @@
 	return nil, fmt.Errorf("no element %q in the site file", name)
 }
 
-// kind tells values apart: a figure and a range of figures are of one kind, as are a word and a choice of words.
-func kind(v any) string {
+// kindOf returns the kind of a value; only a value of the same kind may replace it. A list has the
+// kind of its first element, so that a number and a range of numbers are of the same kind, as are a
+// string and a list of strings. The kind of an empty list or of another value is "".
+func kindOf(v any) string {
 	switch v := v.(type) {
 	case string:
 		return "text"
@@ -208,7 +218,7 @@
 		return "switch"
 	case []any:
 		if len(v) > 0 {
-			return kind(v[0])
+			return kindOf(v[0])
 		}
 	}
 	return ""
--- a/internal/lab/site/site_test.go
+++ b/internal/lab/site/site_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// Each mistake is told with file, line and key, all at once.
+// All errors of a difference file are reported at once, each with file, line and key.
 func TestMistakes(t *testing.T) {
 	_, err := Apply("d.toml", []byte(`nmae = "x"
 [net]
@@ -95,7 +95,7 @@
 	}
 }
 
-// Without the bench's files the command says what is missing, and writes nothing.
+// Without a site file or its companion files, Make reports what is missing and writes nothing.
 func TestMakeSaysWhatIsMissing(t *testing.T) {
 	dir := t.TempDir()
 	put := func(name, text string) string {
@@ -117,7 +117,7 @@
 		t.Errorf("got %v", err)
 	}
 	if _, err := os.Stat(out); err == nil {
-		t.Error("something was written")
+		t.Error("a folder was written although input files are missing")
 	}
 	put("wire.json", "{}")
 	put("unlock.txt", "")
@@ -126,11 +126,12 @@
 		t.Fatal(path, err)
 	}
 	if all, _ := filepath.Glob(filepath.Join(out, "*")); len(all) != 4 {
-		t.Errorf("wrote %v", all)
+		t.Errorf("wrote %v, want 4 files", all)
 	}
 }
 
-// The difference files that lie here apply to a site file with the keys that they speak of, and each has a name of its own.
+// The difference files in deploy/sites apply to a site file that has the keys that they use, and
+// each sets a name of its own.
 func TestOurVariants(t *testing.T) {
 	of := filepath.Join("testdata", "site.toml")
 	test, err := os.ReadFile(of)
