--- a/internal/lab/owners/hard_test.go
+++ b/internal/lab/owners/hard_test.go
@@ -131,8 +131,8 @@
 
 // An owner that can send but not receive, then one that can receive but not send, loses its duty to
 // another member within about two leases.
-func TestDeafAndMuteOwners(t *testing.T) {
-	for _, deaf := range []bool{true, false} {
+func TestOwnersWithOneWayPartition(t *testing.T) {
+	for _, cannotReceive := range []bool{true, false} {
 		r := newFaultlessRun(t, 7, 3)
 		o := r.owner()
 		var others []*vnet.Host
@@ -142,21 +142,21 @@
 			}
 		}
 		one := []*vnet.Host{o.host}
-		if deaf {
+		if cannotReceive {
 			r.world.CutOneWay(others, one)
 		} else {
 			r.world.CutOneWay(one, others)
 		}
 		r.mustAdvance(t, 6*leaseTerms.Lease)
 		if now := r.owner(); now == nil || now == o {
-			t.Errorf("unable to receive %v: the duty has no other owner", deaf)
+			t.Errorf("cannot receive %v: the duty has no other owner", cannotReceive)
 		}
 	}
 }
 
-// Three partitions, none with a majority of the keepers: no duty has an owner until the partitions
-// heal.
-func TestThreePartsWithoutMajority(t *testing.T) {
+// The fleet is split into three parts, none with a majority of the keepers: no duty has an owner
+// until the partitions heal.
+func TestThreePartitionsWithoutMajority(t *testing.T) {
 	r := newFaultlessRun(t, 9, 3)
 	var parts [3][]*vnet.Host
 	for i, m := range r.members {
--- a/internal/lab/owners/judge.go
+++ b/internal/lab/owners/judge.go
@@ -18,7 +18,7 @@
 	ops         map[string][]porcupine.Operation // answered claims, by duty
 	pending     map[[2]uint64]pendingClaim       // unanswered claims, by session and sequence
 	grantedAt   map[string]time.Duration         // latest grant of a new token, by duty
-	renewedAt   map[string]time.Duration         // latest answer by which a session holds it
+	renewedAt   map[string]time.Duration         // latest grant or renewal, by duty
 	clockJumped bool                             // a clock jumped by more than the lease margin
 	Counts
 }
--- a/internal/lab/shared/judge.go
+++ b/internal/lab/shared/judge.go
@@ -11,9 +11,9 @@
 
 // judge knows the true state of targets and connections and checks the processes against it.
 type judge struct {
-	g     *extension
-	bad   [targets][]sighting    // bad outcomes that any process observed, by target
-	cured [targets]time.Duration // end of the latest fault of each target
+	g            *extension
+	bad          [targets][]sighting    // bad outcomes that any process observed, by target
+	lastFaultEnd [targets]time.Duration // end of the latest fault of each target
 	// falseSince holds the start of each verdict on a target without a fault.
 	falseSince map[string]time.Duration // since when, by process and target; -1: counted
 	admissions []time.Duration          // recent ones under the soft limit
@@ -35,11 +35,11 @@
 	Seeds, Faults, FalseReporters, WastedAttempts int
 	Verdicts, LongFalseVerdicts                   int
 	Admitted, Refused                             [2]int // soft, strict
-	RefusedWithRoom                               [2]int // refused although the limit was not reached
+	RefusedWithRoom                               [2]int // while below the limit
 	Used, Looks                                   [2]int // sum of connections, number of checks
 	Yielded                                       int
 	MostStrict, MostStrictHeld, MostExcess        int
-	ExcessOfBound, AgeOfBound                     float64 // largest values as fractions of their bounds
+	ExcessOfBound, AgeOfBound                     float64 // largest, as parts of the bounds
 }
 
 // Add adds the counts of another run.
@@ -93,7 +93,7 @@
 // faultEnded records that the fault of target t, if there is one, ends now.
 func (j *judge) faultEnded(t int) {
 	if j.g.truth[t].kind != verdict.Sound {
-		j.cured[t] = j.g.world.Elapsed()
+		j.lastFaultEnd[t] = j.g.world.Elapsed()
 	}
 }
 
@@ -104,7 +104,7 @@
 // checkVerdicts checks the verdicts of a process.
 func (j *judge) checkVerdicts(m *member, list []verdict.Finding) {
 	now := j.g.world.Elapsed()
-	condemned, byZone := 0, make(map[int]int)
+	unhealthy, byZone := 0, make(map[int]int)
 	if j.falseSince == nil {
 		j.falseSince = make(map[string]time.Duration)
 	}
@@ -115,7 +115,7 @@
 			continue
 		}
 		holds[t] = true
-		condemned++
+		unhealthy++
 		byZone[t%len(zones)]++
 		j.g.count.Verdicts++
 		// The required witnesses must have observed bad outcomes themselves, and recently: last
@@ -153,13 +153,13 @@
 			return
 		}
 	}
-	if condemned > verdict.MaxUnhealthy(verdictConfig.MaxFraction, targets) {
-		j.fail("%s judges too many targets unhealthy: %d of %d", m.name, condemned, targets)
+	if unhealthy > verdict.MaxUnhealthy(verdictConfig.MaxFraction, targets) {
+		j.fail("%s judges too many targets unhealthy: %d of %d", m.name, unhealthy, targets)
 	}
 	for t := range targets {
 		key := fmt.Sprint(m.name, t)
 		f := j.g.truth[t]
-		sound := f.kind == verdict.Sound && now-j.cured[t] > ageBound+verdictConfig.MaxAge || f.kind != verdict.Sound && f.zone != "" && f.zone != m.zone
+		sound := f.kind == verdict.Sound && now-j.lastFaultEnd[t] > ageBound+verdictConfig.MaxAge || f.kind != verdict.Sound && f.zone != "" && f.zone != m.zone
 		since, was := j.falseSince[key]
 		switch {
 		case !holds[t] || !sound:
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -171,13 +171,13 @@
 	m.findings, m.open = make(map[string]verdict.Finding), make(map[string][]time.Time)
 	m.refused = make(map[string]int)
 	m.roster = limit.Roster{}
-	conf := evidence.DefaultConfig()
-	conf.WindowLength, conf.Retention = 250*time.Millisecond, 10*time.Second
+	config := evidence.DefaultConfig()
+	config.WindowLength, config.Retention = 250*time.Millisecond, 10*time.Second
 	if g.o.Plant == "no-age" {
-		conf.Retention = time.Hour
+		config.Retention = time.Hour
 	}
 	me := evidence.Writer{Session: c.Session, Name: m.name, Zone: m.zone}
-	m.carrier = carrier.New(loop.Now(), me, conf, evidence.Flaws{MergeAdds: g.o.Plant == "merge-adds"})
+	m.carrier = carrier.New(loop.Now(), me, config, evidence.Flaws{MergeAdds: g.o.Plant == "merge-adds"})
 	m.gate = limit.Gate{SoftConfig: softConfig, Limit: &softLimit, Flaws: limit.Flaws{ForgetLost: g.o.Plant == "forget-lost"}}
 	m.gate.ExpectedMembers = 5
 	m.slices = limit.NewSlices(&strictLimit, c.Session)
@@ -351,11 +351,11 @@
 	for t := range list {
 		list[t] = verdict.Target{ID: targetID(t), Zone: zones[t%len(zones)]}
 	}
-	conf := verdictConfig
+	config := verdictConfig
 	if m.g.o.Plant == "cap-ignored" {
-		conf.MaxFraction = 1
+		config.MaxFraction = 1
 	}
-	found := verdict.Judge(now, store, m.zone, list, conf, verdict.Flaws{OneWitness: m.g.o.Plant == "one-witness", NoAge: m.g.o.Plant == "no-age"})
+	found := verdict.Judge(now, store, m.zone, list, config, verdict.Flaws{OneWitness: m.g.o.Plant == "one-witness", NoAge: m.g.o.Plant == "no-age"})
 	clear(m.findings)
 	for _, x := range found {
 		m.findings[x.Target] = x
--- a/internal/lab/site/site.go
+++ b/internal/lab/site/site.go
@@ -31,16 +31,16 @@
 // Make applies a difference file to a site file and writes the result and the site file's companion
 // files into dir. It returns the path of the new site file. It writes nothing if it finds an error
 // in its input.
-func Make(difference, of, dir string) (string, error) {
+func Make(difference, sitePath, dir string) (string, error) {
 	text, err := os.ReadFile(difference)
 	if err != nil {
 		return "", err
 	}
-	base, err := os.ReadFile(of)
+	base, err := os.ReadFile(sitePath)
 	if err != nil {
 		return "", fmt.Errorf("the site file is missing: %w", err)
 	}
-	made, err := Apply(difference, text, of, base)
+	made, err := Apply(difference, text, sitePath, base)
 	if err != nil {
 		return "", err
 	}
@@ -48,7 +48,7 @@
 	files := map[string][]byte{stem + ".toml": made}
 	var missing []error
 	for _, name := range companionFiles {
-		data, err := os.ReadFile(filepath.Join(filepath.Dir(of), name))
+		data, err := os.ReadFile(filepath.Join(filepath.Dir(sitePath), name))
 		if err != nil {
 			missing = append(missing, fmt.Errorf("missing beside the site file: %w", err))
 		}
@@ -70,10 +70,10 @@
 
 // Apply applies a difference file to a site file and returns the resulting site file. The file
 // names are used in errors. Errors in the difference file are returned as Problems.
-func Apply(name string, difference []byte, of string, base []byte) ([]byte, error) {
+func Apply(name string, difference []byte, sitePath string, base []byte) ([]byte, error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(base, &tree); err != nil {
-		return nil, fmt.Errorf("%s: %w", of, err)
+		return nil, fmt.Errorf("%s: %w", sitePath, err)
 	}
 	var values map[string]any
 	if err := toml.Unmarshal(difference, &values); err != nil {
@@ -179,12 +179,12 @@
 		}
 	}
 	key := e.path[len(e.path)-1]
-	was, ok := at[key]
+	old, ok := at[key]
 	if !ok {
 		return nil, errors.New("the site file has no such key")
 	}
-	if kindOf(was) != kindOf(value) || kindOf(value) == "" {
-		return nil, fmt.Errorf("the site file has %v there", was)
+	if kindOf(old) != kindOf(value) || kindOf(value) == "" {
+		return nil, fmt.Errorf("the site file has %v there", old)
 	}
 	return func() { at[key] = value }, nil
 }
--- a/internal/lab/site/site_test.go
+++ b/internal/lab/site/site_test.go
@@ -96,7 +96,7 @@
 }
 
 // Without a site file or its companion files, Make reports what is missing and writes nothing.
-func TestMakeSaysWhatIsMissing(t *testing.T) {
+func TestMakeReportsMissingFiles(t *testing.T) {
 	dir := t.TempDir()
 	put := func(name, text string) string {
 		t.Helper()
@@ -132,7 +132,7 @@
 
 // The difference files in deploy/sites apply to a site file that has the keys that they use, and
 // each sets a name of its own.
-func TestOurVariants(t *testing.T) {
+func TestDifferenceFilesInDeploy(t *testing.T) {
 	of := filepath.Join("testdata", "site.toml")
 	test, err := os.ReadFile(of)
 	if err != nil {
