--- a/internal/lab/hollow/cluster.go
+++ b/internal/lab/hollow/cluster.go
@@ -73,7 +73,7 @@
 func newCluster(c Config) (*cluster, error) {
 	k := &cluster{config: c, registry: fleet.NewRegistry(), verdicts: newVerdicts()}
 	k.world = vnet.New(c.Seed, k.link)
-	k.world.Fates(k.fate)
+	k.world.SetDatagramFaults(k.fate)
 	k.sessions, k.draws = k.world.Rand("sessions"), k.world.Rand("changes")
 	text, err := json.Marshal(rig.Settings(c.Processes))
 	if err != nil {
@@ -216,9 +216,9 @@
 }
 
 // fate drops what would cross the border of a region that is cut off.
-func (k *cluster) fate(from, to *vnet.Host, _ int) vnet.Fate {
+func (k *cluster) fate(from, to *vnet.Host, _ int) vnet.DatagramFault {
 	a, b := zoneRegion[k.zoneOf(from)], zoneRegion[k.zoneOf(to)]
-	return vnet.Fate{Drop: a != b && (k.cut[a] || k.cut[b])}
+	return vnet.DatagramFault{Drop: a != b && (k.cut[a] || k.cut[b])}
 }
 
 // isolate cuts a region off from the others and from discovery, until the function that it returns is called.
--- a/internal/lab/owners/faults.go
+++ b/internal/lab/owners/faults.go
@@ -18,8 +18,8 @@
 }
 
 // fate is what the network does to a datagram beside its links' delay and loss.
-func (r *run) fate(from, to *vnet.Host, size int) vnet.Fate {
-	var f vnet.Fate
+func (r *run) fate(from, to *vnet.Host, size int) vnet.DatagramFault {
+	var f vnet.DatagramFault
 	switch d := r.rng.Float64(); {
 	case r.over || r.o.NoFaults:
 	case d < 0.002*r.late:
--- a/internal/lab/owners/run.go
+++ b/internal/lab/owners/run.go
@@ -128,7 +128,7 @@
 	if err := r.build(); err != nil {
 		return r.judge.Counts, err
 	}
-	r.world.Fates(r.fate)
+	r.world.SetDatagramFaults(r.fate)
 	if !o.NoFaults {
 		r.faults()
 	}
--- a/internal/vnet/udp.go
+++ b/internal/vnet/udp.go
@@ -77,7 +77,7 @@
 	w := h.world
 	path := w.path(h, far)
 	d, lost := path.transit(w.now, len(data))
-	var fate Fate
+	var fate DatagramFault
 	if w.fate != nil {
 		fate = w.fate(h, far, len(data))
 	}
@@ -91,12 +91,12 @@
 	}
 }
 
-// Fate is what a network does to one datagram beside its link's delay and loss.
-type Fate struct {
+// DatagramFault is what a network does to one datagram beside its link's delay and loss.
+type DatagramFault struct {
 	Drop  bool
 	Late  time.Duration   // it is held for so long
 	Again []time.Duration // copies of it arrive so much later
 }
 
-// Fates has f decide what happens to each datagram; nil: nothing.
-func (w *World) Fates(f func(from, to *Host, size int) Fate) { w.fate = f }
+// SetDatagramFaults has f decide what happens to each datagram; nil: nothing.
+func (w *World) SetDatagramFaults(f func(from, to *Host, size int) DatagramFault) { w.fate = f }
--- a/internal/vnet/world.go
+++ b/internal/vnet/world.go
@@ -37,7 +37,7 @@
 	sum    *xxhash.Digest
 	recent recent
 	tap    Tap
-	fate   func(from, to *Host, size int) Fate
+	fate   func(from, to *Host, size int) DatagramFault
 	conns  uint64 // opened so far
 	events uint64
 	failed error
