--- a/internal/lab/owners/hard_test.go
+++ b/internal/lab/owners/hard_test.go
@@ -58,7 +58,7 @@
 		}
 		chain = append(chain, o)
 		// The first wakes up last.
-		o.host.StallBeforeSend(begin + late - time.Duration(i)*5*time.Second - r.world.Elapsed())
+		o.host.StallBeforeNextSend(begin + late - time.Duration(i)*5*time.Second - r.world.Elapsed())
 		if _, err := o.node.Announce(duties[0], []byte("late")); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/owners/run.go
+++ b/internal/lab/owners/run.go
@@ -290,7 +290,7 @@
 		stall := time.Duration(0)
 		if r.hits("stall-before-send", 0.03) {
 			stall = terms.Lease*3 + time.Duration(r.rng.IntN(2000))*time.Millisecond
-			m.host.StallBeforeSend(stall)
+			m.host.StallBeforeNextSend(stall)
 			r.judge.StallsBeforeSend++
 		}
 		mark, err := m.node.Announce(d, []byte(m.host.Name()))
@@ -298,9 +298,9 @@
 			continue
 		}
 		r.judge.take(m.host.Name(), d, mark.Token) // an owner is a receiver of its own words
-		life := m.host.Life()
+		life := m.host.Incarnation()
 		r.world.After(stall, func() {
-			if life == m.host.Life() && mark.Token < r.judge.granted[d] {
+			if life == m.host.Incarnation() && mark.Token < r.judge.granted[d] {
 				r.judge.StaleSent++
 			}
 		})
--- a/internal/lab/requests.go
+++ b/internal/lab/requests.go
@@ -41,14 +41,14 @@
 		return
 	}
 	j.Requests++
-	r := &request{id: o.ID, proxy: c.Listener, life: c.Listener.Life(), wait: o.MaxWait, class: j.classes[o.Class]}
+	r := &request{id: o.ID, proxy: c.Listener, life: c.Listener.Incarnation(), wait: o.MaxWait, class: j.classes[o.Class]}
 	w.req = r
 	j.requests[o.ID] = r
 }
 
 // due is called when the answer must have come.
 func (j *judge) due(r *request) {
-	if !r.taken || r.answered || r.left || r.proxy.Life() != r.life || !r.proxy.Up() {
+	if !r.taken || r.answered || r.left || r.proxy.Incarnation() != r.life || !r.proxy.Up() {
 		return
 	}
 	if until, ok := j.excused[r.proxy]; ok && r.deadline.Before(until) {
@@ -118,7 +118,7 @@
 // exits checks that a proxy which ends in order leaves nobody behind.
 func (j *judge) exits(proxy *vnet.Host) error {
 	for _, r := range j.requests { // any one will do; which one is told may differ, that there is one does not
-		if r.proxy != proxy || r.life != proxy.Life() || r.left || !r.taken {
+		if r.proxy != proxy || r.life != proxy.Incarnation() || r.left || !r.taken {
 			continue
 		}
 		if !r.answered || r.standing && !r.sent && j.answersStill(r) {
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -159,7 +159,7 @@
 		g.order = append(g.order, i)
 		slices.Sort(g.order)
 	}
-	m.loop, m.life = loop, h.Life()
+	m.loop, m.life = loop, h.Incarnation()
 	m.began = loop.Now()
 	m.found, m.open = make(map[string]verdict.Finding), make(map[string][]time.Time)
 	m.refused = make(map[string]int)
--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -134,7 +134,7 @@
 		s.badClients(t, at, span, size)
 	case "late-connects": // a part of the connections to them, size, come up late, by up to away
 		for _, n := range s.someRelays(t, r) {
-			s.during(at, span, func() { n.host.(*vnet.Host).LateConnects(size, away) }, func() { n.host.(*vnet.Host).LateConnects(0, 0) })
+			s.during(at, span, func() { n.host.(*vnet.Host).DelayConnects(size, away) }, func() { n.host.(*vnet.Host).DelayConnects(0, 0) })
 		}
 	case "leaving":
 		for _, c := range s.crowds {
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -202,7 +202,7 @@
 			d := newFakeDiscovery(b)
 			b.watchAt(d.listener.Addr())
 			d.awaitCall(0)
-			b.host.LateConnects(1, time.Second)
+			b.host.DelayConnects(1, time.Second)
 			begin := b.now()
 			for i := range 2 {
 				fault(d.calls[i])
--- a/internal/vnet/host.go
+++ b/internal/vnet/host.go
@@ -102,8 +102,8 @@
 // Open tells how many descriptors its process holds.
 func (h *Host) Open() int { return h.open }
 
-// Life counts the machine's processes: it changes when one starts or ends.
-func (h *Host) Life() int { return h.life }
+// Incarnation counts the machine's processes: it changes when one starts or ends.
+func (h *Host) Incarnation() int { return h.life }
 
 // Running tells whether a process runs, reachable or not.
 func (h *Host) Running() bool { return h.step != nil }
@@ -240,9 +240,9 @@
 	}
 }
 
-// StallBeforeSend stops the process just before it sends its next datagram, for d: between whatever made it decide to
+// StallBeforeNextSend stops the process just before it sends its next datagram, for d: between whatever made it decide to
 // send and the send itself.
-func (h *Host) StallBeforeSend(d time.Duration) { h.stallSend = d }
+func (h *Host) StallBeforeNextSend(d time.Duration) { h.stallSend = d }
 
 // ClockRate has the process's clock run at another rate from now on: 1.01 is one in a hundred too fast.
 func (h *Host) ClockRate(rate float64) {
--- a/internal/vnet/tcp.go
+++ b/internal/vnet/tcp.go
@@ -285,8 +285,8 @@
 	h.answer(e)
 }
 
-// LateConnects has a part of the connections to the host, 0 to 1, come up later by up to most.
-func (h *Host) LateConnects(part float64, most time.Duration) { h.latePart, h.lateMost = part, most }
+// DelayConnects has a part of the connections to the host, 0 to 1, come up later by up to most.
+func (h *Host) DelayConnects(part float64, most time.Duration) { h.latePart, h.lateMost = part, most }
 
 func (h *Host) answer(e *end) {
 	l := h.listeners[e.conn.Port]
