--- a/internal/lab/changes/wholelist.go
+++ b/internal/lab/changes/wholelist.go
@@ -124,8 +124,8 @@
 	host := f.world.AddHost(config.Name, wholeListAddress(i).Addr(), vnet.Limits{})
 	if i < keepers {
 		disk := host.Disk("log")
-		disk.SetText(keeper.InitialRecord(uint64(1000 + i)))
-		log, err := keeper.Restore(disk.Text())
+		disk.SetContents(keeper.InitialRecord(uint64(1000 + i)))
+		log, err := keeper.Restore(disk.Contents())
 		if err != nil {
 			return err
 		}
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/hollow/process.go
@@ -84,7 +84,7 @@
 func (p *process) makeDisk() {
 	d := p.host.Disk("keeper")
 	d.SetFaults(vnet.DiskFaults{Delay: time.Millisecond, Jitter: 2 * time.Millisecond})
-	d.SetText(keeper.InitialRecord(p.cluster.sessions.Uint64() | 1))
+	d.SetContents(keeper.InitialRecord(p.cluster.sessions.Uint64() | 1))
 }
 
 // start begins a life, if none runs. Lives after the first one have a session of their own.
@@ -175,7 +175,7 @@
 // keep gives the process its keeper.
 func (p *process) keep(m *mesh.Config) error {
 	disk := p.host.Disk("keeper")
-	restored, err := keeper.Restore(disk.Text())
+	restored, err := keeper.Restore(disk.Contents())
 	if err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
 	}
--- a/internal/lab/owners/faults.go
+++ b/internal/lab/owners/faults.go
@@ -187,7 +187,7 @@
 	if r.rng.IntN(2) == 0 {
 		text = freshDisk(r)
 	}
-	m.host.Disk("keeper").SetText(text)
+	m.host.Disk("keeper").SetContents(text)
 	r.world.After(span, m.start)
 }
 
--- a/internal/lab/owners/hard_test.go
+++ b/internal/lab/owners/hard_test.go
@@ -112,7 +112,7 @@
 		if m.keeper && gone < 2 {
 			gone++
 			m.kill()
-			m.host.Disk("keeper").SetText(nil)
+			m.host.Disk("keeper").SetContents(nil)
 			m.start()
 		}
 	}
@@ -238,7 +238,7 @@
 	}
 	d := x.host.Disk("keeper")
 	f := d.Faults()
-	f.Full = len(d.Text()) + 100
+	f.Full = len(d.Contents()) + 100
 	d.SetFaults(f)
 	r.must(t, 10*time.Second)
 	if x.node.Keeper().Stopped() == nil || r.owner() == nil {
--- a/internal/lab/owners/run.go
+++ b/internal/lab/owners/run.go
@@ -177,7 +177,7 @@
 			r.at = append(r.at, mesh.KeeperAddress{ID: uint64(i + 1), Addr: netip.AddrPortFrom(h.Addr(), meshPort)})
 			d := h.Disk("keeper")
 			d.SetFaults(vnet.DiskFaults{Delay: time.Millisecond, Jitter: 6 * time.Millisecond, Torn: 0.7, Scrambled: 0.3})
-			d.SetText(keeper.InitialRecord(r.ids.Uint64() | 1))
+			d.SetContents(keeper.InitialRecord(r.ids.Uint64() | 1))
 		}
 	}
 	for _, m := range r.members {
@@ -252,7 +252,7 @@
 func (m *member) keep(c *mesh.Config) error {
 	r := m.run
 	d := m.host.Disk("keeper")
-	log, err := keeper.Restore(d.Text())
+	log, err := keeper.Restore(d.Contents())
 	switch {
 	case errors.Is(err, keeper.ErrEmpty):
 		m.lost = true
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -120,11 +120,11 @@
 // keeps gives a proxy its keeper, with a disk that outlives it.
 func (s *stage) keeps(p *proxyNode, m *mesh.Config, self uint64) error {
 	d := p.virtual().Disk("keeper")
-	if len(d.Text()) == 0 {
+	if len(d.Contents()) == 0 {
 		d.SetFaults(vnet.DiskFaults{Delay: 1e6, Jitter: 4e6, Torn: 0.7, Scrambled: 0.3})
-		d.SetText(keeper.InitialRecord(p.rng.Uint64() | 1))
+		d.SetContents(keeper.InitialRecord(p.rng.Uint64() | 1))
 	}
-	log, err := keeper.Restore(d.Text())
+	log, err := keeper.Restore(d.Contents())
 	if err != nil {
 		return err
 	}
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -48,8 +48,8 @@
 		h := tc.world.AddHost(c.Name, at(i).Addr(), vnet.Limits{})
 		if i%4 < 3 {
 			d := h.Disk("log")
-			d.SetText(keeper.InitialRecord(uint64(1000 + i)))
-			restored, err := keeper.Restore(d.Text())
+			d.SetContents(keeper.InitialRecord(uint64(1000 + i)))
+			restored, err := keeper.Restore(d.Contents())
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/vnet/disk.go
+++ b/internal/vnet/disk.go
@@ -64,11 +64,11 @@
 // OnWritten has f called when a write has become durable, before the process hears of it.
 func (d *Disk) OnWritten(f func()) { d.written = f }
 
-// Text is what is durable.
-func (d *Disk) Text() []byte { return append([]byte(nil), d.file...) }
+// Contents is what is durable.
+func (d *Disk) Contents() []byte { return append([]byte(nil), d.file...) }
 
-// SetText changes the file from outside, as a wiped or damaged disk.
-func (d *Disk) SetText(text []byte) { d.file = append([]byte(nil), text...) }
+// SetContents changes the file from outside, as a wiped or damaged disk.
+func (d *Disk) SetContents(text []byte) { d.file = append([]byte(nil), text...) }
 
 // Truncate cuts the file off, as a process does at its start.
 func (d *Disk) Truncate(size int) { d.file = d.file[:min(size, len(d.file))] }
