--- a/cmd/ospreylab/owner.go
+++ b/cmd/ospreylab/owner.go
@@ -81,9 +81,9 @@
 		fmt.Fprintln(a.out, m)
 		return err
 	}
-	err = r.Trouble(span)
+	err = r.InjectFaults(span)
 	fmt.Fprintln(a.out, r.Count)
-	if err != nil && r.Count.StaleTaken+r.Count.Overlaps > 0 {
+	if err != nil && r.Count.StaleAccepted+r.Count.Overlaps > 0 {
 		return broken{fmt.Errorf("seed %d: %w", o.Seed, err)}
 	}
 	return err
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/hollow/hollow_test.go
@@ -39,11 +39,11 @@
 		t.Fatal(err)
 	}
 	defer r.Close()
-	real, err := r.Calm(comparedSettle, comparedWindow, comparedChange)
+	real, err := r.MeasureTraffic(comparedSettle, comparedWindow, comparedChange)
 	if err != nil {
 		t.Fatal(err)
 	}
-	datagrams, bytes := real.EachSecond()
+	datagrams, bytes := real.PerProcessRate()
 	hollow := playCompared(t, 1)
 	t.Logf("a process sends in a second: real %.1f datagrams of %.0f bytes in all, hollow %.1f of %.0f", datagrams, bytes, hollow.Messages, hollow.Bytes)
 	for _, c := range []struct {
--- a/internal/lab/owners/faults.go
+++ b/internal/lab/owners/faults.go
@@ -23,13 +23,13 @@
 	switch d := r.rng.Float64(); {
 	case r.over || r.o.NoFaults:
 	case d < 0.002*r.late:
-		f.Late = time.Duration(r.rng.IntN(30000)) * time.Millisecond
+		f.Delay = time.Duration(r.rng.IntN(30000)) * time.Millisecond
 		r.judge.Late++
 	case d < 0.01*r.late:
-		f.Late = time.Duration(r.rng.IntN(1500)) * time.Millisecond
+		f.Delay = time.Duration(r.rng.IntN(1500)) * time.Millisecond
 		r.judge.Late++
 	case d < 0.02*r.late:
-		f.Again = []time.Duration{time.Duration(r.rng.IntN(8000)) * time.Millisecond}
+		f.Duplicates = []time.Duration{time.Duration(r.rng.IntN(8000)) * time.Millisecond}
 		r.judge.Repeated++
 	case d < 0.03*r.late:
 		f.Drop = true
--- a/internal/rig/calm.go
+++ b/internal/rig/calm.go
@@ -10,25 +10,25 @@
 	Bytes     int // without the headers of UDP and IP
 }
 
-// EachSecond returns the datagrams and bytes that one process sends in a second, in the mean.
-func (t Traffic) EachSecond() (datagrams, bytes float64) {
+// PerProcessRate returns the datagrams and bytes that one process sends in a second, in the mean.
+func (t Traffic) PerProcessRate() (datagrams, bytes float64) {
 	each := t.Window.Seconds() * float64(t.Processes)
 	return float64(t.Datagrams) / each, float64(t.Bytes) / each
 }
 
-// Calm starts all processes, has the list of targets change at a steady pace, and counts what they say to each other in a window
+// MeasureTraffic starts all processes, has the list of targets change at a steady pace, and counts what they say to each other in a window
 // that begins some time after the start.
-func (r *Rig) Calm(settle, window, change time.Duration) (Traffic, error) {
-	r.calm = true
+func (r *Rig) MeasureTraffic(settle, window, change time.Duration) (Traffic, error) {
+	r.lossless = true
 	if err := r.StartAll(); err != nil {
 		return Traffic{}, err
 	}
 	r.changeList(change)
 	never := func() bool { return false }
-	r.until(settle, never)
+	r.waitUntil(settle, never)
 	datagrams, bytes := r.Count.Datagrams, r.Count.Bytes
 	begin := time.Now()
-	r.until(window, never)
+	r.waitUntil(window, never)
 	return Traffic{
 		Processes: len(r.procs), Window: time.Since(begin), Datagrams: r.Count.Datagrams - datagrams, Bytes: r.Count.Bytes - bytes,
 	}, r.failed
--- a/internal/rig/play.go
+++ b/internal/rig/play.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// patience is how long a wait for something may take on a machine that is busy with other things; what is waited for is
+// waitTimeout is how long a wait for something may take on a machine that is busy with other things; what is waited for is
 // counted if it does not come, and is no verdict.
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-// Trouble throws faults at the processes for a while, in rounds. Each round lets an owner speak, keeps what it said on the
+// InjectFaults throws faults at the processes for a while, in rounds. Each round lets an owner speak, keeps what it said on the
 // links, stops it, kills it, or makes it deaf or mute until another one owns the duty, then sends what was kept to everybody
 // and lets the former owner go on from where it was. The error is something that must never happen.
-func (r *Rig) Trouble(span time.Duration) error {
+func (r *Rig) InjectFaults(span time.Duration) error {
 	if err := r.StartAll(); err != nil {
 		return err
 	}
@@ -22,35 +22,35 @@
 	over := false
 	r.after(span, func() { over = true })
 	for !over && r.failed == nil {
-		r.round()
+		r.faultRound()
 	}
 	if r.failed == nil && r.Count.HandOvers == 0 {
-		r.fail(errNothing)
+		r.fail(errNoHandOver)
 	}
 	r.heal()
-	r.calm = true
+	r.lossless = true
 	if r.failed == nil { // a last chance for what is under way to do harm
-		r.until(2*time.Second, func() bool { return false })
-		r.term(6 * time.Second)
-		r.until(500*time.Millisecond, func() bool { return false })
+		r.waitUntil(2*time.Second, func() bool { return false })
+		r.terminate(6 * time.Second)
+		r.waitUntil(500*time.Millisecond, func() bool { return false })
 	}
 	return r.failed
 }
 
-func (r *Rig) round() {
+func (r *Rig) faultRound() {
 	spoken := func() bool {
 		o := r.owner()
-		return o != nil && r.saidBy(o)
+		return o != nil && r.holdsAnnouncementOf(o)
 	}
-	if !r.until(patience, spoken) {
-		r.Count.Stuck++
+	if !r.waitUntil(waitTimeout, spoken) {
+		r.Count.TimedOut++
 		r.heal()
 		return
 	}
 	r.Count.Rounds++
 	x := r.owner()
-	token := x.owns[duty]
-	kept := r.kept()
+	token := x.ownedTokens[duty]
+	kept := r.heldCopies()
 	l := r.links[x.index]
 	var undo func()
 	switch d := r.rng.Float64(); {
@@ -67,45 +67,45 @@
 			}
 		}
 	case d < 0.85:
-		r.Count.CutsIn++
-		l.in = true
-		undo = func() { l.in = false }
+		r.Count.InboundCuts++
+		l.dropInbound = true
+		undo = func() { l.dropInbound = false }
 	default:
-		r.Count.CutsOut++
-		l.out = true
-		undo = func() { l.out = false }
+		r.Count.OutboundCuts++
+		l.dropOutbound = true
+		undo = func() { l.dropOutbound = false }
 	}
-	r.beside(x)
-	if !r.until(patience, func() bool { o := r.owner(); return o != nil && o.owns[duty] > token }) {
-		r.Count.Stuck++
+	r.injectSecondFault(x)
+	if !r.waitUntil(waitTimeout, func() bool { o := r.owner(); return o != nil && o.ownedTokens[duty] > token }) {
+		r.Count.TimedOut++
 	}
-	r.release(kept)
+	r.sendHeld(kept)
 	undo()
-	r.release(kept)
-	r.until(time.Duration(200+r.rng.IntN(600))*time.Millisecond, func() bool { return false })
+	r.sendHeld(kept)
+	r.waitUntil(time.Duration(200+r.rng.IntN(600))*time.Millisecond, func() bool { return false })
 	r.heal()
 }
 
-// saidBy tells whether a word of an owner's present token lies on some link.
-func (r *Rig) saidBy(o *proc) bool {
+// holdsAnnouncementOf tells whether a word of an owner's present token lies on some link.
+func (r *Rig) holdsAnnouncementOf(o *proc) bool {
 	for _, l := range r.links {
-		if len(l.held) > 0 && l.held[len(l.held)-1].mark.Token == o.owns[duty] {
+		if len(l.held) > 0 && l.held[len(l.held)-1].id.Token == o.ownedTokens[duty] {
 			return true
 		}
 	}
 	return false
 }
 
-// beside throws a fault at another process too: one keeper at the most, so that a majority is left.
-func (r *Rig) beside(x *proc) {
+// injectSecondFault throws a fault at another process too: one keeper at the most, so that a majority is left.
+func (r *Rig) injectSecondFault(x *proc) {
 	p := r.procs[r.rng.IntN(len(r.procs))]
 	lost := 0
 	for _, q := range []*proc{p, x} {
-		if q.index < r.o.Keepers {
+		if q.index < r.options.Keepers {
 			lost++
 		}
 	}
-	if p == x || lost > r.o.Keepers/2 {
+	if p == x || lost > r.options.Keepers/2 {
 		return
 	}
 	switch d := r.rng.Float64(); {
@@ -121,7 +121,7 @@
 // heal lets everything run again.
 func (r *Rig) heal() {
 	for _, l := range r.links {
-		l.in, l.out = false, false
+		l.dropInbound, l.dropOutbound = false, false
 	}
 	for _, p := range r.procs {
 		p.resume()
@@ -131,8 +131,8 @@
 	}
 }
 
-// Mass is what a mass kill took.
-type Mass struct {
+// MassKillResult is what a mass kill took.
+type MassKillResult struct {
 	Processes, Killed int
 	Agreed, Again     time.Duration // from the start, and from the kill, until all live ones had a word of one owner
 	Datagrams         int           // between them, in a calm second, each
@@ -140,7 +140,7 @@
 	CPU               float64       // part of a core that each uses in calm, in thousandths
 }
 
-func (m Mass) String() string {
+func (m MassKillResult) String() string {
 	return fmt.Sprintf("%d processes agreed %v after the start; %d were killed, and all agreed again after %v; in calm %d datagrams "+
 		"a second, %d KB resident and %.1f thousandths of a core for each", m.Processes, m.Agreed.Round(10*time.Millisecond), m.Killed,
 		m.Again.Round(10*time.Millisecond), m.Datagrams, m.MemoryKB, m.CPU)
@@ -148,31 +148,31 @@
 
 // MassKill starts all, waits until they agree, kills part of them at once, starts those again 0.7 s later and waits until all
 // agree again.
-func (r *Rig) MassKill(part float64, most time.Duration) (Mass, error) {
-	r.calm = true
-	m := Mass{Processes: len(r.procs)}
+func (r *Rig) MassKill(part float64, most time.Duration) (MassKillResult, error) {
+	r.lossless = true
+	m := MassKillResult{Processes: len(r.procs)}
 	begin := time.Now()
 	if err := r.StartAll(); err != nil {
 		return m, err
 	}
 	r.changeList(500 * time.Millisecond)
-	if !r.until(most, r.agreed) {
-		return m, r.orElse(fmt.Errorf("rig: no agreement within %v", most))
+	if !r.waitUntil(most, r.agreed) {
+		return m, r.firstError(fmt.Errorf("rig: no agreement within %v", most))
 	}
 	m.Agreed = time.Since(begin)
-	r.until(20*time.Second, func() bool { return false }) // until the news of the start has been told
-	before, ticks := r.Count.Datagrams, r.ticks()
-	r.until(5*time.Second, func() bool { return false })
-	m.CPU = float64(r.ticks()-ticks) * 10 / 5 / float64(len(r.procs)) // a tick is 10 ms
+	r.waitUntil(20*time.Second, func() bool { return false }) // until the news of the start has been told
+	before, ticks := r.Count.Datagrams, r.cpuTicks()
+	r.waitUntil(5*time.Second, func() bool { return false })
+	m.CPU = float64(r.cpuTicks()-ticks) * 10 / 5 / float64(len(r.procs)) // a tick is 10 ms
 	m.Datagrams = (r.Count.Datagrams - before) / 5 / len(r.procs)
-	m.MemoryKB = r.memory() / len(r.procs)
+	m.MemoryKB = r.residentKB() / len(r.procs)
 	begin = time.Now()
 	for _, p := range r.procs {
 		if r.rng.Float64() < part {
 			m.Killed++
 			r.Count.Kills++
 			p.kill()
-			p.word = 0
+			p.lastToken = 0
 			r.after(700*time.Millisecond, func() {
 				if err := r.start(p); err != nil {
 					r.fail(err)
@@ -180,15 +180,15 @@
 			})
 		}
 	}
-	r.until(time.Second, func() bool { return false })
-	if !r.until(most, r.agreed) {
-		return m, r.orElse(fmt.Errorf("rig: no agreement within %v of the kill", most))
+	r.waitUntil(time.Second, func() bool { return false })
+	if !r.waitUntil(most, r.agreed) {
+		return m, r.firstError(fmt.Errorf("rig: no agreement within %v of the kill", most))
 	}
 	m.Again = time.Since(begin)
 	return m, r.failed
 }
 
-func (r *Rig) orElse(err error) error {
+func (r *Rig) firstError(err error) error {
 	if r.failed != nil {
 		return r.failed
 	}
@@ -202,15 +202,15 @@
 		return false
 	}
 	for _, p := range r.procs {
-		if p.cmd == nil || p != o && p.word != o.owns[duty] {
+		if p.cmd == nil || p != o && p.lastToken != o.ownedTokens[duty] {
 			return false
 		}
 	}
 	return true
 }
 
-// memory adds up what the live processes have resident, in KB.
-func (r *Rig) memory() int {
+// residentKB adds up what the live processes have resident, in KB.
+func (r *Rig) residentKB() int {
 	all := 0
 	for _, p := range r.procs {
 		if p.cmd == nil {
@@ -230,8 +230,8 @@
 	return all
 }
 
-// ticks adds up the processor time of the live processes, in hundredths of a second.
-func (r *Rig) ticks() int {
+// cpuTicks adds up the processor time of the live processes, in hundredths of a second.
+func (r *Rig) cpuTicks() int {
 	all := 0
 	for _, p := range r.procs {
 		if p.cmd == nil {
--- a/internal/rig/proc.go
+++ b/internal/rig/proc.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// line is what a process's log says of the fleet.
-type line struct {
+// logEntry is what a process's log says of the fleet.
+type logEntry struct {
 	Message string `json:"message"`
 	Duty    string `json:"duty"`
 	Token   uint64 `json:"token"`
@@ -27,42 +27,42 @@
 
 // proc is one process of the program, through all its lives.
 type proc struct {
-	rig     *Rig
-	index   int
-	name    string
-	listen  netip.AddrPort // where it listens
-	public  netip.AddrPort // where the others find it: a socket of the rig's
-	dir     string
-	cmd     *exec.Cmd
-	life    int
-	stopped bool
-	ended   chan struct{}
-	owns    map[string]uint64 // tokens by duty, as its log said last
-	word    uint64            // token of the last word that it took or said
-	tail    []string
-	refused uint64
+	rig          *Rig
+	index        int
+	name         string
+	listen       netip.AddrPort // where it listens
+	advertised   netip.AddrPort // where the others find it: a socket of the rig's
+	dir          string
+	cmd          *exec.Cmd
+	incarnation  int
+	stopped      bool
+	exited       chan struct{}
+	ownedTokens  map[string]uint64 // tokens by duty, as its log said last
+	lastToken    uint64            // token of the last word that it took or said
+	logTail      []string
+	staleRefused uint64
 }
 
 // addr is one of its addresses: 1 its own, 2 the public one.
 func (p *proc) addr(which byte) netip.Addr {
-	return netip.AddrFrom4([4]byte{127, p.rig.net + which, byte(p.index >> 8), byte(p.index&0xff + 1)})
+	return netip.AddrFrom4([4]byte{127, p.rig.subnet + which, byte(p.index >> 8), byte(p.index&0xff + 1)})
 }
 
-// write writes the files that the program reads.
-func (p *proc) write() error {
+// writeConfig writes the files that the program reads.
+func (p *proc) writeConfig() error {
 	r := p.rig
 	var members, seeds []string
-	for i := range r.o.Keepers {
-		members = append(members, fmt.Sprintf("%d@%s", r.number(i), r.procs[i].public))
-		seeds = append(seeds, r.procs[i].public.String())
+	for i := range r.options.Keepers {
+		members = append(members, fmt.Sprintf("%d@%s", r.keeperNumber(i), r.procs[i].advertised))
+		seeds = append(seeds, r.procs[i].advertised.String())
 	}
 	verdicts := ""
-	if r.o.Verdicts {
+	if r.options.Verdicts {
 		verdicts = "[verdicts]\n"
 	}
 	own := fmt.Sprintf("[fleet]\ncluster = %s\nlisten = %s\nadvertise = %s\nseeds = %s\n[keepers]\nmembers = %s\ndir = %s\nlease = %v\nmargin = %v\n"+
 		"[duties]\ntake = discovery, probes, moves\n[moves]\nper_second = 50\n[discovery]\nsame_addresses = true\n[log]\nformat = json\n%s",
-		cluster, p.listen, p.public, strings.Join(seeds, ", "), strings.Join(members, ", "), filepath.Join(p.dir, fmt.Sprint("keeper-", r.number(p.index))), r.o.Lease, r.o.Lease/20, verdicts)
+		cluster, p.listen, p.advertised, strings.Join(seeds, ", "), strings.Join(members, ", "), filepath.Join(p.dir, fmt.Sprint("keeper-", r.keeperNumber(p.index))), r.options.Lease, r.options.Lease/20, verdicts)
 	conf, err := json.Marshal(map[string]any{
 		"name": p.name, "listen": netip.AddrPortFrom(p.addr(1), 18440).String(), "discovery": r.discovery.Addr().String(),
 		"seed": fmt.Sprintf("%x", r.rng.Uint64()), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 512},
@@ -78,17 +78,17 @@
 }
 
 func (p *proc) command(args ...string) *exec.Cmd {
-	c := exec.Command(p.rig.o.Program, append([]string{"--operator", filepath.Join(p.dir, "own.ini")}, args...)...)
+	c := exec.Command(p.rig.options.Program, append([]string{"--operator", filepath.Join(p.dir, "own.ini")}, args...)...)
 	c.Env = append(os.Environ(), "EDGE_CONFIG="+filepath.Join(p.dir, "config.json"))
 	return c
 }
 
 // start starts a life.
 func (p *proc) start() error {
-	if p.cmd != nil || p.rig.over {
+	if p.cmd != nil || p.rig.closing {
 		return nil
 	}
-	if p.life == 0 && p.index < p.rig.o.Keepers {
+	if p.incarnation == 0 && p.index < p.rig.options.Keepers {
 		if out, err := p.command("keepers", "init").CombinedOutput(); err != nil {
 			return fmt.Errorf("%s: %w: %s", p.name, err, out)
 		}
@@ -103,50 +103,50 @@
 	if err := c.Start(); err != nil {
 		return fmt.Errorf("%s: %w", p.name, err)
 	}
-	p.life++
-	p.cmd, p.stopped, p.owns, p.ended = c, false, make(map[string]uint64), make(chan struct{})
-	go p.read(pipe, c, p.life, p.ended)
+	p.incarnation++
+	p.cmd, p.stopped, p.ownedTokens, p.exited = c, false, make(map[string]uint64), make(chan struct{})
+	go p.readLog(pipe, c, p.incarnation, p.exited)
 	return nil
 }
 
-// read passes the log to the rig's loop, and the process's end with it.
-func (p *proc) read(pipe io.Reader, c *exec.Cmd, life int, ended chan struct{}) {
+// readLog passes the log to the rig's loop, and the process's end with it.
+func (p *proc) readLog(pipe io.Reader, c *exec.Cmd, life int, ended chan struct{}) {
 	lines := bufio.NewScanner(pipe)
 	for lines.Scan() {
 		text := lines.Text()
-		p.rig.loop.Post(func() { p.said(text) })
+		p.rig.loop.Post(func() { p.handleLogLine(text) })
 	}
 	err := c.Wait()
 	close(ended)
-	p.rig.loop.Post(func() { p.gone(life, err) })
+	p.rig.loop.Post(func() { p.handleExit(life, err) })
 }
 
-func (p *proc) said(text string) {
-	p.tail = append(p.tail, text)
-	if len(p.tail) > 20 {
-		p.tail = p.tail[1:]
+func (p *proc) handleLogLine(text string) {
+	p.logTail = append(p.logTail, text)
+	if len(p.logTail) > 20 {
+		p.logTail = p.logTail[1:]
 	}
-	var l line
+	var l logEntry
 	if json.Unmarshal([]byte(text), &l) == nil {
-		p.rig.heard(p, &l)
+		p.rig.handleLogEntry(p, &l)
 		return
 	}
 	if rest, ok := strings.CutPrefix(text, "fleet:"); ok {
 		for f := range strings.FieldsSeq(rest) {
 			var n uint64
 			if _, err := fmt.Sscanf(f, "words-stale-refused=%d", &n); err == nil {
-				p.refused = n
+				p.staleRefused = n
 				p.rig.Count.StaleRefused += int(n)
 			}
 		}
 	}
 }
 
-// gone notes that a life has ended. One that nobody ended is a crash.
-func (p *proc) gone(life int, err error) {
-	if life == p.life && p.cmd != nil {
+// handleExit notes that a life has ended. One that nobody ended is a crash.
+func (p *proc) handleExit(life int, err error) {
+	if life == p.incarnation && p.cmd != nil {
 		p.cmd = nil
-		p.rig.fail(fmt.Errorf("%s ended by itself: %v; its log ends:\n%s", p.name, err, strings.Join(p.tail, "\n")))
+		p.rig.fail(fmt.Errorf("%s ended by itself: %v; its log ends:\n%s", p.name, err, strings.Join(p.logTail, "\n")))
 	}
 }
 
@@ -158,8 +158,8 @@
 	c := p.cmd
 	p.cmd = nil
 	_ = c.Process.Kill() // it may have ended just now
-	<-p.ended
-	p.owns = make(map[string]uint64)
+	<-p.exited
+	p.ownedTokens = make(map[string]uint64)
 }
 
 // stop and resume are SIGSTOP and SIGCONT.
@@ -177,9 +177,9 @@
 	}
 }
 
-// term asks all to stop as planned, which prints their counters, and waits for at most so long.
-func (r *Rig) term(wait time.Duration) {
-	r.over = true
+// terminate asks all to stop as planned, which prints their counters, and waits for at most so long.
+func (r *Rig) terminate(wait time.Duration) {
+	r.closing = true
 	var ended []chan struct{}
 	for _, p := range r.procs {
 		p.resume()
@@ -187,7 +187,7 @@
 			c := p.cmd
 			p.cmd = nil // its end is wanted now
 			_ = c.Process.Signal(syscall.SIGTERM)
-			ended = append(ended, p.ended)
+			ended = append(ended, p.exited)
 			r.after(wait, func() { _ = c.Process.Kill() })
 		}
 	}
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	cluster  = "rig"
-	meshPort = 7946
-	duty     = "discovery"
-	targets  = 40
+	cluster     = "rig"
+	meshPort    = 7946
+	duty        = "discovery"
+	targetCount = 40
 )
 
 // Options say what to start.
@@ -35,10 +35,10 @@
 
 // Counts are what a run did and saw.
 type Counts struct {
-	Processes, Starts, Stops, Kills, CutsIn, CutsOut        int
-	Datagrams, Bytes, Dropped, Late, Repeated, CutAway      int
-	Grants, HandOvers, Words, Rounds, Stuck                 int
-	StaleSent, StaleRefused, StaleTaken, Overlaps, MostHeld int
+	Processes, Starts, Stops, Kills, InboundCuts, OutboundCuts int
+	Datagrams, Bytes, Dropped, Delayed, Duplicated, CutAway    int
+	Grants, HandOvers, Announcements, Rounds, TimedOut         int
+	StaleSent, StaleRefused, StaleAccepted, Overlaps, MaxHeld  int
 }
 
 // String is the closing line.
@@ -46,43 +46,43 @@
 	return fmt.Sprintf("processes %d, started %d times; faults: stopped %d, killed %d, deaf %d, mute %d; datagrams %d, dropped %d, "+
 		"late %d, repeated %d, cut away %d; grants %d, hand-overs %d, rounds %d, without a new owner in time %d; words taken %d; "+
 		"stale effects sent %d, refused by those that were asked %d, taken: %d; overlapping owners by token: %d",
-		c.Processes, c.Starts, c.Stops, c.Kills, c.CutsIn, c.CutsOut, c.Datagrams, c.Dropped, c.Late, c.Repeated, c.CutAway,
-		c.Grants, c.HandOvers, c.Rounds, c.Stuck, c.Words, c.StaleSent, c.StaleRefused, c.StaleTaken, c.Overlaps)
+		c.Processes, c.Starts, c.Stops, c.Kills, c.InboundCuts, c.OutboundCuts, c.Datagrams, c.Dropped, c.Delayed, c.Duplicated, c.CutAway,
+		c.Grants, c.HandOvers, c.Rounds, c.TimedOut, c.Announcements, c.StaleSent, c.StaleRefused, c.StaleAccepted, c.Overlaps)
 }
 
 // Rig is the processes and the links between them. It belongs to one goroutine.
 type Rig struct {
-	o         Options
-	loop      *poll.Loop
-	rng       *rand.Rand
-	procs     []*proc
-	links     []*link
-	byListen  map[netip.AddrPort]*proc
-	registry  *fleet.Registry
-	discovery *fleet.Discovery
-	ledger    *fleet.Ledger
-	net       byte        // second byte of its addresses, and the three after it
-	numbers   map[int]int // of keepers that were replaced, by process
-	calm      bool        // links deliver all
-	over      bool
-	failed    error
-	granted   uint64
-	holders   map[uint64]string // lives by token
-	taken     map[string]uint64 // latest token by process name and duty, over all its lives
-	Count     Counts
+	options         Options
+	loop            *poll.Loop
+	rng             *rand.Rand
+	procs           []*proc
+	links           []*link
+	byListen        map[netip.AddrPort]*proc
+	registry        *fleet.Registry
+	discovery       *fleet.Discovery
+	ledger          *fleet.Ledger
+	subnet          byte        // second byte of its addresses, and the three after it
+	replacedKeepers map[int]int // of keepers that were replaced, by process
+	lossless        bool        // links deliver all
+	closing         bool
+	failed          error
+	latestToken     uint64
+	tokenHolders    map[uint64]string // lives by token
+	acceptedTokens  map[string]uint64 // latest token by process name and duty, over all its lives
+	Count           Counts
 }
 
 // link is a process's public socket: what the others send to it comes in here, and what it sends goes out of it.
 type link struct {
-	p    *proc
-	sock *poll.UDPSocket
-	in   bool // what comes in is lost
-	out  bool // what it sends is lost
-	held []heldWord
+	p            *proc
+	sock         *poll.UDPSocket
+	dropInbound  bool // what comes in is lost
+	dropOutbound bool // what it sends is lost
+	held         []heldAnnouncement
 }
 
-type heldWord struct {
-	mark mesh.AnnouncementID
+type heldAnnouncement struct {
+	id   mesh.AnnouncementID
 	from *link
 	data []byte
 }
@@ -105,25 +105,25 @@
 		return nil, err
 	}
 	r := &Rig{
-		o: o, loop: loop, rng: rand.New(rand.NewPCG(o.Seed, 1)), byListen: make(map[netip.AddrPort]*proc),
-		registry: fleet.NewRegistry(), holders: make(map[uint64]string), taken: make(map[string]uint64),
+		options: o, loop: loop, rng: rand.New(rand.NewPCG(o.Seed, 1)), byListen: make(map[netip.AddrPort]*proc),
+		registry: fleet.NewRegistry(), tokenHolders: make(map[uint64]string), acceptedTokens: make(map[string]uint64),
 	}
 	r.Count.Processes = o.Processes
 	r.ledger = fleet.NewLedger(loop.Now(), time.Hour, []fleet.Class{{Name: "readings"}, {Name: "status"}})
-	if err := r.takeNet(); err != nil {
+	if err := r.claimSubnet(); err != nil {
 		r.Close()
 		return nil, err
 	}
-	for i := range targets {
-		r.set(i, fleet.Serving)
+	for i := range targetCount {
+		r.setTarget(i, fleet.Serving)
 	}
 	for i := range o.Processes {
 		p := &proc{rig: r, index: i, name: fmt.Sprintf("p%03d", i), dir: filepath.Join(o.Dir, fmt.Sprintf("p%03d", i))}
-		p.listen, p.public = netip.AddrPortFrom(p.addr(1), meshPort), netip.AddrPortFrom(p.addr(2), meshPort)
+		p.listen, p.advertised = netip.AddrPortFrom(p.addr(1), meshPort), netip.AddrPortFrom(p.addr(2), meshPort)
 		r.procs = append(r.procs, p)
 		r.byListen[p.listen] = p
 		l := &link{p: p}
-		if l.sock, err = loop.OpenUDP(p.public, l); err != nil {
+		if l.sock, err = loop.OpenUDP(p.advertised, l); err != nil {
 			r.Close()
 			return nil, fmt.Errorf("rig: %w", err)
 		}
@@ -134,7 +134,7 @@
 			r.Close()
 			return nil, err
 		}
-		if err := p.write(); err != nil {
+		if err := p.writeConfig(); err != nil {
 			r.Close()
 			return nil, err
 		}
@@ -142,12 +142,12 @@
 	return r, nil
 }
 
-// takeNet finds a part of loopback that no other rig on this machine has: discovery's address stands for it.
-func (r *Rig) takeNet() error {
+// claimSubnet finds a part of loopback that no other rig on this machine has: discovery's address stands for it.
+func (r *Rig) claimSubnet() error {
 	var err error
 	for i := range 40 {
-		r.net = byte(64 + (os.Getpid()+i)%40*4)
-		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, r.net, 0, 1}), 18500)
+		r.subnet = byte(64 + (os.Getpid()+i)%40*4)
+		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, r.subnet, 0, 1}), 18500)
 		var d *fleet.Discovery
 		if d, err = fleet.NewDiscovery(r.loop, at, fleet.DiscoveryConfig{}, r.registry, r.ledger); err == nil {
 			r.discovery = d
@@ -159,7 +159,7 @@
 
 // Close ends all processes, by their ids, and gives everything back.
 func (r *Rig) Close() {
-	r.over = true
+	r.closing = true
 	for _, p := range r.procs {
 		p.kill()
 	}
@@ -172,9 +172,9 @@
 	r.loop.Close()
 }
 
-func (r *Rig) set(i int, health string) {
+func (r *Rig) setTarget(i int, health string) {
 	r.registry.Set(fleet.Entry{
-		Host: fmt.Sprintf("s-%02d", i), Dial: fmt.Sprintf("127.%d.0.%d:8443", r.net+3, i+1), Site: "here", Kind: "r", Health: health, Share: 1,
+		Host: fmt.Sprintf("s-%02d", i), Dial: fmt.Sprintf("127.%d.0.%d:8443", r.subnet+3, i+1), Site: "here", Kind: "r", Health: health, Share: 1,
 	})
 }
 
@@ -189,8 +189,8 @@
 	r.loop.After(t, d)
 }
 
-// until turns the loop until a condition holds, an error has happened or the time is up, and tells whether it holds.
-func (r *Rig) until(most time.Duration, holds func() bool) bool {
+// waitUntil turns the loop waitUntil a condition holds, an error has happened or the time is up, and tells whether it holds.
+func (r *Rig) waitUntil(most time.Duration, holds func() bool) bool {
 	over := false
 	t := &poll.Timer{Fire: func() { over = true }}
 	r.loop.After(t, most)
@@ -205,45 +205,45 @@
 
 // changeList changes a target's health every now and then, so that owners have something to say.
 func (r *Rig) changeList(every time.Duration) {
-	if r.over {
+	if r.closing {
 		return
 	}
-	i := r.rng.IntN(targets)
-	r.set(i, []string{fleet.Serving, fleet.Draining}[r.rng.IntN(2)])
+	i := r.rng.IntN(targetCount)
+	r.setTarget(i, []string{fleet.Serving, fleet.Draining}[r.rng.IntN(2)])
 	r.discovery.News()
 	r.after(every, func() { r.changeList(every) })
 }
 
-// heard takes a line of a process's log: the receivers' own word for what they took.
-func (r *Rig) heard(p *proc, l *line) {
+// handleLogEntry takes a line of a process's log: the receivers' own word for what they took.
+func (r *Rig) handleLogEntry(p *proc, l *logEntry) {
 	switch l.Message {
 	case "fleet: own":
-		life := fmt.Sprintf("%s, life %d", p.name, p.life)
-		if had := r.holders[l.Token]; had != "" && had != life {
+		life := fmt.Sprintf("%s, life %d", p.name, p.incarnation)
+		if had := r.tokenHolders[l.Token]; had != "" && had != life {
 			r.Count.Overlaps++
 			r.fail(fmt.Errorf("token %d was given to %s and to %s", l.Token, had, life))
 		}
-		r.holders[l.Token] = life
-		p.owns[l.Duty] = l.Token
+		r.tokenHolders[l.Token] = life
+		p.ownedTokens[l.Duty] = l.Token
 		r.Count.Grants++
-		if l.Duty == duty && l.Token > r.granted {
-			if r.granted > 0 {
+		if l.Duty == duty && l.Token > r.latestToken {
+			if r.latestToken > 0 {
 				r.Count.HandOvers++
 			}
-			r.granted = l.Token
+			r.latestToken = l.Token
 		}
 	case "fleet: lost":
-		delete(p.owns, l.Duty)
+		delete(p.ownedTokens, l.Duty)
 	case "fleet: word":
-		r.Count.Words++
+		r.Count.Announcements++
 		at := p.name + " " + l.Duty
-		if l.Token < r.taken[at] {
-			r.Count.StaleTaken++
-			r.fail(fmt.Errorf("%s took an effect of token %d after one of token %d, duty %s", p.name, l.Token, r.taken[at], l.Duty))
+		if l.Token < r.acceptedTokens[at] {
+			r.Count.StaleAccepted++
+			r.fail(fmt.Errorf("%s took an effect of token %d after one of token %d, duty %s", p.name, l.Token, r.acceptedTokens[at], l.Duty))
 		}
-		r.taken[at] = l.Token
+		r.acceptedTokens[at] = l.Token
 		if l.Duty == duty {
-			p.word = l.Token
+			p.lastToken = l.Token
 		}
 	}
 }
@@ -261,33 +261,33 @@
 		if sender == nil {
 			continue // not one of ours
 		}
-		r.pass(r.links[sender.index], l, append([]byte(nil), buf[:n]...))
+		r.forward(r.links[sender.index], l, append([]byte(nil), buf[:n]...))
 	}
 }
 
-// pass leads one datagram over a link, with what the link does to it.
-func (r *Rig) pass(from, to *link, data []byte) {
+// forward leads one datagram over a link, with what the link does to it.
+func (r *Rig) forward(from, to *link, data []byte) {
 	r.Count.Datagrams++
 	r.Count.Bytes += len(data)
 	mark, isWord := mesh.PeekAnnouncementID(data, cluster)
 	if isWord && mark.Lease == duty {
-		r.keep(from, to, mark, data)
+		r.hold(from, to, mark, data)
 	}
-	if from.out || to.in {
+	if from.dropOutbound || to.dropInbound {
 		r.Count.CutAway++
 		return
 	}
-	if !r.calm {
+	if !r.lossless {
 		switch d := r.rng.Float64(); {
 		case d < 0.02:
 			r.Count.Dropped++
 			return
 		case d < 0.04:
-			r.Count.Late++
+			r.Count.Delayed++
 			r.after(time.Duration(r.rng.IntN(1500))*time.Millisecond, func() { r.deliver(from, to, data) })
 			return
 		case d < 0.06:
-			r.Count.Repeated++
+			r.Count.Duplicated++
 			r.after(time.Duration(r.rng.IntN(3000))*time.Millisecond, func() { r.deliver(from, to, data) })
 		}
 	}
@@ -295,31 +295,31 @@
 }
 
 func (r *Rig) deliver(from, to *link, data []byte) {
-	if r.over {
+	if r.closing {
 		return
 	}
-	if m, ok := mesh.PeekAnnouncementID(data, cluster); ok && m.Lease == duty && m.Token < r.granted {
+	if m, ok := mesh.PeekAnnouncementID(data, cluster); ok && m.Lease == duty && m.Token < r.latestToken {
 		r.Count.StaleSent++
 	}
 	_ = from.sock.Send(data, to.p.listen) // nobody may be there
 }
 
-// mostHeld is how many words a link keeps for later.
-const mostHeld = 64
+// maxHeld is how many words a link keeps for later.
+const maxHeld = 64
 
-// keep keeps a copy of a word, to be sent once a later owner has spoken.
-func (r *Rig) keep(from, to *link, m mesh.AnnouncementID, data []byte) {
-	if len(to.held) > 0 && to.held[0].mark.Token < m.Token {
+// hold keeps a copy of a word, to be sent once a later owner has spoken.
+func (r *Rig) hold(from, to *link, m mesh.AnnouncementID, data []byte) {
+	if len(to.held) > 0 && to.held[0].id.Token < m.Token {
 		to.held = to.held[:0]
 	}
-	if len(to.held) < mostHeld {
-		to.held = append(to.held, heldWord{m, from, data})
-		r.Count.MostHeld = max(r.Count.MostHeld, len(to.held))
+	if len(to.held) < maxHeld {
+		to.held = append(to.held, heldAnnouncement{m, from, data})
+		r.Count.MaxHeld = max(r.Count.MaxHeld, len(to.held))
 	}
 }
 
-// release sends all that is kept of a former owner, to everybody.
-func (r *Rig) release(kept [][]heldWord) {
+// sendHeld sends all that is kept of a former owner, to everybody.
+func (r *Rig) sendHeld(kept [][]heldAnnouncement) {
 	for i, held := range kept {
 		for _, h := range held {
 			r.deliver(h.from, r.links[i], h.data)
@@ -327,8 +327,8 @@
 	}
 }
 
-func (r *Rig) kept() [][]heldWord {
-	kept := make([][]heldWord, len(r.links))
+func (r *Rig) heldCopies() [][]heldAnnouncement {
+	kept := make([][]heldAnnouncement, len(r.links))
 	for i, l := range r.links {
 		kept[i] = slices.Clone(l.held)
 	}
@@ -339,16 +339,16 @@
 func (r *Rig) owner() *proc {
 	var found *proc
 	for _, p := range r.procs {
-		if p.cmd != nil && p.owns[duty] != 0 && (found == nil || p.owns[duty] > found.owns[duty]) {
+		if p.cmd != nil && p.ownedTokens[duty] != 0 && (found == nil || p.ownedTokens[duty] > found.ownedTokens[duty]) {
 			found = p
 		}
 	}
 	return found
 }
 
-// number is the number of the keeper that a process is.
-func (r *Rig) number(process int) int {
-	if n := r.numbers[process]; n > 0 {
+// keeperNumber is the keeperNumber of the keeper that a process is.
+func (r *Rig) keeperNumber(process int) int {
+	if n := r.replacedKeepers[process]; n > 0 {
 		return n
 	}
 	return process + 1
@@ -371,5 +371,5 @@
 	return p.start()
 }
 
-// errNothing is why a run shows nothing.
-var errNothing = errors.New("rig: no owner was ever replaced: the run shows nothing")
+// errNoHandOver is why a run shows nothing.
+var errNoHandOver = errors.New("rig: no owner was ever replaced: the run shows nothing")
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// program builds the program that is tested.
-func program(t *testing.T) string {
+// buildProgram builds the buildProgram that is tested.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "ospreyspan")
 	if out, err := exec.Command("go", "build", "-o", path, "../../cmd/ospreyspan").CombinedOutput(); err != nil {
@@ -22,12 +22,12 @@
 // Twelve real processes with five keepers: stopped, killed, deaf and mute owners, and links that lose, delay, repeat and hold
 // what a former owner said until a later one has spoken. Whatever the machine's speed, no receiver may take it.
 func TestRealProcessesTakeNoStaleEffect(t *testing.T) {
-	r, err := New(Options{Program: program(t), Dir: t.TempDir(), Processes: 12, Keepers: 5, Seed: 1, Lease: 800 * time.Millisecond})
+	r, err := New(Options{Program: buildProgram(t), Dir: t.TempDir(), Processes: 12, Keepers: 5, Seed: 1, Lease: 800 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	err = r.Trouble(15 * time.Second)
+	err = r.InjectFaults(15 * time.Second)
 	t.Log(r.Count)
 	if err != nil {
 		t.Fatal(err)
@@ -39,17 +39,17 @@
 
 // A keeper that has lost its log serves as a proxy and is none; a second process with its folder does not start.
 func TestKeeperWithoutLog(t *testing.T) {
-	bin, dir := program(t), t.TempDir()
+	bin, dir := buildProgram(t), t.TempDir()
 	r, err := New(Options{Program: bin, Dir: dir, Processes: 3, Keepers: 3, Seed: 1, Lease: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	r.calm = true
+	r.lossless = true
 	if err := r.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	if !r.until(time.Minute, r.agreed) {
+	if !r.waitUntil(time.Minute, r.agreed) {
 		t.Fatal("three processes do not agree")
 	}
 	if out, err := r.procs[0].command("keepers", "init").CombinedOutput(); err == nil || !strings.Contains(string(out), "is there already") {
@@ -64,25 +64,25 @@
 		t.Fatal(err)
 	}
 	none := func() bool {
-		return strings.Contains(strings.Join(p.tail, "\n"), "this process is no keeper until")
+		return strings.Contains(strings.Join(p.logTail, "\n"), "this process is no keeper until")
 	}
-	if !r.until(time.Minute, none) || !r.until(time.Minute, r.agreed) {
-		t.Errorf("its log: %s", strings.Join(p.tail, "\n"))
+	if !r.waitUntil(time.Minute, none) || !r.waitUntil(time.Minute, r.agreed) {
+		t.Errorf("its log: %s", strings.Join(p.logTail, "\n"))
 	}
 }
 
 // A keeper whose disk was lost is replaced as the operators' page says: its number is removed, all files get a new one, the
 // processes are restarted one after the other, and the new number is added. Then another keeper may be lost.
 func TestKeeperIsReplaced(t *testing.T) {
-	r, err := New(Options{Program: program(t), Dir: t.TempDir(), Processes: 4, Keepers: 3, Seed: 1, Lease: time.Second})
+	r, err := New(Options{Program: buildProgram(t), Dir: t.TempDir(), Processes: 4, Keepers: 3, Seed: 1, Lease: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	r.calm = true
+	r.lossless = true
 	agree := func(what string) {
 		t.Helper()
-		if !r.until(time.Minute, r.agreed) {
+		if !r.waitUntil(time.Minute, r.agreed) {
 			t.Fatalf("%s: no agreement: %v", what, r.failed)
 		}
 	}
@@ -90,7 +90,7 @@
 	change := func(what string, id string) {
 		t.Helper()
 		said := ""
-		taken := r.until(time.Minute, func() bool {
+		taken := r.waitUntil(time.Minute, func() bool {
 			for _, p := range r.procs[:2] {
 				out, err := p.command("keepers", what, id).CombinedOutput()
 				if said = string(out); err == nil && strings.Contains(said, "taken") {
@@ -117,9 +117,9 @@
 		t.Fatal(err)
 	}
 	change("remove", "3")
-	r.numbers = map[int]int{2: 4}
+	r.replacedKeepers = map[int]int{2: 4}
 	for _, p := range r.procs {
-		if err := p.write(); err != nil {
+		if err := p.writeConfig(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -128,7 +128,7 @@
 		if err := p.start(); err != nil {
 			t.Fatal(err)
 		}
-		r.until(time.Second, func() bool { return false })
+		r.waitUntil(time.Second, func() bool { return false })
 	}
 	if out, err := lost.command("keepers", "init").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
@@ -137,40 +137,44 @@
 		t.Fatal(err)
 	}
 	change("add", "4")
-	if !r.until(time.Minute, func() bool { return voters(lost, "[1 2 4]") }) {
+	if !r.waitUntil(time.Minute, func() bool { return voters(lost, "[1 2 4]") }) {
 		t.Fatal("the new keeper has not the others' voters")
 	}
 	r.procs[1].kill()
 	// A process that starts now learns the floors through the log of keepers 1 and 4.
 	p := r.procs[3]
 	p.kill()
-	p.tail = nil
+	p.logTail = nil
 	if err := p.start(); err != nil {
 		t.Fatal(err)
 	}
-	if !r.until(time.Minute, func() bool { return strings.Contains(strings.Join(p.tail, "\n"), "fence-open") }) {
+	if !r.waitUntil(time.Minute, func() bool { return strings.Contains(strings.Join(p.logTail, "\n"), "fence-open") }) {
 		t.Error("keepers 1 and 4 do not answer")
 	}
 }
 
 // The judge finds what must never happen in what receivers say.
 func TestJudgeFindsHarm(t *testing.T) {
-	judge := func() *Rig { return &Rig{holders: make(map[uint64]string), taken: make(map[string]uint64)} }
+	judge := func() *Rig {
+		return &Rig{tokenHolders: make(map[uint64]string), acceptedTokens: make(map[string]uint64)}
+	}
 	r := judge()
-	p, q := &proc{rig: r, name: "p", life: 1, owns: make(map[string]uint64)}, &proc{rig: r, name: "q", life: 1, owns: make(map[string]uint64)}
-	word := func(p *proc, token uint64) { r.heard(p, &line{Message: "fleet: word", Duty: duty, Token: token}) }
+	p, q := &proc{rig: r, name: "p", incarnation: 1, ownedTokens: make(map[string]uint64)}, &proc{rig: r, name: "q", incarnation: 1, ownedTokens: make(map[string]uint64)}
+	word := func(p *proc, token uint64) {
+		r.handleLogEntry(p, &logEntry{Message: "fleet: word", Duty: duty, Token: token})
+	}
 	word(p, 4)
-	p.life++ // a restart is no excuse
+	p.incarnation++ // a restart is no excuse
 	if word(p, 4); r.failed != nil {
 		t.Fatal(r.failed)
 	}
-	if word(p, 3); r.failed == nil || r.Count.StaleTaken != 1 {
+	if word(p, 3); r.failed == nil || r.Count.StaleAccepted != 1 {
 		t.Error("a stale effect passes")
 	}
 	r = judge()
 	p.rig, q.rig = r, r
-	r.heard(p, &line{Message: "fleet: own", Duty: duty, Token: 5})
-	r.heard(q, &line{Message: "fleet: own", Duty: duty, Token: 5})
+	r.handleLogEntry(p, &logEntry{Message: "fleet: own", Duty: duty, Token: 5})
+	r.handleLogEntry(q, &logEntry{Message: "fleet: own", Duty: duty, Token: 5})
 	if r.failed == nil || r.Count.Overlaps != 1 {
 		t.Error("two owners of one token pass")
 	}
--- a/internal/vnet/disk.go
+++ b/internal/vnet/disk.go
@@ -9,20 +9,20 @@
 // Disk is one file on a machine's disk. It stays when the process is killed; what had not been synced by then may be there,
 // in part, or not at all.
 type Disk struct {
-	host    *Host
-	rng     *rand.Rand
-	file    []byte // durable
-	queue   []diskWrite
-	busy    bool
-	faults  DiskFaults
-	written func() // called when a write has become durable, before the process hears of it
+	host      *Host
+	rng       *rand.Rand
+	durable   []byte // durable
+	queue     []diskWrite
+	busy      bool
+	faults    DiskFaults
+	onWritten func() // called when a write has become durable, before the process hears of it
 }
 
 type diskWrite struct {
-	data    []byte
-	replace bool
-	done    func(error)
-	life    int
+	data        []byte
+	replace     bool
+	done        func(error)
+	incarnation int
 }
 
 // DiskFaults are what goes wrong. The zero value is a disk that takes no time and loses only what is not synced.
@@ -62,16 +62,16 @@
 func (d *Disk) Faults() DiskFaults { return d.faults }
 
 // OnWritten has f called when a write has become durable, before the process hears of it.
-func (d *Disk) OnWritten(f func()) { d.written = f }
+func (d *Disk) OnWritten(f func()) { d.onWritten = f }
 
 // Contents is what is durable.
-func (d *Disk) Contents() []byte { return append([]byte(nil), d.file...) }
+func (d *Disk) Contents() []byte { return append([]byte(nil), d.durable...) }
 
 // SetContents changes the file from outside, as a wiped or damaged disk.
-func (d *Disk) SetContents(text []byte) { d.file = append([]byte(nil), text...) }
+func (d *Disk) SetContents(text []byte) { d.durable = append([]byte(nil), text...) }
 
 // Truncate cuts the file off, as a process does at its start.
-func (d *Disk) Truncate(size int) { d.file = d.file[:min(size, len(d.file))] }
+func (d *Disk) Truncate(size int) { d.durable = d.durable[:min(size, len(d.durable))] }
 
 // Append writes behind the file and syncs it; done is called on the process's machine when it is durable.
 func (d *Disk) Append(b []byte, done func(error)) { d.write(b, false, done) }
@@ -80,11 +80,11 @@
 func (d *Disk) Replace(b []byte, done func(error)) { d.write(b, true, done) }
 
 func (d *Disk) write(b []byte, replace bool, done func(error)) {
-	d.queue = append(d.queue, diskWrite{append([]byte(nil), b...), replace, done, d.host.life})
-	d.next()
+	d.queue = append(d.queue, diskWrite{append([]byte(nil), b...), replace, done, d.host.incarnation})
+	d.startNext()
 }
 
-func (d *Disk) next() {
+func (d *Disk) startNext() {
 	if d.busy || len(d.queue) == 0 {
 		return
 	}
@@ -93,22 +93,22 @@
 	if d.faults.Jitter > 0 {
 		took += time.Duration(d.rng.Int64N(int64(d.faults.Jitter) + 1))
 	}
-	life := d.host.life
+	life := d.host.incarnation
 	d.host.world.After(took, func() {
-		if life == d.host.life {
+		if life == d.host.incarnation {
 			d.finish()
 		}
 	})
 }
 
-// refusedPause is how often a write is tried again on a disk that refuses.
-const refusedPause = 100 * time.Millisecond
+// blockedRetryInterval is how often a write is tried again on a disk that refuses.
+const blockedRetryInterval = 100 * time.Millisecond
 
 func (d *Disk) finish() {
 	if d.faults.Refuses {
-		life := d.host.life
-		d.host.world.After(refusedPause, func() {
-			if life == d.host.life {
+		life := d.host.incarnation
+		d.host.world.After(blockedRetryInterval, func() {
+			if life == d.host.incarnation {
 				d.finish()
 			}
 		})
@@ -121,32 +121,32 @@
 	switch size := len(w.data); {
 	case d.faults.FailSync:
 		err = ErrSync
-	case d.faults.Full > 0 && (w.replace && size > d.faults.Full || !w.replace && len(d.file)+size > d.faults.Full):
+	case d.faults.Full > 0 && (w.replace && size > d.faults.Full || !w.replace && len(d.durable)+size > d.faults.Full):
 		err = ErrFull
 	case w.replace:
-		d.file = w.data
+		d.durable = w.data
 	default:
-		d.file = append(d.file, w.data...)
+		d.durable = append(d.durable, w.data...)
 	}
-	if err == nil && d.written != nil {
-		d.written()
+	if err == nil && d.onWritten != nil {
+		d.onWritten()
 	}
 	d.deliver(w, err)
-	d.next()
+	d.startNext()
 }
 
 // deliver tells the process, once it runs.
 func (d *Disk) deliver(w diskWrite, err error) {
 	h := d.host
-	if w.life != h.life {
+	if w.incarnation != h.incarnation {
 		return
 	}
-	if h.stalled > h.world.now {
-		h.world.After(h.stalled-h.world.now, func() { d.deliver(w, err) })
+	if h.stalledUntil > h.world.now {
+		h.world.After(h.stalledUntil-h.world.now, func() { d.deliver(w, err) })
 		return
 	}
 	w.done(err)
-	if w.life == h.life {
+	if w.incarnation == h.incarnation {
 		h.schedule(h.world.now)
 	}
 }
@@ -159,7 +159,7 @@
 		if d.rng.Float64() < d.faults.Scrambled {
 			clear(part[:d.rng.IntN(len(part)+1)])
 		}
-		d.file = append(d.file, part...)
+		d.durable = append(d.durable, part...)
 	}
 	d.queue, d.busy = nil, false
 }
--- a/internal/vnet/host.go
+++ b/internal/vnet/host.go
@@ -17,34 +17,34 @@
 	addr  netip.Addr
 
 	// The process.
-	step    func() error // one turn of its loop; nil: none runs
-	life    int          // counts the processes: what was begun for an earlier one is void
-	due     time.Duration
-	armed   bool // it is to run at due
-	running bool
-	blocked bool // its last Wait found nothing to do
-	woken   bool
-	stalled time.Duration // it does not run before this
-	kernel  *kernel
+	step         func() error // one turn of its loop; nil: none runs
+	incarnation  int          // counts the processes: what was begun for an earlier one is void
+	runAt        time.Duration
+	scheduled    bool // it is to run at due
+	running      bool
+	blocked      bool // its last Wait found nothing to do
+	wakePending  bool
+	stalledUntil time.Duration // it does not run before this
+	kernel       *kernel
 
 	// Its descriptors. A free one is nil.
-	fds   []file
-	free  []int
-	open  int
-	ready []file // those that may be ready, in the order in which they became so
+	files   []file
+	freeFDs []int
+	openFDs int
+	ready   []file // those that may be ready, in the order in which they became so
 
 	listeners map[uint16]*listener
 	datagrams map[uint16]*datagramSocket
-	port      uint16 // last one given out
+	lastPort  uint16 // last one given out
 
-	dark bool // the machine is off, or cut off from all others
+	unreachable bool // the machine is off, or cut off from all others
 
-	disks     map[string]*Disk
-	diskOrder []*Disk
-	wallStep  time.Duration // of its wall clock against real time
-	stallSend time.Duration // its next datagram waits for so long, and the process with it
-	latePart  float64       // see LateConnects
-	lateMost  time.Duration
+	disks               map[string]*Disk
+	diskOrder           []*Disk
+	wallClockOffset     time.Duration // of its wall clock against real time
+	sendStall           time.Duration // its next datagram waits for so long, and the process with it
+	delayedConnectRatio float64       // see LateConnects
+	maxConnectDelay     time.Duration
 
 	limits Limits
 }
@@ -66,11 +66,11 @@
 
 // watch is what the loop waits for on a descriptor.
 type watch struct {
-	host      *Host
-	slot, gen int32
-	want      poll.Interest
-	on        bool // it is under Wait
-	queued    bool // it is in the host's ready list
+	host       *Host
+	slot, gen  int32
+	want       poll.Interest
+	registered bool // it is under Wait
+	queued     bool // it is in the host's ready list
 }
 
 // AddHost adds a machine at an address. Names and addresses are unique.
@@ -82,7 +82,7 @@
 		l.SendBuffer = 64 << 10
 	}
 	h := &Host{
-		world: w, index: int32(len(w.hosts)), name: name, addr: addr, limits: l, port: firstPort,
+		world: w, index: int32(len(w.hosts)), name: name, addr: addr, limits: l, lastPort: firstPort,
 		listeners: make(map[uint16]*listener), datagrams: make(map[uint16]*datagramSocket),
 	}
 	w.hosts = append(w.hosts, h)
@@ -100,16 +100,16 @@
 func (w *World) Host(at netip.Addr) *Host { return w.byAddr[at] }
 
 // Open tells how many descriptors its process holds.
-func (h *Host) Open() int { return h.open }
+func (h *Host) Open() int { return h.openFDs }
 
 // Incarnation counts the machine's processes: it changes when one starts or ends.
-func (h *Host) Incarnation() int { return h.life }
+func (h *Host) Incarnation() int { return h.incarnation }
 
 // Running tells whether a process runs, reachable or not.
 func (h *Host) Running() bool { return h.step != nil }
 
 // Up tells whether a process runs, on a machine that is reachable.
-func (h *Host) Up() bool { return h.step != nil && !h.dark }
+func (h *Host) Up() bool { return h.step != nil && !h.unreachable }
 
 // SetDescriptors changes how many descriptors the process may hold; 0: without limit. What it holds already stays.
 func (h *Host) SetDescriptors(n int) { h.limits.Descriptors = n }
@@ -120,15 +120,15 @@
 	if h.step != nil {
 		return fmt.Errorf("vnet: %s runs already", h.name)
 	}
-	h.life++
-	h.kernel = &kernel{host: h, life: h.life, rate: 1}
+	h.incarnation++
+	h.kernel = &kernel{host: h, incarnation: h.incarnation, clockRate: 1}
 	step, err := begin(h.kernel)
 	if err != nil {
-		h.release(false)
+		h.abort(false)
 		return fmt.Errorf("vnet: %s: %w", h.name, err)
 	}
-	h.step, h.stalled = step, 0
-	h.world.note(Record{What: "start", From: h})
+	h.step, h.stalledUntil = step, 0
+	h.world.record(Record{What: "start", From: h})
 	h.schedule(h.world.now)
 	return nil
 }
@@ -138,8 +138,8 @@
 	if h.step == nil {
 		return
 	}
-	h.world.note(Record{What: "kill", From: h})
-	h.release(true)
+	h.world.record(Record{What: "kill", From: h})
+	h.abort(true)
 }
 
 // Exit ends the process in order: what it left open is closed as the operating system does, with a FIN or, where
@@ -148,119 +148,119 @@
 	if h.step == nil {
 		return
 	}
-	h.world.note(Record{What: "exit", From: h})
+	h.world.record(Record{What: "exit", From: h})
 	h.step = nil
-	h.life++
-	for _, f := range h.fds {
+	h.incarnation++
+	for _, f := range h.files {
 		if f != nil {
-			f.watch().on = false
+			f.watch().registered = false
 			f.close()
 		}
 	}
-	h.forget()
+	h.clearProcess()
 }
 
-// release ends the process; tell has its peers hear of it.
-func (h *Host) release(tell bool) {
+// abort ends the process; tell has its peers hear of it.
+func (h *Host) abort(tell bool) {
 	h.step = nil
-	h.life++
-	for _, f := range h.fds {
+	h.incarnation++
+	for _, f := range h.files {
 		switch f := f.(type) {
 		case *end:
-			f.linger0, f.mute = true, !tell
+			f.resetOnClose, f.silent = true, !tell
 		case *listener:
 			for _, e := range f.queue {
-				e.mute = !tell
+				e.silent = !tell
 			}
 		}
 		if f != nil {
-			f.watch().on = false // what still arrives is not for the next process
+			f.watch().registered = false // what still arrives is not for the next process
 			f.close()
 		}
 	}
-	h.forget()
+	h.clearProcess()
 }
 
-func (h *Host) forget() {
+func (h *Host) clearProcess() {
 	for _, d := range h.diskOrder {
 		d.crash()
 	}
-	h.stallSend = 0
-	h.fds, h.free, h.open, h.ready = h.fds[:0], h.free[:0], 0, nil
+	h.sendStall = 0
+	h.files, h.freeFDs, h.openFDs, h.ready = h.files[:0], h.freeFDs[:0], 0, nil
 	clear(h.listeners)
 	clear(h.datagrams)
-	h.armed = false
+	h.scheduled = false
 }
 
 // Vanish takes the machine off the network without a sign, process and all. Its connections stay open at their far
 // ends, and what is sent to them is not answered until Return.
 func (h *Host) Vanish() {
-	if h.dark {
+	if h.unreachable {
 		return
 	}
-	h.world.note(Record{What: "vanish", From: h})
-	h.dark = true
-	h.release(false)
+	h.world.record(Record{What: "vanish", From: h})
+	h.unreachable = true
+	h.abort(false)
 }
 
 // Return puts a machine that vanished back, without a process: what belongs to an earlier life is answered with resets.
 func (h *Host) Return() {
-	if h.dark {
-		h.world.note(Record{What: "return", From: h})
-		h.dark = false
+	if h.unreachable {
+		h.world.record(Record{What: "return", From: h})
+		h.unreachable = false
 	}
 }
 
 // Isolate cuts the machine off from all others while its process runs on, until Rejoin.
 func (h *Host) Isolate() {
-	h.world.note(Record{What: "isolate", From: h})
-	h.dark = true
+	h.world.record(Record{What: "isolate", From: h})
+	h.unreachable = true
 }
 
 // Rejoin ends Isolate.
 func (h *Host) Rejoin() {
-	h.world.note(Record{What: "rejoin", From: h})
-	h.dark = false
+	h.world.record(Record{What: "rejoin", From: h})
+	h.unreachable = false
 }
 
 // Stall keeps the process from running for d, as a machine that is busy with others does. What comes meanwhile waits
 // in its sockets.
 func (h *Host) Stall(d time.Duration) {
-	h.world.note(Record{What: "stall", From: h, Size: int(d / time.Millisecond)})
-	h.stalled = max(h.stalled, h.world.now+d)
+	h.world.record(Record{What: "stall", From: h, Size: int(d / time.Millisecond)})
+	h.stalledUntil = max(h.stalledUntil, h.world.now+d)
 }
 
 // Stalled tells whether it does not run now, though it lives.
-func (h *Host) Stalled() bool { return h.step != nil && h.stalled > h.world.now }
+func (h *Host) Stalled() bool { return h.step != nil && h.stalledUntil > h.world.now }
 
 // ClockLag has the process read its clock late by d: the time that it sees is that of d ago, but never runs back.
 func (h *Host) ClockLag(d time.Duration) {
 	if h.kernel != nil {
-		h.kernel.lag = d
+		h.kernel.clockLag = d
 	}
 }
 
 // StallBeforeNextSend stops the process just before it sends its next datagram, for d: between whatever made it decide to
 // send and the send itself.
-func (h *Host) StallBeforeNextSend(d time.Duration) { h.stallSend = d }
+func (h *Host) StallBeforeNextSend(d time.Duration) { h.sendStall = d }
 
 // ClockRate has the process's clock run at another rate from now on: 1.01 is one in a hundred too fast.
 func (h *Host) ClockRate(rate float64) {
 	if k := h.kernel; k != nil {
-		k.offset += time.Duration(float64(h.world.now-k.since) * (k.rate - 1))
-		k.rate, k.since = rate, h.world.now
+		k.clockOffset += time.Duration(float64(h.world.now-k.rateSince) * (k.clockRate - 1))
+		k.clockRate, k.rateSince = rate, h.world.now
 	}
 }
 
 // ClockJump sets the process's clock ahead by d.
 func (h *Host) ClockJump(d time.Duration) {
 	if h.kernel != nil {
-		h.kernel.offset += max(d, 0)
+		h.kernel.clockOffset += max(d, 0)
 	}
 }
 
 // StepWall steps the machine's wall clock, forward or back; its process's spans of time go on as before.
-func (h *Host) StepWall(d time.Duration) { h.wallStep += d }
+func (h *Host) StepWall(d time.Duration) { h.wallClockOffset += d }
 
 // ClockNow is what the process's clock shows, whether it runs or is stopped.
 func (h *Host) ClockNow() time.Time {
@@ -279,57 +279,57 @@
 
 // schedule has the process run at a time, unless it is to run sooner.
 func (h *Host) schedule(at time.Duration) {
-	if h.step == nil || h.armed && h.due <= at {
+	if h.step == nil || h.scheduled && h.runAt <= at {
 		return
 	}
-	h.armed, h.due = true, at
-	h.world.queue.push(at, wakeup{h, h.life})
+	h.scheduled, h.runAt = true, at
+	h.world.queue.push(at, wakeup{h, h.incarnation})
 }
 
 // wakeup is a time at which a process may have to run.
 type wakeup struct {
-	host *Host
-	life int
+	host        *Host
+	incarnation int
 }
 
-func (k wakeup) happen(w *World) {
+func (k wakeup) execute(w *World) {
 	h := k.host
-	if k.life != h.life || !h.armed || h.due != w.now {
+	if k.incarnation != h.incarnation || !h.scheduled || h.runAt != w.now {
 		return // it ran sooner, or another process runs
 	}
-	h.armed = false
-	if h.stalled > w.now {
-		h.schedule(h.stalled)
+	h.scheduled = false
+	if h.stalledUntil > w.now {
+		h.schedule(h.stalledUntil)
 		return
 	}
 	h.run()
 }
 
-// mostTurns is how often a process may turn without the time going on. A loop that spins would do so for ever.
-const mostTurns = 100000
+// maxTurns is how often a process may turn without the time going on. A loop that spins would do so for ever.
+const maxTurns = 100000
 
 func (h *Host) run() {
 	w := h.world
-	life := h.life
+	life := h.incarnation
 	h.running = true
 	defer func() { h.running = false }()
 	for turns := 0; ; turns++ {
 		h.blocked = false
-		h.kernel.handed = 0
-		if err := h.step(); err != nil && life == h.life {
+		h.kernel.eventsReturned = 0
+		if err := h.step(); err != nil && life == h.incarnation {
 			if !errors.Is(err, ErrExit) {
 				w.Fail(fmt.Errorf("%s: %w", h.name, err))
 			}
 			h.Exit()
 		}
-		if life != h.life || h.blocked || w.failed != nil {
+		if life != h.incarnation || h.blocked || w.failure != nil {
 			return
 		}
-		if cost := time.Duration(h.kernel.handed) * h.limits.EventCost; cost > 0 || h.stalled > w.now {
-			h.schedule(max(w.now+cost, h.stalled))
+		if cost := time.Duration(h.kernel.eventsReturned) * h.limits.EventCost; cost > 0 || h.stalledUntil > w.now {
+			h.schedule(max(w.now+cost, h.stalledUntil))
 			return
 		}
-		if turns == mostTurns {
+		if turns == maxTurns {
 			w.Fail(fmt.Errorf("%s: turned %d times at one moment: it spins", h.name, turns))
 			return
 		}
@@ -339,10 +339,10 @@
 // ErrExit is what a process's step returns to end in order.
 var ErrExit = errors.New("vnet: exit")
 
-// stir has the process look at a descriptor whose state may have changed.
-func (a *watch) stir(f file) {
+// notify has the process look at a descriptor whose state may have changed.
+func (a *watch) notify(f file) {
 	h := a.host
-	if !a.on || a.queued || !wanted(f.state(), a.want) {
+	if !a.registered || a.queued || !wanted(f.state(), a.want) {
 		return
 	}
 	a.queued = true
@@ -357,31 +357,31 @@
 	return r.Hangup || r.Read && want&poll.WantRead != 0 || r.Write && want&poll.WantWrite != 0
 }
 
-// take gives a file the lowest descriptor that was given back last, or a new one.
-func (h *Host) take(f file) (int, error) {
-	if h.limits.Descriptors > 0 && h.open >= h.limits.Descriptors {
+// allocate gives a file the lowest descriptor that was given back last, or a new one.
+func (h *Host) allocate(f file) (int, error) {
+	if h.limits.Descriptors > 0 && h.openFDs >= h.limits.Descriptors {
 		return -1, poll.ErrDescriptors
 	}
-	h.open++
-	if n := len(h.free); n > 0 {
-		fd := h.free[n-1]
-		h.free = h.free[:n-1]
-		h.fds[fd] = f
+	h.openFDs++
+	if n := len(h.freeFDs); n > 0 {
+		fd := h.freeFDs[n-1]
+		h.freeFDs = h.freeFDs[:n-1]
+		h.files[fd] = f
 		return fd, nil
 	}
-	h.fds = append(h.fds, f)
-	return len(h.fds) - 1, nil
+	h.files = append(h.files, f)
+	return len(h.files) - 1, nil
 }
 
 // nextPort gives out a port that nobody listens at.
 func (h *Host) nextPort() uint16 {
 	for {
-		h.port++
-		if h.port < firstPort {
-			h.port = firstPort
+		h.lastPort++
+		if h.lastPort < firstPort {
+			h.lastPort = firstPort
 		}
-		if h.listeners[h.port] == nil && h.datagrams[h.port] == nil {
-			return h.port
+		if h.listeners[h.lastPort] == nil && h.datagrams[h.lastPort] == nil {
+			return h.lastPort
 		}
 	}
 }
--- a/internal/vnet/kernel.go
+++ b/internal/vnet/kernel.go
@@ -12,42 +12,42 @@
 
 // kernel is a Host as its process sees it: one life of it. A process that has ended gets nothing done any more.
 type kernel struct {
-	host    *Host
-	life    int
-	handed  int           // events of the present turn
-	lag     time.Duration // by which the clock is read late
-	read    time.Duration // latest time that was read
-	noPorts bool
-	rate    float64 // of the clock, since a time, and what it was ahead by then
-	since   time.Duration
-	offset  time.Duration
+	host           *Host
+	incarnation    int
+	eventsReturned int           // events of the present turn
+	clockLag       time.Duration // by which the clock is read late
+	latestRead     time.Duration // latest time that was read
+	noPorts        bool
+	clockRate      float64 // of the clock, since a time, and what it was ahead by then
+	rateSince      time.Duration
+	clockOffset    time.Duration
 }
 
 func (k *kernel) clock() time.Duration {
 	now := k.host.world.now
-	return now - k.lag + k.offset + time.Duration(float64(now-k.since)*(k.rate-1))
+	return now - k.clockLag + k.clockOffset + time.Duration(float64(now-k.rateSince)*(k.clockRate-1))
 }
 
 var _ poll.Kernel = (*kernel)(nil)
 
-func (k *kernel) over() bool { return k.life != k.host.life }
+func (k *kernel) ended() bool { return k.incarnation != k.host.incarnation }
 
-func (k *kernel) WallTime() time.Time { return k.Now().Add(k.host.wallStep) }
+func (k *kernel) WallTime() time.Time { return k.Now().Add(k.host.wallClockOffset) }
 
 func (k *kernel) Now() time.Time {
-	k.read = max(k.read, k.clock())
-	return epoch.Add(k.read)
+	k.latestRead = max(k.latestRead, k.clock())
+	return epoch.Add(k.latestRead)
 }
 
 // Wait never waits: what is not ready now makes the host run again later.
 func (k *kernel) Wait(events []poll.Event, most time.Duration) (int, error) {
 	h := k.host
-	if k.over() {
+	if k.ended() {
 		return 0, ErrExit
 	}
 	n := 0
-	if h.woken && n < len(events) {
-		h.woken = false
+	if h.wakePending && n < len(events) {
+		h.wakePending = false
 		events[n] = poll.Event{Slot: poll.WakeSlot}
 		n++
 	}
@@ -56,7 +56,7 @@
 	for _, f := range h.ready[:looked] {
 		a := f.watch()
 		a.queued = false
-		if !a.on {
+		if !a.registered {
 			continue
 		}
 		r := f.state()
@@ -73,7 +73,7 @@
 		h.ready = append(h.ready, f)
 	}
 	h.ready = append(h.ready[:0], h.ready[looked:]...)
-	k.handed = n
+	k.eventsReturned = n
 	if n > 0 || most == 0 {
 		return n, nil
 	}
@@ -85,8 +85,8 @@
 }
 
 func (k *kernel) Wake() {
-	if !k.over() {
-		k.host.woken = true
+	if !k.ended() {
+		k.host.wakePending = true
 		k.host.schedule(k.host.world.now)
 	}
 }
@@ -95,7 +95,7 @@
 
 func (k *kernel) Connect(to netip.AddrPort) (int, error) {
 	h := k.host
-	if k.over() {
+	if k.ended() {
 		return -1, unix.ENETDOWN
 	}
 	if k.noPorts {
@@ -106,13 +106,13 @@
 	if far == nil {
 		return -1, unix.ENETUNREACH
 	}
-	w.conns++
+	w.connCount++
 	e := &end{
-		conn: &Conn{ID: w.conns, Dialler: h, Listener: far, Port: to.Port()}, path: w.path(h, far),
+		conn: &Conn{ID: w.connCount, Dialler: h, Listener: far, Port: to.Port()}, path: w.path(h, far),
 		local: netip.AddrPortFrom(h.addr, h.nextPort()), remote: to,
 	}
-	e.watch_.host = h
-	fd, err := h.take(e)
+	e.watchState.host = h
+	fd, err := h.allocate(e)
 	if err != nil {
 		return -1, fmt.Errorf("%w: %w", poll.ErrNoSocket, err)
 	}
@@ -122,7 +122,7 @@
 
 func (k *kernel) Listen(at netip.AddrPort, receive int) (int, error) {
 	h := k.host
-	if k.over() {
+	if k.ended() {
 		return -1, unix.ENETDOWN
 	}
 	if at.Addr() != h.addr && !at.Addr().IsUnspecified() {
@@ -137,7 +137,7 @@
 	}
 	l := &listener{port: port, receive: receive}
 	l.watch_.host = h
-	fd, err := h.take(l)
+	fd, err := h.allocate(l)
 	if err != nil {
 		return -1, err
 	}
@@ -154,8 +154,8 @@
 		return -1, poll.ErrAgain
 	}
 	e := l.queue[0]
-	e.watch_.host = k.host
-	conn, err := k.host.take(e)
+	e.watchState.host = k.host
+	conn, err := k.host.allocate(e)
 	if err != nil {
 		return -1, err
 	}
@@ -168,7 +168,7 @@
 
 func (k *kernel) OpenUDP(at netip.AddrPort) (int, error) {
 	h := k.host
-	if k.over() {
+	if k.ended() {
 		return -1, unix.ENETDOWN
 	}
 	port := at.Port()
@@ -178,9 +178,9 @@
 	if h.datagrams[port] != nil {
 		return -1, unix.EADDRINUSE
 	}
-	s := &datagramSocket{at: netip.AddrPortFrom(h.addr, port)}
+	s := &datagramSocket{local: netip.AddrPortFrom(h.addr, port)}
 	s.watch_.host = h
-	fd, err := h.take(s)
+	fd, err := h.allocate(s)
 	if err != nil {
 		return -1, fmt.Errorf("%w: %w", poll.ErrNoSocket, err)
 	}
@@ -189,18 +189,18 @@
 }
 
 func (k *kernel) OpenReserve() (int, error) {
-	if k.over() {
+	if k.ended() {
 		return -1, unix.ENETDOWN
 	}
-	return k.host.take(&spareFile{})
+	return k.host.allocate(&reserveFile{})
 }
 
 // file returns what a descriptor stands for, nil if it is free or of an earlier life.
 func (k *kernel) file(fd int) file {
-	if k.over() || fd < 0 || fd >= len(k.host.fds) {
+	if k.ended() || fd < 0 || fd >= len(k.host.files) {
 		return nil
 	}
-	return k.host.fds[fd]
+	return k.host.files[fd]
 }
 
 // end returns a connection. One that is not there any more stands for one that was reset.
@@ -214,10 +214,10 @@
 	if f == nil {
 		return
 	}
-	f.watch().on = false
-	k.host.fds[fd] = nil
-	k.host.free = append(k.host.free, fd)
-	k.host.open--
+	f.watch().registered = false
+	k.host.files[fd] = nil
+	k.host.freeFDs = append(k.host.freeFDs, fd)
+	k.host.openFDs--
 	f.close()
 }
 
@@ -227,8 +227,8 @@
 		return unix.EBADF
 	}
 	a := f.watch()
-	a.on, a.want, a.slot, a.gen = true, want, slot, gen
-	a.stir(f)
+	a.registered, a.want, a.slot, a.gen = true, want, slot, gen
+	a.notify(f)
 	return nil
 }
 
@@ -238,7 +238,7 @@
 		return unix.EBADF
 	}
 	f.watch().want = want
-	f.watch().stir(f)
+	f.watch().notify(f)
 	return nil
 }
 
@@ -286,7 +286,7 @@
 
 func (k *kernel) ResetOnClose(fd int) {
 	if e := k.end(fd); e != nil {
-		e.linger0 = true
+		e.resetOnClose = true
 	}
 }
 
@@ -302,7 +302,7 @@
 
 func (k *kernel) Idle(fd int) time.Duration {
 	if e := k.end(fd); e != nil {
-		return (k.host.world.now - e.heard).Truncate(time.Millisecond)
+		return (k.host.world.now - e.lastReceived).Truncate(time.Millisecond)
 	}
 	return 0
 }
@@ -314,7 +314,7 @@
 	case *listener:
 		return netip.AddrPortFrom(k.host.addr, f.port)
 	case *datagramSocket:
-		return f.at
+		return f.local
 	}
 	return netip.AddrPort{}
 }
--- a/internal/vnet/path.go
+++ b/internal/vnet/path.go
@@ -25,32 +25,32 @@
 )
 
 // Reaches tells whether what one host sends gets to another now, and its answer back.
-func (w *World) Reaches(a, b *Host) bool { return w.path(a, b).carries() && w.path(b, a).carries() }
+func (w *World) Reaches(a, b *Host) bool { return w.path(a, b).delivers() && w.path(b, a).delivers() }
 
 type pair struct{ from, to int32 }
 
 // path is a Link with its state.
 type path struct {
 	Link
-	rng  *rand.Rand
-	busy time.Duration // until when segments that were sent before take its bandwidth
-	cuts int           // partitions that lie across it
-	from *Host
-	to   *Host
+	rng        *rand.Rand
+	busyUntil  time.Duration // until when segments that were sent before take its bandwidth
+	partitions int           // partitions that lie across it
+	from       *Host
+	to         *Host
 }
 
 func (w *World) path(from, to *Host) *path {
 	key := pair{from.index, to.index}
 	p := w.paths[key]
 	if p == nil {
-		p = &path{Link: w.link(from, to), from: from, to: to}
+		p = &path{Link: w.linkFunc(from, to), from: from, to: to}
 		w.paths[key] = p
 	}
 	return p
 }
 
-// draw returns the path's own stream, made when it is first needed: most of a big fleet's paths carry nothing.
-func (p *path) draw() *rand.Rand {
+// rand returns the path's own stream, made when it is first needed: most of a big fleet's paths carry nothing.
+func (p *path) rand() *rand.Rand {
 	if p.rng == nil {
 		p.rng = p.from.world.Rand("path " + p.from.name + " " + p.to.name)
 	}
@@ -61,21 +61,21 @@
 func (p *path) transit(now time.Duration, size int) (d time.Duration, lost bool) {
 	d = p.Delay
 	if p.Jitter > 0 {
-		d += time.Duration(p.draw().Int64N(int64(p.Jitter) + 1))
+		d += time.Duration(p.rand().Int64N(int64(p.Jitter) + 1))
 	}
 	if p.Bandwidth > 0 {
-		start := max(now, p.busy)
-		p.busy = start + time.Duration(float64(size+segmentHead)/p.Bandwidth*float64(time.Second))
-		d += p.busy - now
+		start := max(now, p.busyUntil)
+		p.busyUntil = start + time.Duration(float64(size+segmentHeaderSize)/p.Bandwidth*float64(time.Second))
+		d += p.busyUntil - now
 	}
-	return d, p.Loss > 0 && p.draw().Float64() < p.Loss
+	return d, p.Loss > 0 && p.rand().Float64() < p.Loss
 }
 
-// segmentHead is the size of a segment's headers on a link.
-const segmentHead = 66
+// segmentHeaderSize is the size of a segment's headers on a link.
+const segmentHeaderSize = 66
 
-// carries tells whether a segment gets through now: no partition lies across the path and both machines are there.
-func (p *path) carries() bool { return p.cuts == 0 && !p.from.dark && !p.to.dark }
+// delivers tells whether a segment gets through now: no partition lies across the path and both machines are there.
+func (p *path) delivers() bool { return p.partitions == 0 && !p.from.unreachable && !p.to.unreachable }
 
 // Partition cuts every path between the hosts of a and those of b, both ways, until Heal. Partitions may overlap: a
 // path carries again once all that lie across it are healed.
@@ -90,7 +90,7 @@
 func (w *World) Cut(a, b []*Host) *Partition {
 	c := &Partition{world: w, a: slices.Clone(a), b: slices.Clone(b)}
 	c.add(1)
-	w.note(Record{What: "cut", Size: len(a) * len(b)})
+	w.record(Record{What: "cut", Size: len(a) * len(b)})
 	return c
 }
 
@@ -98,7 +98,7 @@
 func (w *World) CutOneWay(a, b []*Host) *Partition {
 	c := &Partition{world: w, a: slices.Clone(a), b: slices.Clone(b), oneWay: true}
 	c.add(1)
-	w.note(Record{What: "cut", Size: len(a) * len(b)})
+	w.record(Record{What: "cut", Size: len(a) * len(b)})
 	return c
 }
 
@@ -107,7 +107,7 @@
 	if !c.healed {
 		c.healed = true
 		c.add(-1)
-		c.world.note(Record{What: "heal", Size: len(c.a) * len(c.b)})
+		c.world.record(Record{What: "heal", Size: len(c.a) * len(c.b)})
 	}
 }
 
@@ -115,9 +115,9 @@
 	for _, a := range c.a {
 		for _, b := range c.b {
 			if a != b {
-				c.world.path(a, b).cuts += n
+				c.world.path(a, b).partitions += n
 				if !c.oneWay {
-					c.world.path(b, a).cuts += n
+					c.world.path(b, a).partitions += n
 				}
 			}
 		}
--- a/internal/vnet/queue.go
+++ b/internal/vnet/queue.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// happening is what an event does.
-type happening interface{ happen(w *World) }
+// action is what an event does.
+type action interface{ execute(w *World) }
 
 // event is a happening at its time; of two at the same time the one that was put in first comes first.
 type event struct {
-	at  time.Duration
-	seq uint64
-	do  happening
+	at     time.Duration
+	seq    uint64
+	action action
 }
 
 func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
 
-// queue is a heap with four children a node: it is the hottest part of a run, and wider nodes touch fewer lines of
+// eventQueue is a heap with four children a node: it is the hottest part of a run, and wider nodes touch fewer lines of
 // memory.
-type queue struct {
+type eventQueue struct {
 	heap []event
 	seq  uint64
 }
 
-const fan = 4
+const arity = 4
 
-func (q *queue) push(at time.Duration, do happening) {
+func (q *eventQueue) push(at time.Duration, do action) {
 	q.seq++
 	e := event{at, q.seq, do}
 	q.heap = append(q.heap, e)
 	i := len(q.heap) - 1
 	for i > 0 {
-		up := (i - 1) / fan
-		if !e.before(&q.heap[up]) {
+		parent := (i - 1) / arity
+		if !e.before(&q.heap[parent]) {
 			break
 		}
-		q.heap[i] = q.heap[up]
-		i = up
+		q.heap[i] = q.heap[parent]
+		i = parent
 	}
 	q.heap[i] = e
 }
 
-func (q *queue) pop() event {
+func (q *eventQueue) pop() event {
 	top := q.heap[0]
 	n := len(q.heap) - 1
 	e := q.heap[n]
@@ -50,20 +50,20 @@
 	}
 	i := 0
 	for {
-		least := i*fan + 1
-		if least >= n {
+		smallest := i*arity + 1
+		if smallest >= n {
 			break
 		}
-		for c := least + 1; c < min(i*fan+1+fan, n); c++ {
-			if q.heap[c].before(&q.heap[least]) {
-				least = c
+		for c := smallest + 1; c < min(i*arity+1+arity, n); c++ {
+			if q.heap[c].before(&q.heap[smallest]) {
+				smallest = c
 			}
 		}
-		if !q.heap[least].before(&e) {
+		if !q.heap[smallest].before(&e) {
 			break
 		}
-		q.heap[i] = q.heap[least]
-		i = least
+		q.heap[i] = q.heap[smallest]
+		i = smallest
 	}
 	q.heap[i] = e
 	return top
--- a/internal/vnet/tcp.go
+++ b/internal/vnet/tcp.go
@@ -37,56 +37,56 @@
 type endState uint8
 
 const (
-	connecting endState = iota
-	answering           // the listener's side, until the dialler's acknowledgement
+	connecting  endState = iota
+	synReceived          // the listener's side, until the dialler's acknowledgement
 	established
 )
 
 // end is one end of a TCP connection.
 type end struct {
-	watch_ watch
-	conn   *Conn
-	far    *end // nil while it connects
-	path   *path
-	local  netip.AddrPort
-	remote netip.AddrPort
+	watchState watch
+	conn       *Conn
+	peer       *end // nil while it connects
+	path       *path
+	local      netip.AddrPort
+	remote     netip.AddrPort
 
-	in    []byte // arrived and unread, from off on
-	off   int
-	heard time.Duration // when bytes last arrived
+	received     []byte // arrived and unread, from off on
+	readOffset   int
+	lastReceived time.Duration // when bytes last arrived
 
 	// What was sent.
-	lastAt time.Duration // when the last segment arrives
-	unread int           // bytes that the far process has not read
-	most   int           // of these
-	tries  int           // of the segment that is sent again; 0: none is
-	held   []*segment    // what waits for it
-
-	err     error // pending; taken by SocketError, Read or Send
-	phase   endState
-	shut    bool // a send found no room: told once there is
-	finIn   bool // the far end has ended its sending
-	finOut  bool // this one has
-	hung    bool // reset or failed
-	closed  bool // its descriptor was given back
-	linger0 bool // close resets
-	mute    bool // close says nothing
-	life    int  // of the host's process that it belongs to
+	lastArrival time.Duration // when the last segment arrives
+	unread      int           // bytes that the far process has not read
+	maxUnread   int           // of these
+	attempts    int           // of the segment that is sent again; 0: none is
+	waiting     []*segment    // what waits for it
+
+	err          error // pending; taken by SocketError, Read or Send
+	phase        endState
+	windowClosed bool // a send found no room: told once there is
+	finReceived  bool // the far end has ended its sending
+	finSent      bool // this one has
+	broken       bool // reset or failed
+	closed       bool // its descriptor was given back
+	resetOnClose bool // close resets
+	silent       bool // close says nothing
+	incarnation  int  // of the host's process that it belongs to
 }
 
-func (e *end) watch() *watch { return &e.watch_ }
+func (e *end) watch() *watch { return &e.watchState }
 
 func (e *end) state() poll.Ready {
 	return poll.Ready{
-		Read:   len(e.in) > e.off || e.finIn || e.hung,
-		Write:  e.phase == established && !e.shut || e.hung,
-		Hangup: e.hung || e.finIn && e.finOut,
+		Read:   len(e.received) > e.readOffset || e.finReceived || e.broken,
+		Write:  e.phase == established && !e.windowClosed || e.broken,
+		Hangup: e.broken || e.finReceived && e.finSent,
 	}
 }
 
-func (e *end) stir() {
-	if e.watch_.host != nil {
-		e.watch_.stir(e)
+func (e *end) notify() {
+	if e.watchState.host != nil {
+		e.watchState.notify(e)
 	}
 }
 
@@ -113,14 +113,14 @@
 	data []byte
 }
 
-// keepSegment is the longest buffer that is kept with a segment for the next one.
-const keepSegment = 1 << 10
+// maxPooledBuffer is the longest buffer that is kept with a segment for the next one.
+const maxPooledBuffer = 1 << 10
 
 func (w *World) segment(k kind, from, to *end, data []byte) *segment {
 	var s *segment
-	if n := len(w.spare); n > 0 {
-		s = w.spare[n-1]
-		w.spare = w.spare[:n-1]
+	if n := len(w.segmentPool); n > 0 {
+		s = w.segmentPool[n-1]
+		w.segmentPool = w.segmentPool[:n-1]
 	} else {
 		s = &segment{}
 	}
@@ -128,83 +128,83 @@
 	return s
 }
 
-func (w *World) done(s *segment) {
-	if cap(s.data) > keepSegment {
+func (w *World) recycle(s *segment) {
+	if cap(s.data) > maxPooledBuffer {
 		s.data = nil
 	}
 	s.from, s.to = nil, nil
-	w.spare = append(w.spare, s)
+	w.segmentPool = append(w.segmentPool, s)
 }
 
 // send puts a segment on its way, after all that this end sent before.
 func (e *end) send(k kind, data []byte) {
 	w := e.path.from.world
-	s := w.segment(k, e, e.far, data)
+	s := w.segment(k, e, e.peer, data)
 	d, lost := e.path.transit(w.now, len(data))
 	if lost {
 		d += max(minRTO, 2*d)
 	}
-	e.lastAt = max(e.lastAt, w.now+d)
-	w.queue.push(e.lastAt, s)
+	e.lastArrival = max(e.lastArrival, w.now+d)
+	w.queue.push(e.lastArrival, s)
 }
 
-// happen is the segment's arrival, or the next try.
-func (s *segment) happen(w *World) {
+// execute is the segment's arrival, or the next try.
+func (s *segment) execute(w *World) {
 	e := s.from
-	if e.tries > 0 && (len(e.held) == 0 || e.held[0] != s) {
-		e.held = append(e.held, s) // it was on its way behind one that got lost
+	if e.attempts > 0 && (len(e.waiting) == 0 || e.waiting[0] != s) {
+		e.waiting = append(e.waiting, s) // it was on its way behind one that got lost
 		return
 	}
-	if e.path.carries() && (s.kind != segSyn || e.admitted()) {
-		first := e.tries > 0
-		e.tries = 0
+	if e.path.delivers() && (s.kind != segSyn || e.acceptQueueHasRoom()) {
+		first := e.attempts > 0
+		e.attempts = 0
 		s.arrive(w)
 		if first {
-			rest := e.held[1:]
-			e.held = nil
+			rest := e.waiting[1:]
+			e.waiting = nil
 			for _, s := range rest {
 				s.arrive(w)
 			}
 		}
 		return
 	}
-	w.note(Record{What: "lost", From: e.path.from, To: e.path.to, Port: e.conn.Port, Size: len(s.data)})
-	if s.kind == segReset || e.mute || s.kind == segSyn && e.closed {
-		if e.tries > 0 { // it was sent again on behalf of a machine that is gone now
-			e.tries, e.held = 0, nil
+	w.record(Record{What: "lost", From: e.path.from, To: e.path.to, Port: e.conn.Port, Size: len(s.data)})
+	if s.kind == segReset || e.silent || s.kind == segSyn && e.closed {
+		if e.attempts > 0 { // it was sent again on behalf of a machine that is gone now
+			e.attempts, e.waiting = 0, nil
 		}
 		return // nobody sends it again
 	}
-	if e.tries == 0 {
-		e.held = append([]*segment{s}, e.held...)
+	if e.attempts == 0 {
+		e.waiting = append([]*segment{s}, e.waiting...)
 	}
 	wait, most := minRTO, 15 // tries, as Linux has them for data
 	if s.kind == segSyn {
 		wait, most = synRTO, 6
 	}
-	if e.tries++; e.tries > most {
-		e.tries, e.held = 0, nil
+	if e.attempts++; e.attempts > most {
+		e.attempts, e.waiting = 0, nil
 		e.fail(unix.ETIMEDOUT)
 		return
 	}
-	w.queue.push(w.now+min(wait<<(e.tries-1), maxRTO), s)
+	w.queue.push(w.now+min(wait<<(e.attempts-1), maxRTO), s)
 }
 
-// admitted tells whether the far machine has room for one more that is not accepted yet.
-func (e *end) admitted() bool {
+// acceptQueueHasRoom tells whether the far machine has room for one more that is not accepted yet.
+func (e *end) acceptQueueHasRoom() bool {
 	l := e.path.to.listeners[e.conn.Port]
-	return l == nil || len(l.queue) < backlog
+	return l == nil || len(l.queue) < maxBacklog
 }
 
-// backlog is how many connections wait to be accepted at the most; a SYN beyond that is dropped.
-const backlog = 4096
+// maxBacklog is how many connections wait to be accepted at the most; a SYN beyond that is dropped.
+const maxBacklog = 4096
 
 func (s *segment) arrive(w *World) {
 	e, to := s.from, s.to
-	w.note(Record{What: kindNames[s.kind], From: e.path.from, To: e.path.to, Port: e.conn.Port, Size: len(s.data)})
+	w.record(Record{What: kindNames[s.kind], From: e.path.from, To: e.path.to, Port: e.conn.Port, Size: len(s.data)})
 	switch s.kind {
 	case segSyn:
-		e.path.to.invited(e)
+		e.path.to.handleSYN(e)
 	case segSynAck:
 		if to.closed {
 			to.send(segReset, nil)
@@ -212,19 +212,19 @@
 		}
 		to.phase = established
 		to.send(segAck, nil)
-		to.stir()
+		to.notify()
 	case segAck:
 		to.phase = established
-		if l := to.path.from.listeners[to.conn.Port]; l != nil && !to.closed && to.life == l.watch_.host.life {
+		if l := to.path.from.listeners[to.conn.Port]; l != nil && !to.closed && to.incarnation == l.watch_.host.incarnation {
 			l.queue = append(l.queue, to)
-			l.watch_.stir(l)
+			l.watch_.notify(l)
 		} else if !to.closed {
 			to.closed = true
 			to.send(segReset, nil)
 		}
 	case segData:
 		if to.closed {
-			if !to.path.from.dark {
+			if !to.path.from.unreachable {
 				to.send(segReset, nil)
 			}
 			break
@@ -232,34 +232,34 @@
 		if w.tap != nil {
 			w.tap.Arrived(to.conn, to.path.from, s.data)
 		}
-		to.heard = w.now
-		if to.off == len(to.in) {
-			to.in, to.off = to.in[:0], 0
+		to.lastReceived = w.now
+		if to.readOffset == len(to.received) {
+			to.received, to.readOffset = to.received[:0], 0
 		}
-		to.in = append(to.in, s.data...)
-		to.stir()
+		to.received = append(to.received, s.data...)
+		to.notify()
 	case segFin:
-		w.endArrived(to)
-		to.finIn = true
-		if to.closed && to.mute && !to.path.from.dark {
+		w.notifyEndArrived(to)
+		to.finReceived = true
+		if to.closed && to.silent && !to.path.from.unreachable {
 			to.send(segReset, nil) // of an earlier life
 		}
-		to.stir()
+		to.notify()
 	case segReset:
-		w.endArrived(to)
+		w.notifyEndArrived(to)
 		if to.phase == connecting {
 			to.fail(unix.ECONNREFUSED)
 		} else {
 			to.fail(unix.ECONNRESET)
 		}
 	case segWindow:
-		to.shut = false
-		to.stir()
+		to.windowClosed = false
+		to.notify()
 	}
-	w.done(s)
+	w.recycle(s)
 }
 
-func (w *World) endArrived(to *end) {
+func (w *World) notifyEndArrived(to *end) {
 	if w.tap != nil && !to.closed {
 		w.tap.EndArrived(to.conn, to.path.from)
 	}
@@ -267,60 +267,62 @@
 
 // fail breaks the end. What had arrived before can still be read.
 func (e *end) fail(err error) {
-	if e.closed || e.hung {
+	if e.closed || e.broken {
 		return
 	}
-	e.err, e.hung = err, true
-	e.stir()
+	e.err, e.broken = err, true
+	e.notify()
 }
 
-// invited takes a SYN, late for a part of them where LateConnects says so.
-func (h *Host) invited(e *end) {
-	if h.latePart > 0 {
-		if r := h.world.path(h, e.path.from).draw(); r.Float64() < h.latePart {
-			h.world.After(time.Duration(r.Int64N(int64(h.lateMost)+1)), func() { h.answer(e) })
+// handleSYN takes a SYN, late for a part of them where LateConnects says so.
+func (h *Host) handleSYN(e *end) {
+	if h.delayedConnectRatio > 0 {
+		if r := h.world.path(h, e.path.from).rand(); r.Float64() < h.delayedConnectRatio {
+			h.world.After(time.Duration(r.Int64N(int64(h.maxConnectDelay)+1)), func() { h.answerSYN(e) })
 			return
 		}
 	}
-	h.answer(e)
+	h.answerSYN(e)
 }
 
 // DelayConnects has a part of the connections to the host, 0 to 1, come up later by up to most.
-func (h *Host) DelayConnects(part float64, most time.Duration) { h.latePart, h.lateMost = part, most }
+func (h *Host) DelayConnects(part float64, most time.Duration) {
+	h.delayedConnectRatio, h.maxConnectDelay = part, most
+}
 
-func (h *Host) answer(e *end) {
+func (h *Host) answerSYN(e *end) {
 	l := h.listeners[e.conn.Port]
 	back := h.world.path(h, e.path.from)
 	s := &end{
-		conn: e.conn, far: e, path: back, local: e.remote, remote: e.local, phase: answering,
-		most: h.limits.SendBuffer + dialReceive,
+		conn: e.conn, peer: e, path: back, local: e.remote, remote: e.local, phase: synReceived,
+		maxUnread: h.limits.SendBuffer + dialerReceiveBuffer,
 	}
-	s.life = h.life
-	e.far = s
+	s.incarnation = h.incarnation
+	e.peer = s
 	if l == nil {
 		s.closed = true
 		s.send(segReset, nil)
 		return
 	}
-	e.most = e.path.from.limits.SendBuffer + l.receive
+	e.maxUnread = e.path.from.limits.SendBuffer + l.receive
 	s.send(segSynAck, nil)
 }
 
-// dialReceive is what the dialler's machine keeps unread of a connection.
-const dialReceive = 64 << 10
+// dialerReceiveBuffer is what the dialler's machine keeps unread of a connection.
+const dialerReceiveBuffer = 64 << 10
 
 func (e *end) read(p []byte) (int, error) {
-	if len(e.in) > e.off {
-		n := copy(p, e.in[e.off:])
-		if e.off += n; e.off == len(e.in) {
-			if e.off = 0; cap(e.in) > keepSegment {
-				e.in = nil
+	if len(e.received) > e.readOffset {
+		n := copy(p, e.received[e.readOffset:])
+		if e.readOffset += n; e.readOffset == len(e.received) {
+			if e.readOffset = 0; cap(e.received) > maxPooledBuffer {
+				e.received = nil
 			} else {
-				e.in = e.in[:0]
+				e.received = e.received[:0]
 			}
 		}
-		if f := e.far; f != nil {
-			if f.unread -= n; f.shut && f.unread <= f.most/2 && !e.hung {
+		if f := e.peer; f != nil {
+			if f.unread -= n; f.windowClosed && f.unread <= f.maxUnread/2 && !e.broken {
 				e.send(segWindow, nil)
 			}
 		}
@@ -331,7 +333,7 @@
 		err := e.err
 		e.err = nil
 		return 0, err
-	case e.finIn || e.hung:
+	case e.finReceived || e.broken:
 		return 0, nil
 	}
 	return 0, poll.ErrAgain
@@ -343,14 +345,14 @@
 		err := e.err
 		e.err = nil
 		return 0, err
-	case e.hung || e.finOut:
+	case e.broken || e.finSent:
 		return 0, unix.EPIPE
 	case e.phase != established:
 		return 0, poll.ErrAgain
 	}
-	n := min(e.most-e.unread, len(p))
+	n := min(e.maxUnread-e.unread, len(p))
 	if n < len(p) {
-		e.shut = true
+		e.windowClosed = true
 	}
 	if n <= 0 {
 		if len(p) == 0 {
@@ -366,36 +368,36 @@
 	return n, nil
 }
 
-// ended tells the tap, once, that this side's process is through with the connection.
-func (e *end) ended() {
-	if w := e.path.from.world; w.tap != nil && !e.finOut {
+// notifyEnded tells the tap, once, that this side's process is through with the connection.
+func (e *end) notifyEnded() {
+	if w := e.path.from.world; w.tap != nil && !e.finSent {
 		w.tap.Ended(e.conn, e.path.from)
 	}
 }
 
 func (e *end) closeWrite() {
-	if e.finOut || e.hung || e.phase != established {
+	if e.finSent || e.broken || e.phase != established {
 		return
 	}
-	e.ended()
-	e.finOut = true
+	e.notifyEnded()
+	e.finSent = true
 	e.send(segFin, nil)
-	e.stir() // both directions may be over now
+	e.notify() // both directions may be over now
 }
 
 func (e *end) close() {
 	if e.closed {
 		return
 	}
-	e.ended()
+	e.notifyEnded()
 	e.closed = true
-	unread := len(e.in) > e.off
-	e.in = nil
+	unread := len(e.received) > e.readOffset
+	e.received = nil
 	switch {
-	case e.mute || e.hung || e.phase == connecting:
-	case e.linger0 || unread:
+	case e.silent || e.broken || e.phase == connecting:
+	case e.resetOnClose || unread:
 		e.send(segReset, nil)
-	case !e.finOut:
+	case !e.finSent:
 		e.send(segFin, nil)
 	}
 }
@@ -414,15 +416,15 @@
 func (l *listener) close() {
 	delete(l.watch_.host.listeners, l.port)
 	for _, e := range l.queue {
-		e.linger0 = true
+		e.resetOnClose = true
 		e.close()
 	}
 	l.queue = nil
 }
 
-// spareFile is a descriptor that stands for nothing.
-type spareFile struct{ watch_ watch }
+// reserveFile is a descriptor that stands for nothing.
+type reserveFile struct{ watch_ watch }
 
-func (s *spareFile) watch() *watch     { return &s.watch_ }
-func (s *spareFile) state() poll.Ready { return poll.Ready{} }
-func (s *spareFile) close()            {}
+func (s *reserveFile) watch() *watch     { return &s.watch_ }
+func (s *reserveFile) state() poll.Ready { return poll.Ready{} }
+func (s *reserveFile) close()            {}
--- a/internal/vnet/vnet_test.go
+++ b/internal/vnet/vnet_test.go
@@ -16,18 +16,18 @@
 	"ospreyspan/internal/poll"
 )
 
-// side is one end of a connection that a test plays.
-type side struct {
-	sock *poll.Socket
-	up   bool
-	got  []byte
-	err  error // the first that was read
-	deaf bool
-	when []time.Time
-	on   *machine
+// endpoint is one end of a connection that a test plays.
+type endpoint struct {
+	sock       *poll.Socket
+	up         bool
+	received   []byte
+	err        error // the first that was read
+	notReading bool
+	readTimes  []time.Time
+	machine    *machine
 }
 
-func (s *side) Ready(r poll.Ready) {
+func (s *endpoint) Ready(r poll.Ready) {
 	if !s.up {
 		if s.err = s.sock.DialError(); s.err != nil {
 			s.sock.Close()
@@ -37,13 +37,13 @@
 		s.sock.Want(true, false)
 		return
 	}
-	if s.deaf && !r.Hangup {
+	if s.notReading && !r.Hangup {
 		return
 	}
 	buf := make([]byte, 4096)
 	n, err := s.sock.Read(buf)
-	if s.got = append(s.got, buf[:n]...); n > 0 {
-		s.when = append(s.when, s.on.loop.Now())
+	if s.received = append(s.received, buf[:n]...); n > 0 {
+		s.readTimes = append(s.readTimes, s.machine.loop.Now())
 	}
 	if err != nil && !errors.Is(err, poll.ErrAgain) {
 		if s.err == nil {
@@ -58,12 +58,12 @@
 
 // machine is a host with a loop and what it accepted.
 type machine struct {
-	t     *testing.T
-	w     *World
-	host  *Host
-	loop  *poll.Loop
-	taken []*side
-	n     *poll.Listener
+	t        *testing.T
+	w        *World
+	host     *Host
+	loop     *poll.Loop
+	accepted []*endpoint
+	n        *poll.Listener
 }
 
 func newMachine(t *testing.T, w *World, name string, last byte, l Limits) *machine {
@@ -89,11 +89,11 @@
 func (m *machine) listen(port uint16) {
 	m.t.Helper()
 	n, err := m.loop.Listen(m.at(port), func(s *poll.Socket, last bool) poll.Handler {
-		k := &side{sock: s, up: true, on: m}
+		k := &endpoint{sock: s, up: true, machine: m}
 		if last {
 			s.Close()
 		}
-		m.taken = append(m.taken, k)
+		m.accepted = append(m.accepted, k)
 		return k
 	})
 	if err != nil {
@@ -102,9 +102,9 @@
 	m.n = n
 }
 
-func (m *machine) dial(to netip.AddrPort) *side {
+func (m *machine) dial(to netip.AddrPort) *endpoint {
 	m.t.Helper()
-	s := &side{on: m}
+	s := &endpoint{machine: m}
 	var err error
 	if s.sock, err = m.loop.Dial(to, s); err != nil {
 		m.t.Fatal(err)
@@ -144,9 +144,9 @@
 	}
 	s.sock.CloseWrite()
 	a.run(10 * ms)
-	far := b.taken[0]
-	if string(far.got) != "hello" || far.err != io.EOF || far.sock.RemoteAddr().Addr() != a.host.Addr() {
-		t.Fatalf("got %q, %v from %v", far.got, far.err, far.sock.RemoteAddr())
+	far := b.accepted[0]
+	if string(far.received) != "hello" || far.err != io.EOF || far.sock.RemoteAddr().Addr() != a.host.Addr() {
+		t.Fatalf("got %q, %v from %v", far.received, far.err, far.sock.RemoteAddr())
 	}
 	far.sock.Close()
 	a.run(10 * ms)
@@ -198,7 +198,7 @@
 	if !late.up {
 		t.Errorf("a SYN was not sent again: %v", late.err)
 	}
-	if got := b.taken[len(b.taken)-1].got; len(got) != 0 {
+	if got := b.accepted[len(b.accepted)-1].received; len(got) != 0 {
 		t.Errorf("the new process got %q", got)
 	}
 }
@@ -221,13 +221,13 @@
 	one.Heal()
 	one.Heal()
 	a.run(2 * time.Second)
-	if len(b.taken[0].got) != 0 || mid.up {
+	if len(b.accepted[0].received) != 0 || mid.up {
 		t.Fatal("the second partition carried")
 	}
 	two.Heal()
 	a.run(3 * time.Second)
-	if string(b.taken[0].got) != "01234" || !mid.up {
-		t.Errorf("after healing: %q, the connection that was being made is up: %v", b.taken[0].got, mid.up)
+	if string(b.accepted[0].received) != "01234" || !mid.up {
+		t.Errorf("after healing: %q, the connection that was being made is up: %v", b.accepted[0].received, mid.up)
 	}
 }
 
@@ -238,8 +238,8 @@
 	b.listen(80)
 	s := a.dial(b.at(80))
 	a.run(10 * ms)
-	far := b.taken[0]
-	far.deaf = true
+	far := b.accepted[0]
+	far.notReading = true
 	far.sock.Want(false, false)
 	text := bytes.Repeat([]byte("x"), 100000)
 	n, err := s.sock.Write(text)
@@ -250,7 +250,7 @@
 		t.Fatalf("wrote %d more", again)
 	}
 	told := false
-	s.sock.SetHandler(ready(func(r poll.Ready) {
+	s.sock.SetHandler(readyFunc(func(r poll.Ready) {
 		if r.Write {
 			told = true
 			s.sock.Want(false, false)
@@ -261,17 +261,17 @@
 	if told {
 		t.Fatal("room was told of while nothing was read")
 	}
-	far.deaf = false
+	far.notReading = false
 	far.sock.Want(true, false)
 	a.run(time.Second)
-	if !told || len(far.got) != n {
-		t.Errorf("told of room: %v; %d of %d arrived", told, len(far.got), n)
+	if !told || len(far.received) != n {
+		t.Errorf("told of room: %v; %d of %d arrived", told, len(far.received), n)
 	}
 }
 
-type ready func(poll.Ready)
+type readyFunc func(poll.Ready)
 
-func (f ready) Ready(r poll.Ready) { f(r) }
+func (f readyFunc) Ready(r poll.Ready) { f(r) }
 
 // A process that has used up its descriptors can open none; the listener's reserve still takes one connection.
 func TestDescriptors(t *testing.T) {
@@ -279,16 +279,16 @@
 	a, b := newMachine(t, w, "a", 1, Limits{Descriptors: 2}), newMachine(t, w, "b", 2, Limits{Descriptors: 3})
 	b.listen(80)
 	first, second := a.dial(b.at(80)), a.dial(b.at(80))
-	if _, err := a.loop.Dial(b.at(80), &side{on: a}); !errors.Is(err, poll.ErrNoSocket) {
+	if _, err := a.loop.Dial(b.at(80), &endpoint{machine: a}); !errors.Is(err, poll.ErrNoSocket) {
 		t.Errorf("a third descriptor of two: %v", err)
 	}
 	a.run(10 * ms)
-	if len(b.taken) != 2 || !first.up || second.err == nil || b.host.Open() != 3 {
-		t.Errorf("%d taken, the second heard %v, %d open", len(b.taken), second.err, b.host.Open())
+	if len(b.accepted) != 2 || !first.up || second.err == nil || b.host.Open() != 3 {
+		t.Errorf("%d taken, the second heard %v, %d open", len(b.accepted), second.err, b.host.Open())
 	}
 	first.sock.Close()
 	a.host.ExhaustPorts(true)
-	if _, err := a.loop.Dial(b.at(80), &side{on: a}); !errors.Is(err, poll.ErrNoSocket) {
+	if _, err := a.loop.Dial(b.at(80), &endpoint{machine: a}); !errors.Is(err, poll.ErrNoSocket) {
 		t.Errorf("out of ports: %v", err)
 	}
 }
@@ -304,11 +304,11 @@
 	begin := w.Now()
 	_, _ = s.sock.Write([]byte("x"))
 	a.run(299 * ms)
-	if len(b.taken[0].got) != 0 {
+	if len(b.accepted[0].received) != 0 {
 		t.Fatal("it ran while it was stalled")
 	}
 	a.run(10 * ms)
-	if at := b.taken[0].when; len(at) != 1 || at[0].Sub(begin) != 300*ms {
+	if at := b.accepted[0].readTimes; len(at) != 1 || at[0].Sub(begin) != 300*ms {
 		t.Errorf("it read at %v", at)
 	}
 	var fired time.Duration
@@ -332,10 +332,10 @@
 	a.run(time.Second)
 	begin := w.Now()
 	for range 3 {
-		_, _ = s.sock.Write(bytes.Repeat([]byte("x"), 1000-segmentHead))
+		_, _ = s.sock.Write(bytes.Repeat([]byte("x"), 1000-segmentHeaderSize))
 	}
 	a.run(10 * time.Second)
-	for i, at := range b.taken[0].when {
+	for i, at := range b.accepted[0].readTimes {
 		if want := time.Duration(i+1)*time.Second + ms; at.Sub(begin) != want {
 			t.Errorf("segment %d after %v, want %v", i, at.Sub(begin), want)
 		}
@@ -344,7 +344,7 @@
 	a, b = newMachine(t, w, "a", 1, Limits{}), newMachine(t, w, "b", 2, Limits{})
 	got := 0
 	var in *poll.UDPSocket
-	in, err := b.loop.OpenUDP(b.at(53), ready(func(poll.Ready) {
+	in, err := b.loop.OpenUDP(b.at(53), readyFunc(func(poll.Ready) {
 		var buf [16]byte
 		for {
 			if _, from, err := in.Receive(buf[:]); err != nil || from.Addr() != a.host.Addr() {
@@ -356,7 +356,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := a.loop.OpenUDP(a.at(0), ready(func(poll.Ready) {}))
+	out, err := a.loop.OpenUDP(a.at(0), readyFunc(func(poll.Ready) {}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -397,17 +397,17 @@
 		b.listen(80)
 		near := a.dial(b.at(80))
 		for range 20 { // a SYN may get lost a few times
-			if a.run(5 * time.Second); near.up && len(b.taken) > 0 {
+			if a.run(5 * time.Second); near.up && len(b.accepted) > 0 {
 				break
 			}
 		}
-		far := b.taken[0]
+		far := b.accepted[0]
 		var sent [2][]byte
 		var cuts []*Partition
 		broken := false
 		for range rapid.IntRange(1, 60).Draw(r, "steps") {
 			i := rapid.IntRange(0, 1).Draw(r, "side")
-			s := [2]*side{near, far}[i]
+			s := [2]*endpoint{near, far}[i]
 			switch rapid.IntRange(0, 9).Draw(r, "step") {
 			case 0, 1, 2, 3:
 				text := make([]byte, rapid.IntRange(1, 3000).Draw(r, "size"))
@@ -424,8 +424,8 @@
 					c.Heal()
 				}
 			case 6:
-				s.deaf = !s.deaf
-				s.sock.Want(!s.deaf, false)
+				s.notReading = !s.notReading
+				s.sock.Want(!s.notReading, false)
 			case 7:
 				b.host.Stall(20 * ms)
 			case 8:
@@ -440,17 +440,17 @@
 		for _, c := range cuts {
 			c.Heal()
 		}
-		for _, s := range []*side{near, far} {
-			s.deaf = false
+		for _, s := range []*endpoint{near, far} {
+			s.notReading = false
 			s.sock.Want(true, false)
 		}
 		a.run(30 * time.Minute)
-		for i, s := range []*side{far, near} {
-			if !bytes.HasPrefix(sent[i], s.got) {
-				r.Fatalf("side %d read %d bytes that are not what was written", i, len(s.got))
+		for i, s := range []*endpoint{far, near} {
+			if !bytes.HasPrefix(sent[i], s.received) {
+				r.Fatalf("side %d read %d bytes that are not what was written", i, len(s.received))
 			}
-			if !broken && len(s.got) != len(sent[i]) {
-				r.Fatalf("side %d read %d of %d bytes", i, len(s.got), len(sent[i]))
+			if !broken && len(s.received) != len(sent[i]) {
+				r.Fatalf("side %d read %d of %d bytes", i, len(s.received), len(sent[i]))
 			}
 		}
 	})
@@ -462,7 +462,7 @@
 		w := New(seed, func(_, _ *Host) Link { return Link{Delay: ms, Jitter: 3 * ms, Loss: 0.1} })
 		a, b := newMachine(t, w, "a", 1, Limits{}), newMachine(t, w, "b", 2, Limits{})
 		b.listen(80)
-		var all []*side
+		var all []*endpoint
 		for range 20 {
 			all = append(all, a.dial(b.at(80)))
 		}
--- a/internal/vnet/world.go
+++ b/internal/vnet/world.go
@@ -26,21 +26,21 @@
 
 // World is a network and the machines on it. It belongs to one goroutine.
 type World struct {
-	seed   uint64
-	now    time.Duration // since the epoch
-	queue  queue
-	hosts  []*Host
-	byAddr map[netip.Addr]*Host
-	paths  map[pair]*path
-	link   func(from, to *Host) Link
-	spare  []*segment // segments that were used up
-	sum    *xxhash.Digest
-	recent recent
-	tap    Tap
-	fate   func(from, to *Host, size int) DatagramFault
-	conns  uint64 // opened so far
-	events uint64
-	failed error
+	seed          uint64
+	now           time.Duration // since the epoch
+	queue         eventQueue
+	hosts         []*Host
+	byAddr        map[netip.Addr]*Host
+	paths         map[pair]*path
+	linkFunc      func(from, to *Host) Link
+	segmentPool   []*segment // segments that were used up
+	traceHash     *xxhash.Digest
+	recent        recentRecords
+	tap           Tap
+	datagramFault func(from, to *Host, size int) DatagramFault
+	connCount     uint64 // opened so far
+	eventCount    uint64
+	failure       error
 }
 
 // New returns a world without hosts. link gives the way from one host to another, asked once for each pair; nil stands
@@ -50,7 +50,7 @@
 		link = func(_, _ *Host) Link { return Link{} }
 	}
 	return &World{
-		seed: seed, link: link, byAddr: make(map[netip.Addr]*Host), paths: make(map[pair]*path), sum: xxhash.New(),
+		seed: seed, linkFunc: link, byAddr: make(map[netip.Addr]*Host), paths: make(map[pair]*path), traceHash: xxhash.New(),
 	}
 }
 
@@ -64,10 +64,10 @@
 func (w *World) Elapsed() time.Duration { return w.now }
 
 // Events tells how many events have happened.
-func (w *World) Events() uint64 { return w.events }
+func (w *World) Events() uint64 { return w.eventCount }
 
 // TraceSum is a hash over all events so far: kind, time, hosts and size of each.
-func (w *World) TraceSum() uint64 { return w.sum.Sum64() }
+func (w *World) TraceSum() uint64 { return w.traceHash.Sum64() }
 
 // Rand returns the stream of draws of one concern: the same name in the same world is the same stream from its start.
 func (w *World) Rand(concern string) *rand.Rand {
@@ -76,35 +76,35 @@
 
 // After has f called after d; it is an event of the world's own, a fault or a measurement, and belongs to no host.
 func (w *World) After(d time.Duration, f func()) {
-	w.queue.push(w.now+max(d, 0), call(f))
+	w.queue.push(w.now+max(d, 0), callback(f))
 }
 
-type call func()
+type callback func()
 
-func (f call) happen(w *World) {
-	w.note(Record{What: "world"})
+func (f callback) execute(w *World) {
+	w.record(Record{What: "world"})
 	f()
 }
 
 // Run lets the world go on for d. It ends early, with the error, once Fail was called.
 func (w *World) Run(d time.Duration) error {
 	until := w.now + d
-	for w.failed == nil && len(w.queue.heap) > 0 && w.queue.heap[0].at <= until {
+	for w.failure == nil && len(w.queue.heap) > 0 && w.queue.heap[0].at <= until {
 		e := w.queue.pop()
 		w.now = e.at
-		w.events++
-		e.do.happen(w)
+		w.eventCount++
+		e.action.execute(w)
 	}
-	if w.failed == nil {
+	if w.failure == nil {
 		w.now = until
 	}
-	return w.failed
+	return w.failure
 }
 
 // Fail stops the run: something that must never happen has happened. Only the first failure counts.
 func (w *World) Fail(err error) {
-	if w.failed == nil && err != nil {
-		w.failed = &Failure{Seed: w.seed, At: w.now, Err: err, Last: w.recent.list()}
+	if w.failure == nil && err != nil {
+		w.failure = &Failure{Seed: w.seed, At: w.now, Err: err, Last: w.recent.list()}
 	}
 }
 
@@ -141,8 +141,8 @@
 	return fmt.Sprintf("%12v %-8s %s -> %s port %d, %d bytes", r.At, r.What, name(r.From), name(r.To), r.Port, r.Size)
 }
 
-// note takes an event into the trace.
-func (w *World) note(r Record) {
+// record takes an event into the trace.
+func (w *World) record(r Record) {
 	r.At = w.now
 	w.recent.add(r)
 	var b [32]byte
@@ -157,26 +157,26 @@
 	}
 	binary.LittleEndian.PutUint16(b[26:], r.Port)
 	binary.LittleEndian.PutUint32(b[28:], uint32(r.Size))
-	_, _ = w.sum.Write(b[:]) // a hash takes all
+	_, _ = w.traceHash.Write(b[:]) // a hash takes all
 }
 
 // Note takes something that a model on top of the world wants in its trace.
 func (w *World) Note(what string, from, to *Host, size int) {
-	w.note(Record{What: what, From: from, To: to, Size: size})
+	w.record(Record{What: what, From: from, To: to, Size: size})
 }
 
-// recent keeps the last records in a ring.
-type recent struct {
+// recentRecords keeps the last records in a ring.
+type recentRecords struct {
 	ring [64]Record
 	n    int
 }
 
-func (r *recent) add(rec Record) {
+func (r *recentRecords) add(rec Record) {
 	r.ring[r.n%len(r.ring)] = rec
 	r.n++
 }
 
-func (r *recent) list() []Record {
+func (r *recentRecords) list() []Record {
 	var list []Record
 	for i := max(r.n-len(r.ring), 0); i < r.n; i++ {
 		list = append(list, r.ring[i%len(r.ring)])
