--- a/internal/lab/owners/hard_test.go
+++ b/internal/lab/owners/hard_test.go
@@ -210,14 +210,14 @@
 	}
 	d := x.host.Disk("keeper")
 	f := d.Faults()
-	f.Refuses = true
+	f.WritesBlocked = true
 	d.SetFaults(f)
 	r.must(t, 10*time.Second)
 	if x.node.Keeper().Stopped() != nil || x.node.Keeper().Leading() || r.owner() == nil {
 		t.Fatalf("the keeper whose disk refuses: ended %v, leads %v; owner %v", x.node.Keeper().Stopped(), x.node.Keeper().Leading(), r.owner())
 	}
 	before := x.node.Keeper().State().Applied
-	f.Refuses = false
+	f.WritesBlocked = false
 	d.SetFaults(f)
 	r.must(t, 10*time.Second)
 	if k := x.node.Keeper(); k.Stopped() != nil || k.Leader() == 0 || k.State().Applied <= before {
@@ -238,13 +238,13 @@
 	}
 	d := x.host.Disk("keeper")
 	f := d.Faults()
-	f.Full = len(d.Contents()) + 100
+	f.Capacity = len(d.Contents()) + 100
 	d.SetFaults(f)
 	r.must(t, 10*time.Second)
 	if x.node.Keeper().Stopped() == nil || r.owner() == nil {
 		t.Fatalf("the keeper with a full disk: %v; owner %v", x.node.Keeper().Stopped(), r.owner())
 	}
-	f.Full = 0
+	f.Capacity = 0
 	d.SetFaults(f)
 	x.kill()
 	x.lost = false
--- a/internal/vnet/disk.go
+++ b/internal/vnet/disk.go
@@ -31,8 +31,8 @@
 	Torn          float64       // part of the kills that leave a part of an unsynced write, 0 to 1
 	Scrambled     float64       // part of these in which an earlier part of the write is missing, and a later one there
 	FailSync      bool          // each sync fails from now on
-	Refuses       bool          // nothing is written for now: writes wait, as keeper.File has them wait, until this is over
-	Full          int           // bytes that it holds at the most; 0: without end
+	WritesBlocked bool          // nothing is written for now: writes wait, as keeper.File has them wait, until this is over
+	Capacity      int           // bytes that it holds at the most; 0: without end
 }
 
 // The errors of a Disk.
@@ -105,7 +105,7 @@
 const blockedRetryInterval = 100 * time.Millisecond
 
 func (d *Disk) finish() {
-	if d.faults.Refuses {
+	if d.faults.WritesBlocked {
 		life := d.host.incarnation
 		d.host.world.After(blockedRetryInterval, func() {
 			if life == d.host.incarnation {
@@ -121,7 +121,7 @@
 	switch size := len(w.data); {
 	case d.faults.FailSync:
 		err = ErrSync
-	case d.faults.Full > 0 && (w.replace && size > d.faults.Full || !w.replace && len(d.durable)+size > d.faults.Full):
+	case d.faults.Capacity > 0 && (w.replace && size > d.faults.Capacity || !w.replace && len(d.durable)+size > d.faults.Capacity):
 		err = ErrFull
 	case w.replace:
 		d.durable = w.data
