--- a/cmd/ospreylab/owner.go
+++ b/cmd/ospreylab/owner.go
@@ -82,8 +82,8 @@
 		return err
 	}
 	err = r.InjectFaults(span)
-	fmt.Fprintln(a.out, r.Count)
-	if err != nil && r.Count.StaleAccepted+r.Count.Overlaps > 0 {
+	fmt.Fprintln(a.out, r.Counts)
+	if err != nil && r.Counts.StaleAccepted+r.Counts.Overlaps > 0 {
 		return broken{fmt.Errorf("seed %d: %w", o.Seed, err)}
 	}
 	return err
--- a/internal/rig/calm.go
+++ b/internal/rig/calm.go
@@ -26,10 +26,10 @@
 	r.changeList(change)
 	never := func() bool { return false }
 	r.waitUntil(settle, never)
-	datagrams, bytes := r.Count.Datagrams, r.Count.Bytes
+	datagrams, bytes := r.Counts.Datagrams, r.Counts.Bytes
 	begin := time.Now()
 	r.waitUntil(window, never)
 	return Traffic{
-		Processes: len(r.procs), Window: time.Since(begin), Datagrams: r.Count.Datagrams - datagrams, Bytes: r.Count.Bytes - bytes,
+		Processes: len(r.procs), Window: time.Since(begin), Datagrams: r.Counts.Datagrams - datagrams, Bytes: r.Counts.Bytes - bytes,
 	}, r.failed
 }
--- a/internal/rig/play.go
+++ b/internal/rig/play.go
@@ -24,7 +24,7 @@
 	for !over && r.failed == nil {
 		r.faultRound()
 	}
-	if r.failed == nil && r.Count.HandOvers == 0 {
+	if r.failed == nil && r.Counts.HandOvers == 0 {
 		r.fail(errNoHandOver)
 	}
 	r.heal()
@@ -43,11 +43,11 @@
 		return o != nil && r.holdsAnnouncementOf(o)
 	}
 	if !r.waitUntil(waitTimeout, spoken) {
-		r.Count.TimedOut++
+		r.Counts.TimedOut++
 		r.heal()
 		return
 	}
-	r.Count.Rounds++
+	r.Counts.Rounds++
 	x := r.owner()
 	token := x.ownedTokens[duty]
 	kept := r.heldCopies()
@@ -55,11 +55,11 @@
 	var undo func()
 	switch d := r.rng.Float64(); {
 	case d < 0.45:
-		r.Count.Stops++
+		r.Counts.Stops++
 		x.stop()
 		undo = x.resume
 	case d < 0.70:
-		r.Count.Kills++
+		r.Counts.Kills++
 		x.kill()
 		undo = func() {
 			if err := r.start(x); err != nil {
@@ -67,17 +67,17 @@
 			}
 		}
 	case d < 0.85:
-		r.Count.InboundCuts++
+		r.Counts.InboundCuts++
 		l.dropInbound = true
 		undo = func() { l.dropInbound = false }
 	default:
-		r.Count.OutboundCuts++
+		r.Counts.OutboundCuts++
 		l.dropOutbound = true
 		undo = func() { l.dropOutbound = false }
 	}
 	r.injectSecondFault(x)
 	if !r.waitUntil(waitTimeout, func() bool { o := r.owner(); return o != nil && o.ownedTokens[duty] > token }) {
-		r.Count.TimedOut++
+		r.Counts.TimedOut++
 	}
 	r.sendHeld(kept)
 	undo()
@@ -110,10 +110,10 @@
 	}
 	switch d := r.rng.Float64(); {
 	case d < 0.4:
-		r.Count.Stops++
+		r.Counts.Stops++
 		p.stop()
 	case d < 0.7:
-		r.Count.Kills++
+		r.Counts.Kills++
 		p.kill()
 	}
 }
@@ -133,17 +133,17 @@
 
 // MassKillResult is what a mass kill took.
 type MassKillResult struct {
-	Processes, Killed int
-	Agreed, Again     time.Duration // from the start, and from the kill, until all live ones had a word of one owner
-	Datagrams         int           // between them, in a calm second, each
-	MemoryKB          int           // resident, of all processes that live, each
-	CPU               float64       // part of a core that each uses in calm, in thousandths
+	Processes, Killed                 int
+	StartConvergence, KillConvergence time.Duration // from the start, and from the kill, until all live ones had a word of one owner
+	Datagrams                         int           // between them, in a calm second, each
+	MemoryKB                          int           // resident, of all processes that live, each
+	CPU                               float64       // part of a core that each uses in calm, in thousandths
 }
 
 func (m MassKillResult) String() string {
 	return fmt.Sprintf("%d processes agreed %v after the start; %d were killed, and all agreed again after %v; in calm %d datagrams "+
-		"a second, %d KB resident and %.1f thousandths of a core for each", m.Processes, m.Agreed.Round(10*time.Millisecond), m.Killed,
-		m.Again.Round(10*time.Millisecond), m.Datagrams, m.MemoryKB, m.CPU)
+		"a second, %d KB resident and %.1f thousandths of a core for each", m.Processes, m.StartConvergence.Round(10*time.Millisecond), m.Killed,
+		m.KillConvergence.Round(10*time.Millisecond), m.Datagrams, m.MemoryKB, m.CPU)
 }
 
 // MassKill starts all, waits until they agree, kills part of them at once, starts those again 0.7 s later and waits until all
@@ -159,18 +159,18 @@
 	if !r.waitUntil(most, r.agreed) {
 		return m, r.firstError(fmt.Errorf("rig: no agreement within %v", most))
 	}
-	m.Agreed = time.Since(begin)
+	m.StartConvergence = time.Since(begin)
 	r.waitUntil(20*time.Second, func() bool { return false }) // until the news of the start has been told
-	before, ticks := r.Count.Datagrams, r.cpuTicks()
+	before, ticks := r.Counts.Datagrams, r.cpuTicks()
 	r.waitUntil(5*time.Second, func() bool { return false })
 	m.CPU = float64(r.cpuTicks()-ticks) * 10 / 5 / float64(len(r.procs)) // a tick is 10 ms
-	m.Datagrams = (r.Count.Datagrams - before) / 5 / len(r.procs)
+	m.Datagrams = (r.Counts.Datagrams - before) / 5 / len(r.procs)
 	m.MemoryKB = r.residentKB() / len(r.procs)
 	begin = time.Now()
 	for _, p := range r.procs {
 		if r.rng.Float64() < part {
 			m.Killed++
-			r.Count.Kills++
+			r.Counts.Kills++
 			p.kill()
 			p.lastToken = 0
 			r.after(700*time.Millisecond, func() {
@@ -184,7 +184,7 @@
 	if !r.waitUntil(most, r.agreed) {
 		return m, r.firstError(fmt.Errorf("rig: no agreement within %v of the kill", most))
 	}
-	m.Again = time.Since(begin)
+	m.KillConvergence = time.Since(begin)
 	return m, r.failed
 }
 
--- a/internal/rig/proc.go
+++ b/internal/rig/proc.go
@@ -136,7 +136,7 @@
 			var n uint64
 			if _, err := fmt.Sscanf(f, "words-stale-refused=%d", &n); err == nil {
 				p.staleRefused = n
-				p.rig.Count.StaleRefused += int(n)
+				p.rig.Counts.StaleRefused += int(n)
 			}
 		}
 	}
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -69,7 +69,7 @@
 	latestToken     uint64
 	tokenHolders    map[uint64]string // lives by token
 	acceptedTokens  map[string]uint64 // latest token by process name and duty, over all its lives
-	Count           Counts
+	Counts          Counts
 }
 
 // link is a process's public socket: what the others send to it comes in here, and what it sends goes out of it.
@@ -108,7 +108,7 @@
 		options: o, loop: loop, rng: rand.New(rand.NewPCG(o.Seed, 1)), byListen: make(map[netip.AddrPort]*proc),
 		registry: fleet.NewRegistry(), tokenHolders: make(map[uint64]string), acceptedTokens: make(map[string]uint64),
 	}
-	r.Count.Processes = o.Processes
+	r.Counts.Processes = o.Processes
 	r.ledger = fleet.NewLedger(loop.Now(), time.Hour, []fleet.Class{{Name: "readings"}, {Name: "status"}})
 	if err := r.claimSubnet(); err != nil {
 		r.Close()
@@ -220,25 +220,25 @@
 	case "fleet: own":
 		life := fmt.Sprintf("%s, life %d", p.name, p.incarnation)
 		if had := r.tokenHolders[l.Token]; had != "" && had != life {
-			r.Count.Overlaps++
+			r.Counts.Overlaps++
 			r.fail(fmt.Errorf("token %d was given to %s and to %s", l.Token, had, life))
 		}
 		r.tokenHolders[l.Token] = life
 		p.ownedTokens[l.Duty] = l.Token
-		r.Count.Grants++
+		r.Counts.Grants++
 		if l.Duty == duty && l.Token > r.latestToken {
 			if r.latestToken > 0 {
-				r.Count.HandOvers++
+				r.Counts.HandOvers++
 			}
 			r.latestToken = l.Token
 		}
 	case "fleet: lost":
 		delete(p.ownedTokens, l.Duty)
 	case "fleet: word":
-		r.Count.Announcements++
+		r.Counts.Announcements++
 		at := p.name + " " + l.Duty
 		if l.Token < r.acceptedTokens[at] {
-			r.Count.StaleAccepted++
+			r.Counts.StaleAccepted++
 			r.fail(fmt.Errorf("%s took an effect of token %d after one of token %d, duty %s", p.name, l.Token, r.acceptedTokens[at], l.Duty))
 		}
 		r.acceptedTokens[at] = l.Token
@@ -267,27 +267,27 @@
 
 // forward leads one datagram over a link, with what the link does to it.
 func (r *Rig) forward(from, to *link, data []byte) {
-	r.Count.Datagrams++
-	r.Count.Bytes += len(data)
+	r.Counts.Datagrams++
+	r.Counts.Bytes += len(data)
 	mark, isWord := mesh.PeekAnnouncementID(data, cluster)
 	if isWord && mark.Lease == duty {
 		r.hold(from, to, mark, data)
 	}
 	if from.dropOutbound || to.dropInbound {
-		r.Count.CutAway++
+		r.Counts.CutAway++
 		return
 	}
 	if !r.lossless {
 		switch d := r.rng.Float64(); {
 		case d < 0.02:
-			r.Count.Dropped++
+			r.Counts.Dropped++
 			return
 		case d < 0.04:
-			r.Count.Delayed++
+			r.Counts.Delayed++
 			r.after(time.Duration(r.rng.IntN(1500))*time.Millisecond, func() { r.deliver(from, to, data) })
 			return
 		case d < 0.06:
-			r.Count.Duplicated++
+			r.Counts.Duplicated++
 			r.after(time.Duration(r.rng.IntN(3000))*time.Millisecond, func() { r.deliver(from, to, data) })
 		}
 	}
@@ -299,7 +299,7 @@
 		return
 	}
 	if m, ok := mesh.PeekAnnouncementID(data, cluster); ok && m.Lease == duty && m.Token < r.latestToken {
-		r.Count.StaleSent++
+		r.Counts.StaleSent++
 	}
 	_ = from.sock.Send(data, to.p.listen) // nobody may be there
 }
@@ -314,7 +314,7 @@
 	}
 	if len(to.held) < maxHeld {
 		to.held = append(to.held, heldAnnouncement{m, from, data})
-		r.Count.MaxHeld = max(r.Count.MaxHeld, len(to.held))
+		r.Counts.MaxHeld = max(r.Counts.MaxHeld, len(to.held))
 	}
 }
 
@@ -366,7 +366,7 @@
 
 func (r *Rig) start(p *proc) error {
 	if p.cmd == nil {
-		r.Count.Starts++
+		r.Counts.Starts++
 	}
 	return p.start()
 }
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -28,11 +28,11 @@
 	}
 	defer r.Close()
 	err = r.InjectFaults(15 * time.Second)
-	t.Log(r.Count)
+	t.Log(r.Counts)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Count.StaleSent == 0 {
+	if r.Counts.StaleSent == 0 {
 		t.Error("no stale effect was sent: the run shows nothing")
 	}
 }
@@ -168,14 +168,14 @@
 	if word(p, 4); r.failed != nil {
 		t.Fatal(r.failed)
 	}
-	if word(p, 3); r.failed == nil || r.Count.StaleAccepted != 1 {
+	if word(p, 3); r.failed == nil || r.Counts.StaleAccepted != 1 {
 		t.Error("a stale effect passes")
 	}
 	r = judge()
 	p.rig, q.rig = r, r
 	r.handleLogEntry(p, &logEntry{Message: "fleet: own", Duty: duty, Token: 5})
 	r.handleLogEntry(q, &logEntry{Message: "fleet: own", Duty: duty, Token: 5})
-	if r.failed == nil || r.Count.Overlaps != 1 {
+	if r.failed == nil || r.Counts.Overlaps != 1 {
 		t.Error("two owners of one token pass")
 	}
 }
