--- a/internal/rig/play.go
+++ b/internal/rig/play.go
@@ -38,31 +38,31 @@
 }
 
 func (r *Rig) faultRound() {
-	spoken := func() bool {
+	announced := func() bool {
 		o := r.owner()
 		return o != nil && r.holdsAnnouncementOf(o)
 	}
-	if !r.waitUntil(waitTimeout, spoken) {
+	if !r.waitUntil(waitTimeout, announced) {
 		r.Counts.TimedOut++
 		r.heal()
 		return
 	}
 	r.Counts.Rounds++
-	x := r.owner()
-	token := x.ownedTokens[duty]
-	kept := r.heldCopies()
-	l := r.links[x.index]
+	victim := r.owner()
+	token := victim.ownedTokens[duty]
+	copies := r.heldCopies()
+	l := r.links[victim.index]
 	var undo func()
 	switch d := r.rng.Float64(); {
 	case d < 0.45:
 		r.Counts.Stops++
-		x.stop()
-		undo = x.resume
+		victim.stop()
+		undo = victim.resume
 	case d < 0.70:
 		r.Counts.Kills++
-		x.kill()
+		victim.kill()
 		undo = func() {
-			if err := r.start(x); err != nil {
+			if err := r.start(victim); err != nil {
 				r.fail(err)
 			}
 		}
@@ -75,13 +75,13 @@
 		l.dropOutbound = true
 		undo = func() { l.dropOutbound = false }
 	}
-	r.injectSecondFault(x)
+	r.injectSecondFault(victim)
 	if !r.waitUntil(waitTimeout, func() bool { o := r.owner(); return o != nil && o.ownedTokens[duty] > token }) {
 		r.Counts.TimedOut++
 	}
-	r.sendHeld(kept)
+	r.sendHeld(copies)
 	undo()
-	r.sendHeld(kept)
+	r.sendHeld(copies)
 	r.waitUntil(time.Duration(200+r.rng.IntN(600))*time.Millisecond, func() bool { return false })
 	r.heal()
 }
@@ -97,15 +97,15 @@
 }
 
 // injectSecondFault throws a fault at another process too: one keeper at the most, so that a majority is left.
-func (r *Rig) injectSecondFault(x *proc) {
+func (r *Rig) injectSecondFault(firstVictim *proc) {
 	p := r.procs[r.rng.IntN(len(r.procs))]
-	lost := 0
-	for _, q := range []*proc{p, x} {
+	affectedKeepers := 0
+	for _, q := range []*proc{p, firstVictim} {
 		if q.index < r.options.Keepers {
-			lost++
+			affectedKeepers++
 		}
 	}
-	if p == x || lost > r.options.Keepers/2 {
+	if p == firstVictim || affectedKeepers > r.options.Keepers/2 {
 		return
 	}
 	switch d := r.rng.Float64(); {
@@ -148,7 +148,7 @@
 
 // MassKill starts all, waits until they agree, kills part of them at once, starts those again 0.7 s later and waits until all
 // agree again.
-func (r *Rig) MassKill(part float64, most time.Duration) (MassKillResult, error) {
+func (r *Rig) MassKill(share float64, timeout time.Duration) (MassKillResult, error) {
 	r.lossless = true
 	m := MassKillResult{Processes: len(r.procs)}
 	begin := time.Now()
@@ -156,8 +156,8 @@
 		return m, err
 	}
 	r.changeList(500 * time.Millisecond)
-	if !r.waitUntil(most, r.agreed) {
-		return m, r.firstError(fmt.Errorf("rig: no agreement within %v", most))
+	if !r.waitUntil(timeout, r.agreed) {
+		return m, r.firstError(fmt.Errorf("rig: no agreement within %v", timeout))
 	}
 	m.StartConvergence = time.Since(begin)
 	r.waitUntil(20*time.Second, func() bool { return false }) // until the news of the start has been told
@@ -168,7 +168,7 @@
 	m.MemoryKB = r.residentKB() / len(r.procs)
 	begin = time.Now()
 	for _, p := range r.procs {
-		if r.rng.Float64() < part {
+		if r.rng.Float64() < share {
 			m.Killed++
 			r.Counts.Kills++
 			p.kill()
@@ -181,8 +181,8 @@
 		}
 	}
 	r.waitUntil(time.Second, func() bool { return false })
-	if !r.waitUntil(most, r.agreed) {
-		return m, r.firstError(fmt.Errorf("rig: no agreement within %v of the kill", most))
+	if !r.waitUntil(timeout, r.agreed) {
+		return m, r.firstError(fmt.Errorf("rig: no agreement within %v of the kill", timeout))
 	}
 	m.KillConvergence = time.Since(begin)
 	return m, r.failed
@@ -211,7 +211,7 @@
 
 // residentKB adds up what the live processes have resident, in KB.
 func (r *Rig) residentKB() int {
-	all := 0
+	totalKB := 0
 	for _, p := range r.procs {
 		if p.cmd == nil {
 			continue
@@ -220,19 +220,19 @@
 		if err != nil {
 			continue
 		}
-		for l := range strings.Lines(string(text)) {
+		for line := range strings.Lines(string(text)) {
 			var kb int
-			if _, err := fmt.Sscanf(l, "VmRSS: %d kB", &kb); err == nil {
-				all += kb
+			if _, err := fmt.Sscanf(line, "VmRSS: %d kB", &kb); err == nil {
+				totalKB += kb
 			}
 		}
 	}
-	return all
+	return totalKB
 }
 
 // cpuTicks adds up the processor time of the live processes, in hundredths of a second.
 func (r *Rig) cpuTicks() int {
-	all := 0
+	totalTicks := 0
 	for _, p := range r.procs {
 		if p.cmd == nil {
 			continue
@@ -246,10 +246,10 @@
 			n := 0
 			if i < len(fields) {
 				if _, err := fmt.Sscan(fields[i], &n); err == nil {
-					all += n
+					totalTicks += n
 				}
 			}
 		}
 	}
-	return all
+	return totalTicks
 }
--- a/internal/rig/proc.go
+++ b/internal/rig/proc.go
@@ -60,10 +60,10 @@
 	if r.options.Verdicts {
 		verdicts = "[verdicts]\n"
 	}
-	own := fmt.Sprintf("[fleet]\ncluster = %s\nlisten = %s\nadvertise = %s\nseeds = %s\n[keepers]\nmembers = %s\ndir = %s\nlease = %v\nmargin = %v\n"+
+	operatorConfig := fmt.Sprintf("[fleet]\ncluster = %s\nlisten = %s\nadvertise = %s\nseeds = %s\n[keepers]\nmembers = %s\ndir = %s\nlease = %v\nmargin = %v\n"+
 		"[duties]\ntake = discovery, probes, moves\n[moves]\nper_second = 50\n[discovery]\nsame_addresses = true\n[log]\nformat = json\n%s",
 		cluster, p.listen, p.advertised, strings.Join(seeds, ", "), strings.Join(members, ", "), filepath.Join(p.dir, fmt.Sprint("keeper-", r.keeperNumber(p.index))), r.options.Lease, r.options.Lease/20, verdicts)
-	conf, err := json.Marshal(map[string]any{
+	platformConfig, err := json.Marshal(map[string]any{
 		"name": p.name, "listen": netip.AddrPortFrom(p.addr(1), 18440).String(), "discovery": r.discovery.Addr().String(),
 		"seed": fmt.Sprintf("%x", r.rng.Uint64()), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 512},
 		"known": map[string]any{"seq": 0, "whole": true, "hosts": []any{}}, "settings": Settings(len(r.procs)),
@@ -71,10 +71,10 @@
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(p.dir, "own.ini"), []byte(own), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(p.dir, "own.ini"), []byte(operatorConfig), 0o644); err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(p.dir, "config.json"), conf, 0o644)
+	return os.WriteFile(filepath.Join(p.dir, "config.json"), platformConfig, 0o644)
 }
 
 func (p *proc) command(args ...string) *exec.Cmd {
@@ -126,9 +126,9 @@
 	if len(p.logTail) > 20 {
 		p.logTail = p.logTail[1:]
 	}
-	var l logEntry
-	if json.Unmarshal([]byte(text), &l) == nil {
-		p.rig.handleLogEntry(p, &l)
+	var entry logEntry
+	if json.Unmarshal([]byte(text), &entry) == nil {
+		p.rig.handleLogEntry(p, &entry)
 		return
 	}
 	if rest, ok := strings.CutPrefix(text, "fleet:"); ok {
@@ -178,7 +178,7 @@
 }
 
 // terminate asks all to stop as planned, which prints their counters, and waits for at most so long.
-func (r *Rig) terminate(wait time.Duration) {
+func (r *Rig) terminate(timeout time.Duration) {
 	r.closing = true
 	var ended []chan struct{}
 	for _, p := range r.procs {
@@ -188,7 +188,7 @@
 			p.cmd = nil // its end is wanted now
 			_ = c.Process.Signal(syscall.SIGTERM)
 			ended = append(ended, p.exited)
-			r.after(wait, func() { _ = c.Process.Kill() })
+			r.after(timeout, func() { _ = c.Process.Kill() })
 		}
 	}
 	for _, e := range ended {
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -74,7 +74,7 @@
 
 // link is a process's public socket: what the others send to it comes in here, and what it sends goes out of it.
 type link struct {
-	p            *proc
+	proc         *proc
 	sock         *poll.UDPSocket
 	dropInbound  bool // what comes in is lost
 	dropOutbound bool // what it sends is lost
@@ -122,7 +122,7 @@
 		p.listen, p.advertised = netip.AddrPortFrom(p.addr(1), meshPort), netip.AddrPortFrom(p.addr(2), meshPort)
 		r.procs = append(r.procs, p)
 		r.byListen[p.listen] = p
-		l := &link{p: p}
+		l := &link{proc: p}
 		if l.sock, err = loop.OpenUDP(p.advertised, l); err != nil {
 			r.Close()
 			return nil, fmt.Errorf("rig: %w", err)
@@ -190,17 +190,17 @@
 }
 
 // waitUntil turns the loop waitUntil a condition holds, an error has happened or the time is up, and tells whether it holds.
-func (r *Rig) waitUntil(most time.Duration, holds func() bool) bool {
+func (r *Rig) waitUntil(timeout time.Duration, condition func() bool) bool {
 	over := false
 	t := &poll.Timer{Fire: func() { over = true }}
-	r.loop.After(t, most)
+	r.loop.After(t, timeout)
 	defer r.loop.Disarm(t)
-	for !over && r.failed == nil && !holds() {
+	for !over && r.failed == nil && !condition() {
 		if err := r.loop.Turn(true); err != nil {
 			r.fail(err)
 		}
 	}
-	return holds()
+	return condition()
 }
 
 // changeList changes a target's health every now and then, so that owners have something to say.
@@ -215,42 +215,42 @@
 }
 
 // handleLogEntry takes a line of a process's log: the receivers' own word for what they took.
-func (r *Rig) handleLogEntry(p *proc, l *logEntry) {
-	switch l.Message {
+func (r *Rig) handleLogEntry(p *proc, entry *logEntry) {
+	switch entry.Message {
 	case "fleet: own":
 		life := fmt.Sprintf("%s, life %d", p.name, p.incarnation)
-		if had := r.tokenHolders[l.Token]; had != "" && had != life {
+		if previous := r.tokenHolders[entry.Token]; previous != "" && previous != life {
 			r.Counts.Overlaps++
-			r.fail(fmt.Errorf("token %d was given to %s and to %s", l.Token, had, life))
+			r.fail(fmt.Errorf("token %d was given to %s and to %s", entry.Token, previous, life))
 		}
-		r.tokenHolders[l.Token] = life
-		p.ownedTokens[l.Duty] = l.Token
+		r.tokenHolders[entry.Token] = life
+		p.ownedTokens[entry.Duty] = entry.Token
 		r.Counts.Grants++
-		if l.Duty == duty && l.Token > r.latestToken {
+		if entry.Duty == duty && entry.Token > r.latestToken {
 			if r.latestToken > 0 {
 				r.Counts.HandOvers++
 			}
-			r.latestToken = l.Token
+			r.latestToken = entry.Token
 		}
 	case "fleet: lost":
-		delete(p.ownedTokens, l.Duty)
+		delete(p.ownedTokens, entry.Duty)
 	case "fleet: word":
 		r.Counts.Announcements++
-		at := p.name + " " + l.Duty
-		if l.Token < r.acceptedTokens[at] {
+		key := p.name + " " + entry.Duty
+		if entry.Token < r.acceptedTokens[key] {
 			r.Counts.StaleAccepted++
-			r.fail(fmt.Errorf("%s took an effect of token %d after one of token %d, duty %s", p.name, l.Token, r.acceptedTokens[at], l.Duty))
+			r.fail(fmt.Errorf("%s took an effect of token %d after one of token %d, duty %s", p.name, entry.Token, r.acceptedTokens[key], entry.Duty))
 		}
-		r.acceptedTokens[at] = l.Token
-		if l.Duty == duty {
-			p.lastToken = l.Token
+		r.acceptedTokens[key] = entry.Token
+		if entry.Duty == duty {
+			p.lastToken = entry.Token
 		}
 	}
 }
 
 // Ready passes on what the others sent to the link's process.
 func (l *link) Ready(poll.Ready) {
-	r := l.p.rig
+	r := l.proc.rig
 	var buf [2048]byte
 	for range 64 {
 		n, from, err := l.sock.Receive(buf[:])
@@ -269,9 +269,9 @@
 func (r *Rig) forward(from, to *link, data []byte) {
 	r.Counts.Datagrams++
 	r.Counts.Bytes += len(data)
-	mark, isWord := mesh.PeekAnnouncementID(data, cluster)
-	if isWord && mark.Lease == duty {
-		r.hold(from, to, mark, data)
+	id, isAnnouncement := mesh.PeekAnnouncementID(data, cluster)
+	if isAnnouncement && id.Lease == duty {
+		r.hold(from, to, id, data)
 	}
 	if from.dropOutbound || to.dropInbound {
 		r.Counts.CutAway++
@@ -301,7 +301,7 @@
 	if m, ok := mesh.PeekAnnouncementID(data, cluster); ok && m.Lease == duty && m.Token < r.latestToken {
 		r.Counts.StaleSent++
 	}
-	_ = from.sock.Send(data, to.p.listen) // nobody may be there
+	_ = from.sock.Send(data, to.proc.listen) // nobody may be there
 }
 
 // maxHeld is how many words a link keeps for later.
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -21,7 +21,7 @@
 
 // Twelve real processes with five keepers: stopped, killed, deaf and mute owners, and links that lose, delay, repeat and hold
 // what a former owner said until a later one has spoken. Whatever the machine's speed, no receiver may take it.
-func TestRealProcessesTakeNoStaleEffect(t *testing.T) {
+func TestRealProcessesAcceptNoStaleAnnouncement(t *testing.T) {
 	r, err := New(Options{Program: buildProgram(t), Dir: t.TempDir(), Processes: 12, Keepers: 5, Seed: 1, Lease: 800 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
@@ -63,10 +63,10 @@
 	if err := p.start(); err != nil {
 		t.Fatal(err)
 	}
-	none := func() bool {
+	notKeeper := func() bool {
 		return strings.Contains(strings.Join(p.logTail, "\n"), "this process is no keeper until")
 	}
-	if !r.waitUntil(time.Minute, none) || !r.waitUntil(time.Minute, r.agreed) {
+	if !r.waitUntil(time.Minute, notKeeper) || !r.waitUntil(time.Minute, r.agreed) {
 		t.Errorf("its log: %s", strings.Join(p.logTail, "\n"))
 	}
 }
@@ -154,24 +154,24 @@
 }
 
 // The judge finds what must never happen in what receivers say.
-func TestJudgeFindsHarm(t *testing.T) {
-	judge := func() *Rig {
+func TestInvariantViolationsAreDetected(t *testing.T) {
+	newRig := func() *Rig {
 		return &Rig{tokenHolders: make(map[uint64]string), acceptedTokens: make(map[string]uint64)}
 	}
-	r := judge()
+	r := newRig()
 	p, q := &proc{rig: r, name: "p", incarnation: 1, ownedTokens: make(map[string]uint64)}, &proc{rig: r, name: "q", incarnation: 1, ownedTokens: make(map[string]uint64)}
-	word := func(p *proc, token uint64) {
+	logAnnouncement := func(p *proc, token uint64) {
 		r.handleLogEntry(p, &logEntry{Message: "fleet: word", Duty: duty, Token: token})
 	}
-	word(p, 4)
+	logAnnouncement(p, 4)
 	p.incarnation++ // a restart is no excuse
-	if word(p, 4); r.failed != nil {
+	if logAnnouncement(p, 4); r.failed != nil {
 		t.Fatal(r.failed)
 	}
-	if word(p, 3); r.failed == nil || r.Counts.StaleAccepted != 1 {
+	if logAnnouncement(p, 3); r.failed == nil || r.Counts.StaleAccepted != 1 {
 		t.Error("a stale effect passes")
 	}
-	r = judge()
+	r = newRig()
 	p.rig, q.rig = r, r
 	r.handleLogEntry(p, &logEntry{Message: "fleet: own", Duty: duty, Token: 5})
 	r.handleLogEntry(q, &logEntry{Message: "fleet: own", Duty: duty, Token: 5})
--- a/internal/vnet/disk.go
+++ b/internal/vnet/disk.go
@@ -89,12 +89,12 @@
 		return
 	}
 	d.busy = true
-	took := d.faults.Delay
+	duration := d.faults.Delay
 	if d.faults.Jitter > 0 {
-		took += time.Duration(d.rng.Int64N(int64(d.faults.Jitter) + 1))
+		duration += time.Duration(d.rng.Int64N(int64(d.faults.Jitter) + 1))
 	}
 	life := d.host.incarnation
-	d.host.world.After(took, func() {
+	d.host.world.After(duration, func() {
 		if life == d.host.incarnation {
 			d.finish()
 		}
--- a/internal/vnet/host.go
+++ b/internal/vnet/host.go
@@ -68,7 +68,7 @@
 type watch struct {
 	host       *Host
 	slot, gen  int32
-	want       poll.Interest
+	interest   poll.Interest
 	registered bool // it is under Wait
 	queued     bool // it is in the host's ready list
 }
@@ -161,16 +161,16 @@
 }
 
 // abort ends the process; tell has its peers hear of it.
-func (h *Host) abort(tell bool) {
+func (h *Host) abort(notifyPeers bool) {
 	h.step = nil
 	h.incarnation++
 	for _, f := range h.files {
 		switch f := f.(type) {
 		case *end:
-			f.resetOnClose, f.silent = true, !tell
+			f.resetOnClose, f.silent = true, !notifyPeers
 		case *listener:
 			for _, e := range f.queue {
-				e.silent = !tell
+				e.silent = !notifyPeers
 			}
 		}
 		if f != nil {
@@ -342,7 +342,7 @@
 // notify has the process look at a descriptor whose state may have changed.
 func (a *watch) notify(f file) {
 	h := a.host
-	if !a.registered || a.queued || !wanted(f.state(), a.want) {
+	if !a.registered || a.queued || !wanted(f.state(), a.interest) {
 		return
 	}
 	a.queued = true
--- a/internal/vnet/kernel.go
+++ b/internal/vnet/kernel.go
@@ -40,7 +40,7 @@
 }
 
 // Wait never waits: what is not ready now makes the host run again later.
-func (k *kernel) Wait(events []poll.Event, most time.Duration) (int, error) {
+func (k *kernel) Wait(events []poll.Event, timeout time.Duration) (int, error) {
 	h := k.host
 	if k.ended() {
 		return 0, ErrExit
@@ -52,34 +52,34 @@
 		n++
 	}
 	// Readiness lasts until it is used: what is told stays in the list, behind what has not been told yet.
-	looked := min(len(h.ready), len(events)-n)
-	for _, f := range h.ready[:looked] {
+	examined := min(len(h.ready), len(events)-n)
+	for _, f := range h.ready[:examined] {
 		a := f.watch()
 		a.queued = false
 		if !a.registered {
 			continue
 		}
 		r := f.state()
-		if !wanted(r, a.want) {
+		if !wanted(r, a.interest) {
 			continue
 		}
 		events[n] = poll.Event{Slot: a.slot, Gen: a.gen, Ready: poll.Ready{
-			Read:   r.Read && a.want&poll.WantRead != 0 || r.Hangup,
-			Write:  r.Write && a.want&poll.WantWrite != 0 || r.Hangup,
+			Read:   r.Read && a.interest&poll.WantRead != 0 || r.Hangup,
+			Write:  r.Write && a.interest&poll.WantWrite != 0 || r.Hangup,
 			Hangup: r.Hangup,
 		}}
 		n++
 		a.queued = true
 		h.ready = append(h.ready, f)
 	}
-	h.ready = append(h.ready[:0], h.ready[looked:]...)
+	h.ready = append(h.ready[:0], h.ready[examined:]...)
 	k.eventsReturned = n
-	if n > 0 || most == 0 {
+	if n > 0 || timeout == 0 {
 		return n, nil
 	}
 	h.blocked = true
-	if most > 0 { // epoll counts in whole milliseconds, rounded up
-		h.schedule(h.world.now + (most+time.Millisecond-1)/time.Millisecond*time.Millisecond)
+	if timeout > 0 { // epoll counts in whole milliseconds, rounded up
+		h.schedule(h.world.now + (timeout+time.Millisecond-1)/time.Millisecond*time.Millisecond)
 	}
 	return 0, nil
 }
@@ -102,13 +102,13 @@
 		return -1, fmt.Errorf("%w: %w", poll.ErrNoSocket, unix.EADDRNOTAVAIL)
 	}
 	w := h.world
-	far := w.byAddr[to.Addr()]
-	if far == nil {
+	remote := w.byAddr[to.Addr()]
+	if remote == nil {
 		return -1, unix.ENETUNREACH
 	}
 	w.connCount++
 	e := &end{
-		conn: &Conn{ID: w.connCount, Dialler: h, Listener: far, Port: to.Port()}, path: w.path(h, far),
+		conn: &Conn{ID: w.connCount, Dialler: h, Listener: remote, Port: to.Port()}, path: w.path(h, remote),
 		local: netip.AddrPortFrom(h.addr, h.nextPort()), remote: to,
 	}
 	e.watchState.host = h
@@ -227,7 +227,7 @@
 		return unix.EBADF
 	}
 	a := f.watch()
-	a.registered, a.want, a.slot, a.gen = true, want, slot, gen
+	a.registered, a.interest, a.slot, a.gen = true, want, slot, gen
 	a.notify(f)
 	return nil
 }
@@ -237,7 +237,7 @@
 	if f == nil {
 		return unix.EBADF
 	}
-	f.watch().want = want
+	f.watch().interest = want
 	f.watch().notify(f)
 	return nil
 }
--- a/internal/vnet/tcp.go
+++ b/internal/vnet/tcp.go
@@ -156,10 +156,10 @@
 		return
 	}
 	if e.path.delivers() && (s.kind != segSyn || e.acceptQueueHasRoom()) {
-		first := e.attempts > 0
+		retransmitted := e.attempts > 0
 		e.attempts = 0
 		s.arrive(w)
-		if first {
+		if retransmitted {
 			rest := e.waiting[1:]
 			e.waiting = nil
 			for _, s := range rest {
@@ -178,11 +178,11 @@
 	if e.attempts == 0 {
 		e.waiting = append([]*segment{s}, e.waiting...)
 	}
-	wait, most := minRTO, 15 // tries, as Linux has them for data
+	wait, maxAttempts := minRTO, 15 // tries, as Linux has them for data
 	if s.kind == segSyn {
-		wait, most = synRTO, 6
+		wait, maxAttempts = synRTO, 6
 	}
-	if e.attempts++; e.attempts > most {
+	if e.attempts++; e.attempts > maxAttempts {
 		e.attempts, e.waiting = 0, nil
 		e.fail(unix.ETIMEDOUT)
 		return
@@ -286,26 +286,26 @@
 }
 
 // DelayConnects has a part of the connections to the host, 0 to 1, come up later by up to most.
-func (h *Host) DelayConnects(part float64, most time.Duration) {
-	h.delayedConnectRatio, h.maxConnectDelay = part, most
+func (h *Host) DelayConnects(ratio float64, maxDelay time.Duration) {
+	h.delayedConnectRatio, h.maxConnectDelay = ratio, maxDelay
 }
 
 func (h *Host) answerSYN(e *end) {
 	l := h.listeners[e.conn.Port]
 	back := h.world.path(h, e.path.from)
-	s := &end{
+	synEnd := &end{
 		conn: e.conn, peer: e, path: back, local: e.remote, remote: e.local, phase: synReceived,
 		maxUnread: h.limits.SendBuffer + dialerReceiveBuffer,
 	}
-	s.incarnation = h.incarnation
-	e.peer = s
+	synEnd.incarnation = h.incarnation
+	e.peer = synEnd
 	if l == nil {
-		s.closed = true
-		s.send(segReset, nil)
+		synEnd.closed = true
+		synEnd.send(segReset, nil)
 		return
 	}
 	e.maxUnread = e.path.from.limits.SendBuffer + l.receive
-	s.send(segSynAck, nil)
+	synEnd.send(segSynAck, nil)
 }
 
 // dialerReceiveBuffer is what the dialler's machine keeps unread of a connection.
--- a/internal/vnet/udp.go
+++ b/internal/vnet/udp.go
@@ -50,8 +50,8 @@
 func (s *datagramSocket) send(p []byte, to netip.AddrPort) {
 	h := s.watch_.host
 	w := h.world
-	far := w.byAddr[to.Addr()]
-	if far == nil {
+	remote := w.byAddr[to.Addr()]
+	if remote == nil {
 		return // nobody is there, and nobody says so
 	}
 	data := append([]byte(nil), p...)
@@ -64,30 +64,30 @@
 		life := h.incarnation
 		w.After(h.stalledUntil-w.now, func() {
 			if life == h.incarnation {
-				s.transmit(far, to, data)
+				s.transmit(remote, to, data)
 			}
 		})
 		return
 	}
-	s.transmit(far, to, data)
+	s.transmit(remote, to, data)
 }
 
-func (s *datagramSocket) transmit(far *Host, to netip.AddrPort, data []byte) {
+func (s *datagramSocket) transmit(remote *Host, to netip.AddrPort, data []byte) {
 	h := s.watch_.host
 	w := h.world
-	path := w.path(h, far)
+	path := w.path(h, remote)
 	d, lost := path.transit(w.now, len(data))
 	var fate DatagramFault
 	if w.datagramFault != nil {
-		fate = w.datagramFault(h, far, len(data))
+		fate = w.datagramFault(h, remote, len(data))
 	}
 	if lost || fate.Drop {
-		w.record(Record{What: "dropped", From: h, To: far, Port: to.Port(), Size: len(data)})
+		w.record(Record{What: "dropped", From: h, To: remote, Port: to.Port(), Size: len(data)})
 		return
 	}
 	w.queue.push(w.now+d+fate.Delay, &datagram{path: path, from: s.local, to: to, data: data})
-	for _, again := range fate.Duplicates {
-		w.queue.push(w.now+d+again, &datagram{path: path, from: s.local, to: to, data: data})
+	for _, duplicateDelay := range fate.Duplicates {
+		w.queue.push(w.now+d+duplicateDelay, &datagram{path: path, from: s.local, to: to, data: data})
 	}
 }
 
--- a/internal/vnet/vnet_test.go
+++ b/internal/vnet/vnet_test.go
@@ -161,7 +161,7 @@
 
 // A process that dies resets its connections and refuses new ones; a machine that vanishes gives no sign, and its old
 // connections are reset once it is back.
-func TestDeath(t *testing.T) {
+func TestKillAndVanish(t *testing.T) {
 	w := New(1, delay(ms))
 	a, b := newMachine(t, w, "a", 1, Limits{}), newMachine(t, w, "b", 2, Limits{})
 	b.listen(80)
@@ -249,23 +249,23 @@
 	if again, _ := s.sock.Write(text); again != 0 {
 		t.Fatalf("wrote %d more", again)
 	}
-	told := false
+	reported := false
 	s.sock.SetHandler(readyFunc(func(r poll.Ready) {
 		if r.Write {
-			told = true
+			reported = true
 			s.sock.Want(false, false)
 		}
 	}))
 	s.sock.Want(false, true)
 	a.run(time.Second)
-	if told {
+	if reported {
 		t.Fatal("room was told of while nothing was read")
 	}
 	far.notReading = false
 	far.sock.Want(true, false)
 	a.run(time.Second)
-	if !told || len(far.received) != n {
-		t.Errorf("told of room: %v; %d of %d arrived", told, len(far.received), n)
+	if !reported || len(far.received) != n {
+		t.Errorf("told of room: %v; %d of %d arrived", reported, len(far.received), n)
 	}
 }
 
@@ -387,7 +387,7 @@
 
 // Whatever two processes do to a connection and whatever the network does to them, each reads what the other wrote, in
 // order, without a gap; and an undisturbed one reads all of it.
-func TestStreamsAreWhole(t *testing.T) {
+func TestStreamIntegrity(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		loss := rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(r, "loss")
 		w := New(rapid.Uint64().Draw(r, "seed"), func(_, _ *Host) Link {
--- a/internal/vnet/world.go
+++ b/internal/vnet/world.go
@@ -147,8 +147,8 @@
 	w.recent.add(r)
 	var b [32]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(r.At))
-	n := 8 + copy(b[8:16], r.What)
-	b[16], b[17] = 0, byte(n)
+	count := 8 + copy(b[8:16], r.What)
+	b[16], b[17] = 0, byte(count)
 	if r.From != nil {
 		binary.LittleEndian.PutUint32(b[18:], uint32(r.From.index+1))
 	}
