--- a/internal/rig/calm.go
+++ b/internal/rig/calm.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// Traffic is what the processes say to each other while nothing fails.
+// Traffic is what the processes send to each other while no fault is injected.
 type Traffic struct {
 	Processes int
-	Window    time.Duration // in which it was counted
+	Window    time.Duration // time over which the traffic was counted
 	Datagrams int
-	Bytes     int // without the headers of UDP and IP
+	Bytes     int // without UDP and IP headers
 }
 
-// PerProcessRate returns the datagrams and bytes that one process sends in a second, in the mean.
+// PerProcessRate returns the mean number of datagrams and bytes that one process sends per second.
 func (t Traffic) PerProcessRate() (datagrams, bytes float64) {
 	each := t.Window.Seconds() * float64(t.Processes)
 	return float64(t.Datagrams) / each, float64(t.Bytes) / each
 }
 
-// MeasureTraffic starts all processes, has the list of targets change at a steady pace, and counts what they say to each other in a window
-// that begins some time after the start.
+// MeasureTraffic starts all processes, changes the target list at a steady rate, and counts the
+// traffic between the processes over a window that begins settle after the start. No fault is
+// injected.
 func (r *Rig) MeasureTraffic(settle, window, change time.Duration) (Traffic, error) {
 	r.lossless = true
 	if err := r.StartAll(); err != nil {
--- a/internal/rig/play.go
+++ b/internal/rig/play.go
@@ -7,13 +7,15 @@
 	"time"
 )
 
-// waitTimeout is how long a wait for something may take on a machine that is busy with other things; what is waited for is
-// counted if it does not come, and is no verdict.
+// waitTimeout bounds a wait for a condition, with room for a machine that is busy with other work.
+// A wait that times out is counted and is not a failure.
 const waitTimeout = 20 * time.Second
 
-// InjectFaults throws faults at the processes for a while, in rounds. Each round lets an owner speak, keeps what it said on the
-// links, stops it, kills it, or makes it deaf or mute until another one owns the duty, then sends what was kept to everybody
-// and lets the former owner go on from where it was. The error is something that must never happen.
+// InjectFaults injects faults into the processes for the given time span, in rounds. Each round
+// waits until the owner has sent an announcement, which the links keep a copy of. It then stops or
+// kills the owner, or drops its inbound or outbound traffic, until another process owns the duty.
+// Afterwards it sends the kept copies to all processes and lets the former owner continue from its
+// previous state. The error reports a violated invariant.
 func (r *Rig) InjectFaults(span time.Duration) error {
 	if err := r.StartAll(); err != nil {
 		return err
@@ -29,7 +31,7 @@
 	}
 	r.heal()
 	r.lossless = true
-	if r.failed == nil { // a last chance for what is under way to do harm
+	if r.failed == nil { // give pending actions time to violate an invariant
 		r.waitUntil(2*time.Second, func() bool { return false })
 		r.terminate(6 * time.Second)
 		r.waitUntil(500*time.Millisecond, func() bool { return false })
@@ -86,7 +88,8 @@
 	r.heal()
 }
 
-// holdsAnnouncementOf tells whether a word of an owner's present token lies on some link.
+// holdsAnnouncementOf reports whether some link holds an announcement with the owner's current
+// token.
 func (r *Rig) holdsAnnouncementOf(o *proc) bool {
 	for _, l := range r.links {
 		if len(l.held) > 0 && l.held[len(l.held)-1].id.Token == o.ownedTokens[duty] {
@@ -96,7 +99,8 @@
 	return false
 }
 
-// injectSecondFault throws a fault at another process too: one keeper at the most, so that a majority is left.
+// injectSecondFault may inject a fault into a second process. At most one further keeper is
+// affected, and only while a majority of keepers remains.
 func (r *Rig) injectSecondFault(firstVictim *proc) {
 	p := r.procs[r.rng.IntN(len(r.procs))]
 	affectedKeepers := 0
@@ -118,7 +122,7 @@
 	}
 }
 
-// heal lets everything run again.
+// heal ends all faults and restarts the processes that were killed.
 func (r *Rig) heal() {
 	for _, l := range r.links {
 		l.dropInbound, l.dropOutbound = false, false
@@ -131,13 +135,13 @@
 	}
 }
 
-// MassKillResult is what a mass kill took.
+// MassKillResult holds the measurements of a mass kill.
 type MassKillResult struct {
 	Processes, Killed                 int
-	StartConvergence, KillConvergence time.Duration // from the start, and from the kill, until all live ones had a word of one owner
-	Datagrams                         int           // between them, in a calm second, each
-	MemoryKB                          int           // resident, of all processes that live, each
-	CPU                               float64       // part of a core that each uses in calm, in thousandths
+	StartConvergence, KillConvergence time.Duration // time from the start, and from the kill, until all live processes had an announcement of one owner
+	Datagrams                         int           // datagrams sent per process and second without faults
+	MemoryKB                          int           // resident memory per live process, in KB
+	CPU                               float64       // processor time per process without faults, in thousandths of a core
 }
 
 func (m MassKillResult) String() string {
@@ -146,8 +150,8 @@
 		m.KillConvergence.Round(10*time.Millisecond), m.Datagrams, m.MemoryKB, m.CPU)
 }
 
-// MassKill starts all, waits until they agree, kills part of them at once, starts those again 0.7 s later and waits until all
-// agree again.
+// MassKill starts all processes, waits until they agree on an owner, kills a share of them at once,
+// restarts each of these 0.7 s later and waits until all agree again.
 func (r *Rig) MassKill(share float64, timeout time.Duration) (MassKillResult, error) {
 	r.lossless = true
 	m := MassKillResult{Processes: len(r.procs)}
@@ -157,10 +161,10 @@
 	}
 	r.changeList(500 * time.Millisecond)
 	if !r.waitUntil(timeout, r.agreed) {
-		return m, r.firstError(fmt.Errorf("rig: no agreement within %v", timeout))
+		return m, r.firstError(fmt.Errorf("rig: processes did not agree on an owner within %v of the start", timeout))
 	}
 	m.StartConvergence = time.Since(begin)
-	r.waitUntil(20*time.Second, func() bool { return false }) // until the news of the start has been told
+	r.waitUntil(20*time.Second, func() bool { return false }) // until the news of the start has spread
 	before, ticks := r.Counts.Datagrams, r.cpuTicks()
 	r.waitUntil(5*time.Second, func() bool { return false })
 	m.CPU = float64(r.cpuTicks()-ticks) * 10 / 5 / float64(len(r.procs)) // a tick is 10 ms
@@ -182,7 +186,7 @@
 	}
 	r.waitUntil(time.Second, func() bool { return false })
 	if !r.waitUntil(timeout, r.agreed) {
-		return m, r.firstError(fmt.Errorf("rig: no agreement within %v of the kill", timeout))
+		return m, r.firstError(fmt.Errorf("rig: processes did not agree on an owner within %v of the kill", timeout))
 	}
 	m.KillConvergence = time.Since(begin)
 	return m, r.failed
@@ -195,7 +199,8 @@
 	return err
 }
 
-// agreed tells whether there is an owner and all other live processes have a word of its token.
+// agreed reports whether there is an owner and all processes run and have an announcement with its
+// token.
 func (r *Rig) agreed() bool {
 	o := r.owner()
 	if o == nil {
@@ -209,7 +214,7 @@
 	return true
 }
 
-// residentKB adds up what the live processes have resident, in KB.
+// residentKB returns the total resident memory of the live processes, in KB.
 func (r *Rig) residentKB() int {
 	totalKB := 0
 	for _, p := range r.procs {
@@ -230,7 +235,7 @@
 	return totalKB
 }
 
-// cpuTicks adds up the processor time of the live processes, in hundredths of a second.
+// cpuTicks returns the total processor time of the live processes, in hundredths of a second.
 func (r *Rig) cpuTicks() int {
 	totalTicks := 0
 	for _, p := range r.procs {
@@ -242,7 +247,7 @@
 			continue
 		}
 		fields := strings.Fields(string(text))
-		for _, i := range []int{13, 14} { // user and system time, see proc(5); the name has no space
+		for _, i := range []int{13, 14} { // user and system time, see proc(5); the process name has no space
 			n := 0
 			if i < len(fields) {
 				if _, err := fmt.Sscan(fields[i], &n); err == nil {
--- a/internal/rig/proc.go
+++ b/internal/rig/proc.go
@@ -1,6 +1,6 @@
-// Package rig starts real processes of the program on loopback, leads every link between them through itself and throws
-// faults at links and processes. What it judges is counted at the receivers, from their own logs: a verdict never hangs on
-// when something happened, only on what did.
+// Package rig starts real processes of the program on loopback, routes every link between them
+// through itself and injects faults into links and processes. Invariants are judged from the
+// receivers' own logs: a verdict depends only on which events occurred, never on their timing.
 package rig
 
 import (
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// logEntry is what a process's log says of the fleet.
+// logEntry is a line of a process's log about the fleet.
 type logEntry struct {
 	Message string `json:"message"`
 	Duty    string `json:"duty"`
@@ -25,25 +25,25 @@
 	Version uint64 `json:"version"`
 }
 
-// proc is one process of the program, through all its lives.
+// proc is one process of the program, across restarts.
 type proc struct {
 	rig          *Rig
 	index        int
 	name         string
-	listen       netip.AddrPort // where it listens
-	advertised   netip.AddrPort // where the others find it: a socket of the rig's
+	listen       netip.AddrPort // the address on which it listens
+	advertised   netip.AddrPort // the address at which the others reach it, a socket of the rig
 	dir          string
 	cmd          *exec.Cmd
 	incarnation  int
 	stopped      bool
 	exited       chan struct{}
-	ownedTokens  map[string]uint64 // tokens by duty, as its log said last
-	lastToken    uint64            // token of the last word that it took or said
+	ownedTokens  map[string]uint64 // tokens by duty, according to the latest log entries
+	lastToken    uint64            // token of the last announcement that it accepted or sent
 	logTail      []string
 	staleRefused uint64
 }
 
-// addr is one of its addresses: 1 its own, 2 the public one.
+// addr returns an address of the process on loopback: 1 selects its own, 2 the advertised one.
 func (p *proc) addr(which byte) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, p.rig.subnet + which, byte(p.index >> 8), byte(p.index&0xff + 1)})
 }
@@ -83,14 +83,14 @@
 	return c
 }
 
-// start starts a life.
+// start starts the process, unless it runs already or the rig is closing.
 func (p *proc) start() error {
 	if p.cmd != nil || p.rig.closing {
 		return nil
 	}
 	if p.incarnation == 0 && p.index < p.rig.options.Keepers {
 		if out, err := p.command("keepers", "init").CombinedOutput(); err != nil {
-			return fmt.Errorf("%s: %w: %s", p.name, err, out)
+			return fmt.Errorf("%s: initialize keeper: %w: %s", p.name, err, out)
 		}
 	}
 	c := p.command()
@@ -98,10 +98,10 @@
 	if err != nil {
 		return err
 	}
-	// Whatever becomes of the rig, its processes end with it.
+	// The kernel kills the process if the rig dies.
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := c.Start(); err != nil {
-		return fmt.Errorf("%s: %w", p.name, err)
+		return fmt.Errorf("%s: start process: %w", p.name, err)
 	}
 	p.incarnation++
 	p.cmd, p.stopped, p.ownedTokens, p.exited = c, false, make(map[string]uint64), make(chan struct{})
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// readLog passes the log to the rig's loop, and the process's end with it.
+// readLog passes the process's log lines, and then its exit, to the rig's event loop.
 func (p *proc) readLog(pipe io.Reader, c *exec.Cmd, life int, ended chan struct{}) {
 	lines := bufio.NewScanner(pipe)
 	for lines.Scan() {
@@ -142,15 +142,16 @@
 	}
 }
 
-// handleExit notes that a life has ended. One that nobody ended is a crash.
+// handleExit handles the end of a process. An end that the rig did not cause is a crash and fails
+// the run.
 func (p *proc) handleExit(life int, err error) {
 	if life == p.incarnation && p.cmd != nil {
 		p.cmd = nil
-		p.rig.fail(fmt.Errorf("%s ended by itself: %v; its log ends:\n%s", p.name, err, strings.Join(p.logTail, "\n")))
+		p.rig.fail(fmt.Errorf("%s exited unexpectedly: %v; last lines of its log:\n%s", p.name, err, strings.Join(p.logTail, "\n")))
 	}
 }
 
-// kill ends a life with SIGKILL, by its id, and waits for it.
+// kill terminates the process with SIGKILL, by its id, and waits for it.
 func (p *proc) kill() {
 	if p.cmd == nil {
 		return
@@ -162,7 +163,7 @@
 	p.ownedTokens = make(map[string]uint64)
 }
 
-// stop and resume are SIGSTOP and SIGCONT.
+// stop suspends the process with SIGSTOP.
 func (p *proc) stop() {
 	if p.cmd != nil && !p.stopped {
 		p.stopped = true
@@ -177,7 +178,8 @@
 	}
 }
 
-// terminate asks all to stop as planned, which prints their counters, and waits for at most so long.
+// terminate asks all processes with SIGTERM to shut down, which makes them print their counters. A
+// process that still runs after the given time is killed.
 func (r *Rig) terminate(timeout time.Duration) {
 	r.closing = true
 	var ended []chan struct{}
@@ -185,7 +187,7 @@
 		p.resume()
 		if p.cmd != nil {
 			c := p.cmd
-			p.cmd = nil // its end is wanted now
+			p.cmd = nil // its exit is expected from now on
 			_ = c.Process.Signal(syscall.SIGTERM)
 			ended = append(ended, p.exited)
 			r.after(timeout, func() { _ = c.Process.Kill() })
@@ -202,7 +204,7 @@
 	}
 }
 
-// Settings are the platform's settings that the processes get, as example/config.json has them.
+// Settings returns the platform settings that the processes receive, as in example/config.json.
 func Settings(proxies int) map[string]any {
 	return map[string]any{
 		"Balancers": proxies, "Zone": "here", "Discovery": "subscribe",
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -22,18 +22,18 @@
 	targetCount = 40
 )
 
-// Options say what to start.
+// Options configures a Rig.
 type Options struct {
-	Program   string // bin/ospreyspan
-	Dir       string // for files; made, and removed by Close
-	Processes int    // 3 to 250
-	Keepers   int    // 3 or 5
+	Program   string // path of the program, such as bin/ospreyspan
+	Dir       string // directory for files; created if missing
+	Processes int    // number of processes, 3 to 250
+	Keepers   int    // number of keepers, 3 or 5
 	Seed      uint64
 	Lease     time.Duration
 	Verdicts  bool // processes judge targets together
 }
 
-// Counts are what a run did and saw.
+// Counts holds the numbers of a run's faults and observations.
 type Counts struct {
 	Processes, Starts, Stops, Kills, InboundCuts, OutboundCuts int
 	Datagrams, Bytes, Dropped, Delayed, Duplicated, CutAway    int
@@ -41,7 +41,7 @@
 	StaleSent, StaleRefused, StaleAccepted, Overlaps, MaxHeld  int
 }
 
-// String is the closing line.
+// String returns the closing line of a run.
 func (c Counts) String() string {
 	return fmt.Sprintf("processes %d, started %d times; faults: stopped %d, killed %d, deaf %d, mute %d; datagrams %d, dropped %d, "+
 		"late %d, repeated %d, cut away %d; grants %d, hand-overs %d, rounds %d, without a new owner in time %d; words taken %d; "+
@@ -50,7 +50,7 @@
 		c.Grants, c.HandOvers, c.Rounds, c.TimedOut, c.Announcements, c.StaleSent, c.StaleRefused, c.StaleAccepted, c.Overlaps)
 }
 
-// Rig is the processes and the links between them. It belongs to one goroutine.
+// Rig is a set of processes and the links between them. It must be used from a single goroutine.
 type Rig struct {
 	options         Options
 	loop            *poll.Loop
@@ -61,23 +61,24 @@
 	registry        *fleet.Registry
 	discovery       *fleet.Discovery
 	ledger          *fleet.Ledger
-	subnet          byte        // second byte of its addresses, and the three after it
-	replacedKeepers map[int]int // of keepers that were replaced, by process
-	lossless        bool        // links deliver all
+	subnet          byte        // second byte of its loopback addresses; the three following values are its own too
+	replacedKeepers map[int]int // new numbers of replaced keepers, by process index
+	lossless        bool        // links inject no loss, delay or duplication
 	closing         bool
 	failed          error
 	latestToken     uint64
-	tokenHolders    map[uint64]string // lives by token
-	acceptedTokens  map[string]uint64 // latest token by process name and duty, over all its lives
+	tokenHolders    map[uint64]string // process incarnation by token
+	acceptedTokens  map[string]uint64 // latest accepted token by process name and duty, across restarts
 	Counts          Counts
 }
 
-// link is a process's public socket: what the others send to it comes in here, and what it sends goes out of it.
+// link is a process's public socket: what the others send to the process arrives on it, and what
+// the process sends leaves from it.
 type link struct {
 	proc         *proc
 	sock         *poll.UDPSocket
-	dropInbound  bool // what comes in is lost
-	dropOutbound bool // what it sends is lost
+	dropInbound  bool // inbound traffic is dropped
+	dropOutbound bool // outbound traffic is dropped
 	held         []heldAnnouncement
 }
 
@@ -87,18 +88,18 @@
 	data []byte
 }
 
-// New starts discovery and the links, not the processes.
+// New starts discovery and the links, but not the processes.
 func New(o Options) (*Rig, error) {
 	switch {
 	case o.Processes < 3 || o.Processes > 250:
-		return nil, fmt.Errorf("rig: %d processes, not from 3 to 250", o.Processes)
+		return nil, fmt.Errorf("rig: invalid number of processes: got %d, want 3 to 250", o.Processes)
 	case o.Keepers != 3 && o.Keepers != 5 || o.Keepers > o.Processes:
-		return nil, fmt.Errorf("rig: %d keepers, neither 3 nor 5, or more than processes", o.Keepers)
+		return nil, fmt.Errorf("rig: invalid number of keepers: got %d, want 3 or 5 and at most one per process", o.Keepers)
 	case o.Lease < 200*time.Millisecond:
-		return nil, fmt.Errorf("rig: a lease of %v, under 200 ms", o.Lease)
+		return nil, fmt.Errorf("rig: lease too short: got %v, want at least 200 ms", o.Lease)
 	}
 	if _, err := os.Stat(o.Program); err != nil {
-		return nil, fmt.Errorf("rig: the program: %w", err)
+		return nil, fmt.Errorf("rig: find program: %w", err)
 	}
 	loop, err := poll.New(func() {})
 	if err != nil {
@@ -125,7 +126,7 @@
 		l := &link{proc: p}
 		if l.sock, err = loop.OpenUDP(p.advertised, l); err != nil {
 			r.Close()
-			return nil, fmt.Errorf("rig: %w", err)
+			return nil, fmt.Errorf("rig: open public socket: %w", err)
 		}
 		r.links = append(r.links, l)
 	}
@@ -142,7 +143,8 @@
 	return r, nil
 }
 
-// claimSubnet finds a part of loopback that no other rig on this machine has: discovery's address stands for it.
+// claimSubnet finds a part of the loopback range that no other rig on this machine uses. Binding
+// the address of discovery claims it.
 func (r *Rig) claimSubnet() error {
 	var err error
 	for i := range 40 {
@@ -154,10 +156,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("rig: %w", err)
+	return fmt.Errorf("rig: listen for discovery: %w", err)
 }
 
-// Close ends all processes, by their ids, and gives everything back.
+// Close kills all processes, by their ids, and closes all sockets and the event loop.
 func (r *Rig) Close() {
 	r.closing = true
 	for _, p := range r.procs {
@@ -189,7 +191,8 @@
 	r.loop.After(t, d)
 }
 
-// waitUntil turns the loop waitUntil a condition holds, an error has happened or the time is up, and tells whether it holds.
+// waitUntil runs the event loop until a condition holds, an error has occurred or the time is up,
+// and reports whether the condition holds.
 func (r *Rig) waitUntil(timeout time.Duration, condition func() bool) bool {
 	over := false
 	t := &poll.Timer{Fire: func() { over = true }}
@@ -203,7 +206,8 @@
 	return condition()
 }
 
-// changeList changes a target's health every now and then, so that owners have something to say.
+// changeList changes the health of a random target at a fixed interval, so that owners have changes
+// to announce.
 func (r *Rig) changeList(every time.Duration) {
 	if r.closing {
 		return
@@ -214,14 +218,15 @@
 	r.after(every, func() { r.changeList(every) })
 }
 
-// handleLogEntry takes a line of a process's log: the receivers' own word for what they took.
+// handleLogEntry processes a log entry of a process. The receivers' own logs are the evidence for
+// what they accepted.
 func (r *Rig) handleLogEntry(p *proc, entry *logEntry) {
 	switch entry.Message {
 	case "fleet: own":
 		life := fmt.Sprintf("%s, life %d", p.name, p.incarnation)
 		if previous := r.tokenHolders[entry.Token]; previous != "" && previous != life {
 			r.Counts.Overlaps++
-			r.fail(fmt.Errorf("token %d was given to %s and to %s", entry.Token, previous, life))
+			r.fail(fmt.Errorf("token %d was granted to both %s and %s", entry.Token, previous, life))
 		}
 		r.tokenHolders[entry.Token] = life
 		p.ownedTokens[entry.Duty] = entry.Token
@@ -239,7 +244,7 @@
 		key := p.name + " " + entry.Duty
 		if entry.Token < r.acceptedTokens[key] {
 			r.Counts.StaleAccepted++
-			r.fail(fmt.Errorf("%s took an effect of token %d after one of token %d, duty %s", p.name, entry.Token, r.acceptedTokens[key], entry.Duty))
+			r.fail(fmt.Errorf("%s accepted an announcement of token %d after one of token %d, duty %s", p.name, entry.Token, r.acceptedTokens[key], entry.Duty))
 		}
 		r.acceptedTokens[key] = entry.Token
 		if entry.Duty == duty {
@@ -248,7 +253,7 @@
 	}
 }
 
-// Ready passes on what the others sent to the link's process.
+// Ready forwards datagrams from the other processes to the link's process.
 func (l *link) Ready(poll.Ready) {
 	r := l.proc.rig
 	var buf [2048]byte
@@ -259,13 +264,13 @@
 		}
 		sender := r.byListen[from]
 		if sender == nil {
-			continue // not one of ours
+			continue // not a process of this rig
 		}
 		r.forward(r.links[sender.index], l, append([]byte(nil), buf[:n]...))
 	}
 }
 
-// forward leads one datagram over a link, with what the link does to it.
+// forward sends one datagram over a link, subject to the faults of the link.
 func (r *Rig) forward(from, to *link, data []byte) {
 	r.Counts.Datagrams++
 	r.Counts.Bytes += len(data)
@@ -301,13 +306,13 @@
 	if m, ok := mesh.PeekAnnouncementID(data, cluster); ok && m.Lease == duty && m.Token < r.latestToken {
 		r.Counts.StaleSent++
 	}
-	_ = from.sock.Send(data, to.proc.listen) // nobody may be there
+	_ = from.sock.Send(data, to.proc.listen) // the process may not be running
 }
 
-// maxHeld is how many words a link keeps for later.
+// maxHeld is the largest number of announcements that a link keeps for later.
 const maxHeld = 64
 
-// hold keeps a copy of a word, to be sent once a later owner has spoken.
+// hold keeps a copy of an announcement, to be sent once a later owner has made an announcement.
 func (r *Rig) hold(from, to *link, m mesh.AnnouncementID, data []byte) {
 	if len(to.held) > 0 && to.held[0].id.Token < m.Token {
 		to.held = to.held[:0]
@@ -318,7 +323,7 @@
 	}
 }
 
-// sendHeld sends all that is kept of a former owner, to everybody.
+// sendHeld sends the kept announcements of a former owner to all processes.
 func (r *Rig) sendHeld(kept [][]heldAnnouncement) {
 	for i, held := range kept {
 		for _, h := range held {
@@ -335,7 +340,7 @@
 	return kept
 }
 
-// owner is the process that holds the duty by its own log, nil if none does.
+// owner returns the process that owns the duty according to its own log, or nil if there is none.
 func (r *Rig) owner() *proc {
 	var found *proc
 	for _, p := range r.procs {
@@ -346,7 +351,7 @@
 	return found
 }
 
-// keeperNumber is the keeperNumber of the keeper that a process is.
+// keeperNumber returns the number of the keeper that runs in a process.
 func (r *Rig) keeperNumber(process int) int {
 	if n := r.replacedKeepers[process]; n > 0 {
 		return n
@@ -371,5 +376,5 @@
 	return p.start()
 }
 
-// errNoHandOver is why a run shows nothing.
-var errNoHandOver = errors.New("rig: no owner was ever replaced: the run shows nothing")
+// errNoHandOver fails a run in which no owner was replaced, since such a run proves nothing.
+var errNoHandOver = errors.New("rig: no hand-over took place during the run, so it proves nothing")
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// buildProgram builds the buildProgram that is tested.
+// buildProgram builds the program under test.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "ospreyspan")
@@ -19,8 +19,10 @@
 	return path
 }
 
-// Twelve real processes with five keepers: stopped, killed, deaf and mute owners, and links that lose, delay, repeat and hold
-// what a former owner said until a later one has spoken. Whatever the machine's speed, no receiver may take it.
+// Runs twelve real processes with five keepers, stops and kills owners and drops their inbound or
+// outbound traffic. The links lose, delay and duplicate datagrams, and hold announcements of a
+// former owner until a later one has made its own. Whatever the machine's speed, no receiver may
+// accept a stale announcement.
 func TestRealProcessesAcceptNoStaleAnnouncement(t *testing.T) {
 	r, err := New(Options{Program: buildProgram(t), Dir: t.TempDir(), Processes: 12, Keepers: 5, Seed: 1, Lease: 800 * time.Millisecond})
 	if err != nil {
@@ -33,11 +35,12 @@
 		t.Fatal(err)
 	}
 	if r.Counts.StaleSent == 0 {
-		t.Error("no stale effect was sent: the run shows nothing")
+		t.Error("no stale announcement was sent, so the run proves nothing")
 	}
 }
 
-// A keeper that has lost its log serves as a proxy and is none; a second process with its folder does not start.
+// A keeper that has lost its log serves as a proxy but not as a keeper. Initializing a keeper whose
+// log exists fails.
 func TestKeeperWithoutLog(t *testing.T) {
 	bin, dir := buildProgram(t), t.TempDir()
 	r, err := New(Options{Program: bin, Dir: dir, Processes: 3, Keepers: 3, Seed: 1, Lease: time.Second})
@@ -50,10 +53,10 @@
 		t.Fatal(err)
 	}
 	if !r.waitUntil(time.Minute, r.agreed) {
-		t.Fatal("three processes do not agree")
+		t.Fatal("three processes do not agree on an owner")
 	}
 	if out, err := r.procs[0].command("keepers", "init").CombinedOutput(); err == nil || !strings.Contains(string(out), "is there already") {
-		t.Errorf("a log that is there: %v: %s", err, out)
+		t.Errorf("keepers init with an existing log: %v: %s", err, out)
 	}
 	p := r.procs[1]
 	p.kill()
@@ -67,12 +70,13 @@
 		return strings.Contains(strings.Join(p.logTail, "\n"), "this process is no keeper until")
 	}
 	if !r.waitUntil(time.Minute, notKeeper) || !r.waitUntil(time.Minute, r.agreed) {
-		t.Errorf("its log: %s", strings.Join(p.logTail, "\n"))
+		t.Errorf("keeper without a log: unexpected state; its output: %s", strings.Join(p.logTail, "\n"))
 	}
 }
 
-// A keeper whose disk was lost is replaced as the operators' page says: its number is removed, all files get a new one, the
-// processes are restarted one after the other, and the new number is added. Then another keeper may be lost.
+// A keeper whose disk was lost is replaced by the documented procedure: its number is removed, all
+// files get a new one, the processes are restarted one after the other, and the new number is
+// added. After that another keeper may be lost.
 func TestKeeperIsReplaced(t *testing.T) {
 	r, err := New(Options{Program: buildProgram(t), Dir: t.TempDir(), Processes: 4, Keepers: 3, Seed: 1, Lease: time.Second})
 	if err != nil {
@@ -83,10 +87,10 @@
 	agree := func(what string) {
 		t.Helper()
 		if !r.waitUntil(time.Minute, r.agreed) {
-			t.Fatalf("%s: no agreement: %v", what, r.failed)
+			t.Fatalf("%s: processes do not agree on an owner: %v", what, r.failed)
 		}
 	}
-	// change asks the keepers in turn until one of them, which leads, takes it.
+	// change asks the keepers in turn until the leader accepts the change.
 	change := func(what string, id string) {
 		t.Helper()
 		said := ""
@@ -138,10 +142,10 @@
 	}
 	change("add", "4")
 	if !r.waitUntil(time.Minute, func() bool { return voters(lost, "[1 2 4]") }) {
-		t.Fatal("the new keeper has not the others' voters")
+		t.Fatal("the new keeper does not report the voters [1 2 4]")
 	}
 	r.procs[1].kill()
-	// A process that starts now learns the floors through the log of keepers 1 and 4.
+	// A process that starts now learns the token floors through the log of keepers 1 and 4.
 	p := r.procs[3]
 	p.kill()
 	p.logTail = nil
@@ -149,11 +153,11 @@
 		t.Fatal(err)
 	}
 	if !r.waitUntil(time.Minute, func() bool { return strings.Contains(strings.Join(p.logTail, "\n"), "fence-open") }) {
-		t.Error("keepers 1 and 4 do not answer")
+		t.Error("the process got no floors from keepers 1 and 4 (no fence-open in its log)")
 	}
 }
 
-// The judge finds what must never happen in what receivers say.
+// The rig detects violated invariants from the logs of receivers.
 func TestInvariantViolationsAreDetected(t *testing.T) {
 	newRig := func() *Rig {
 		return &Rig{tokenHolders: make(map[uint64]string), acceptedTokens: make(map[string]uint64)}
@@ -164,18 +168,18 @@
 		r.handleLogEntry(p, &logEntry{Message: "fleet: word", Duty: duty, Token: token})
 	}
 	logAnnouncement(p, 4)
-	p.incarnation++ // a restart is no excuse
+	p.incarnation++ // a restart does not excuse a stale token
 	if logAnnouncement(p, 4); r.failed != nil {
 		t.Fatal(r.failed)
 	}
 	if logAnnouncement(p, 3); r.failed == nil || r.Counts.StaleAccepted != 1 {
-		t.Error("a stale effect passes")
+		t.Error("a stale announcement was not reported")
 	}
 	r = newRig()
 	p.rig, q.rig = r, r
 	r.handleLogEntry(p, &logEntry{Message: "fleet: own", Duty: duty, Token: 5})
 	r.handleLogEntry(q, &logEntry{Message: "fleet: own", Duty: duty, Token: 5})
 	if r.failed == nil || r.Counts.Overlaps != 1 {
-		t.Error("two owners of one token pass")
+		t.Error("two owners of one token were not reported")
 	}
 }
--- a/internal/vnet/disk.go
+++ b/internal/vnet/disk.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Disk is one file on a machine's disk. It stays when the process is killed; what had not been synced by then may be there,
-// in part, or not at all.
+// Disk is one file on a machine's disk. It survives the process being killed. Data that was not
+// synced by then may be present, present in part, or missing.
 type Disk struct {
 	host      *Host
 	rng       *rand.Rand
-	durable   []byte // durable
+	durable   []byte // the durable contents
 	queue     []diskWrite
 	busy      bool
 	faults    DiskFaults
-	onWritten func() // called when a write has become durable, before the process hears of it
+	onWritten func() // called when a write has become durable, before the process is told
 }
 
 type diskWrite struct {
@@ -25,23 +25,24 @@
 	incarnation int
 }
 
-// DiskFaults are what goes wrong. The zero value is a disk that takes no time and loses only what is not synced.
+// DiskFaults configures the faults of a Disk. The zero value is a disk that takes no time and loses
+// only what is not synced.
 type DiskFaults struct {
-	Delay, Jitter time.Duration // of a write and its sync
-	Torn          float64       // part of the kills that leave a part of an unsynced write, 0 to 1
-	Scrambled     float64       // part of these in which an earlier part of the write is missing, and a later one there
+	Delay, Jitter time.Duration // duration of a write with its sync; Jitter is the largest random addition
+	Torn          float64       // probability that a kill leaves a part of an unsynced write, 0 to 1
+	Scrambled     float64       // probability that in such a case an earlier part of the write is missing and a later one present
 	FailSync      bool          // each sync fails from now on
-	WritesBlocked bool          // nothing is written for now: writes wait, as keeper.File has them wait, until this is over
-	Capacity      int           // bytes that it holds at the most; 0: without end
+	WritesBlocked bool          // writes wait until this is cleared, as keeper.File makes them wait
+	Capacity      int           // capacity in bytes; 0: unlimited
 }
 
-// The errors of a Disk.
+// Errors of a Disk's writes.
 var (
-	ErrSync = errors.New("vnet: sync failed")
-	ErrFull = errors.New("vnet: no space left")
+	ErrSync = errors.New("vnet: disk sync failed")
+	ErrFull = errors.New("vnet: no space left on disk")
 )
 
-// Disk returns the machine's file of that name, made empty when it is first asked for.
+// Disk returns the machine's file of that name, created empty on first use.
 func (h *Host) Disk(name string) *Disk {
 	if h.disks == nil {
 		h.disks = make(map[string]*Disk)
@@ -55,28 +56,31 @@
 	return d
 }
 
-// SetFaults changes what goes wrong.
+// SetFaults sets the faults in force.
 func (d *Disk) SetFaults(f DiskFaults) { d.faults = f }
 
-// Faults are those in force.
+// Faults returns the faults in force.
 func (d *Disk) Faults() DiskFaults { return d.faults }
 
-// OnWritten has f called when a write has become durable, before the process hears of it.
+// OnWritten sets a function that is called when a write has become durable, before the process is
+// told.
 func (d *Disk) OnWritten(f func()) { d.onWritten = f }
 
-// Contents is what is durable.
+// Contents returns a copy of the durable contents.
 func (d *Disk) Contents() []byte { return append([]byte(nil), d.durable...) }
 
-// SetContents changes the file from outside, as a wiped or damaged disk.
+// SetContents replaces the file from outside, as a wiped or damaged disk does.
 func (d *Disk) SetContents(text []byte) { d.durable = append([]byte(nil), text...) }
 
-// Truncate cuts the file off, as a process does at its start.
+// Truncate cuts the file to at most size bytes, as a process does at its start.
 func (d *Disk) Truncate(size int) { d.durable = d.durable[:min(size, len(d.durable))] }
 
-// Append writes behind the file and syncs it; done is called on the process's machine when it is durable.
+// Append appends b to the file and syncs it. done is called on the process's machine with the
+// result of the write; a nil error means that the data is durable.
 func (d *Disk) Append(b []byte, done func(error)) { d.write(b, false, done) }
 
-// Replace puts a file in this one's place: all of it, or nothing.
+// Replace atomically replaces the whole file with b: either all of b becomes durable, or nothing.
+// done is called as for Disk.Append.
 func (d *Disk) Replace(b []byte, done func(error)) { d.write(b, true, done) }
 
 func (d *Disk) write(b []byte, replace bool, done func(error)) {
@@ -101,7 +105,7 @@
 	})
 }
 
-// blockedRetryInterval is how often a write is tried again on a disk that refuses.
+// blockedRetryInterval is the interval at which a write is retried while the disk blocks writes.
 const blockedRetryInterval = 100 * time.Millisecond
 
 func (d *Disk) finish() {
@@ -135,7 +139,7 @@
 	d.startNext()
 }
 
-// deliver tells the process, once it runs.
+// deliver reports the result of a write to the process, once the process runs.
 func (d *Disk) deliver(w diskWrite, err error) {
 	h := d.host
 	if w.incarnation != h.incarnation {
@@ -151,7 +155,8 @@
 	}
 }
 
-// crash is what a kill leaves: of the write that was under way perhaps a part, of later ones nothing.
+// crash applies the effect of a kill: the write in progress may leave a part of its data, and later
+// writes leave nothing.
 func (d *Disk) crash() {
 	if d.busy && len(d.queue) > 0 && !d.queue[0].replace && d.rng.Float64() < d.faults.Torn {
 		part := d.queue[0].data
--- a/internal/vnet/host.go
+++ b/internal/vnet/host.go
@@ -9,74 +9,76 @@
 	"ospreyspan/internal/poll"
 )
 
-// Host is a machine: an address, the descriptors of one process, and that process's Kernel.
+// Host is a simulated machine: an address, the descriptors of one process, and that process's
+// Kernel.
 type Host struct {
 	world *World
 	index int32
 	name  string
 	addr  netip.Addr
 
-	// The process.
-	step         func() error // one turn of its loop; nil: none runs
-	incarnation  int          // counts the processes: what was begun for an earlier one is void
+	// State of the process.
+	step         func() error // one turn of the event loop; nil: no process runs
+	incarnation  int          // number of process starts and ends; work begun under an earlier value is void
 	runAt        time.Duration
-	scheduled    bool // it is to run at due
+	scheduled    bool // a wakeup is queued for runAt
 	running      bool
-	blocked      bool // its last Wait found nothing to do
+	blocked      bool // its last Wait found no events
 	wakePending  bool
-	stalledUntil time.Duration // it does not run before this
+	stalledUntil time.Duration // virtual time before which the process does not run
 	kernel       *kernel
 
-	// Its descriptors. A free one is nil.
+	// Descriptors. A free one is nil in files.
 	files   []file
 	freeFDs []int
 	openFDs int
-	ready   []file // those that may be ready, in the order in which they became so
+	ready   []file // possibly ready descriptors, in the order in which they became so
 
 	listeners map[uint16]*listener
 	datagrams map[uint16]*datagramSocket
-	lastPort  uint16 // last one given out
+	lastPort  uint16 // last local port allocated
 
 	unreachable bool // the machine is off, or cut off from all others
 
 	disks               map[string]*Disk
 	diskOrder           []*Disk
-	wallClockOffset     time.Duration // of its wall clock against real time
-	sendStall           time.Duration // its next datagram waits for so long, and the process with it
-	delayedConnectRatio float64       // see LateConnects
+	wallClockOffset     time.Duration // offset of the wall clock from virtual time
+	sendStall           time.Duration // the next datagram send is delayed by this, and the process with it
+	delayedConnectRatio float64       // share of connections that DelayConnects delays, 0 to 1
 	maxConnectDelay     time.Duration
 
 	limits Limits
 }
 
-// Limits are what a machine has. The zero value is without limits.
+// Limits are the resource limits of a machine. The zero value sets no limits.
 type Limits struct {
-	Descriptors int           // that the process may hold; 0: without limit
-	SendBuffer  int           // bytes kept for sending, for each connection; 0: 64 KiB
-	EventCost   time.Duration // of the processor for each event; the next turn begins later by that
+	Descriptors int           // most descriptors that the process may hold; 0: no limit
+	SendBuffer  int           // send buffer of each connection, in bytes; 0: 64 KiB
+	EventCost   time.Duration // processor time for each event; delays the next loop turn; 0: none
 }
 
-// file is what a descriptor stands for.
+// file is the object behind a descriptor.
 type file interface {
-	// state tells what it is ready for.
+	// state returns the current readiness.
 	state() poll.Ready
 	watch() *watch
 	close()
 }
 
-// watch is what the loop waits for on a descriptor.
+// watch holds the events that the event loop waits for on a descriptor.
 type watch struct {
 	host       *Host
 	slot, gen  int32
 	interest   poll.Interest
-	registered bool // it is under Wait
-	queued     bool // it is in the host's ready list
+	registered bool // registered with Wait
+	queued     bool // in the host's ready list
 }
 
-// AddHost adds a machine at an address. Names and addresses are unique.
+// AddHost adds a machine at an address. Names and addresses must be unique; AddHost panics if the
+// address is taken.
 func (w *World) AddHost(name string, addr netip.Addr, l Limits) *Host {
 	if w.byAddr[addr] != nil {
-		panic(fmt.Sprintf("vnet: two hosts at %s", addr))
+		panic(fmt.Sprintf("vnet: duplicate host address %s", addr))
 	}
 	if l.SendBuffer <= 0 {
 		l.SendBuffer = 64 << 10
@@ -92,40 +94,42 @@
 
 const firstPort = 32768
 
-// Name and Addr are the machine's.
+// Name returns the machine's name.
 func (h *Host) Name() string     { return h.name }
 func (h *Host) Addr() netip.Addr { return h.addr }
 
-// Host returns the machine at an address, nil if there is none.
+// Host returns the machine at an address, or nil if there is none.
 func (w *World) Host(at netip.Addr) *Host { return w.byAddr[at] }
 
-// Open tells how many descriptors its process holds.
+// Open returns the number of descriptors that the process holds.
 func (h *Host) Open() int { return h.openFDs }
 
-// Incarnation counts the machine's processes: it changes when one starts or ends.
+// Incarnation returns a counter that changes whenever a process starts or ends on the machine.
 func (h *Host) Incarnation() int { return h.incarnation }
 
-// Running tells whether a process runs, reachable or not.
+// Running reports whether a process runs on the machine, reachable or not.
 func (h *Host) Running() bool { return h.step != nil }
 
-// Up tells whether a process runs, on a machine that is reachable.
+// Up reports whether a process runs on the machine and the machine is reachable.
 func (h *Host) Up() bool { return h.step != nil && !h.unreachable }
 
-// SetDescriptors changes how many descriptors the process may hold; 0: without limit. What it holds already stays.
+// SetDescriptors changes how many descriptors the process may hold; 0 sets no limit. Descriptors
+// already open stay open.
 func (h *Host) SetDescriptors(n int) { h.limits.Descriptors = n }
 
-// Start runs a process: begin builds it on the kernel of a new life and returns what does one turn of its loop. The
-// first turn comes at once.
+// Start runs a process. begin builds the process on the kernel of a new incarnation and returns the
+// function that performs one turn of its event loop. The first turn runs immediately, at the
+// current virtual time.
 func (h *Host) Start(begin func(k poll.Kernel) (step func() error, err error)) error {
 	if h.step != nil {
-		return fmt.Errorf("vnet: %s runs already", h.name)
+		return fmt.Errorf("vnet: a process is already running on %s", h.name)
 	}
 	h.incarnation++
 	h.kernel = &kernel{host: h, incarnation: h.incarnation, clockRate: 1}
 	step, err := begin(h.kernel)
 	if err != nil {
 		h.abort(false)
-		return fmt.Errorf("vnet: %s: %w", h.name, err)
+		return fmt.Errorf("vnet: start process on %s: %w", h.name, err)
 	}
 	h.step, h.stalledUntil = step, 0
 	h.world.record(Record{What: "start", From: h})
@@ -133,7 +137,7 @@
 	return nil
 }
 
-// Kill ends the process outright: its connections are reset, and new ones are refused.
+// Kill terminates the process abruptly: its connections are reset, and new ones are refused.
 func (h *Host) Kill() {
 	if h.step == nil {
 		return
@@ -142,8 +146,8 @@
 	h.abort(true)
 }
 
-// Exit ends the process in order: what it left open is closed as the operating system does, with a FIN or, where
-// bytes are unread, a reset.
+// Exit ends the process in an orderly way: descriptors it left open are closed as the operating
+// system does, with a FIN or, where bytes are unread, a reset.
 func (h *Host) Exit() {
 	if h.step == nil {
 		return
@@ -160,7 +164,7 @@
 	h.clearProcess()
 }
 
-// abort ends the process; tell has its peers hear of it.
+// abort ends the process. If tell is set, the peers of its connections are sent resets.
 func (h *Host) abort(notifyPeers bool) {
 	h.step = nil
 	h.incarnation++
@@ -174,7 +178,7 @@
 			}
 		}
 		if f != nil {
-			f.watch().registered = false // what still arrives is not for the next process
+			f.watch().registered = false // later arrivals must not reach the next process
 			f.close()
 		}
 	}
@@ -192,8 +196,8 @@
 	h.scheduled = false
 }
 
-// Vanish takes the machine off the network without a sign, process and all. Its connections stay open at their far
-// ends, and what is sent to them is not answered until Return.
+// Vanish takes the machine, with its process, off the network without notice. Its connections stay
+// open at their peers, and segments sent to them are not answered until Return.
 func (h *Host) Vanish() {
 	if h.unreachable {
 		return
@@ -203,7 +207,8 @@
 	h.abort(false)
 }
 
-// Return puts a machine that vanished back, without a process: what belongs to an earlier life is answered with resets.
+// Return puts a machine that vanished back on the network, without a process. Segments for
+// connections of an earlier incarnation are answered with resets.
 func (h *Host) Return() {
 	if h.unreachable {
 		h.world.record(Record{What: "return", From: h})
@@ -211,40 +216,42 @@
 	}
 }
 
-// Isolate cuts the machine off from all others while its process runs on, until Rejoin.
+// Isolate cuts the machine off from all others, while its process keeps running, until Rejoin.
 func (h *Host) Isolate() {
 	h.world.record(Record{What: "isolate", From: h})
 	h.unreachable = true
 }
 
-// Rejoin ends Isolate.
+// Rejoin ends the effect of Isolate.
 func (h *Host) Rejoin() {
 	h.world.record(Record{What: "rejoin", From: h})
 	h.unreachable = false
 }
 
-// Stall keeps the process from running for d, as a machine that is busy with others does. What comes meanwhile waits
-// in its sockets.
+// Stall suspends the process for d, as on an overloaded machine. What arrives meanwhile waits in
+// its sockets.
 func (h *Host) Stall(d time.Duration) {
 	h.world.record(Record{What: "stall", From: h, Size: int(d / time.Millisecond)})
 	h.stalledUntil = max(h.stalledUntil, h.world.now+d)
 }
 
-// Stalled tells whether it does not run now, though it lives.
+// Stalled reports whether the process is alive but suspended.
 func (h *Host) Stalled() bool { return h.step != nil && h.stalledUntil > h.world.now }
 
-// ClockLag has the process read its clock late by d: the time that it sees is that of d ago, but never runs back.
+// ClockLag makes the process read its clock late by d: it sees the time of d ago. The time that it
+// sees never runs backwards.
 func (h *Host) ClockLag(d time.Duration) {
 	if h.kernel != nil {
 		h.kernel.clockLag = d
 	}
 }
 
-// StallBeforeNextSend stops the process just before it sends its next datagram, for d: between whatever made it decide to
-// send and the send itself.
+// StallBeforeNextSend suspends the process for d just before its next datagram send, between the
+// decision to send and the send itself.
 func (h *Host) StallBeforeNextSend(d time.Duration) { h.sendStall = d }
 
-// ClockRate has the process's clock run at another rate from now on: 1.01 is one in a hundred too fast.
+// ClockRate makes the process's clock run at another rate from now on; a rate of 1.01 is one
+// percent too fast.
 func (h *Host) ClockRate(rate float64) {
 	if k := h.kernel; k != nil {
 		k.clockOffset += time.Duration(float64(h.world.now-k.rateSince) * (k.clockRate - 1))
@@ -252,17 +259,18 @@
 	}
 }
 
-// ClockJump sets the process's clock ahead by d.
+// ClockJump sets the process's clock ahead by d. A negative d has no effect.
 func (h *Host) ClockJump(d time.Duration) {
 	if h.kernel != nil {
 		h.kernel.clockOffset += max(d, 0)
 	}
 }
 
-// StepWall steps the machine's wall clock, forward or back; its process's spans of time go on as before.
+// StepWall steps the machine's wall clock forward or back by d. The process's monotonic clock is
+// not affected.
 func (h *Host) StepWall(d time.Duration) { h.wallClockOffset += d }
 
-// ClockNow is what the process's clock shows, whether it runs or is stopped.
+// ClockNow returns the time that the process's clock shows, whether the process runs or is stopped.
 func (h *Host) ClockNow() time.Time {
 	if h.kernel == nil {
 		return h.world.Now()
@@ -270,14 +278,14 @@
 	return epoch.Add(h.kernel.clock())
 }
 
-// ExhaustPorts has every Connect fail for want of a port, until it is called with false.
+// ExhaustPorts makes every Connect fail for lack of a local port, until it is called with false.
 func (h *Host) ExhaustPorts(on bool) {
 	if h.kernel != nil {
 		h.kernel.noPorts = on
 	}
 }
 
-// schedule has the process run at a time, unless it is to run sooner.
+// schedule makes the process run at a time, unless it is to run sooner.
 func (h *Host) schedule(at time.Duration) {
 	if h.step == nil || h.scheduled && h.runAt <= at {
 		return
@@ -286,7 +294,7 @@
 	h.world.queue.push(at, wakeup{h, h.incarnation})
 }
 
-// wakeup is a time at which a process may have to run.
+// wakeup is the event of a time at which a process may have to run.
 type wakeup struct {
 	host        *Host
 	incarnation int
@@ -305,7 +313,8 @@
 	h.run()
 }
 
-// maxTurns is how often a process may turn without the time going on. A loop that spins would do so for ever.
+// maxTurns bounds how often a process may turn its loop without virtual time advancing. A loop that
+// spins would do so forever.
 const maxTurns = 100000
 
 func (h *Host) run() {
@@ -330,16 +339,16 @@
 			return
 		}
 		if turns == maxTurns {
-			w.Fail(fmt.Errorf("%s: turned %d times at one moment: it spins", h.name, turns))
+			w.Fail(fmt.Errorf("%s: event loop spins: %d turns without time advancing", h.name, turns))
 			return
 		}
 	}
 }
 
-// ErrExit is what a process's step returns to end in order.
+// ErrExit is returned by a process's step function to end the process in an orderly way.
 var ErrExit = errors.New("vnet: exit")
 
-// notify has the process look at a descriptor whose state may have changed.
+// notify makes the process look at a descriptor whose state may have changed.
 func (a *watch) notify(f file) {
 	h := a.host
 	if !a.registered || a.queued || !wanted(f.state(), a.interest) {
@@ -347,17 +356,17 @@
 	}
 	a.queued = true
 	h.ready = append(h.ready, f)
-	if !h.running || h.blocked { // else its next Wait finds it
+	if !h.running || h.blocked { // otherwise the next Wait finds it
 		h.schedule(h.world.now)
 	}
 }
 
-// wanted tells whether a state is worth an event: hang-ups always are.
+// wanted reports whether a state is worth an event. Hang-ups always are.
 func wanted(r poll.Ready, want poll.Interest) bool {
 	return r.Hangup || r.Read && want&poll.WantRead != 0 || r.Write && want&poll.WantWrite != 0
 }
 
-// allocate gives a file the lowest descriptor that was given back last, or a new one.
+// allocate assigns f the most recently freed descriptor, or a new one if none is free.
 func (h *Host) allocate(f file) (int, error) {
 	if h.limits.Descriptors > 0 && h.openFDs >= h.limits.Descriptors {
 		return -1, poll.ErrDescriptors
@@ -373,7 +382,7 @@
 	return len(h.files) - 1, nil
 }
 
-// nextPort gives out a port that nobody listens at.
+// nextPort allocates a local port on which no socket is open.
 func (h *Host) nextPort() uint16 {
 	for {
 		h.lastPort++
--- a/internal/vnet/kernel.go
+++ b/internal/vnet/kernel.go
@@ -10,15 +10,16 @@
 	"ospreyspan/internal/poll"
 )
 
-// kernel is a Host as its process sees it: one life of it. A process that has ended gets nothing done any more.
+// kernel implements poll.Kernel for one incarnation of a Host's process. Calls of a process that
+// has ended have no effect.
 type kernel struct {
 	host           *Host
 	incarnation    int
-	eventsReturned int           // events of the present turn
-	clockLag       time.Duration // by which the clock is read late
-	latestRead     time.Duration // latest time that was read
+	eventsReturned int           // events returned in the current turn
+	clockLag       time.Duration // delay with which the clock is read
+	latestRead     time.Duration // latest clock reading, so that time never runs backwards
 	noPorts        bool
-	clockRate      float64 // of the clock, since a time, and what it was ahead by then
+	clockRate      float64 // rate of the clock since rateSince; clockOffset is its lead by then
 	rateSince      time.Duration
 	clockOffset    time.Duration
 }
@@ -39,7 +40,7 @@
 	return epoch.Add(k.latestRead)
 }
 
-// Wait never waits: what is not ready now makes the host run again later.
+// Wait never blocks. If no event is ready, the host is scheduled to run again later.
 func (k *kernel) Wait(events []poll.Event, timeout time.Duration) (int, error) {
 	h := k.host
 	if k.ended() {
@@ -51,7 +52,8 @@
 		events[n] = poll.Event{Slot: poll.WakeSlot}
 		n++
 	}
-	// Readiness lasts until it is used: what is told stays in the list, behind what has not been told yet.
+	// Readiness is level-triggered: a reported descriptor stays in the list, behind those not yet
+	// reported.
 	examined := min(len(h.ready), len(events)-n)
 	for _, f := range h.ready[:examined] {
 		a := f.watch()
@@ -195,7 +197,8 @@
 	return k.host.allocate(&reserveFile{})
 }
 
-// file returns what a descriptor stands for, nil if it is free or of an earlier life.
+// file returns the object behind a descriptor, or nil if the descriptor is free or the process has
+// ended.
 func (k *kernel) file(fd int) file {
 	if k.ended() || fd < 0 || fd >= len(k.host.files) {
 		return nil
@@ -203,7 +206,8 @@
 	return k.host.files[fd]
 }
 
-// end returns a connection. One that is not there any more stands for one that was reset.
+// end returns the connection behind a descriptor, or nil if there is none. Callers treat a missing
+// connection as one that was reset.
 func (k *kernel) end(fd int) *end {
 	e, _ := k.file(fd).(*end)
 	return e
--- a/internal/vnet/main_test.go
+++ b/internal/vnet/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the draws of the property tests: a test's result must not vary. To search further, give -rapid.seed.
+// TestMain fixes the seed of the property tests so that their results do not vary. A different seed
+// can be given with -rapid.seed.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == "0" {
--- a/internal/vnet/path.go
+++ b/internal/vnet/path.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Link is the way from one host to another, in one direction.
+// Link describes the network path from one host to another, in one direction.
 type Link struct {
-	Delay  time.Duration // of every segment
-	Jitter time.Duration // added to it, drawn evenly from none to this
-	// Loss is the part of the segments that get lost, 0 to 1. A lost one of a connection arrives by its retransmission,
-	// and what follows waits for it; a lost datagram is gone.
+	Delay  time.Duration // one-way delay of every segment
+	Jitter time.Duration // random addition to Delay, uniform from 0 to this
+	// Loss is the probability that a segment is lost, 0 to 1. A lost segment of a connection
+	// arrives by retransmission, and later segments wait for it; a lost datagram is gone.
 	Loss      float64
-	Bandwidth float64 // bytes a second; 0: without end
+	Bandwidth float64 // bytes per second; 0: unlimited
 }
 
 const (
-	// minRTO is the least time after which a segment is sent again; it doubles with each try, up to maxRTO. SYNs wait
-	// synRTO first. These are Linux's figures.
+	// minRTO is the initial retransmission timeout; it doubles with each attempt, up to maxRTO.
+	// SYNs start at synRTO. These are the values of Linux.
 	minRTO = 200 * time.Millisecond
 	maxRTO = 120 * time.Second
 	synRTO = time.Second
 )
 
-// Reaches tells whether what one host sends gets to another now, and its answer back.
+// Reaches reports whether what a sends now arrives at b, and b's answer at a.
 func (w *World) Reaches(a, b *Host) bool { return w.path(a, b).delivers() && w.path(b, a).delivers() }
 
 type pair struct{ from, to int32 }
@@ -33,8 +33,8 @@
 type path struct {
 	Link
 	rng        *rand.Rand
-	busyUntil  time.Duration // until when segments that were sent before take its bandwidth
-	partitions int           // partitions that lie across it
+	busyUntil  time.Duration // when the bandwidth is free of earlier segments
+	partitions int           // number of partitions in force across the path
 	from       *Host
 	to         *Host
 }
@@ -49,7 +49,8 @@
 	return p
 }
 
-// rand returns the path's own stream, made when it is first needed: most of a big fleet's paths carry nothing.
+// rand returns the path's own random stream. It is created on first use, since most paths of a
+// large fleet carry no traffic.
 func (p *path) rand() *rand.Rand {
 	if p.rng == nil {
 		p.rng = p.from.world.Rand("path " + p.from.name + " " + p.to.name)
@@ -57,7 +58,8 @@
 	return p.rng
 }
 
-// transit is how long a segment of that size takes; lost tells that it does not arrive.
+// transit returns how long a segment of the given payload size takes. lost reports that the segment
+// does not arrive.
 func (p *path) transit(now time.Duration, size int) (d time.Duration, lost bool) {
 	d = p.Delay
 	if p.Jitter > 0 {
@@ -71,22 +73,23 @@
 	return d, p.Loss > 0 && p.rand().Float64() < p.Loss
 }
 
-// segmentHeaderSize is the size of a segment's headers on a link.
+// segmentHeaderSize is the size in bytes of a segment's headers on a link.
 const segmentHeaderSize = 66
 
-// delivers tells whether a segment gets through now: no partition lies across the path and both machines are there.
+// delivers reports whether a segment gets through now: no partition is in force across the path and
+// both machines are reachable.
 func (p *path) delivers() bool { return p.partitions == 0 && !p.from.unreachable && !p.to.unreachable }
 
-// Partition cuts every path between the hosts of a and those of b, both ways, until Heal. Partitions may overlap: a
-// path carries again once all that lie across it are healed.
+// Partition cuts every path between two sets of hosts, in both directions unless it is one-way,
+// until Heal. Partitions may overlap: a path is restored once all partitions across it are healed.
 type Partition struct {
 	world  *World
 	a, b   []*Host
-	oneWay bool // only what a sends to b is lost
+	oneWay bool // only traffic from a to b is lost
 	healed bool
 }
 
-// Cut makes a partition between two sets of hosts.
+// Cut creates a partition between two sets of hosts.
 func (w *World) Cut(a, b []*Host) *Partition {
 	c := &Partition{world: w, a: slices.Clone(a), b: slices.Clone(b)}
 	c.add(1)
@@ -94,7 +97,8 @@
 	return c
 }
 
-// CutOneWay makes a partition that loses what the hosts of a send to those of b; b is still heard.
+// CutOneWay creates a partition that loses all traffic from the hosts of a to those of b; traffic
+// from b to a still arrives.
 func (w *World) CutOneWay(a, b []*Host) *Partition {
 	c := &Partition{world: w, a: slices.Clone(a), b: slices.Clone(b), oneWay: true}
 	c.add(1)
@@ -102,7 +106,8 @@
 	return c
 }
 
-// Heal ends the partition. Connections across it go on when their segments are next sent again.
+// Heal ends the partition. Connections across it continue when their segments are next
+// retransmitted.
 func (c *Partition) Heal() {
 	if !c.healed {
 		c.healed = true
--- a/internal/vnet/queue.go
+++ b/internal/vnet/queue.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// action is what an event does.
+// action is the effect of an event.
 type action interface{ execute(w *World) }
 
-// event is a happening at its time; of two at the same time the one that was put in first comes first.
+// event is an action at a point in virtual time. Of two events at the same time, the one that was
+// queued first comes first.
 type event struct {
 	at     time.Duration
 	seq    uint64
@@ -14,8 +15,8 @@
 
 func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
 
-// eventQueue is a heap with four children a node: it is the hottest part of a run, and wider nodes touch fewer lines of
-// memory.
+// eventQueue is a 4-ary min-heap. It is the hottest code of a run, and a higher arity than two
+// touches fewer cache lines.
 type eventQueue struct {
 	heap []event
 	seq  uint64
--- a/internal/vnet/tcp.go
+++ b/internal/vnet/tcp.go
@@ -9,69 +9,71 @@
 	"ospreyspan/internal/poll"
 )
 
-// Conn names one connection to a Tap.
+// Conn identifies one connection to a Tap.
 type Conn struct {
 	ID       uint64 // counted from 1
 	Dialler  *Host
 	Listener *Host
-	Port     uint16 // of the listener
-	User     any    // the tap's own
+	Port     uint16 // port of the listener
+	User     any    // free for the use of the tap
 }
 
-// Tap sees what the processes of a world hand to their sockets, at the moment they do: what is still on its way then is
-// sent all the same. It must not touch the world. The bytes are the tap's for the call only.
+// Tap observes what the processes of a world pass to their sockets, at the moment they do so. Data
+// that is in flight at that moment is delivered all the same. A Tap must not modify the world. The
+// byte slices are valid only during the call.
 type Tap interface {
-	// Sent tells that a process wrote to a connection.
+	// Sent is called when a process has written to a connection.
 	Sent(c *Conn, from *Host, data []byte)
-	// Ended tells that a process closed its side, ended its sending or reset it; or that it died.
+	// Ended is called when a process has closed its side, shut down its sending direction or reset
+	// it, or has died.
 	Ended(c *Conn, from *Host)
-	// Arrived tells that bytes have reached the other machine.
+	// Arrived is called when bytes have reached the other machine.
 	Arrived(c *Conn, at *Host, data []byte)
-	// EndArrived tells that an end of the sending, or a reset, has.
+	// EndArrived is called when a FIN or a reset has reached the other machine.
 	EndArrived(c *Conn, at *Host)
 }
 
-// SetTap has a tap see all connections; nil: none does.
+// SetTap sets a tap that observes all connections; nil removes it.
 func (w *World) SetTap(t Tap) { w.tap = t }
 
 type endState uint8
 
 const (
 	connecting  endState = iota
-	synReceived          // the listener's side, until the dialler's acknowledgement
+	synReceived          // the listener's side, until the ACK of the dialler
 	established
 )
 
-// end is one end of a TCP connection.
+// end is one endpoint of a TCP connection.
 type end struct {
 	watchState watch
 	conn       *Conn
-	peer       *end // nil while it connects
+	peer       *end // nil while connecting
 	path       *path
 	local      netip.AddrPort
 	remote     netip.AddrPort
 
-	received     []byte // arrived and unread, from off on
+	received     []byte // unread bytes, starting at readOffset
 	readOffset   int
-	lastReceived time.Duration // when bytes last arrived
+	lastReceived time.Duration // virtual time at which bytes last arrived
 
-	// What was sent.
-	lastArrival time.Duration // when the last segment arrives
-	unread      int           // bytes that the far process has not read
-	maxUnread   int           // of these
-	attempts    int           // of the segment that is sent again; 0: none is
-	waiting     []*segment    // what waits for it
+	// State of the sending direction.
+	lastArrival time.Duration // arrival time of the last segment sent
+	unread      int           // bytes sent that the peer process has not read
+	maxUnread   int           // most bytes that may be unread
+	attempts    int           // retransmissions of the lost segment; 0: none in progress
+	waiting     []*segment    // the lost segment and those that wait behind it
 
-	err          error // pending; taken by SocketError, Read or Send
+	err          error // pending error; cleared by SocketError, Read or Send
 	phase        endState
-	windowClosed bool // a send found no room: told once there is
-	finReceived  bool // the far end has ended its sending
-	finSent      bool // this one has
+	windowClosed bool // a send found the window full; writability is reported once it opens
+	finReceived  bool // the peer has ended its sending direction
+	finSent      bool // this end has ended its sending direction
 	broken       bool // reset or failed
-	closed       bool // its descriptor was given back
-	resetOnClose bool // close resets
-	silent       bool // close says nothing
-	incarnation  int  // of the host's process that it belongs to
+	closed       bool // the descriptor was closed
+	resetOnClose bool // close sends a reset (SO_LINGER with a timeout of 0)
+	silent       bool // close sends nothing
+	incarnation  int  // incarnation of the host's process that owns the end
 }
 
 func (e *end) watch() *watch { return &e.watchState }
@@ -90,7 +92,7 @@
 	}
 }
 
-// kind is what a segment is for.
+// kind is the type of a segment.
 type kind uint8
 
 const (
@@ -105,15 +107,15 @@
 
 var kindNames = [...]string{"syn", "syn-ack", "ack", "data", "fin", "reset", "window"}
 
-// segment is something on its way from one end to the other.
+// segment is a segment in flight from one end to the other.
 type segment struct {
 	kind kind
 	from *end
-	to   *end // nil for a SYN: nobody is there yet
+	to   *end // nil for a SYN: the peer end does not exist yet
 	data []byte
 }
 
-// maxPooledBuffer is the longest buffer that is kept with a segment for the next one.
+// maxPooledBuffer is the capacity in bytes of the largest buffer that is kept for reuse.
 const maxPooledBuffer = 1 << 10
 
 func (w *World) segment(k kind, from, to *end, data []byte) *segment {
@@ -136,7 +138,8 @@
 	w.segmentPool = append(w.segmentPool, s)
 }
 
-// send puts a segment on its way, after all that this end sent before.
+// send transmits a segment, to arrive after all that this end sent before. A lost segment arrives
+// later by the delay of one retransmission.
 func (e *end) send(k kind, data []byte) {
 	w := e.path.from.world
 	s := w.segment(k, e, e.peer, data)
@@ -148,11 +151,11 @@
 	w.queue.push(e.lastArrival, s)
 }
 
-// execute is the segment's arrival, or the next try.
+// execute processes the arrival of the segment, or its next retransmission.
 func (s *segment) execute(w *World) {
 	e := s.from
 	if e.attempts > 0 && (len(e.waiting) == 0 || e.waiting[0] != s) {
-		e.waiting = append(e.waiting, s) // it was on its way behind one that got lost
+		e.waiting = append(e.waiting, s) // it was in flight behind a lost segment
 		return
 	}
 	if e.path.delivers() && (s.kind != segSyn || e.acceptQueueHasRoom()) {
@@ -170,15 +173,15 @@
 	}
 	w.record(Record{What: "lost", From: e.path.from, To: e.path.to, Port: e.conn.Port, Size: len(s.data)})
 	if s.kind == segReset || e.silent || s.kind == segSyn && e.closed {
-		if e.attempts > 0 { // it was sent again on behalf of a machine that is gone now
+		if e.attempts > 0 { // it was retransmitted on behalf of a machine that is gone now
 			e.attempts, e.waiting = 0, nil
 		}
-		return // nobody sends it again
+		return // it is not retransmitted
 	}
 	if e.attempts == 0 {
 		e.waiting = append([]*segment{s}, e.waiting...)
 	}
-	wait, maxAttempts := minRTO, 15 // tries, as Linux has them for data
+	wait, maxAttempts := minRTO, 15 // retransmissions of data, as in Linux
 	if s.kind == segSyn {
 		wait, maxAttempts = synRTO, 6
 	}
@@ -190,13 +193,15 @@
 	w.queue.push(w.now+min(wait<<(e.attempts-1), maxRTO), s)
 }
 
-// acceptQueueHasRoom tells whether the far machine has room for one more that is not accepted yet.
+// acceptQueueHasRoom reports whether the remote machine has room for one more connection that is
+// not accepted yet.
 func (e *end) acceptQueueHasRoom() bool {
 	l := e.path.to.listeners[e.conn.Port]
 	return l == nil || len(l.queue) < maxBacklog
 }
 
-// maxBacklog is how many connections wait to be accepted at the most; a SYN beyond that is dropped.
+// maxBacklog is the largest number of connections that wait to be accepted; a SYN beyond that is
+// dropped.
 const maxBacklog = 4096
 
 func (s *segment) arrive(w *World) {
@@ -242,7 +247,7 @@
 		w.notifyEndArrived(to)
 		to.finReceived = true
 		if to.closed && to.silent && !to.path.from.unreachable {
-			to.send(segReset, nil) // of an earlier life
+			to.send(segReset, nil) // the connection belongs to an earlier incarnation
 		}
 		to.notify()
 	case segReset:
@@ -265,7 +270,7 @@
 	}
 }
 
-// fail breaks the end. What had arrived before can still be read.
+// fail breaks the end with err. Bytes that arrived before can still be read.
 func (e *end) fail(err error) {
 	if e.closed || e.broken {
 		return
@@ -274,7 +279,7 @@
 	e.notify()
 }
 
-// handleSYN takes a SYN, late for a part of them where LateConnects says so.
+// handleSYN processes a SYN. A share of the SYNs is delayed as configured by DelayConnects.
 func (h *Host) handleSYN(e *end) {
 	if h.delayedConnectRatio > 0 {
 		if r := h.world.path(h, e.path.from).rand(); r.Float64() < h.delayedConnectRatio {
@@ -285,7 +290,8 @@
 	h.answerSYN(e)
 }
 
-// DelayConnects has a part of the connections to the host, 0 to 1, come up later by up to most.
+// DelayConnects delays the establishment of a share of the connections to the host, 0 to 1, by a
+// random time of up to most.
 func (h *Host) DelayConnects(ratio float64, maxDelay time.Duration) {
 	h.delayedConnectRatio, h.maxConnectDelay = ratio, maxDelay
 }
@@ -308,7 +314,7 @@
 	synEnd.send(segSynAck, nil)
 }
 
-// dialerReceiveBuffer is what the dialler's machine keeps unread of a connection.
+// dialerReceiveBuffer is the receive buffer in bytes of a connection on the dialler's machine.
 const dialerReceiveBuffer = 64 << 10
 
 func (e *end) read(p []byte) (int, error) {
@@ -368,7 +374,8 @@
 	return n, nil
 }
 
-// notifyEnded tells the tap, once, that this side's process is through with the connection.
+// notifyEnded tells the tap that this side's process has ended its use of the connection, unless it
+// was told so when the sending direction ended.
 func (e *end) notifyEnded() {
 	if w := e.path.from.world; w.tap != nil && !e.finSent {
 		w.tap.Ended(e.conn, e.path.from)
@@ -382,7 +389,7 @@
 	e.notifyEnded()
 	e.finSent = true
 	e.send(segFin, nil)
-	e.notify() // both directions may be over now
+	e.notify() // both directions may have ended now
 }
 
 func (e *end) close() {
@@ -402,7 +409,7 @@
 	}
 }
 
-// listener takes connections at a port.
+// listener accepts connections on a port.
 type listener struct {
 	watch_  watch
 	port    uint16
@@ -422,7 +429,7 @@
 	l.queue = nil
 }
 
-// reserveFile is a descriptor that stands for nothing.
+// reserveFile is a descriptor without a socket, held in reserve.
 type reserveFile struct{ watch_ watch }
 
 func (s *reserveFile) watch() *watch     { return &s.watch_ }
--- a/internal/vnet/udp.go
+++ b/internal/vnet/udp.go
@@ -7,7 +7,8 @@
 	"ospreyspan/internal/poll"
 )
 
-// maxQueuedDatagrams is how many wait at a socket; further ones are lost.
+// maxQueuedDatagrams is the largest number of datagrams queued at a socket; further ones are
+// dropped.
 const maxQueuedDatagrams = 256
 
 // datagram is one UDP packet.
@@ -52,7 +53,7 @@
 	w := h.world
 	remote := w.byAddr[to.Addr()]
 	if remote == nil {
-		return // nobody is there, and nobody says so
+		return // no host at this address; UDP reports no error
 	}
 	data := append([]byte(nil), p...)
 	if h.sendStall > 0 {
@@ -60,7 +61,7 @@
 		h.sendStall = 0
 		w.record(Record{What: "stall", From: h})
 	}
-	if h.stalledUntil > w.now { // it is stopped between its decision and this send
+	if h.stalledUntil > w.now { // the process is suspended between its decision and this send
 		life := h.incarnation
 		w.After(h.stalledUntil-w.now, func() {
 			if life == h.incarnation {
@@ -91,14 +92,14 @@
 	}
 }
 
-// DatagramFault is what a network does to one datagram beside its link's delay and loss.
+// DatagramFault is what the network does to one datagram beyond the delay and loss of its link.
 type DatagramFault struct {
 	Drop       bool
-	Delay      time.Duration   // it is held for so long
-	Duplicates []time.Duration // copies of it arrive so much later
+	Delay      time.Duration   // added delay; 0: none
+	Duplicates []time.Duration // one copy arrives for each entry, later by that time
 }
 
-// SetDatagramFaults has f decide what happens to each datagram; nil: nothing.
+// SetDatagramFaults sets the function that decides the fault of each datagram; nil injects none.
 func (w *World) SetDatagramFaults(f func(from, to *Host, size int) DatagramFault) {
 	w.datagramFault = f
 }
--- a/internal/vnet/vnet_test.go
+++ b/internal/vnet/vnet_test.go
@@ -16,12 +16,12 @@
 	"ospreyspan/internal/poll"
 )
 
-// endpoint is one end of a connection that a test plays.
+// endpoint is one end of a connection, driven by a test.
 type endpoint struct {
 	sock       *poll.Socket
 	up         bool
 	received   []byte
-	err        error // the first that was read
+	err        error // first error that was read
 	notReading bool
 	readTimes  []time.Time
 	machine    *machine
@@ -50,13 +50,13 @@
 			s.err = err
 		}
 		s.sock.Want(false, false)
-		if r.Hangup { // it is told without end
+		if r.Hangup { // a hang-up is reported until the socket is closed
 			s.sock.Close()
 		}
 	}
 }
 
-// machine is a host with a loop and what it accepted.
+// machine is a host with an event loop and the connections that it accepted.
 type machine struct {
 	t        *testing.T
 	w        *World
@@ -125,7 +125,8 @@
 	return func(_, _ *Host) Link { return Link{Delay: d} }
 }
 
-// A connection takes a round trip to come up, a line one way's delay, and the end of sending arrives after the line.
+// A connection is established after one round trip, data arrives after the one-way delay, and the
+// end of the stream arrives after the data.
 func TestConnection(t *testing.T) {
 	w := New(1, delay(10*ms))
 	a, b := newMachine(t, w, "a", 1, Limits{}), newMachine(t, w, "b", 2, Limits{})
@@ -133,11 +134,11 @@
 	s := a.dial(b.at(80))
 	a.run(19 * ms)
 	if s.up {
-		t.Fatal("up before a round trip was over")
+		t.Fatal("connection established before one round trip")
 	}
 	a.run(1 * ms)
 	if !s.up {
-		t.Fatal("not up after a round trip")
+		t.Fatal("connection not established after one round trip")
 	}
 	if n, err := s.sock.Write([]byte("hello")); n != 5 || err != nil {
 		t.Fatal(n, err)
@@ -146,21 +147,21 @@
 	a.run(10 * ms)
 	far := b.accepted[0]
 	if string(far.received) != "hello" || far.err != io.EOF || far.sock.RemoteAddr().Addr() != a.host.Addr() {
-		t.Fatalf("got %q, %v from %v", far.received, far.err, far.sock.RemoteAddr())
+		t.Fatalf("read %q, error %v, from %v", far.received, far.err, far.sock.RemoteAddr())
 	}
 	far.sock.Close()
 	a.run(10 * ms)
 	if s.err != io.EOF {
-		t.Errorf("the far end closed, and %v was read", s.err)
+		t.Errorf("after the peer closed: got error %v, want EOF", s.err)
 	}
 	s.sock.Close()
 	if a.host.Open() != 0 || b.host.Open() != 2 { // b: the listener and its reserve
-		t.Errorf("%d and %d descriptors are open", a.host.Open(), b.host.Open())
+		t.Errorf("open descriptors: got %d and %d, want 0 and 2", a.host.Open(), b.host.Open())
 	}
 }
 
-// A process that dies resets its connections and refuses new ones; a machine that vanishes gives no sign, and its old
-// connections are reset once it is back.
+// A process that dies resets its connections and refuses new ones. A machine that vanishes sends
+// nothing, and its old connections are reset once it is back.
 func TestKillAndVanish(t *testing.T) {
 	w := New(1, delay(ms))
 	a, b := newMachine(t, w, "a", 1, Limits{}), newMachine(t, w, "b", 2, Limits{})
@@ -170,12 +171,12 @@
 	b.host.Kill()
 	a.run(ms)
 	if !errors.Is(s.err, unix.ECONNRESET) {
-		t.Errorf("its process died: %v", s.err)
+		t.Errorf("peer process killed: got %v, want ECONNRESET", s.err)
 	}
 	s = a.dial(b.at(80))
 	a.run(10 * ms)
 	if !errors.Is(s.err, unix.ECONNREFUSED) {
-		t.Errorf("nobody listens: %v", s.err)
+		t.Errorf("no listener: got %v, want ECONNREFUSED", s.err)
 	}
 	b.start()
 	b.listen(80)
@@ -186,25 +187,26 @@
 	late := a.dial(b.at(80))
 	a.run(5 * time.Second)
 	if s.err != nil || late.up || late.err != nil {
-		t.Fatalf("a machine that vanished gave a sign: %v, %v", s.err, late.err)
+		t.Fatalf("traffic from a vanished machine: errors %v and %v", s.err, late.err)
 	}
 	b.host.Return()
 	b.start()
 	b.listen(80)
 	a.run(30 * time.Second)
 	if !errors.Is(s.err, unix.ECONNRESET) {
-		t.Errorf("a connection of the earlier life: %v", s.err)
+		t.Errorf("connection of the earlier incarnation: got %v, want ECONNRESET", s.err)
 	}
 	if !late.up {
-		t.Errorf("a SYN was not sent again: %v", late.err)
+		t.Errorf("SYN was not retransmitted: %v", late.err)
 	}
 	if got := b.accepted[len(b.accepted)-1].received; len(got) != 0 {
-		t.Errorf("the new process got %q", got)
+		t.Errorf("the new process received %q, want nothing", got)
 	}
 }
 
-// What was sent across a partition arrives after it heals, once and in order; overlapping ones heal one by one. One
-// that heals while a connection is being made lets it come up.
+// Data sent across a partition arrives once and in order after the partition heals. A path under
+// overlapping partitions is restored only when all of them are healed. A connection attempt that is
+// in progress when the partition heals succeeds.
 func TestPartition(t *testing.T) {
 	w := New(1, delay(ms))
 	a, b := newMachine(t, w, "a", 1, Limits{}), newMachine(t, w, "b", 2, Limits{})
@@ -222,16 +224,16 @@
 	one.Heal()
 	a.run(2 * time.Second)
 	if len(b.accepted[0].received) != 0 || mid.up {
-		t.Fatal("the second partition carried")
+		t.Fatal("traffic passed while the second partition was in force")
 	}
 	two.Heal()
 	a.run(3 * time.Second)
 	if string(b.accepted[0].received) != "01234" || !mid.up {
-		t.Errorf("after healing: %q, the connection that was being made is up: %v", b.accepted[0].received, mid.up)
+		t.Errorf("after healing: received %q, want 01234; pending connection established: %v", b.accepted[0].received, mid.up)
 	}
 }
 
-// A far end that does not read shuts the window: sends fall short, and go on once it reads.
+// A peer that does not read closes the window: writes are short, and resume once it reads.
 func TestBackPressure(t *testing.T) {
 	w := New(1, delay(ms))
 	a, b := newMachine(t, w, "a", 1, Limits{SendBuffer: 1000}), newMachine(t, w, "b", 2, Limits{})
@@ -244,10 +246,10 @@
 	text := bytes.Repeat([]byte("x"), 100000)
 	n, err := s.sock.Write(text)
 	if err != nil || n <= 1000 || n >= len(text) {
-		t.Fatalf("wrote %d, %v", n, err)
+		t.Fatalf("short write: wrote %d, error %v", n, err)
 	}
 	if again, _ := s.sock.Write(text); again != 0 {
-		t.Fatalf("wrote %d more", again)
+		t.Fatalf("wrote %d more bytes to a full window", again)
 	}
 	reported := false
 	s.sock.SetHandler(readyFunc(func(r poll.Ready) {
@@ -259,13 +261,13 @@
 	s.sock.Want(false, true)
 	a.run(time.Second)
 	if reported {
-		t.Fatal("room was told of while nothing was read")
+		t.Fatal("writability was reported while the peer read nothing")
 	}
 	far.notReading = false
 	far.sock.Want(true, false)
 	a.run(time.Second)
 	if !reported || len(far.received) != n {
-		t.Errorf("told of room: %v; %d of %d arrived", reported, len(far.received), n)
+		t.Errorf("writability reported: %v; %d of %d bytes arrived", reported, len(far.received), n)
 	}
 }
 
@@ -273,27 +275,29 @@
 
 func (f readyFunc) Ready(r poll.Ready) { f(r) }
 
-// A process that has used up its descriptors can open none; the listener's reserve still takes one connection.
+// A process that has used up its descriptors can open no more; the listener's reserve still accepts
+// one connection.
 func TestDescriptors(t *testing.T) {
 	w := New(1, nil)
 	a, b := newMachine(t, w, "a", 1, Limits{Descriptors: 2}), newMachine(t, w, "b", 2, Limits{Descriptors: 3})
 	b.listen(80)
 	first, second := a.dial(b.at(80)), a.dial(b.at(80))
 	if _, err := a.loop.Dial(b.at(80), &endpoint{machine: a}); !errors.Is(err, poll.ErrNoSocket) {
-		t.Errorf("a third descriptor of two: %v", err)
+		t.Errorf("dial beyond the limit of 2 descriptors: %v", err)
 	}
 	a.run(10 * ms)
 	if len(b.accepted) != 2 || !first.up || second.err == nil || b.host.Open() != 3 {
-		t.Errorf("%d taken, the second heard %v, %d open", len(b.accepted), second.err, b.host.Open())
+		t.Errorf("%d connections accepted, error of the second %v, %d descriptors open", len(b.accepted), second.err, b.host.Open())
 	}
 	first.sock.Close()
 	a.host.ExhaustPorts(true)
 	if _, err := a.loop.Dial(b.at(80), &endpoint{machine: a}); !errors.Is(err, poll.ErrNoSocket) {
-		t.Errorf("out of ports: %v", err)
+		t.Errorf("dial without free ports: %v", err)
 	}
 }
 
-// A process that is stalled gets what came meanwhile, afterwards; one whose clock is read late fires timers late.
+// A stalled process receives what arrived meanwhile once it resumes. A process whose clock is read
+// late fires its timers late.
 func TestStallAndLateClock(t *testing.T) {
 	w := New(1, delay(ms))
 	a, b := newMachine(t, w, "a", 1, Limits{}), newMachine(t, w, "b", 2, Limits{})
@@ -305,11 +309,11 @@
 	_, _ = s.sock.Write([]byte("x"))
 	a.run(299 * ms)
 	if len(b.accepted[0].received) != 0 {
-		t.Fatal("it ran while it was stalled")
+		t.Fatal("the process ran while stalled")
 	}
 	a.run(10 * ms)
 	if at := b.accepted[0].readTimes; len(at) != 1 || at[0].Sub(begin) != 300*ms {
-		t.Errorf("it read at %v", at)
+		t.Errorf("read times: got %v, want one, 300 ms after the start of the stall", at)
 	}
 	var fired time.Duration
 	timer := poll.Timer{Fire: func() { fired = w.Now().Sub(begin) }}
@@ -319,11 +323,12 @@
 	_, _ = s.sock.Write([]byte("x"))
 	a.run(time.Second)
 	if fired < 150*ms || fired > 152*ms {
-		t.Errorf("a timer of 100 ms by a clock that is 50 ms late fired after %v", fired)
+		t.Errorf("100 ms timer with a clock lag of 50 ms fired after %v", fired)
 	}
 }
 
-// Bandwidth spaces segments out; datagrams are lost where segments of a connection are late.
+// Bandwidth spaces segments out. On a lossy link datagrams are lost, whereas segments of a
+// connection are only delayed.
 func TestBandwidthAndLoss(t *testing.T) {
 	w := New(1, func(_, _ *Host) Link { return Link{Delay: ms, Bandwidth: 1000} })
 	a, b := newMachine(t, w, "a", 1, Limits{}), newMachine(t, w, "b", 2, Limits{})
@@ -337,7 +342,7 @@
 	a.run(10 * time.Second)
 	for i, at := range b.accepted[0].readTimes {
 		if want := time.Duration(i+1)*time.Second + ms; at.Sub(begin) != want {
-			t.Errorf("segment %d after %v, want %v", i, at.Sub(begin), want)
+			t.Errorf("segment %d arrived after %v, want %v", i, at.Sub(begin), want)
 		}
 	}
 	w = New(1, func(_, _ *Host) Link { return Link{Delay: ms, Loss: 0.5} })
@@ -367,11 +372,12 @@
 	}
 	a.run(time.Second)
 	if got < 70 || got > 130 {
-		t.Errorf("of 200 datagrams over a link that loses half, %d arrived", got)
+		t.Errorf("%d of 200 datagrams arrived over a link with 50 %% loss, want 70 to 130", got)
 	}
 }
 
-// A loop that spins is a failure of the run and not a run without end; so is a step that fails.
+// An event loop that spins without virtual time advancing fails the run, which would otherwise
+// never end.
 func TestSpinningLoopFails(t *testing.T) {
 	w := New(7, nil)
 	h := w.AddHost("spins", netip.MustParseAddr("10.0.0.1"), Limits{})
@@ -381,12 +387,13 @@
 	})
 	var f *Failure
 	if err := w.Run(time.Second); !errors.As(err, &f) || f.Seed != 7 || !strings.Contains(err.Error(), "spins") || len(f.Last) == 0 {
-		t.Errorf("a loop that spins: %v", err)
+		t.Errorf("spinning event loop: got %v", err)
 	}
 }
 
-// Whatever two processes do to a connection and whatever the network does to them, each reads what the other wrote, in
-// order, without a gap; and an undisturbed one reads all of it.
+// Whatever two processes do to a connection and whatever the network does to them, each reads what
+// the other wrote, in order and without a gap. If the connection is not reset, each reads all of
+// it.
 func TestStreamIntegrity(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		loss := rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(r, "loss")
@@ -396,7 +403,7 @@
 		a, b := newMachine(t, w, "a", 1, Limits{SendBuffer: 500}), newMachine(t, w, "b", 2, Limits{SendBuffer: 300})
 		b.listen(80)
 		near := a.dial(b.at(80))
-		for range 20 { // a SYN may get lost a few times
+		for range 20 { // a SYN may be lost several times
 			if a.run(5 * time.Second); near.up && len(b.accepted) > 0 {
 				break
 			}
@@ -447,16 +454,16 @@
 		a.run(30 * time.Minute)
 		for i, s := range []*endpoint{far, near} {
 			if !bytes.HasPrefix(sent[i], s.received) {
-				r.Fatalf("side %d read %d bytes that are not what was written", i, len(s.received))
+				r.Fatalf("side %d read %d bytes that differ from those written", i, len(s.received))
 			}
 			if !broken && len(s.received) != len(sent[i]) {
-				r.Fatalf("side %d read %d of %d bytes", i, len(s.received), len(sent[i]))
+				r.Fatalf("side %d read %d of %d bytes written", i, len(s.received), len(sent[i]))
 			}
 		}
 	})
 }
 
-// The same seed is the same trace; another one is another.
+// The same seed gives the same trace; a different seed gives a different one.
 func TestSameSeedSameTrace(t *testing.T) {
 	run := func(seed uint64) uint64 {
 		w := New(seed, func(_, _ *Host) Link { return Link{Delay: ms, Jitter: 3 * ms, Loss: 0.1} })
@@ -478,6 +485,6 @@
 	}
 	first, again, other := run(1), run(1), run(2)
 	if first != again || first == other {
-		t.Error("the trace does not follow from the seed alone")
+		t.Error("trace hashes: want equal for the same seed, different for another")
 	}
 }
--- a/internal/vnet/world.go
+++ b/internal/vnet/world.go
@@ -1,14 +1,16 @@
-// Package vnet is a network that does not exist: many hosts in one process, each a poll.Kernel of its own, joined by
-// links with delay, jitter, loss and bandwidth. Time is virtual: it jumps from one event to the next, and one ordered
-// queue holds the events of all hosts. A program written on poll.Loop runs on it unchanged.
+// Package vnet simulates a network in virtual time: many hosts in one process, each with its own
+// poll.Kernel, joined by links with delay, jitter, loss and bandwidth. Virtual time jumps from one
+// event to the next, and one ordered queue holds the events of all hosts. A program written on
+// poll.Loop runs on it unchanged.
 //
-// Everything that is drawn comes from the world's seed, and each concern has a stream of its own, so that a fault which
-// is added to a run does not shift the draws of the others. The same program with the same seed is the same run, event
-// for event; TraceSum tells.
+// All random draws derive from the world's seed. Each concern has its own random stream, so a fault
+// that is added to a run does not shift the draws of the others. The same program with the same
+// seed gives the same run, event for event; World.TraceSum verifies this.
 //
-// What it leaves out of a real network: congestion control, segmentation (a send is one segment), reordering (TCP hides
-// it) and acknowledgements (a window opens when the far end reads; a sender that found it shut hears of that one way's
-// delay later). Loss shows as what it costs a TCP connection: a delay of all that follows.
+// The simulation leaves out congestion control, segmentation (a send is one segment), reordering
+// (TCP hides it) and acknowledgements (a window opens when the peer reads; a sender that found it
+// closed learns of this one one-way delay later). For a TCP connection, loss shows as a delay of
+// all later segments.
 package vnet
 
 import (
@@ -21,30 +23,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Epoch is the time at which every world begins: a run must not depend on when it is made.
+// epoch is the virtual time at which every world begins. It is fixed so that a run does not depend
+// on the wall clock.
 var epoch = time.Date(2026, time.January, 5, 6, 0, 0, 0, time.UTC)
 
-// World is a network and the machines on it. It belongs to one goroutine.
+// World is a simulated network and its hosts. It must be used from a single goroutine.
 type World struct {
 	seed          uint64
-	now           time.Duration // since the epoch
+	now           time.Duration // virtual time since epoch
 	queue         eventQueue
 	hosts         []*Host
 	byAddr        map[netip.Addr]*Host
 	paths         map[pair]*path
 	linkFunc      func(from, to *Host) Link
-	segmentPool   []*segment // segments that were used up
+	segmentPool   []*segment // segments free for reuse
 	traceHash     *xxhash.Digest
 	recent        recentRecords
 	tap           Tap
 	datagramFault func(from, to *Host, size int) DatagramFault
-	connCount     uint64 // opened so far
+	connCount     uint64 // connections opened so far
 	eventCount    uint64
 	failure       error
 }
 
-// New returns a world without hosts. link gives the way from one host to another, asked once for each pair; nil stands
-// for links without delay.
+// New returns a World without hosts. link returns the properties of the path from one host to
+// another and is called once for each ordered pair; nil stands for links without delay.
 func New(seed uint64, link func(from, to *Host) Link) *World {
 	if link == nil {
 		link = func(_, _ *Host) Link { return Link{} }
@@ -54,27 +57,29 @@
 	}
 }
 
-// Seed is what New was given.
+// Seed returns the seed that was passed to New.
 func (w *World) Seed() uint64 { return w.seed }
 
-// Now is the present virtual time.
+// Now returns the current virtual time.
 func (w *World) Now() time.Time { return epoch.Add(w.now) }
 
-// Elapsed is the virtual time since the world began.
+// Elapsed returns the virtual time since the world began.
 func (w *World) Elapsed() time.Duration { return w.now }
 
-// Events tells how many events have happened.
+// Events returns the number of events executed so far.
 func (w *World) Events() uint64 { return w.eventCount }
 
-// TraceSum is a hash over all events so far: kind, time, hosts and size of each.
+// TraceSum returns a hash over all events so far: kind, time, hosts and size of each.
 func (w *World) TraceSum() uint64 { return w.traceHash.Sum64() }
 
-// Rand returns the stream of draws of one concern: the same name in the same world is the same stream from its start.
+// Rand returns a new random stream for one concern. Two calls with the same name in the same world
+// return the same stream, from its start.
 func (w *World) Rand(concern string) *rand.Rand {
 	return rand.New(rand.NewPCG(w.seed, xxhash.Sum64String(concern)))
 }
 
-// After has f called after d; it is an event of the world's own, a fault or a measurement, and belongs to no host.
+// After calls f once d has elapsed. The call is an event of the world itself, such as a fault or a
+// measurement, and belongs to no host.
 func (w *World) After(d time.Duration, f func()) {
 	w.queue.push(w.now+max(d, 0), callback(f))
 }
@@ -86,7 +91,7 @@
 	f()
 }
 
-// Run lets the world go on for d. It ends early, with the error, once Fail was called.
+// Run advances the world by d. It ends early, with the error, once Fail was called.
 func (w *World) Run(d time.Duration) error {
 	until := w.now + d
 	for w.failure == nil && len(w.queue.heap) > 0 && w.queue.heap[0].at <= until {
@@ -101,19 +106,19 @@
 	return w.failure
 }
 
-// Fail stops the run: something that must never happen has happened. Only the first failure counts.
+// Fail stops the run because an invariant was violated. Only the first failure counts.
 func (w *World) Fail(err error) {
 	if w.failure == nil && err != nil {
 		w.failure = &Failure{Seed: w.seed, At: w.now, Err: err, Last: w.recent.list()}
 	}
 }
 
-// Failure is a run that Fail stopped.
+// Failure is the error of a run that Fail stopped.
 type Failure struct {
 	Seed uint64
-	At   time.Duration // since the world began
+	At   time.Duration // virtual time since the world began
 	Err  error
-	Last []Record // what happened just before, the latest last
+	Last []Record // the events just before the failure, oldest first
 }
 
 func (f *Failure) Error() string {
@@ -125,9 +130,9 @@
 // Record is one event of the trace.
 type Record struct {
 	At       time.Duration
-	What     string // a word of fixed spelling
+	What     string // event kind, one of a fixed set of words
 	From, To *Host  // may be nil
-	Port     uint16 // of the side that listens; 0: does not apply
+	Port     uint16 // port of the listening side; 0: does not apply
 	Size     int    // bytes
 }
 
@@ -141,7 +146,7 @@
 	return fmt.Sprintf("%12v %-8s %s -> %s port %d, %d bytes", r.At, r.What, name(r.From), name(r.To), r.Port, r.Size)
 }
 
-// record takes an event into the trace.
+// record adds an event to the trace.
 func (w *World) record(r Record) {
 	r.At = w.now
 	w.recent.add(r)
@@ -157,15 +162,15 @@
 	}
 	binary.LittleEndian.PutUint16(b[26:], r.Port)
 	binary.LittleEndian.PutUint32(b[28:], uint32(r.Size))
-	_, _ = w.traceHash.Write(b[:]) // a hash takes all
+	_, _ = w.traceHash.Write(b[:]) // a hash never fails to write
 }
 
-// Note takes something that a model on top of the world wants in its trace.
+// Note adds an event to the trace on behalf of a model that runs on top of the world.
 func (w *World) Note(what string, from, to *Host, size int) {
 	w.record(Record{What: what, From: from, To: to, Size: size})
 }
 
-// recentRecords keeps the last records in a ring.
+// recentRecords keeps the last records in a ring buffer.
 type recentRecords struct {
 	ring [64]Record
 	n    int
