--- a/internal/rig/play.go
+++ b/internal/rig/faults.go
@@ -39,6 +39,7 @@
 	return r.failed
 }
 
+// faultRound performs one round of InjectFaults.
 func (r *Rig) faultRound() {
 	announced := func() bool {
 		o := r.owner()
@@ -135,13 +136,14 @@
 	}
 }
 
-// MassKillResult holds the measurements of a mass kill.
+// MassKillResult holds the measurements of a mass kill. The processes agree when all live ones have
+// an announcement with the token of one owner.
 type MassKillResult struct {
 	Processes, Killed                 int
-	StartConvergence, KillConvergence time.Duration // time from the start, and from the kill, until all live processes had an announcement of one owner
-	Datagrams                         int           // datagrams sent per process and second without faults
+	StartConvergence, KillConvergence time.Duration // from the start or the kill until all agreed
+	Datagrams                         int           // per process and second, without faults
 	MemoryKB                          int           // resident memory per live process, in KB
-	CPU                               float64       // processor time per process without faults, in thousandths of a core
+	CPU                               float64       // thousandths of a core per process without faults
 }
 
 func (m MassKillResult) String() string {
@@ -164,7 +166,7 @@
 		return m, r.firstError(fmt.Errorf("rig: processes did not agree on an owner within %v of the start", timeout))
 	}
 	m.StartConvergence = time.Since(begin)
-	r.waitUntil(20*time.Second, func() bool { return false }) // until the news of the start has spread
+	r.waitUntil(20*time.Second, func() bool { return false }) // lets the announcements of the start spread
 	before, ticks := r.Counts.Datagrams, r.cpuTicks()
 	r.waitUntil(5*time.Second, func() bool { return false })
 	m.CPU = float64(r.cpuTicks()-ticks) * 10 / 5 / float64(len(r.procs)) // a tick is 10 ms
@@ -192,6 +194,7 @@
 	return m, r.failed
 }
 
+// firstError returns the error that already failed the run, or else err.
 func (r *Rig) firstError(err error) error {
 	if r.failed != nil {
 		return r.failed
@@ -247,7 +250,7 @@
 			continue
 		}
 		fields := strings.Fields(string(text))
-		for _, i := range []int{13, 14} { // user and system time, see proc(5); the process name has no space
+		for _, i := range []int{13, 14} { // utime and stime, see proc(5); the name has no space
 			n := 0
 			if i < len(fields) {
 				if _, err := fmt.Sscan(fields[i], &n); err == nil {
--- a/internal/rig/proc.go
+++ b/internal/rig/proc.go
@@ -110,17 +110,18 @@
 }
 
 // readLog passes the process's log lines, and then its exit, to the rig's event loop.
-func (p *proc) readLog(pipe io.Reader, c *exec.Cmd, life int, ended chan struct{}) {
+func (p *proc) readLog(pipe io.Reader, c *exec.Cmd, incarnation int, exited chan struct{}) {
 	lines := bufio.NewScanner(pipe)
 	for lines.Scan() {
 		text := lines.Text()
 		p.rig.loop.Post(func() { p.handleLogLine(text) })
 	}
 	err := c.Wait()
-	close(ended)
-	p.rig.loop.Post(func() { p.handleExit(life, err) })
+	close(exited)
+	p.rig.loop.Post(func() { p.handleExit(incarnation, err) })
 }
 
+// handleLogLine processes one line of output: a log entry, or the counters printed at the end.
 func (p *proc) handleLogLine(text string) {
 	p.logTail = append(p.logTail, text)
 	if len(p.logTail) > 20 {
@@ -144,8 +145,8 @@
 
 // handleExit handles the end of a process. An end that the rig did not cause is a crash and fails
 // the run.
-func (p *proc) handleExit(life int, err error) {
-	if life == p.incarnation && p.cmd != nil {
+func (p *proc) handleExit(incarnation int, err error) {
+	if incarnation == p.incarnation && p.cmd != nil {
 		p.cmd = nil
 		p.rig.fail(fmt.Errorf("%s exited unexpectedly: %v; last lines of its log:\n%s", p.name, err, strings.Join(p.logTail, "\n")))
 	}
@@ -171,6 +172,7 @@
 	}
 }
 
+// resume continues a suspended process with SIGCONT.
 func (p *proc) resume() {
 	if p.cmd != nil && p.stopped {
 		p.stopped = false
@@ -182,18 +184,18 @@
 // process that still runs after the given time is killed.
 func (r *Rig) terminate(timeout time.Duration) {
 	r.closing = true
-	var ended []chan struct{}
+	var exited []chan struct{}
 	for _, p := range r.procs {
 		p.resume()
 		if p.cmd != nil {
 			c := p.cmd
 			p.cmd = nil // its exit is expected from now on
 			_ = c.Process.Signal(syscall.SIGTERM)
-			ended = append(ended, p.exited)
+			exited = append(exited, p.exited)
 			r.after(timeout, func() { _ = c.Process.Kill() })
 		}
 	}
-	for _, e := range ended {
+	for _, e := range exited {
 		done := false
 		go func() { <-e; r.loop.Post(func() { done = true }) }()
 		for !done {
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -61,14 +61,14 @@
 	registry        *fleet.Registry
 	discovery       *fleet.Discovery
 	ledger          *fleet.Ledger
-	subnet          byte        // second byte of its loopback addresses; the three following values are its own too
+	subnet          byte        // second byte of its addresses; the three after it are its own too
 	replacedKeepers map[int]int // new numbers of replaced keepers, by process index
 	lossless        bool        // links inject no loss, delay or duplication
 	closing         bool
 	failed          error
 	latestToken     uint64
 	tokenHolders    map[uint64]string // process incarnation by token
-	acceptedTokens  map[string]uint64 // latest accepted token by process name and duty, across restarts
+	acceptedTokens  map[string]uint64 // latest by process name and duty, across restarts
 	Counts          Counts
 }
 
@@ -82,6 +82,7 @@
 	held         []heldAnnouncement
 }
 
+// heldAnnouncement is the copy of an announcement, kept to be sent again later.
 type heldAnnouncement struct {
 	id   mesh.AnnouncementID
 	from *link
@@ -223,12 +224,12 @@
 func (r *Rig) handleLogEntry(p *proc, entry *logEntry) {
 	switch entry.Message {
 	case "fleet: own":
-		life := fmt.Sprintf("%s, life %d", p.name, p.incarnation)
-		if previous := r.tokenHolders[entry.Token]; previous != "" && previous != life {
+		holder := fmt.Sprintf("%s, incarnation %d", p.name, p.incarnation)
+		if previous := r.tokenHolders[entry.Token]; previous != "" && previous != holder {
 			r.Counts.Overlaps++
-			r.fail(fmt.Errorf("token %d was granted to both %s and %s", entry.Token, previous, life))
+			r.fail(fmt.Errorf("token %d was granted to both %s and %s", entry.Token, previous, holder))
 		}
-		r.tokenHolders[entry.Token] = life
+		r.tokenHolders[entry.Token] = holder
 		p.ownedTokens[entry.Duty] = entry.Token
 		r.Counts.Grants++
 		if entry.Duty == duty && entry.Token > r.latestToken {
@@ -332,6 +333,7 @@
 	}
 }
 
+// heldCopies returns the announcements that each link holds, by link index.
 func (r *Rig) heldCopies() [][]heldAnnouncement {
 	kept := make([][]heldAnnouncement, len(r.links))
 	for i, l := range r.links {
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -84,27 +84,27 @@
 	}
 	defer r.Close()
 	r.lossless = true
-	agree := func(what string) {
+	requireAgreement := func(what string) {
 		t.Helper()
 		if !r.waitUntil(time.Minute, r.agreed) {
 			t.Fatalf("%s: processes do not agree on an owner: %v", what, r.failed)
 		}
 	}
-	// change asks the keepers in turn until the leader accepts the change.
-	change := func(what string, id string) {
+	// changeKeepers asks the keepers in turn until the leader accepts the changeKeepers.
+	changeKeepers := func(what string, id string) {
 		t.Helper()
-		said := ""
-		taken := r.waitUntil(time.Minute, func() bool {
+		output := ""
+		accepted := r.waitUntil(time.Minute, func() bool {
 			for _, p := range r.procs[:2] {
 				out, err := p.command("keepers", what, id).CombinedOutput()
-				if said = string(out); err == nil && strings.Contains(said, "taken") {
+				if output = string(out); err == nil && strings.Contains(output, "taken") {
 					return true
 				}
 			}
 			return false
 		})
-		if !taken {
-			t.Fatalf("keepers %s %s: %s", what, id, said)
+		if !accepted {
+			t.Fatalf("keepers %s %s: %s", what, id, output)
 		}
 	}
 	voters := func(p *proc, want string) bool {
@@ -114,13 +114,13 @@
 	if err := r.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	agree("at the start")
+	requireAgreement("at the start")
 	lost := r.procs[2]
 	lost.kill()
 	if err := os.RemoveAll(filepath.Join(lost.dir, "keeper-3")); err != nil {
 		t.Fatal(err)
 	}
-	change("remove", "3")
+	changeKeepers("remove", "3")
 	r.replacedKeepers = map[int]int{2: 4}
 	for _, p := range r.procs {
 		if err := p.writeConfig(); err != nil {
@@ -135,12 +135,12 @@
 		r.waitUntil(time.Second, func() bool { return false })
 	}
 	if out, err := lost.command("keepers", "init").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("keepers init: %v: %s", err, out)
 	}
 	if err := lost.start(); err != nil {
 		t.Fatal(err)
 	}
-	change("add", "4")
+	changeKeepers("add", "4")
 	if !r.waitUntil(time.Minute, func() bool { return voters(lost, "[1 2 4]") }) {
 		t.Fatal("the new keeper does not report the voters [1 2 4]")
 	}
--- a/internal/rig/calm.go
+++ b/internal/rig/traffic.go
@@ -12,8 +12,8 @@
 
 // PerProcessRate returns the mean number of datagrams and bytes that one process sends per second.
 func (t Traffic) PerProcessRate() (datagrams, bytes float64) {
-	each := t.Window.Seconds() * float64(t.Processes)
-	return float64(t.Datagrams) / each, float64(t.Bytes) / each
+	processSeconds := t.Window.Seconds() * float64(t.Processes)
+	return float64(t.Datagrams) / processSeconds, float64(t.Bytes) / processSeconds
 }
 
 // MeasureTraffic starts all processes, changes the target list at a steady rate, and counts the
--- a/internal/vnet/disk.go
+++ b/internal/vnet/disk.go
@@ -28,9 +28,9 @@
 // DiskFaults configures the faults of a Disk. The zero value is a disk that takes no time and loses
 // only what is not synced.
 type DiskFaults struct {
-	Delay, Jitter time.Duration // duration of a write with its sync; Jitter is the largest random addition
+	Delay, Jitter time.Duration // of a write and its sync: fixed part, largest random part
 	Torn          float64       // probability that a kill leaves a part of an unsynced write, 0 to 1
-	Scrambled     float64       // probability that in such a case an earlier part of the write is missing and a later one present
+	Scrambled     float64       // probability that such a part lacks an earlier piece, 0 to 1
 	FailSync      bool          // each sync fails from now on
 	WritesBlocked bool          // writes wait until this is cleared, as keeper.File makes them wait
 	Capacity      int           // capacity in bytes; 0: unlimited
@@ -97,9 +97,9 @@
 	if d.faults.Jitter > 0 {
 		duration += time.Duration(d.rng.Int64N(int64(d.faults.Jitter) + 1))
 	}
-	life := d.host.incarnation
+	incarnation := d.host.incarnation
 	d.host.world.After(duration, func() {
-		if life == d.host.incarnation {
+		if incarnation == d.host.incarnation {
 			d.finish()
 		}
 	})
@@ -110,9 +110,9 @@
 
 func (d *Disk) finish() {
 	if d.faults.WritesBlocked {
-		life := d.host.incarnation
+		incarnation := d.host.incarnation
 		d.host.world.After(blockedRetryInterval, func() {
-			if life == d.host.incarnation {
+			if incarnation == d.host.incarnation {
 				d.finish()
 			}
 		})
--- a/internal/vnet/host.go
+++ b/internal/vnet/host.go
@@ -19,7 +19,7 @@
 
 	// State of the process.
 	step         func() error // one turn of the event loop; nil: no process runs
-	incarnation  int          // number of process starts and ends; work begun under an earlier value is void
+	incarnation  int          // counts process starts and ends; earlier work is void
 	runAt        time.Duration
 	scheduled    bool // a wakeup is queued for runAt
 	running      bool
@@ -43,7 +43,7 @@
 	disks               map[string]*Disk
 	diskOrder           []*Disk
 	wallClockOffset     time.Duration // offset of the wall clock from virtual time
-	sendStall           time.Duration // the next datagram send is delayed by this, and the process with it
+	sendStall           time.Duration // suspends the process before its next datagram send
 	delayedConnectRatio float64       // share of connections that DelayConnects delays, 0 to 1
 	maxConnectDelay     time.Duration
 
@@ -92,10 +92,13 @@
 	return h
 }
 
+// firstPort is the start of the range of local ports that the host allocates.
 const firstPort = 32768
 
 // Name returns the machine's name.
-func (h *Host) Name() string     { return h.name }
+func (h *Host) Name() string { return h.name }
+
+// Addr returns the machine's address.
 func (h *Host) Addr() netip.Addr { return h.addr }
 
 // Host returns the machine at an address, or nil if there is none.
@@ -164,7 +167,7 @@
 	h.clearProcess()
 }
 
-// abort ends the process. If tell is set, the peers of its connections are sent resets.
+// abort ends the process. If notifyPeers is set, the peers of its connections are sent resets.
 func (h *Host) abort(notifyPeers bool) {
 	h.step = nil
 	h.incarnation++
@@ -185,6 +188,7 @@
 	h.clearProcess()
 }
 
+// clearProcess discards the state of a process that has ended, and crashes the disks.
 func (h *Host) clearProcess() {
 	for _, d := range h.diskOrder {
 		d.crash()
@@ -317,21 +321,22 @@
 // spins would do so forever.
 const maxTurns = 100000
 
+// run turns the event loop of the process until it blocks, ends, or has to yield the processor.
 func (h *Host) run() {
 	w := h.world
-	life := h.incarnation
+	incarnation := h.incarnation
 	h.running = true
 	defer func() { h.running = false }()
 	for turns := 0; ; turns++ {
 		h.blocked = false
 		h.kernel.eventsReturned = 0
-		if err := h.step(); err != nil && life == h.incarnation {
+		if err := h.step(); err != nil && incarnation == h.incarnation {
 			if !errors.Is(err, ErrExit) {
 				w.Fail(fmt.Errorf("%s: %w", h.name, err))
 			}
 			h.Exit()
 		}
-		if life != h.incarnation || h.blocked || w.failure != nil {
+		if incarnation != h.incarnation || h.blocked || w.failure != nil {
 			return
 		}
 		if cost := time.Duration(h.kernel.eventsReturned) * h.limits.EventCost; cost > 0 || h.stalledUntil > w.now {
--- a/internal/vnet/kernel.go
+++ b/internal/vnet/kernel.go
@@ -19,11 +19,12 @@
 	clockLag       time.Duration // delay with which the clock is read
 	latestRead     time.Duration // latest clock reading, so that time never runs backwards
 	noPorts        bool
-	clockRate      float64 // rate of the clock since rateSince; clockOffset is its lead by then
+	clockRate      float64 // clock rate since rateSince; clockOffset is the lead until then
 	rateSince      time.Duration
 	clockOffset    time.Duration
 }
 
+// clock returns the present reading of the process's clock, as virtual time since epoch.
 func (k *kernel) clock() time.Duration {
 	now := k.host.world.now
 	return now - k.clockLag + k.clockOffset + time.Duration(float64(now-k.rateSince)*(k.clockRate-1))
@@ -137,8 +138,8 @@
 	if h.listeners[port] != nil {
 		return -1, unix.EADDRINUSE
 	}
-	l := &listener{port: port, receive: receive}
-	l.watch_.host = h
+	l := &listener{port: port, receiveBuffer: receive}
+	l.watchState.host = h
 	fd, err := h.allocate(l)
 	if err != nil {
 		return -1, err
@@ -181,7 +182,7 @@
 		return -1, unix.EADDRINUSE
 	}
 	s := &datagramSocket{local: netip.AddrPortFrom(h.addr, port)}
-	s.watch_.host = h
+	s.watchState.host = h
 	fd, err := h.allocate(s)
 	if err != nil {
 		return -1, fmt.Errorf("%w: %w", poll.ErrNoSocket, err)
--- a/internal/vnet/tcp.go
+++ b/internal/vnet/tcp.go
@@ -36,6 +36,7 @@
 // SetTap sets a tap that observes all connections; nil removes it.
 func (w *World) SetTap(t Tap) { w.tap = t }
 
+// endState is the connection state of an end.
 type endState uint8
 
 const (
@@ -61,7 +62,7 @@
 	lastArrival time.Duration // arrival time of the last segment sent
 	unread      int           // bytes sent that the peer process has not read
 	maxUnread   int           // most bytes that may be unread
-	attempts    int           // retransmissions of the lost segment; 0: none in progress
+	attempts    int           // failed transmissions of the first waiting segment; 0: none
 	waiting     []*segment    // the lost segment and those that wait behind it
 
 	err          error // pending error; cleared by SocketError, Read or Send
@@ -220,9 +221,9 @@
 		to.notify()
 	case segAck:
 		to.phase = established
-		if l := to.path.from.listeners[to.conn.Port]; l != nil && !to.closed && to.incarnation == l.watch_.host.incarnation {
+		if l := to.path.from.listeners[to.conn.Port]; l != nil && !to.closed && to.incarnation == l.watchState.host.incarnation {
 			l.queue = append(l.queue, to)
-			l.watch_.notify(l)
+			l.watchState.notify(l)
 		} else if !to.closed {
 			to.closed = true
 			to.send(segReset, nil)
@@ -291,17 +292,17 @@
 }
 
 // DelayConnects delays the establishment of a share of the connections to the host, 0 to 1, by a
-// random time of up to most.
+// random time of up to maxDelay.
 func (h *Host) DelayConnects(ratio float64, maxDelay time.Duration) {
 	h.delayedConnectRatio, h.maxConnectDelay = ratio, maxDelay
 }
 
 func (h *Host) answerSYN(e *end) {
 	l := h.listeners[e.conn.Port]
-	back := h.world.path(h, e.path.from)
+	returnPath := h.world.path(h, e.path.from)
 	synEnd := &end{
-		conn: e.conn, peer: e, path: back, local: e.remote, remote: e.local, phase: synReceived,
-		maxUnread: h.limits.SendBuffer + dialerReceiveBuffer,
+		conn: e.conn, peer: e, path: returnPath, local: e.remote, remote: e.local, phase: synReceived,
+		maxUnread: h.limits.SendBuffer + diallerReceiveBuffer,
 	}
 	synEnd.incarnation = h.incarnation
 	e.peer = synEnd
@@ -310,12 +311,12 @@
 		synEnd.send(segReset, nil)
 		return
 	}
-	e.maxUnread = e.path.from.limits.SendBuffer + l.receive
+	e.maxUnread = e.path.from.limits.SendBuffer + l.receiveBuffer
 	synEnd.send(segSynAck, nil)
 }
 
-// dialerReceiveBuffer is the receive buffer in bytes of a connection on the dialler's machine.
-const dialerReceiveBuffer = 64 << 10
+// diallerReceiveBuffer is the receive buffer in bytes of a connection on the dialler's machine.
+const diallerReceiveBuffer = 64 << 10
 
 func (e *end) read(p []byte) (int, error) {
 	if len(e.received) > e.readOffset {
@@ -411,17 +412,17 @@
 
 // listener accepts connections on a port.
 type listener struct {
-	watch_  watch
-	port    uint16
-	receive int
-	queue   []*end
+	watchState    watch
+	port          uint16
+	receiveBuffer int
+	queue         []*end
 }
 
-func (l *listener) watch() *watch     { return &l.watch_ }
+func (l *listener) watch() *watch     { return &l.watchState }
 func (l *listener) state() poll.Ready { return poll.Ready{Read: len(l.queue) > 0} }
 
 func (l *listener) close() {
-	delete(l.watch_.host.listeners, l.port)
+	delete(l.watchState.host.listeners, l.port)
 	for _, e := range l.queue {
 		e.resetOnClose = true
 		e.close()
@@ -430,8 +431,8 @@
 }
 
 // reserveFile is a descriptor without a socket, held in reserve.
-type reserveFile struct{ watch_ watch }
+type reserveFile struct{ watchState watch }
 
-func (s *reserveFile) watch() *watch     { return &s.watch_ }
+func (s *reserveFile) watch() *watch     { return &s.watchState }
 func (s *reserveFile) state() poll.Ready { return poll.Ready{} }
 func (s *reserveFile) close()            {}
--- a/internal/vnet/udp.go
+++ b/internal/vnet/udp.go
@@ -27,29 +27,29 @@
 	}
 	w.record(Record{What: "datagram", From: d.path.from, To: h, Port: d.to.Port(), Size: len(d.data)})
 	s.queue = append(s.queue, d)
-	s.watch_.notify(s)
+	s.watchState.notify(s)
 }
 
 // datagramSocket is a UDP socket.
 type datagramSocket struct {
-	watch_ watch
-	local  netip.AddrPort
-	queue  []*datagram
+	watchState watch
+	local      netip.AddrPort
+	queue      []*datagram
 }
 
-func (s *datagramSocket) watch() *watch { return &s.watch_ }
+func (s *datagramSocket) watch() *watch { return &s.watchState }
 
 func (s *datagramSocket) state() poll.Ready {
 	return poll.Ready{Read: len(s.queue) > 0, Write: true}
 }
 
 func (s *datagramSocket) close() {
-	delete(s.watch_.host.datagrams, s.local.Port())
+	delete(s.watchState.host.datagrams, s.local.Port())
 	s.queue = nil
 }
 
 func (s *datagramSocket) send(p []byte, to netip.AddrPort) {
-	h := s.watch_.host
+	h := s.watchState.host
 	w := h.world
 	remote := w.byAddr[to.Addr()]
 	if remote == nil {
@@ -62,9 +62,9 @@
 		w.record(Record{What: "stall", From: h})
 	}
 	if h.stalledUntil > w.now { // the process is suspended between its decision and this send
-		life := h.incarnation
+		incarnation := h.incarnation
 		w.After(h.stalledUntil-w.now, func() {
-			if life == h.incarnation {
+			if incarnation == h.incarnation {
 				s.transmit(remote, to, data)
 			}
 		})
@@ -74,20 +74,20 @@
 }
 
 func (s *datagramSocket) transmit(remote *Host, to netip.AddrPort, data []byte) {
-	h := s.watch_.host
+	h := s.watchState.host
 	w := h.world
 	path := w.path(h, remote)
 	d, lost := path.transit(w.now, len(data))
-	var fate DatagramFault
+	var fault DatagramFault
 	if w.datagramFault != nil {
-		fate = w.datagramFault(h, remote, len(data))
+		fault = w.datagramFault(h, remote, len(data))
 	}
-	if lost || fate.Drop {
+	if lost || fault.Drop {
 		w.record(Record{What: "dropped", From: h, To: remote, Port: to.Port(), Size: len(data)})
 		return
 	}
-	w.queue.push(w.now+d+fate.Delay, &datagram{path: path, from: s.local, to: to, data: data})
-	for _, duplicateDelay := range fate.Duplicates {
+	w.queue.push(w.now+d+fault.Delay, &datagram{path: path, from: s.local, to: to, data: data})
+	for _, duplicateDelay := range fault.Duplicates {
 		w.queue.push(w.now+d+duplicateDelay, &datagram{path: path, from: s.local, to: to, data: data})
 	}
 }
--- a/internal/vnet/vnet_test.go
+++ b/internal/vnet/vnet_test.go
@@ -63,7 +63,7 @@
 	host     *Host
 	loop     *poll.Loop
 	accepted []*endpoint
-	n        *poll.Listener
+	listener *poll.Listener
 }
 
 func newMachine(t *testing.T, w *World, name string, last byte, l Limits) *machine {
@@ -89,17 +89,17 @@
 func (m *machine) listen(port uint16) {
 	m.t.Helper()
 	n, err := m.loop.Listen(m.at(port), func(s *poll.Socket, last bool) poll.Handler {
-		k := &endpoint{sock: s, up: true, machine: m}
+		accepted := &endpoint{sock: s, up: true, machine: m}
 		if last {
 			s.Close()
 		}
-		m.accepted = append(m.accepted, k)
-		return k
+		m.accepted = append(m.accepted, accepted)
+		return accepted
 	})
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	m.n = n
+	m.listener = n
 }
 
 func (m *machine) dial(to netip.AddrPort) *endpoint {
@@ -145,11 +145,11 @@
 	}
 	s.sock.CloseWrite()
 	a.run(10 * ms)
-	far := b.accepted[0]
-	if string(far.received) != "hello" || far.err != io.EOF || far.sock.RemoteAddr().Addr() != a.host.Addr() {
-		t.Fatalf("read %q, error %v, from %v", far.received, far.err, far.sock.RemoteAddr())
+	peer := b.accepted[0]
+	if string(peer.received) != "hello" || peer.err != io.EOF || peer.sock.RemoteAddr().Addr() != a.host.Addr() {
+		t.Fatalf("read %q, error %v, from %v", peer.received, peer.err, peer.sock.RemoteAddr())
 	}
-	far.sock.Close()
+	peer.sock.Close()
 	a.run(10 * ms)
 	if s.err != io.EOF {
 		t.Errorf("after the peer closed: got error %v, want EOF", s.err)
@@ -213,23 +213,23 @@
 	b.listen(80)
 	s := a.dial(b.at(80))
 	a.run(10 * ms)
-	one := w.Cut([]*Host{a.host}, []*Host{b.host})
-	two := w.Cut([]*Host{b.host}, []*Host{a.host})
+	first := w.Cut([]*Host{a.host}, []*Host{b.host})
+	second := w.Cut([]*Host{b.host}, []*Host{a.host})
 	for i := range 5 {
 		_, _ = s.sock.Write(fmt.Appendf(nil, "%d", i))
 		a.run(100 * ms)
 	}
-	mid := a.dial(b.at(80))
-	one.Heal()
-	one.Heal()
+	pending := a.dial(b.at(80))
+	first.Heal()
+	first.Heal()
 	a.run(2 * time.Second)
-	if len(b.accepted[0].received) != 0 || mid.up {
+	if len(b.accepted[0].received) != 0 || pending.up {
 		t.Fatal("traffic passed while the second partition was in force")
 	}
-	two.Heal()
+	second.Heal()
 	a.run(3 * time.Second)
-	if string(b.accepted[0].received) != "01234" || !mid.up {
-		t.Errorf("after healing: received %q, want 01234; pending connection established: %v", b.accepted[0].received, mid.up)
+	if string(b.accepted[0].received) != "01234" || !pending.up {
+		t.Errorf("after healing: received %q, want 01234; pending connection established: %v", b.accepted[0].received, pending.up)
 	}
 }
 
@@ -240,9 +240,9 @@
 	b.listen(80)
 	s := a.dial(b.at(80))
 	a.run(10 * ms)
-	far := b.accepted[0]
-	far.notReading = true
-	far.sock.Want(false, false)
+	peer := b.accepted[0]
+	peer.notReading = true
+	peer.sock.Want(false, false)
 	text := bytes.Repeat([]byte("x"), 100000)
 	n, err := s.sock.Write(text)
 	if err != nil || n <= 1000 || n >= len(text) {
@@ -263,11 +263,11 @@
 	if reported {
 		t.Fatal("writability was reported while the peer read nothing")
 	}
-	far.notReading = false
-	far.sock.Want(true, false)
+	peer.notReading = false
+	peer.sock.Want(true, false)
 	a.run(time.Second)
-	if !reported || len(far.received) != n {
-		t.Errorf("writability reported: %v; %d of %d bytes arrived", reported, len(far.received), n)
+	if !reported || len(peer.received) != n {
+		t.Errorf("writability reported: %v; %d of %d bytes arrived", reported, len(peer.received), n)
 	}
 }
 
--- a/internal/vnet/world.go
+++ b/internal/vnet/world.go
@@ -152,8 +152,8 @@
 	w.recent.add(r)
 	var b [32]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(r.At))
-	count := 8 + copy(b[8:16], r.What)
-	b[16], b[17] = 0, byte(count)
+	kindEnd := 8 + copy(b[8:16], r.What)
+	b[16], b[17] = 0, byte(kindEnd)
 	if r.From != nil {
 		binary.LittleEndian.PutUint32(b[18:], uint32(r.From.index+1))
 	}
@@ -172,18 +172,18 @@
 
 // recentRecords keeps the last records in a ring buffer.
 type recentRecords struct {
-	ring [64]Record
-	n    int
+	ring  [64]Record
+	total int
 }
 
 func (r *recentRecords) add(rec Record) {
-	r.ring[r.n%len(r.ring)] = rec
-	r.n++
+	r.ring[r.total%len(r.ring)] = rec
+	r.total++
 }
 
 func (r *recentRecords) list() []Record {
 	var list []Record
-	for i := max(r.n-len(r.ring), 0); i < r.n; i++ {
+	for i := max(r.total-len(r.ring), 0); i < r.total; i++ {
 		list = append(list, r.ring[i%len(r.ring)])
 	}
 	return list
