--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -146,6 +146,7 @@
 	CPU                               float64       // thousandths of a core per process without faults
 }
 
+// String returns the closing line of a mass kill.
 func (m MassKillResult) String() string {
 	return fmt.Sprintf("%d processes agreed %v after the start; %d were killed, and all agreed again after %v; in calm %d datagrams "+
 		"a second, %d KB resident and %.1f thousandths of a core for each", m.Processes, m.StartConvergence.Round(10*time.Millisecond), m.Killed,
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -181,6 +181,7 @@
 	})
 }
 
+// fail fails the run with err. Only the first failure counts.
 func (r *Rig) fail(err error) {
 	if r.failed == nil {
 		r.failed = err
--- a/internal/vnet/queue.go
+++ b/internal/vnet/queue.go
@@ -22,6 +22,7 @@
 	seq  uint64
 }
 
+// arity is the number of children of a heap node.
 const arity = 4
 
 func (q *eventQueue) push(at time.Duration, do action) {
--- a/internal/vnet/tcp.go
+++ b/internal/vnet/tcp.go
@@ -119,6 +119,7 @@
 // maxPooledBuffer is the capacity in bytes of the largest buffer that is kept for reuse.
 const maxPooledBuffer = 1 << 10
 
+// segment returns a segment from the pool, or a new one, with a copy of data.
 func (w *World) segment(k kind, from, to *end, data []byte) *segment {
 	var s *segment
 	if n := len(w.segmentPool); n > 0 {
@@ -297,6 +298,8 @@
 	h.delayedConnectRatio, h.maxConnectDelay = ratio, maxDelay
 }
 
+// answerSYN creates the listener's end and answers with a SYN-ACK, or with a reset if no process
+// listens on the port.
 func (h *Host) answerSYN(e *end) {
 	l := h.listeners[e.conn.Port]
 	returnPath := h.world.path(h, e.path.from)
--- a/internal/vnet/world.go
+++ b/internal/vnet/world.go
@@ -121,10 +121,12 @@
 	Last []Record // the events just before the failure, oldest first
 }
 
+// Error returns the seed and virtual time of the failure and its cause.
 func (f *Failure) Error() string {
 	return fmt.Sprintf("seed %d, %v: %v", f.Seed, f.At, f.Err)
 }
 
+// Unwrap returns the cause of the failure.
 func (f *Failure) Unwrap() error { return f.Err }
 
 // Record is one event of the trace.
@@ -136,6 +138,7 @@
 	Size     int    // bytes
 }
 
+// String formats the record as a line of the trace.
 func (r Record) String() string {
 	name := func(h *Host) string {
 		if h == nil {
