--- a/cmd/ospreylab/owner.go
+++ b/cmd/ospreylab/owner.go
@@ -82,9 +82,9 @@
 		fmt.Fprintln(a.out, m)
 		return err
 	}
-	err = r.Trouble(span)
-	fmt.Fprintln(a.out, r.Count)
-	if err != nil && r.Count.StaleTaken+r.Count.Overlaps > 0 {
+	err = r.InjectFaults(span)
+	fmt.Fprintln(a.out, r.Counts)
+	if err != nil && r.Counts.StaleAccepted+r.Counts.Overlaps > 0 {
 		return ruleError{fmt.Errorf("seed %d: %w", o.Seed, err)}
 	}
 	return err
--- a/internal/lab/owners/faults.go
+++ b/internal/lab/owners/faults.go
@@ -20,18 +20,18 @@
 
 // datagramFate draws what the network does to a datagram in addition to the delay and loss of its
 // link.
-func (r *run) datagramFate(from, to *vnet.Host, size int) vnet.Fate {
-	var f vnet.Fate
+func (r *run) datagramFate(from, to *vnet.Host, size int) vnet.DatagramFault {
+	var f vnet.DatagramFault
 	switch d := r.faultRNG.Float64(); {
 	case r.faultsOver || r.o.NoFaults:
 	case d < 0.002*r.lateFactor:
-		f.Late = time.Duration(r.faultRNG.IntN(30000)) * time.Millisecond
+		f.Delay = time.Duration(r.faultRNG.IntN(30000)) * time.Millisecond
 		r.judge.Late++
 	case d < 0.01*r.lateFactor:
-		f.Late = time.Duration(r.faultRNG.IntN(1500)) * time.Millisecond
+		f.Delay = time.Duration(r.faultRNG.IntN(1500)) * time.Millisecond
 		r.judge.Late++
 	case d < 0.02*r.lateFactor:
-		f.Again = []time.Duration{time.Duration(r.faultRNG.IntN(8000)) * time.Millisecond}
+		f.Duplicates = []time.Duration{time.Duration(r.faultRNG.IntN(8000)) * time.Millisecond}
 		r.judge.Repeated++
 	case d < 0.03*r.lateFactor:
 		f.Drop = true
@@ -192,7 +192,7 @@
 	if r.faultRNG.IntN(2) == 0 {
 		text = initialDisk(r)
 	}
-	m.host.Disk("keeper").SetText(text)
+	m.host.Disk("keeper").SetContents(text)
 	r.world.After(span, m.start)
 }
 
--- a/internal/lab/owners/hard_test.go
+++ b/internal/lab/owners/hard_test.go
@@ -58,7 +58,7 @@
 		}
 		chain = append(chain, o)
 		// The first owner wakes up last.
-		o.host.StallBeforeSend(begin + late - time.Duration(i)*5*time.Second - r.world.Elapsed())
+		o.host.StallBeforeNextSend(begin + late - time.Duration(i)*5*time.Second - r.world.Elapsed())
 		if _, err := o.node.Announce(duties[0], []byte("late")); err != nil {
 			t.Fatal(err)
 		}
@@ -114,7 +114,7 @@
 		if m.keeper && gone < 2 {
 			gone++
 			m.kill()
-			m.host.Disk("keeper").SetText(nil)
+			m.host.Disk("keeper").SetContents(nil)
 			m.start()
 		}
 	}
@@ -216,14 +216,14 @@
 	}
 	d := x.host.Disk("keeper")
 	f := d.Faults()
-	f.Refuses = true
+	f.WritesBlocked = true
 	d.SetFaults(f)
 	r.mustAdvance(t, 10*time.Second)
 	if x.node.Keeper().Stopped() != nil || x.node.Keeper().Leading() || r.owner() == nil {
 		t.Fatalf("keeper whose disk refuses writes: stopped %v, leading %v; owner %v", x.node.Keeper().Stopped(), x.node.Keeper().Leading(), r.owner())
 	}
 	before := x.node.Keeper().State().Applied
-	f.Refuses = false
+	f.WritesBlocked = false
 	d.SetFaults(f)
 	r.mustAdvance(t, 10*time.Second)
 	if k := x.node.Keeper(); k.Stopped() != nil || k.Leader() == 0 || k.State().Applied <= before {
@@ -245,13 +245,13 @@
 	}
 	d := x.host.Disk("keeper")
 	f := d.Faults()
-	f.Full = len(d.Text()) + 100
+	f.Capacity = len(d.Contents()) + 100
 	d.SetFaults(f)
 	r.mustAdvance(t, 10*time.Second)
 	if x.node.Keeper().Stopped() == nil || r.owner() == nil {
 		t.Fatalf("keeper with a full disk: stopped %v; owner %v", x.node.Keeper().Stopped(), r.owner())
 	}
-	f.Full = 0
+	f.Capacity = 0
 	d.SetFaults(f)
 	x.kill()
 	x.keeperLost = false
--- a/internal/lab/owners/run.go
+++ b/internal/lab/owners/run.go
@@ -134,7 +134,7 @@
 	if err := r.addMembers(); err != nil {
 		return r.judge.Counts, err
 	}
-	r.world.Fates(r.datagramFate)
+	r.world.SetDatagramFaults(r.datagramFate)
 	if !o.NoFaults {
 		r.scheduleFaults()
 	}
@@ -183,7 +183,7 @@
 			r.keeperAddrs = append(r.keeperAddrs, mesh.KeeperAddress{ID: uint64(i + 1), Addr: netip.AddrPortFrom(h.Addr(), meshPort)})
 			d := h.Disk("keeper")
 			d.SetFaults(vnet.DiskFaults{Delay: time.Millisecond, Jitter: 6 * time.Millisecond, Torn: 0.7, Scrambled: 0.3})
-			d.SetText(keeper.InitialRecord(r.sessionRNG.Uint64() | 1))
+			d.SetContents(keeper.InitialRecord(r.sessionRNG.Uint64() | 1))
 		}
 	}
 	for _, m := range r.members {
@@ -259,7 +259,7 @@
 func (m *member) restoreKeeper(c *mesh.Config) error {
 	r := m.run
 	d := m.host.Disk("keeper")
-	log, err := keeper.Restore(d.Text())
+	log, err := keeper.Restore(d.Contents())
 	switch {
 	case errors.Is(err, keeper.ErrEmpty):
 		m.keeperLost = true
@@ -297,7 +297,7 @@
 		stall := time.Duration(0)
 		if r.drawFault("stall-before-send", 0.03) {
 			stall = leaseTerms.Lease*3 + time.Duration(r.faultRNG.IntN(2000))*time.Millisecond
-			m.host.StallBeforeSend(stall)
+			m.host.StallBeforeNextSend(stall)
 			r.judge.StallsBeforeSend++
 		}
 		mark, err := m.node.Announce(d, []byte(m.host.Name()))
@@ -305,9 +305,9 @@
 			continue
 		}
 		r.judge.effectTaken(m.host.Name(), d, mark.Token) // an owner receives its own announcements
-		life := m.host.Life()
+		life := m.host.Incarnation()
 		r.world.After(stall, func() {
-			if life == m.host.Life() && mark.Token < r.judge.granted[d] {
+			if life == m.host.Incarnation() && mark.Token < r.judge.granted[d] {
 				r.judge.StaleSent++
 			}
 		})
--- a/internal/lab/requests.go
+++ b/internal/lab/requests.go
@@ -41,14 +41,14 @@
 		return
 	}
 	j.Requests++
-	r := &request{id: o.ID, proxy: c.Listener, proxyLife: c.Listener.Life(), clientTimeout: o.MaxWait, class: j.classes[o.Class]}
+	r := &request{id: o.ID, proxy: c.Listener, proxyLife: c.Listener.Incarnation(), clientTimeout: o.MaxWait, class: j.classes[o.Class]}
 	tap.request = r
 	j.requests[o.ID] = r
 }
 
 // checkAnswerDue checks that a request was answered once its deadline and the slack have passed.
 func (j *judge) checkAnswerDue(r *request) {
-	if !r.arrived || r.answered || r.clientEnded || r.proxy.Life() != r.proxyLife || !r.proxy.Up() {
+	if !r.arrived || r.answered || r.clientEnded || r.proxy.Incarnation() != r.proxyLife || !r.proxy.Up() {
 		return
 	}
 	if until, ok := j.excusedUntil[r.proxy]; ok && r.deadline.Before(until) {
@@ -122,7 +122,7 @@
 func (j *judge) checkProxyExit(proxy *vnet.Host) error {
 	// Any violation will do: the map's order does not decide whether there is one.
 	for _, r := range j.requests {
-		if r.proxy != proxy || r.proxyLife != proxy.Life() || r.clientEnded || !r.arrived {
+		if r.proxy != proxy || r.proxyLife != proxy.Incarnation() || r.clientEnded || !r.arrived {
 			continue
 		}
 		if !r.answered || r.established && !r.finalLineSent && j.relayStillConnected(r) {
--- a/internal/lab/shared/run.go
+++ b/internal/lab/shared/run.go
@@ -166,7 +166,7 @@
 		g.order = append(g.order, i)
 		slices.Sort(g.order)
 	}
-	m.loop, m.life = loop, h.Life()
+	m.loop, m.life = loop, h.Incarnation()
 	m.startedAt = loop.Now()
 	m.findings, m.open = make(map[string]verdict.Finding), make(map[string][]time.Time)
 	m.refused = make(map[string]int)
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -124,11 +124,11 @@
 // proxy.
 func (s *stage) configureKeeper(p *proxyNode, m *mesh.Config, self uint64) error {
 	d := p.vnetHost().Disk("keeper")
-	if len(d.Text()) == 0 {
+	if len(d.Contents()) == 0 {
 		d.SetFaults(vnet.DiskFaults{Delay: 1e6, Jitter: 4e6, Torn: 0.7, Scrambled: 0.3})
-		d.SetText(keeper.InitialRecord(p.seedSource.Uint64() | 1))
+		d.SetContents(keeper.InitialRecord(p.seedSource.Uint64() | 1))
 	}
-	log, err := keeper.Restore(d.Text())
+	log, err := keeper.Restore(d.Contents())
 	if err != nil {
 		return err
 	}
--- a/internal/lab/troubles.go
+++ b/internal/lab/troubles.go
@@ -136,7 +136,7 @@
 		s.startBadClients(t, at, span, size)
 	case "late-connects": // the share Size of the connections is established late, by up to Away
 		for _, n := range s.pickRelays(t, r) {
-			s.during(at, span, func() { n.host.(*vnet.Host).LateConnects(size, away) }, func() { n.host.(*vnet.Host).LateConnects(0, 0) })
+			s.during(at, span, func() { n.host.(*vnet.Host).DelayConnects(size, away) }, func() { n.host.(*vnet.Host).DelayConnects(0, 0) })
 		}
 	case "leaving":
 		for _, c := range s.crowds {
--- a/internal/rig/proc.go
+++ b/internal/rig/proc.go
@@ -1,6 +1,6 @@
-// Package rig starts real processes of the program on loopback, leads every link between them through itself and throws
-// faults at links and processes. What it judges is counted at the receivers, from their own logs: a verdict never hangs on
-// when something happened, only on what did.
+// Package rig starts real processes of the program on loopback, routes every link between them
+// through itself and injects faults into links and processes. Invariants are judged from the
+// receivers' own logs: a verdict depends only on which events occurred, never on their timing.
 package rig
 
 import (
@@ -17,53 +17,53 @@
 	"time"
 )
 
-// line is what a process's log says of the fleet.
-type line struct {
+// logEntry is a line of a process's log about the fleet.
+type logEntry struct {
 	Message string `json:"message"`
 	Duty    string `json:"duty"`
 	Token   uint64 `json:"token"`
 	Version uint64 `json:"version"`
 }
 
-// proc is one process of the program, through all its lives.
+// proc is one process of the program, across restarts.
 type proc struct {
-	rig     *Rig
-	index   int
-	name    string
-	listen  netip.AddrPort // where it listens
-	public  netip.AddrPort // where the others find it: a socket of the rig's
-	dir     string
-	cmd     *exec.Cmd
-	life    int
-	stopped bool
-	ended   chan struct{}
-	owns    map[string]uint64 // tokens by duty, as its log said last
-	word    uint64            // token of the last word that it took or said
-	tail    []string
-	refused uint64
+	rig          *Rig
+	index        int
+	name         string
+	listen       netip.AddrPort // the address on which it listens
+	advertised   netip.AddrPort // the address at which the others reach it, a socket of the rig
+	dir          string
+	cmd          *exec.Cmd
+	incarnation  int
+	stopped      bool
+	exited       chan struct{}
+	ownedTokens  map[string]uint64 // tokens by duty, according to the latest log entries
+	lastToken    uint64            // token of the last announcement that it accepted or sent
+	logTail      []string
+	staleRefused uint64
 }
 
-// addr is one of its addresses: 1 its own, 2 the public one.
+// addr returns an address of the process on loopback: 1 selects its own, 2 the advertised one.
 func (p *proc) addr(which byte) netip.Addr {
-	return netip.AddrFrom4([4]byte{127, p.rig.net + which, byte(p.index >> 8), byte(p.index&0xff + 1)})
+	return netip.AddrFrom4([4]byte{127, p.rig.subnet + which, byte(p.index >> 8), byte(p.index&0xff + 1)})
 }
 
-// write writes the files that the program reads.
-func (p *proc) write() error {
+// writeConfig writes the files that the program reads.
+func (p *proc) writeConfig() error {
 	r := p.rig
 	var members, seeds []string
-	for i := range r.o.Keepers {
-		members = append(members, fmt.Sprintf("%d@%s", r.number(i), r.procs[i].public))
-		seeds = append(seeds, r.procs[i].public.String())
+	for i := range r.options.Keepers {
+		members = append(members, fmt.Sprintf("%d@%s", r.keeperNumber(i), r.procs[i].advertised))
+		seeds = append(seeds, r.procs[i].advertised.String())
 	}
 	verdicts := ""
-	if r.o.Verdicts {
+	if r.options.Verdicts {
 		verdicts = "[verdicts]\n"
 	}
-	own := fmt.Sprintf("[fleet]\ncluster = %s\nlisten = %s\nadvertise = %s\nseeds = %s\n[keepers]\nmembers = %s\ndir = %s\nlease = %v\nmargin = %v\n"+
+	operatorConfig := fmt.Sprintf("[fleet]\ncluster = %s\nlisten = %s\nadvertise = %s\nseeds = %s\n[keepers]\nmembers = %s\ndir = %s\nlease = %v\nmargin = %v\n"+
 		"[duties]\ntake = discovery, probes, moves\n[moves]\nper_second = 50\n[discovery]\nsame_addresses = true\n[log]\nformat = json\n%s",
-		cluster, p.listen, p.public, strings.Join(seeds, ", "), strings.Join(members, ", "), filepath.Join(p.dir, fmt.Sprint("keeper-", r.number(p.index))), r.o.Lease, r.o.Lease/20, verdicts)
-	conf, err := json.Marshal(map[string]any{
+		cluster, p.listen, p.advertised, strings.Join(seeds, ", "), strings.Join(members, ", "), filepath.Join(p.dir, fmt.Sprint("keeper-", r.keeperNumber(p.index))), r.options.Lease, r.options.Lease/20, verdicts)
+	platformConfig, err := json.Marshal(map[string]any{
 		"name": p.name, "listen": netip.AddrPortFrom(p.addr(1), 18440).String(), "discovery": r.discovery.Addr().String(),
 		"seed": fmt.Sprintf("%x", r.rng.Uint64()), "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 512},
 		"known": map[string]any{"seq": 0, "whole": true, "hosts": []any{}}, "settings": Settings(len(r.procs)),
@@ -71,26 +71,26 @@
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(p.dir, "own.ini"), []byte(own), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(p.dir, "own.ini"), []byte(operatorConfig), 0o644); err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(p.dir, "config.json"), conf, 0o644)
+	return os.WriteFile(filepath.Join(p.dir, "config.json"), platformConfig, 0o644)
 }
 
 func (p *proc) command(args ...string) *exec.Cmd {
-	c := exec.Command(p.rig.o.Program, append([]string{"--operator", filepath.Join(p.dir, "own.ini")}, args...)...)
+	c := exec.Command(p.rig.options.Program, append([]string{"--operator", filepath.Join(p.dir, "own.ini")}, args...)...)
 	c.Env = append(os.Environ(), "EDGE_CONFIG="+filepath.Join(p.dir, "config.json"))
 	return c
 }
 
-// start starts a life.
+// start starts the process, unless it runs already or the rig is closing.
 func (p *proc) start() error {
-	if p.cmd != nil || p.rig.over {
+	if p.cmd != nil || p.rig.closing {
 		return nil
 	}
-	if p.life == 0 && p.index < p.rig.o.Keepers {
+	if p.incarnation == 0 && p.index < p.rig.options.Keepers {
 		if out, err := p.command("keepers", "init").CombinedOutput(); err != nil {
-			return fmt.Errorf("%s: %w: %s", p.name, err, out)
+			return fmt.Errorf("%s: initialize keeper: %w: %s", p.name, err, out)
 		}
 	}
 	c := p.command()
@@ -98,59 +98,61 @@
 	if err != nil {
 		return err
 	}
-	// Whatever becomes of the rig, its processes end with it.
+	// The kernel kills the process if the rig dies.
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := c.Start(); err != nil {
-		return fmt.Errorf("%s: %w", p.name, err)
+		return fmt.Errorf("%s: start process: %w", p.name, err)
 	}
-	p.life++
-	p.cmd, p.stopped, p.owns, p.ended = c, false, make(map[string]uint64), make(chan struct{})
-	go p.read(pipe, c, p.life, p.ended)
+	p.incarnation++
+	p.cmd, p.stopped, p.ownedTokens, p.exited = c, false, make(map[string]uint64), make(chan struct{})
+	go p.readLog(pipe, c, p.incarnation, p.exited)
 	return nil
 }
 
-// read passes the log to the rig's loop, and the process's end with it.
-func (p *proc) read(pipe io.Reader, c *exec.Cmd, life int, ended chan struct{}) {
+// readLog passes the process's log lines, and then its exit, to the rig's event loop.
+func (p *proc) readLog(pipe io.Reader, c *exec.Cmd, incarnation int, exited chan struct{}) {
 	lines := bufio.NewScanner(pipe)
 	for lines.Scan() {
 		text := lines.Text()
-		p.rig.loop.Post(func() { p.said(text) })
+		p.rig.loop.Post(func() { p.handleLogLine(text) })
 	}
 	err := c.Wait()
-	close(ended)
-	p.rig.loop.Post(func() { p.gone(life, err) })
+	close(exited)
+	p.rig.loop.Post(func() { p.handleExit(incarnation, err) })
 }
 
-func (p *proc) said(text string) {
-	p.tail = append(p.tail, text)
-	if len(p.tail) > 20 {
-		p.tail = p.tail[1:]
-	}
-	var l line
-	if json.Unmarshal([]byte(text), &l) == nil {
-		p.rig.heard(p, &l)
+// handleLogLine processes one line of output: a log entry, or the counters printed at the end.
+func (p *proc) handleLogLine(text string) {
+	p.logTail = append(p.logTail, text)
+	if len(p.logTail) > 20 {
+		p.logTail = p.logTail[1:]
+	}
+	var entry logEntry
+	if json.Unmarshal([]byte(text), &entry) == nil {
+		p.rig.handleLogEntry(p, &entry)
 		return
 	}
 	if rest, ok := strings.CutPrefix(text, "fleet:"); ok {
 		for f := range strings.FieldsSeq(rest) {
 			var n uint64
 			if _, err := fmt.Sscanf(f, "words-stale-refused=%d", &n); err == nil {
-				p.refused = n
-				p.rig.Count.StaleRefused += int(n)
+				p.staleRefused = n
+				p.rig.Counts.StaleRefused += int(n)
 			}
 		}
 	}
 }
 
-// gone notes that a life has ended. One that nobody ended is a crash.
-func (p *proc) gone(life int, err error) {
-	if life == p.life && p.cmd != nil {
+// handleExit handles the end of a process. An end that the rig did not cause is a crash and fails
+// the run.
+func (p *proc) handleExit(incarnation int, err error) {
+	if incarnation == p.incarnation && p.cmd != nil {
 		p.cmd = nil
-		p.rig.fail(fmt.Errorf("%s ended by itself: %v; its log ends:\n%s", p.name, err, strings.Join(p.tail, "\n")))
+		p.rig.fail(fmt.Errorf("%s exited unexpectedly: %v; last lines of its log:\n%s", p.name, err, strings.Join(p.logTail, "\n")))
 	}
 }
 
-// kill ends a life with SIGKILL, by its id, and waits for it.
+// kill terminates the process with SIGKILL, by its id, and waits for it.
 func (p *proc) kill() {
 	if p.cmd == nil {
 		return
@@ -158,11 +160,11 @@
 	c := p.cmd
 	p.cmd = nil
 	_ = c.Process.Kill() // it may have ended just now
-	<-p.ended
-	p.owns = make(map[string]uint64)
+	<-p.exited
+	p.ownedTokens = make(map[string]uint64)
 }
 
-// stop and resume are SIGSTOP and SIGCONT.
+// stop suspends the process with SIGSTOP.
 func (p *proc) stop() {
 	if p.cmd != nil && !p.stopped {
 		p.stopped = true
@@ -170,6 +172,7 @@
 	}
 }
 
+// resume continues a suspended process with SIGCONT.
 func (p *proc) resume() {
 	if p.cmd != nil && p.stopped {
 		p.stopped = false
@@ -177,21 +180,22 @@
 	}
 }
 
-// term asks all to stop as planned, which prints their counters, and waits for at most so long.
-func (r *Rig) term(wait time.Duration) {
-	r.over = true
-	var ended []chan struct{}
+// terminate asks all processes with SIGTERM to shut down, which makes them print their counters. A
+// process that still runs after the given time is killed.
+func (r *Rig) terminate(timeout time.Duration) {
+	r.closing = true
+	var exited []chan struct{}
 	for _, p := range r.procs {
 		p.resume()
 		if p.cmd != nil {
 			c := p.cmd
-			p.cmd = nil // its end is wanted now
+			p.cmd = nil // its exit is expected from now on
 			_ = c.Process.Signal(syscall.SIGTERM)
-			ended = append(ended, p.ended)
-			r.after(wait, func() { _ = c.Process.Kill() })
+			exited = append(exited, p.exited)
+			r.after(timeout, func() { _ = c.Process.Kill() })
 		}
 	}
-	for _, e := range ended {
+	for _, e := range exited {
 		done := false
 		go func() { <-e; r.loop.Post(func() { done = true }) }()
 		for !done {
@@ -202,7 +206,7 @@
 	}
 }
 
-// Settings are the platform's settings that the processes get, as example/config.json has them.
+// Settings returns the platform settings that the processes receive, as in example/config.json.
 func Settings(proxies int) map[string]any {
 	return map[string]any{
 		"Balancers": proxies, "Zone": "here", "Discovery": "subscribe",
--- a/internal/vnet/kernel.go
+++ b/internal/vnet/kernel.go
@@ -10,83 +10,86 @@
 	"ospreyspan/internal/poll"
 )
 
-// kernel is a Host as its process sees it: one life of it. A process that has ended gets nothing done any more.
+// kernel implements poll.Kernel for one incarnation of a Host's process. Calls of a process that
+// has ended have no effect.
 type kernel struct {
-	host    *Host
-	life    int
-	handed  int           // events of the present turn
-	lag     time.Duration // by which the clock is read late
-	read    time.Duration // latest time that was read
-	noPorts bool
-	rate    float64 // of the clock, since a time, and what it was ahead by then
-	since   time.Duration
-	offset  time.Duration
+	host           *Host
+	incarnation    int
+	eventsReturned int           // events returned in the current turn
+	clockLag       time.Duration // delay with which the clock is read
+	latestRead     time.Duration // latest clock reading, so that time never runs backwards
+	noPorts        bool
+	clockRate      float64 // clock rate since rateSince; clockOffset is the lead until then
+	rateSince      time.Duration
+	clockOffset    time.Duration
 }
 
+// clock returns the present reading of the process's clock, as virtual time since epoch.
 func (k *kernel) clock() time.Duration {
 	now := k.host.world.now
-	return now - k.lag + k.offset + time.Duration(float64(now-k.since)*(k.rate-1))
+	return now - k.clockLag + k.clockOffset + time.Duration(float64(now-k.rateSince)*(k.clockRate-1))
 }
 
 var _ poll.Kernel = (*kernel)(nil)
 
-func (k *kernel) over() bool { return k.life != k.host.life }
+func (k *kernel) ended() bool { return k.incarnation != k.host.incarnation }
 
-func (k *kernel) WallTime() time.Time { return k.Now().Add(k.host.wallStep) }
+func (k *kernel) WallTime() time.Time { return k.Now().Add(k.host.wallClockOffset) }
 
 func (k *kernel) Now() time.Time {
-	k.read = max(k.read, k.clock())
-	return epoch.Add(k.read)
+	k.latestRead = max(k.latestRead, k.clock())
+	return epoch.Add(k.latestRead)
 }
 
-// Wait never waits: what is not ready now makes the host run again later.
-func (k *kernel) Wait(events []poll.Event, most time.Duration) (int, error) {
+// Wait never blocks. If no event is ready, the host is scheduled to run again later.
+func (k *kernel) Wait(events []poll.Event, timeout time.Duration) (int, error) {
 	h := k.host
-	if k.over() {
+	if k.ended() {
 		return 0, ErrExit
 	}
 	n := 0
-	if h.woken && n < len(events) {
-		h.woken = false
+	if h.wakePending && n < len(events) {
+		h.wakePending = false
 		events[n] = poll.Event{Slot: poll.WakeSlot}
 		n++
 	}
-	// Readiness lasts until it is used: what is told stays in the list, behind what has not been told yet.
-	looked := min(len(h.ready), len(events)-n)
-	for _, f := range h.ready[:looked] {
+	// Readiness is level-triggered: a reported descriptor stays in the list, behind those not yet
+	// reported.
+	examined := min(len(h.ready), len(events)-n)
+	for _, f := range h.ready[:examined] {
 		a := f.watch()
 		a.queued = false
-		if !a.on {
+		if !a.registered {
 			continue
 		}
 		r := f.state()
-		if !wanted(r, a.want) {
+		if !wanted(r, a.interest) {
 			continue
 		}
 		events[n] = poll.Event{Slot: a.slot, Gen: a.gen, Ready: poll.Ready{
-			Read:   r.Read && a.want&poll.WantRead != 0 || r.Hangup,
-			Write:  r.Write && a.want&poll.WantWrite != 0 || r.Hangup,
+			Read:   r.Read && a.interest&poll.WantRead != 0 || r.Hangup,
+			Write:  r.Write && a.interest&poll.WantWrite != 0 || r.Hangup,
 			Hangup: r.Hangup,
 		}}
 		n++
 		a.queued = true
 		h.ready = append(h.ready, f)
 	}
-	h.ready = append(h.ready[:0], h.ready[looked:]...)
-	k.handed = n
-	if n > 0 || most == 0 {
+	h.ready = append(h.ready[:0], h.ready[examined:]...)
+	k.eventsReturned = n
+	if n > 0 || timeout == 0 {
 		return n, nil
 	}
 	h.blocked = true
-	if most > 0 { // epoll counts in whole milliseconds, rounded up
-		h.schedule(h.world.now + (most+time.Millisecond-1)/time.Millisecond*time.Millisecond)
+	if timeout > 0 { // epoll counts in whole milliseconds, rounded up
+		h.schedule(h.world.now + (timeout+time.Millisecond-1)/time.Millisecond*time.Millisecond)
 	}
 	return 0, nil
 }
 
 func (k *kernel) Wake() {
-	if !k.over() {
-		k.host.woken = true
+	if !k.ended() {
+		k.host.wakePending = true
 		k.host.schedule(k.host.world.now)
 	}
 }
@@ -95,24 +98,24 @@
 
 func (k *kernel) Connect(to netip.AddrPort) (int, error) {
 	h := k.host
-	if k.over() {
+	if k.ended() {
 		return -1, unix.ENETDOWN
 	}
 	if k.noPorts {
 		return -1, fmt.Errorf("%w: %w", poll.ErrNoSocket, unix.EADDRNOTAVAIL)
 	}
 	w := h.world
-	far := w.byAddr[to.Addr()]
-	if far == nil {
+	remote := w.byAddr[to.Addr()]
+	if remote == nil {
 		return -1, unix.ENETUNREACH
 	}
-	w.conns++
+	w.connCount++
 	e := &end{
-		conn: &Conn{ID: w.conns, Dialler: h, Listener: far, Port: to.Port()}, path: w.path(h, far),
+		conn: &Conn{ID: w.connCount, Dialler: h, Listener: remote, Port: to.Port()}, path: w.path(h, remote),
 		local: netip.AddrPortFrom(h.addr, h.nextPort()), remote: to,
 	}
-	e.watch_.host = h
-	fd, err := h.take(e)
+	e.watchState.host = h
+	fd, err := h.allocate(e)
 	if err != nil {
 		return -1, fmt.Errorf("%w: %w", poll.ErrNoSocket, err)
 	}
@@ -122,7 +125,7 @@
 
 func (k *kernel) Listen(at netip.AddrPort, receive int) (int, error) {
 	h := k.host
-	if k.over() {
+	if k.ended() {
 		return -1, unix.ENETDOWN
 	}
 	if at.Addr() != h.addr && !at.Addr().IsUnspecified() {
@@ -135,9 +138,9 @@
 	if h.listeners[port] != nil {
 		return -1, unix.EADDRINUSE
 	}
-	l := &listener{port: port, receive: receive}
-	l.watch_.host = h
-	fd, err := h.take(l)
+	l := &listener{port: port, receiveBuffer: receive}
+	l.watchState.host = h
+	fd, err := h.allocate(l)
 	if err != nil {
 		return -1, err
 	}
@@ -154,8 +157,8 @@
 		return -1, poll.ErrAgain
 	}
 	e := l.queue[0]
-	e.watch_.host = k.host
-	conn, err := k.host.take(e)
+	e.watchState.host = k.host
+	conn, err := k.host.allocate(e)
 	if err != nil {
 		return -1, err
 	}
@@ -168,7 +171,7 @@
 
 func (k *kernel) OpenUDP(at netip.AddrPort) (int, error) {
 	h := k.host
-	if k.over() {
+	if k.ended() {
 		return -1, unix.ENETDOWN
 	}
 	port := at.Port()
@@ -178,9 +181,9 @@
 	if h.datagrams[port] != nil {
 		return -1, unix.EADDRINUSE
 	}
-	s := &datagramSocket{at: netip.AddrPortFrom(h.addr, port)}
-	s.watch_.host = h
-	fd, err := h.take(s)
+	s := &datagramSocket{local: netip.AddrPortFrom(h.addr, port)}
+	s.watchState.host = h
+	fd, err := h.allocate(s)
 	if err != nil {
 		return -1, fmt.Errorf("%w: %w", poll.ErrNoSocket, err)
 	}
@@ -189,21 +192,23 @@
 }
 
 func (k *kernel) OpenReserve() (int, error) {
-	if k.over() {
+	if k.ended() {
 		return -1, unix.ENETDOWN
 	}
-	return k.host.take(&spareFile{})
+	return k.host.allocate(&reserveFile{})
 }
 
-// file returns what a descriptor stands for, nil if it is free or of an earlier life.
+// file returns the object behind a descriptor, or nil if the descriptor is free or the process has
+// ended.
 func (k *kernel) file(fd int) file {
-	if k.over() || fd < 0 || fd >= len(k.host.fds) {
+	if k.ended() || fd < 0 || fd >= len(k.host.files) {
 		return nil
 	}
-	return k.host.fds[fd]
+	return k.host.files[fd]
 }
 
-// end returns a connection. One that is not there any more stands for one that was reset.
+// end returns the connection behind a descriptor, or nil if there is none. Callers treat a missing
+// connection as one that was reset.
 func (k *kernel) end(fd int) *end {
 	e, _ := k.file(fd).(*end)
 	return e
@@ -214,10 +219,10 @@
 	if f == nil {
 		return
 	}
-	f.watch().on = false
-	k.host.fds[fd] = nil
-	k.host.free = append(k.host.free, fd)
-	k.host.open--
+	f.watch().registered = false
+	k.host.files[fd] = nil
+	k.host.freeFDs = append(k.host.freeFDs, fd)
+	k.host.openFDs--
 	f.close()
 }
 
@@ -227,8 +232,8 @@
 		return unix.EBADF
 	}
 	a := f.watch()
-	a.on, a.want, a.slot, a.gen = true, want, slot, gen
-	a.stir(f)
+	a.registered, a.interest, a.slot, a.gen = true, want, slot, gen
+	a.notify(f)
 	return nil
 }
 
@@ -237,8 +242,8 @@
 	if f == nil {
 		return unix.EBADF
 	}
-	f.watch().want = want
-	f.watch().stir(f)
+	f.watch().interest = want
+	f.watch().notify(f)
 	return nil
 }
 
@@ -286,7 +291,7 @@
 
 func (k *kernel) ResetOnClose(fd int) {
 	if e := k.end(fd); e != nil {
-		e.linger0 = true
+		e.resetOnClose = true
 	}
 }
 
@@ -302,7 +307,7 @@
 
 func (k *kernel) Idle(fd int) time.Duration {
 	if e := k.end(fd); e != nil {
-		return (k.host.world.now - e.heard).Truncate(time.Millisecond)
+		return (k.host.world.now - e.lastReceived).Truncate(time.Millisecond)
 	}
 	return 0
 }
@@ -314,7 +319,7 @@
 	case *listener:
 		return netip.AddrPortFrom(k.host.addr, f.port)
 	case *datagramSocket:
-		return f.at
+		return f.local
 	}
 	return netip.AddrPort{}
 }
--- a/internal/vnet/udp.go
+++ b/internal/vnet/udp.go
@@ -7,8 +7,9 @@
 	"ospreyspan/internal/poll"
 )
 
-// mostDatagrams is how many wait at a socket; further ones are lost.
-const mostDatagrams = 256
+// maxQueuedDatagrams is the largest number of datagrams queued at a socket; further ones are
+// dropped.
+const maxQueuedDatagrams = 256
 
 // datagram is one UDP packet.
 type datagram struct {
@@ -17,86 +18,88 @@
 	data     []byte
 }
 
-func (d *datagram) happen(w *World) {
+func (d *datagram) execute(w *World) {
 	h := d.path.to
 	s := h.datagrams[d.to.Port()]
-	if !d.path.carries() || s == nil || len(s.queue) >= mostDatagrams {
-		w.note(Record{What: "dropped", From: d.path.from, To: h, Port: d.to.Port(), Size: len(d.data)})
+	if !d.path.delivers() || s == nil || len(s.queue) >= maxQueuedDatagrams {
+		w.record(Record{What: "dropped", From: d.path.from, To: h, Port: d.to.Port(), Size: len(d.data)})
 		return
 	}
-	w.note(Record{What: "datagram", From: d.path.from, To: h, Port: d.to.Port(), Size: len(d.data)})
+	w.record(Record{What: "datagram", From: d.path.from, To: h, Port: d.to.Port(), Size: len(d.data)})
 	s.queue = append(s.queue, d)
-	s.watch_.stir(s)
+	s.watchState.notify(s)
 }
 
 // datagramSocket is a UDP socket.
 type datagramSocket struct {
-	watch_ watch
-	at     netip.AddrPort
-	queue  []*datagram
+	watchState watch
+	local      netip.AddrPort
+	queue      []*datagram
 }
 
-func (s *datagramSocket) watch() *watch { return &s.watch_ }
+func (s *datagramSocket) watch() *watch { return &s.watchState }
 
 func (s *datagramSocket) state() poll.Ready {
 	return poll.Ready{Read: len(s.queue) > 0, Write: true}
 }
 
 func (s *datagramSocket) close() {
-	delete(s.watch_.host.datagrams, s.at.Port())
+	delete(s.watchState.host.datagrams, s.local.Port())
 	s.queue = nil
 }
 
 func (s *datagramSocket) send(p []byte, to netip.AddrPort) {
-	h := s.watch_.host
+	h := s.watchState.host
 	w := h.world
-	far := w.byAddr[to.Addr()]
-	if far == nil {
-		return // nobody is there, and nobody says so
+	remote := w.byAddr[to.Addr()]
+	if remote == nil {
+		return // no host at this address; UDP reports no error
 	}
 	data := append([]byte(nil), p...)
-	if h.stallSend > 0 {
-		h.stalled = max(h.stalled, w.now+h.stallSend)
-		h.stallSend = 0
-		w.note(Record{What: "stall", From: h})
+	if h.sendStall > 0 {
+		h.stalledUntil = max(h.stalledUntil, w.now+h.sendStall)
+		h.sendStall = 0
+		w.record(Record{What: "stall", From: h})
 	}
-	if h.stalled > w.now { // it is stopped between its decision and this send
-		life := h.life
-		w.After(h.stalled-w.now, func() {
-			if life == h.life {
-				s.depart(far, to, data)
+	if h.stalledUntil > w.now { // the process is suspended between its decision and this send
+		incarnation := h.incarnation
+		w.After(h.stalledUntil-w.now, func() {
+			if incarnation == h.incarnation {
+				s.transmit(remote, to, data)
 			}
 		})
 		return
 	}
-	s.depart(far, to, data)
+	s.transmit(remote, to, data)
 }
 
-func (s *datagramSocket) depart(far *Host, to netip.AddrPort, data []byte) {
-	h := s.watch_.host
+func (s *datagramSocket) transmit(remote *Host, to netip.AddrPort, data []byte) {
+	h := s.watchState.host
 	w := h.world
-	path := w.path(h, far)
+	path := w.path(h, remote)
 	d, lost := path.transit(w.now, len(data))
-	var fate Fate
-	if w.fate != nil {
-		fate = w.fate(h, far, len(data))
+	var fault DatagramFault
+	if w.datagramFault != nil {
+		fault = w.datagramFault(h, remote, len(data))
 	}
-	if lost || fate.Drop {
-		w.note(Record{What: "dropped", From: h, To: far, Port: to.Port(), Size: len(data)})
+	if lost || fault.Drop {
+		w.record(Record{What: "dropped", From: h, To: remote, Port: to.Port(), Size: len(data)})
 		return
 	}
-	w.queue.push(w.now+d+fate.Late, &datagram{path: path, from: s.at, to: to, data: data})
-	for _, again := range fate.Again {
-		w.queue.push(w.now+d+again, &datagram{path: path, from: s.at, to: to, data: data})
+	w.queue.push(w.now+d+fault.Delay, &datagram{path: path, from: s.local, to: to, data: data})
+	for _, duplicateDelay := range fault.Duplicates {
+		w.queue.push(w.now+d+duplicateDelay, &datagram{path: path, from: s.local, to: to, data: data})
 	}
 }
 
-// Fate is what a network does to one datagram beside its link's delay and loss.
-type Fate struct {
-	Drop  bool
-	Late  time.Duration   // it is held for so long
-	Again []time.Duration // copies of it arrive so much later
+// DatagramFault is what the network does to one datagram beyond the delay and loss of its link.
+type DatagramFault struct {
+	Drop       bool
+	Delay      time.Duration   // added delay; 0: none
+	Duplicates []time.Duration // one copy arrives for each entry, later by that time
 }
 
-// Fates has f decide what happens to each datagram; nil: nothing.
-func (w *World) Fates(f func(from, to *Host, size int) Fate) { w.fate = f }
+// SetDatagramFaults sets the function that decides the fault of each datagram; nil injects none.
+func (w *World) SetDatagramFaults(f func(from, to *Host, size int) DatagramFault) {
+	w.datagramFault = f
+}
