--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -143,7 +143,8 @@
 	StartConvergence, KillConvergence time.Duration // from the start or the kill until all agreed
 	Datagrams                         int           // per process and second, without faults
 	MemoryKB                          int           // resident memory per live process, in KB
-	CPU                               float64       // thousandths of a core per process without faults
+	// CPU is in thousandths of a core per process, without faults.
+	CPU float64
 }
 
 // String returns the closing line of a mass kill.
@@ -167,7 +168,8 @@
 		return m, r.firstError(fmt.Errorf("rig: processes did not agree on an owner within %v of the start", timeout))
 	}
 	m.StartConvergence = time.Since(begin)
-	r.waitUntil(20*time.Second, func() bool { return false }) // lets the announcements of the start spread
+	// This lets the announcements of the start spread.
+	r.waitUntil(20*time.Second, func() bool { return false })
 	before, ticks := r.Counts.Datagrams, r.cpuTicks()
 	r.waitUntil(5*time.Second, func() bool { return false })
 	m.CPU = float64(r.cpuTicks()-ticks) * 10 / 5 / float64(len(r.procs)) // a tick is 10 ms
--- a/internal/vnet/disk.go
+++ b/internal/vnet/disk.go
@@ -29,7 +29,7 @@
 // only what is not synced.
 type DiskFaults struct {
 	Delay, Jitter time.Duration // of a write and its sync: fixed part, largest random part
-	Torn          float64       // probability that a kill leaves a part of an unsynced write, 0 to 1
+	Torn          float64       // probability that a kill leaves part of an unsynced write, 0 to 1
 	Scrambled     float64       // probability that such a part lacks an earlier piece, 0 to 1
 	FailSync      bool          // each sync fails from now on
 	WritesBlocked bool          // writes wait until this is cleared, as keeper.File makes them wait
