--- a/internal/lab/shared/judge.go
+++ b/internal/lab/shared/judge.go
@@ -98,7 +98,8 @@
 }
 
 // ageBound is the maximum true age of the evidence of a verdict: verdict.Config.MaxEvidenceAge
-// since the end of its window, plus the length of the window, plus 2 % for the difference of clocks.
+// since the end of its window, plus the length of the window, plus 2 % for the difference of
+// clocks.
 const ageBound = (3*time.Second + 250*time.Millisecond) * 102 / 100
 
 // checkVerdicts checks the verdicts of a process.
