--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -15,46 +15,48 @@
 	"ospreyspan/internal/poll"
 )
 
-// Entry is a relay as discovery names it.
+// Entry describes a relay in discovery's list.
 type Entry struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Kind   string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"` // SERVING, DRAINING or DELETED
-	Share  float64 `json:"share"`
-	BornMS int64   `json:"born_ms"` // Unix time; 0: long ago
+	Host      string  `json:"host"`
+	Dial      string  `json:"dial"`
+	Site      string  `json:"site"`
+	Kind      string  `json:"class"`
+	Block     int     `json:"block"`
+	Health    string  `json:"health"` // Serving, Draining or Deleted
+	Share     float64 `json:"share"`
+	StartedMS int64   `json:"born_ms"` // Unix time of the relay's start; 0: long ago
 }
 
-// The words for Entry.Health.
+// Values of Entry.Health.
 const (
 	Serving  = "SERVING"
 	Draining = "DRAINING"
 	Deleted  = "DELETED"
 )
 
-// DiscoveryConfig is what discovery can do.
+// DiscoveryConfig holds the capacity of the discovery service.
 type DiscoveryConfig struct {
-	// Call is what one call takes; calls are answered in turn. One that goes on with a watch within watchGap of its last answer
-	// takes none.
-	Call time.Duration
-	Line time.Duration // for each entry of an answer
-	// Timeout is how long a call may wait for its turn. One that would wait longer is answered 503 at once, for nothing. 0: any
-	// call waits.
-	Timeout time.Duration
-	// Resets is the part of these calls whose connection is reset in place of the 503, 0 to 1.
-	Resets float64
+	// CallWork is the time that one call takes; calls are answered one after the other. A call that
+	// continues a watch within maxWatchGap of the watch's last answer takes none.
+	CallWork  time.Duration
+	EntryWork time.Duration // for each entry of an answer
+	// QueueTimeout bounds the time that a call waits for its turn. A call that would wait longer is
+	// answered with 503 at once and takes no time. 0: no bound.
+	QueueTimeout time.Duration
+	// ResetFraction is the fraction, 0 to 1, of the calls over QueueTimeout whose connection is
+	// reset instead of answered with 503.
+	ResetFraction float64
 }
 
-// watchGap is how soon the next call of a watch has to follow its last answer.
-const watchGap = 200 * time.Millisecond
+// maxWatchGap is the longest time between an answer of a watch and the call that continues the
+// watch.
+const maxWatchGap = 200 * time.Millisecond
 
-// Registry is the list that discovery tells of. It outlives a discovery that goes down.
+// Registry is the list of relays that discovery serves. It outlives a Discovery that stops.
 type Registry struct {
-	seq     int64
-	entries map[string]*versioned
-	Changed func(e Entry) // called for each entry that is set; nil: for none
+	seq      int64
+	entries  map[string]*versioned
+	OnChange func(e Entry) // called for each entry that is set; may be nil
 }
 
 type versioned struct {
@@ -62,41 +64,42 @@
 	seq int64
 }
 
-// NewRegistry returns an empty list.
+// NewRegistry returns an empty registry.
 func NewRegistry() *Registry { return &Registry{entries: make(map[string]*versioned)} }
 
-// Set changes an entry, or adds it.
-func (g *Registry) Set(e Entry) {
-	g.seq++
-	g.entries[e.Host] = &versioned{e, g.seq}
-	if g.Changed != nil {
-		g.Changed(e)
+// Set adds an entry or replaces the one of the same host.
+func (r *Registry) Set(e Entry) {
+	r.seq++
+	r.entries[e.Host] = &versioned{e, r.seq}
+	if r.OnChange != nil {
+		r.OnChange(e)
 	}
 }
 
-// Health changes the health of an entry.
-func (g *Registry) Health(host, health string) {
-	if v := g.entries[host]; v != nil {
+// SetHealth changes the health of an entry. A host without an entry is ignored.
+func (r *Registry) SetHealth(host, health string) {
+	if v := r.entries[host]; v != nil {
 		e := v.Entry
 		e.Health = health
-		g.Set(e)
+		r.Set(e)
 	}
 }
 
-// HealthOf is the health of an entry; ok tells that there is one.
-func (g *Registry) HealthOf(host string) (health string, ok bool) {
-	v := g.entries[host]
+// Health returns the health of an entry; ok is false if there is none.
+func (r *Registry) Health(host string) (health string, ok bool) {
+	v := r.entries[host]
 	if v == nil {
 		return "", false
 	}
 	return v.Health, true
 }
 
-// list is an answer: the entries that are newer than a version, or all if that is below 0 or from another time.
-func (g *Registry) list(after int64) (entries []Entry, whole bool) {
-	whole = after < 0 || after > g.seq
+// entriesAfter returns the entries of an answer: those that changed after a sequence number, or all
+// if that number is negative or higher than the registry's own.
+func (r *Registry) entriesAfter(after int64) (entries []Entry, whole bool) {
+	whole = after < 0 || after > r.seq
 	var found []*versioned
-	for _, v := range g.entries {
+	for _, v := range r.entries {
 		if whole && v.Health != Deleted || !whole && v.seq > after {
 			found = append(found, v)
 		}
@@ -109,90 +112,90 @@
 	return entries, whole
 }
 
-// Discovery is the service that tells proxies of the relays: the whole list or a watch on changes, over HTTP/1.1. One
-// value is one life of its process.
+// Discovery is the HTTP/1.1 service that tells proxies of the relays: the whole list, or a watch on
+// changes. One value is one run of its process.
 type Discovery struct {
-	c        DiscoveryConfig
-	loop     *poll.Loop
-	ledger   *Ledger
-	list     *Registry
-	listener *poll.Listener
-	calls    []*discoveryCall
-	free     time.Time // when it has answered what it took so far
-	refused  int       // calls that waited too long
-	reset    int       // of these
-	hang     bool
+	config       DiscoveryConfig
+	loop         *poll.Loop
+	ledger       *Ledger
+	registry     *Registry
+	listener     *poll.Listener
+	connections  []*discoveryConn
+	busyUntil    time.Time // when all calls taken so far will have been answered
+	refusedCalls int       // calls that would have waited longer than QueueTimeout
+	resetCalls   int       // refused calls whose connection was reset
+	hanging      bool
 }
 
-// NewDiscovery starts discovery at an address.
+// NewDiscovery starts a discovery service at an address.
 func NewDiscovery(loop *poll.Loop, at netip.AddrPort, c DiscoveryConfig, list *Registry, ledger *Ledger) (*Discovery, error) {
-	d := &Discovery{c: c, loop: loop, list: list, ledger: ledger}
+	d := &Discovery{config: c, loop: loop, registry: list, ledger: ledger}
 	var err error
 	d.listener, err = loop.Listen(at, func(s *poll.Socket, last bool) poll.Handler {
-		k := &discoveryCall{d: d, sock: s}
-		k.timer.Fire = k.due
+		conn := &discoveryConn{discovery: d, sock: s}
+		conn.timer.Fire = conn.onTimer
 		if last {
 			s.Close()
-			return k
+			return conn
 		}
-		d.calls = append(d.calls, k)
-		return k
+		d.connections = append(d.connections, conn)
+		return conn
 	})
 	return d, err
 }
 
-// Addr is where it listens.
+// Addr returns the address that the service listens on.
 func (d *Discovery) Addr() netip.AddrPort { return d.listener.Addr() }
 
-// News tells that the list has changed: watches, which had their turns, end with an answer.
-func (d *Discovery) News() {
+// NotifyWatches answers all open watches after a change of the registry. They do not queue again.
+func (d *Discovery) NotifyWatches() {
 	now := d.loop.Now()
-	for _, k := range slices.Clone(d.calls) {
-		if k.state == callWatching {
-			d.work(now, k, 0)
-			k.due()
+	for _, conn := range slices.Clone(d.connections) {
+		if conn.state == callWatching {
+			d.addCallWork(now, conn, 0)
+			conn.onTimer()
 		}
 	}
 }
 
-// work books what a call takes.
-func (d *Discovery) work(now time.Time, k *discoveryCall, call time.Duration) {
-	entries, _ := d.list.list(k.after)
-	d.Occupy(now, call+time.Duration(len(entries))*d.c.Line)
+// addCallWork adds the work of a call and of the entries of its answer to the queue.
+func (d *Discovery) addCallWork(now time.Time, conn *discoveryConn, call time.Duration) {
+	entries, _ := d.registry.entriesAfter(conn.afterSeq)
+	d.AddWork(now, call+time.Duration(len(entries))*d.config.EntryWork)
 }
 
-// Occupy puts so much work into its queue.
-func (d *Discovery) Occupy(now time.Time, work time.Duration) {
-	if d.free.Before(now) {
-		d.free = now
+// AddWork adds work to the queue of calls.
+func (d *Discovery) AddWork(now time.Time, work time.Duration) {
+	if d.busyUntil.Before(now) {
+		d.busyUntil = now
 	}
-	d.free = d.free.Add(work)
+	d.busyUntil = d.busyUntil.Add(work)
 }
 
-// Hang has it send half of each answer and then nothing, or go on as usual.
-func (d *Discovery) Hang(on bool) { d.hang = on }
+// SetHanging makes the service send half of each answer and then nothing, or answer as usual again.
+func (d *Discovery) SetHanging(on bool) { d.hanging = on }
 
-// Hangs tells whether it does the former.
-func (d *Discovery) Hangs() bool { return d.hang }
+// Hanging reports whether the service sends only half of each answer.
+func (d *Discovery) Hanging() bool { return d.hanging }
 
-// SilenceWatches has all watches that are open fall silent: their connections stay, and nothing comes on them any more. Other calls
-// are answered.
+// SilenceWatches stops all open watches without closing their connections: nothing more is sent on
+// these. Other calls are answered as usual.
 func (d *Discovery) SilenceWatches() {
-	for _, k := range d.calls {
-		if k.state == callWatching {
-			k.state = callSilent
-			d.loop.Disarm(&k.timer)
-			d.ledger.silenced(k.sock.RemoteAddr().Addr())
+	for _, conn := range d.connections {
+		if conn.state == callWatching {
+			conn.state = callSilent
+			d.loop.Disarm(&conn.timer)
+			d.ledger.notifyWatchSilenced(conn.sock.RemoteAddr().Addr())
 		}
 	}
 }
 
-// Stop ends it: its connections are reset.
+// Stop closes the listener and resets all connections.
 func (d *Discovery) Stop() {
 	d.listener.Close()
-	for _, k := range slices.Clone(d.calls) {
-		k.sock.Reset()
-		k.forget()
+	for _, conn := range slices.Clone(d.connections) {
+		conn.sock.Reset()
+		conn.remove()
 	}
 }
 
@@ -202,189 +205,193 @@
 	callReading callState = iota
 	callQueued            // it waits for its turn
 	callWatching
-	callSilent // its watch fell silent
-	callGone
+	callSilent // its watch was silenced
+	callClosed
 )
 
-// discoveryCall is a connection to discovery with the call that is on it.
-type discoveryCall struct {
-	d     *Discovery
-	sock  *poll.Socket
-	state callState
-	in    []byte
-	out   []byte
-	after int64
-	wait  time.Time // a watch ends then; zero: it is none
-	full  bool      // it would wait too long for its turn
-	// Of the last answer:
-	watched  bool // it belonged to a watch
-	told     int64
-	answered time.Time
-	timer    poll.Timer
+// discoveryConn is a connection to discovery with its current call.
+type discoveryConn struct {
+	discovery     *Discovery
+	sock          *poll.Socket
+	state         callState
+	input         []byte
+	output        []byte
+	afterSeq      int64
+	watchUntil    time.Time // end of the watch; zero: not a watch
+	overdue       bool      // it would wait longer than QueueTimeout
+	answeredWatch bool      // the last answer belonged to a watch
+	// Sequence number and time of the last answer.
+	answeredSeq int64
+	answeredAt  time.Time
+	timer       poll.Timer
 }
 
-// maxRequest is the longest request that is read.
+// maxRequest is the longest request that is read, in bytes.
 const maxRequest = 8 << 10
 
-func (k *discoveryCall) Ready(e poll.Ready) {
-	if e.Write && len(k.out) > 0 {
-		n, err := k.sock.Write(k.out)
+func (conn *discoveryConn) Ready(e poll.Ready) {
+	if e.Write && len(conn.output) > 0 {
+		n, err := conn.sock.Write(conn.output)
 		if err != nil {
-			k.end()
+			conn.close()
 			return
 		}
-		k.out = k.out[n:]
-		k.sock.Want(true, len(k.out) > 0)
+		conn.output = conn.output[n:]
+		conn.sock.Want(true, len(conn.output) > 0)
 	}
 	if !e.Read {
 		return
 	}
 	var buf [2048]byte
-	n, err := k.sock.Read(buf[:])
+	n, err := conn.sock.Read(buf[:])
 	if errors.Is(err, poll.ErrAgain) {
 		return
 	}
-	if k.in = append(k.in, buf[:n]...); err != nil || len(k.in) > maxRequest {
-		k.end()
+	if conn.input = append(conn.input, buf[:n]...); err != nil || len(conn.input) > maxRequest {
+		conn.close()
 		return
 	}
-	k.next()
+	conn.readRequest()
 }
 
-// next takes the next request, if all of it is there.
-func (k *discoveryCall) next() {
-	if k.state != callReading {
+// readRequest handles the next request if it has been received completely.
+func (conn *discoveryConn) readRequest() {
+	if conn.state != callReading {
 		return
 	}
-	head, rest, ok := bytes.Cut(k.in, []byte("\r\n\r\n"))
+	head, rest, ok := bytes.Cut(conn.input, []byte("\r\n\r\n"))
 	if !ok {
 		return
 	}
 	first, _, _ := bytes.Cut(head, []byte("\r\n"))
-	k.in = append([]byte(nil), rest...)
+	conn.input = append([]byte(nil), rest...)
 	parts := bytes.Split(first, []byte(" "))
 	if len(parts) != 3 || string(parts[0]) != "GET" {
-		k.write("400 Bad Request", nil)
+		conn.write("400 Bad Request", nil)
 		return
 	}
 	u, err := url.Parse(string(parts[1]))
 	if err != nil || u.Path != "/registry/instances" {
-		k.write("404 Not Found", nil)
+		conn.write("404 Not Found", nil)
 		return
 	}
-	now := k.d.loop.Now()
-	k.after, k.wait, k.full = -1, time.Time{}, false
+	now := conn.discovery.loop.Now()
+	conn.afterSeq, conn.watchUntil, conn.overdue = -1, time.Time{}, false
 	if q := u.Query(); q.Has("index") {
-		k.after, _ = strconv.ParseInt(q.Get("index"), 10, 64)
+		conn.afterSeq, _ = strconv.ParseInt(q.Get("index"), 10, 64)
 		if ms, err := strconv.Atoi(q.Get("wait")); err == nil {
-			k.wait = now.Add(time.Duration(min(max(ms, 0), 60000)) * time.Millisecond)
+			conn.watchUntil = now.Add(time.Duration(min(max(ms, 0), 60000)) * time.Millisecond)
 		}
 	}
-	k.turn()
+	conn.enqueue()
 }
 
-// turn has the call wait for its turn.
-func (k *discoveryCall) turn() {
-	d := k.d
+// enqueue schedules the call's answer after the calls before it, or refuses it if that takes too
+// long.
+func (conn *discoveryConn) enqueue() {
+	d := conn.discovery
 	now := d.loop.Now()
-	k.state = callQueued
-	queue := max(d.free.Sub(now), 0)
-	cost := d.c.Call
-	if k.goesOn(now) {
+	conn.state = callQueued
+	queue := max(d.busyUntil.Sub(now), 0)
+	cost := d.config.CallWork
+	if conn.continuesWatch(now) {
 		cost, queue = 0, 0
 	}
-	if limit := d.c.Timeout; limit > 0 && queue > limit {
-		k.full = true
-		k.due()
+	if limit := d.config.QueueTimeout; limit > 0 && queue > limit {
+		conn.overdue = true
+		conn.onTimer()
 		return
 	}
-	d.loop.Arm(&k.timer, now.Add(queue+cost))
-	d.work(now, k, cost)
+	d.loop.Arm(&conn.timer, now.Add(queue+cost))
+	d.addCallWork(now, conn, cost)
 }
 
-// goesOn tells whether the call goes on with a watch that this connection's last answer belongs to.
-func (k *discoveryCall) goesOn(now time.Time) bool {
-	return k.watched && k.after == k.told && now.Sub(k.answered) <= watchGap
+// continuesWatch reports whether the call continues the watch that the connection's last answer
+// belonged to.
+func (conn *discoveryConn) continuesWatch(now time.Time) bool {
+	return conn.answeredWatch && conn.afterSeq == conn.answeredSeq && now.Sub(conn.answeredAt) <= maxWatchGap
 }
 
-// due answers: the call's turn is over, or its watch is.
-func (k *discoveryCall) due() {
-	if k.full {
-		k.refuse()
+// onTimer answers the call when its turn has come or its watch ends.
+func (conn *discoveryConn) onTimer() {
+	if conn.overdue {
+		conn.refuseOverdue()
 		return
 	}
-	if k.state == callQueued && k.after >= 0 && k.after == k.d.list.seq && k.d.loop.Now().Before(k.wait) { // nothing new yet
-		k.state = callWatching
-		k.d.loop.Arm(&k.timer, k.wait)
+	// Nothing has changed since the call's sequence number: it becomes a watch.
+	if conn.state == callQueued && conn.afterSeq >= 0 && conn.afterSeq == conn.discovery.registry.seq && conn.discovery.loop.Now().Before(conn.watchUntil) {
+		conn.state = callWatching
+		conn.discovery.loop.Arm(&conn.timer, conn.watchUntil)
 		return
 	}
-	entries, whole := k.d.list.list(k.after)
+	entries, whole := conn.discovery.registry.entriesAfter(conn.afterSeq)
 	body, err := json.Marshal(struct {
 		Seq   int64   `json:"seq"`
 		Whole bool    `json:"whole"`
 		Hosts []Entry `json:"hosts"`
-	}{k.d.list.seq, whole, entries})
+	}{conn.discovery.registry.seq, whole, entries})
 	if err != nil {
-		panic(err) // it is made of strings and numbers
+		panic(err) // strings and numbers can always be encoded
 	}
-	if k.d.hang {
-		k.out = fmt.Appendf(k.out, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)/2])
-		k.state = callQueued // and stays there
-		k.flush()
+	if conn.discovery.hanging {
+		conn.output = fmt.Appendf(conn.output, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:len(body)/2])
+		conn.state = callQueued // no further request is read
+		conn.flush()
 		return
 	}
-	now, proxy := k.d.loop.Now(), k.sock.RemoteAddr().Addr()
+	now, proxy := conn.discovery.loop.Now(), conn.sock.RemoteAddr().Addr()
 	for _, e := range entries {
-		k.d.ledger.tell(now, proxy, e)
+		conn.discovery.ledger.notifyTell(now, proxy, e)
 	}
-	k.watched, k.told, k.answered = k.after >= 0, k.d.list.seq, now
-	k.write("200 OK", body)
+	conn.answeredWatch, conn.answeredSeq, conn.answeredAt = conn.afterSeq >= 0, conn.discovery.registry.seq, now
+	conn.write("200 OK", body)
 }
 
-// refuse ends a call that waited too long: with 503, or for a part of them with a reset.
-func (k *discoveryCall) refuse() {
-	d := k.d
-	d.refused++
-	if float64(d.reset+1) <= d.c.Resets*float64(d.refused) {
-		d.reset++
-		k.sock.Reset()
-		k.forget()
+// refuseOverdue ends a call over QueueTimeout: with a reset for ResetFraction of these calls, with
+// 503 for the others.
+func (conn *discoveryConn) refuseOverdue() {
+	d := conn.discovery
+	d.refusedCalls++
+	if float64(d.resetCalls+1) <= d.config.ResetFraction*float64(d.refusedCalls) {
+		d.resetCalls++
+		conn.sock.Reset()
+		conn.remove()
 		return
 	}
-	k.write("503 Service Unavailable", nil)
+	conn.write("503 Service Unavailable", nil)
 }
 
-func (k *discoveryCall) write(status string, body []byte) {
-	k.out = fmt.Appendf(k.out, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
-	k.state = callReading
-	if k.flush() {
-		k.next()
+func (conn *discoveryConn) write(status string, body []byte) {
+	conn.output = fmt.Appendf(conn.output, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
+	conn.state = callReading
+	if conn.flush() {
+		conn.readRequest()
 	}
 }
 
-func (k *discoveryCall) flush() bool {
-	n, err := k.sock.Write(k.out)
+func (conn *discoveryConn) flush() bool {
+	n, err := conn.sock.Write(conn.output)
 	if err != nil {
-		k.end()
+		conn.close()
 		return false
 	}
-	k.out = k.out[n:]
-	k.sock.Want(true, len(k.out) > 0)
+	conn.output = conn.output[n:]
+	conn.sock.Want(true, len(conn.output) > 0)
 	return true
 }
 
-func (k *discoveryCall) end() {
-	k.sock.Close()
-	k.forget()
+func (conn *discoveryConn) close() {
+	conn.sock.Close()
+	conn.remove()
 }
 
-func (k *discoveryCall) forget() {
-	if k.state == callGone {
+func (conn *discoveryConn) remove() {
+	if conn.state == callClosed {
 		return
 	}
-	k.state = callGone
-	k.d.loop.Disarm(&k.timer)
-	if i := slices.Index(k.d.calls, k); i >= 0 {
-		k.d.calls = slices.Delete(k.d.calls, i, i+1)
+	conn.state = callClosed
+	conn.discovery.loop.Disarm(&conn.timer)
+	if i := slices.Index(conn.discovery.connections, conn); i >= 0 {
+		conn.discovery.connections = slices.Delete(conn.discovery.connections, i, i+1)
 	}
 }
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/ledger.go
@@ -9,53 +9,57 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Ledger is what the parts of a fleet saw: service by class and second, answers, and what broke a rule. It belongs to
-// one goroutine.
+// Ledger records what the parts of a fleet observe: service by class and second, answers, and
+// violations of rules. It must be used by one goroutine only.
 type Ledger struct {
 	Classes []Class
 	begin   time.Time
-	end     time.Time   // nothing after this counts
-	asked   [][]float64 // by class and second: connection seconds that were wanted
-	served  [][]float64 // those that were well served
-	SetUp   []Histogram // by class: from a client's line to its UP
-	Message []Histogram // by class: from a line to its answer
-	Count   Tally       // what clients saw
-	Moves   []int       // by second
-	told    map[told]time.Time
-	// Shared says that proxies pass on what discovery told one of them: a relay that is known to serve again is so to all.
-	Shared bool
-	Broken func(rule string, detail string) // called for what breaks a rule
-	// Telling is called when discovery is about to write an entry to a proxy; nil: it counts as told then.
-	Telling func(proxy netip.Addr, e Entry)
-	// Silenced is called when a proxy's open watch falls silent; nil: nobody wants to know.
-	Silenced func(proxy netip.Addr)
-}
-
-// Tally counts what clients saw.
-type Tally struct {
-	Clients  int `json:"clients"`  // that came
-	Done     int `json:"done"`     // that had their connection for as long as they wanted it
-	Requests int `json:"requests"` // first lines
-	Up       int `json:"up"`
-	Refused  int `json:"refused"`
-	Failed   int `json:"failed"`
-	Silent   int `json:"unanswered"` // requests given up without an answer
-	Lost     int `json:"lost"`       // requests whose connection ended without an answer
-	Unmade   int `json:"unmade"`     // connections to a proxy that never came up, or broke before the line was out
-	Moved    int `json:"moved"`
-	Cut      int `json:"cut"` // standing connections that ended without a word
-	Crossing int `json:"crossing"`
-	Probes   int `json:"probes"`
-	Failing  int `json:"failing"` // requests that relays in trouble answered with an error
-}
-
-// told names what discovery told to whom.
-type told struct {
+	end     time.Time    // nothing after this counts
+	wanted  [][]float64  // wanted connection seconds, by class and second
+	served  [][]float64  // well-served connection seconds, by class and second
+	SetUp   []Histogram  // by class: from a client's OPEN line to its UP
+	Message []Histogram  // by class: from a message to its answer
+	Counts  ClientCounts // what the clients saw
+	Moves   []int        // moved connections, by second
+	// notServingSince holds when discovery told a proxy that a relay takes no new work. An entry is
+	// deleted when the proxy is told that the relay serves.
+	notServingSince map[notServingKey]time.Time
+	// ListShared tells that proxies pass on what discovery told one of them: a relay that one proxy
+	// knows to serve again counts as known to all.
+	ListShared  bool
+	OnViolation func(rule string, detail string) // called for each violation of a rule; not nil
+	// OnTell is called when discovery is about to write an entry to a proxy. If it is nil, the
+	// proxy is deemed to know the entry from that time on.
+	OnTell func(proxy netip.Addr, e Entry)
+	// OnWatchSilenced is called when an open watch of a proxy is silenced; may be nil.
+	OnWatchSilenced func(proxy netip.Addr)
+}
+
+// ClientCounts counts what the clients saw.
+type ClientCounts struct {
+	Clients         int `json:"clients"`  // clients that arrived
+	Completed       int `json:"done"`     // clients that had all the connected time they wanted
+	Requests        int `json:"requests"` // OPEN lines that were sent
+	Up              int `json:"up"`
+	Refused         int `json:"refused"`
+	Failed          int `json:"failed"`
+	Unanswered      int `json:"unanswered"` // requests given up without an answer
+	Lost            int `json:"lost"`       // requests whose connection ended without an answer
+	ConnectFailures int `json:"unmade"`     // connections that failed before the OPEN line was sent
+	Moved           int `json:"moved"`
+	Cut             int `json:"cut"`      // established connections that ended without a MOVE
+	Crossing        int `json:"crossing"` // requests from a proxy of another site
+	Probes          int `json:"probes"`
+	FaultErrors     int `json:"failing"` // requests that failing relays answered with an error
+}
+
+// notServingKey identifies a relay and the proxy that discovery told of it.
+type notServingKey struct {
 	proxy netip.Addr
 	relay string
 }
 
-// Histogram is of times, in microseconds, with three significant digits.
+// Histogram holds durations in microseconds with three significant digits.
 type Histogram struct{ *hdrhistogram.Histogram }
 
 func newHistogram() Histogram {
@@ -63,37 +67,39 @@
 }
 
 func (h Histogram) add(d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), time.Minute.Microseconds())) // in its range by that
+	// RecordValue cannot fail: the value is within the histogram's range.
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), time.Minute.Microseconds()))
 }
 
-// Quantile is the time that a part of them keep, 0 to 1.
-func (h Histogram) Quantile(part float64) time.Duration {
-	return time.Duration(h.ValueAtQuantile(100*part)) * time.Microsecond
+// Quantile returns the duration that the given part of the values, 0 to 1, does not exceed.
+func (h Histogram) Quantile(quantile float64) time.Duration {
+	return time.Duration(h.ValueAtQuantile(100*quantile)) * time.Microsecond
 }
 
-// NewLedger returns a ledger for a run that begins now and counts for as long.
+// NewLedger returns a ledger for a run that begins at the given time and counts for the given
+// length.
 func NewLedger(begin time.Time, length time.Duration, classes []Class) *Ledger {
-	l := &Ledger{Classes: classes, begin: begin, end: begin.Add(length), told: make(map[told]time.Time)}
+	l := &Ledger{Classes: classes, begin: begin, end: begin.Add(length), notServingSince: make(map[notServingKey]time.Time)}
 	n := int(length/time.Second) + 1
 	for range classes {
-		l.asked = append(l.asked, make([]float64, n))
+		l.wanted = append(l.wanted, make([]float64, n))
 		l.served = append(l.served, make([]float64, n))
 		l.SetUp = append(l.SetUp, newHistogram())
 		l.Message = append(l.Message, newHistogram())
 	}
 	l.Moves = make([]int, n)
-	l.Broken = func(string, string) {}
+	l.OnViolation = func(string, string) {}
 	return l
 }
 
-// Begin and End bound what counts.
+// Begin returns the time from which on observations count.
 func (l *Ledger) Begin() time.Time { return l.begin }
 
-// End is when nothing counts any more.
+// End returns the time after which observations no longer count.
 func (l *Ledger) End() time.Time { return l.end }
 
-// spread adds the seconds between two times to the buckets that they fall in.
-func (l *Ledger) spread(to []float64, from, until time.Time) {
+// addSeconds adds the time between from and until to the buckets of one second that it falls in.
+func (l *Ledger) addSeconds(buckets []float64, from, until time.Time) {
 	if from.Before(l.begin) {
 		from = l.begin
 	}
@@ -106,78 +112,82 @@
 		if next.After(until) {
 			next = until
 		}
-		to[i] += next.Sub(from).Seconds()
+		buckets[i] += next.Sub(from).Seconds()
 		from = next
 	}
 }
 
-func (l *Ledger) want(class int, from, until time.Time)  { l.spread(l.asked[class], from, until) }
-func (l *Ledger) serve(class int, from, until time.Time) { l.spread(l.served[class], from, until) }
+func (l *Ledger) addWanted(class int, from, until time.Time) {
+	l.addSeconds(l.wanted[class], from, until)
+}
+func (l *Ledger) addServed(class int, from, until time.Time) {
+	l.addSeconds(l.served[class], from, until)
+}
 
-func (l *Ledger) moved(now time.Time) {
-	l.Count.Moved++
+func (l *Ledger) addMove(now time.Time) {
+	l.Counts.Moved++
 	if i := int(now.Sub(l.begin) / time.Second); i >= 0 && i < len(l.Moves) {
 		l.Moves[i]++
 	}
 }
 
-// Told takes down that discovery has written to a proxy whether a relay takes new work.
-func (l *Ledger) Told(now time.Time, proxy netip.Addr, relay string, serving bool) {
-	key := told{proxy, relay}
-	if serving && l.Shared {
-		for k := range l.told { // all that match go, in whatever order
+// RecordTold records that discovery has written to a proxy whether a relay takes new work.
+func (l *Ledger) RecordTold(now time.Time, proxy netip.Addr, relay string, serving bool) {
+	key := notServingKey{proxy, relay}
+	if serving && l.ListShared {
+		for k := range l.notServingSince { // removes all matches, so the order does not matter
 			if k.relay == relay {
-				delete(l.told, k)
+				delete(l.notServingSince, k)
 			}
 		}
 	}
 	if serving {
-		delete(l.told, key)
-	} else if _, known := l.told[key]; !known {
-		l.told[key] = now
+		delete(l.notServingSince, key)
+	} else if _, known := l.notServingSince[key]; !known {
+		l.notServingSince[key] = now
 	}
 }
 
-// tell is Told, or Telling where somebody knows better when it is.
-func (l *Ledger) tell(now time.Time, proxy netip.Addr, e Entry) {
-	if l.Telling != nil {
-		l.Telling(proxy, e)
+// notifyTell calls OnTell if it is set, and RecordTold otherwise.
+func (l *Ledger) notifyTell(now time.Time, proxy netip.Addr, e Entry) {
+	if l.OnTell != nil {
+		l.OnTell(proxy, e)
 	} else {
-		l.Told(now, proxy, e.Host, e.Health == Serving)
+		l.RecordTold(now, proxy, e.Host, e.Health == Serving)
 	}
 }
 
-func (l *Ledger) silenced(proxy netip.Addr) {
-	if l.Silenced != nil {
-		l.Silenced(proxy)
+func (l *Ledger) notifyWatchSilenced(proxy netip.Addr) {
+	if l.OnWatchSilenced != nil {
+		l.OnWatchSilenced(proxy)
 	}
 }
 
-// ToldSince tells since when a proxy knows that a relay takes no new work.
-func (l *Ledger) ToldSince(proxy netip.Addr, relay string) (time.Time, bool) {
-	t, ok := l.told[told{proxy, relay}]
+// NotServingSince returns since when a proxy knows that a relay takes no new work.
+func (l *Ledger) NotServingSince(proxy netip.Addr, relay string) (time.Time, bool) {
+	t, ok := l.notServingSince[notServingKey{proxy, relay}]
 	return t, ok
 }
 
-// ForgetProxy drops what was told to a proxy that has ended.
+// ForgetProxy drops the records of a proxy that has ended.
 func (l *Ledger) ForgetProxy(proxy netip.Addr) {
-	for k := range l.told { // all that match go, in whatever order
+	for k := range l.notServingSince { // removes all matches, so the order does not matter
 		if k.proxy == proxy {
-			delete(l.told, k)
+			delete(l.notServingSince, k)
 		}
 	}
 }
 
-// Service is the worth of the well-served seconds over that of all that were wanted, of the seconds [from, to). Class -1
-// stands for all classes. It is NaN where nothing was wanted.
+// Service returns the worth of the served seconds over the worth of the wanted seconds, in the
+// seconds [from, to). Class -1 stands for all classes. The result is NaN where nothing was wanted.
 func (l *Ledger) Service(class, from, to int) float64 {
 	asked, served := 0.0, 0.0
 	for c := range l.Classes {
 		if class >= 0 && c != class {
 			continue
 		}
-		for i := max(from, 0); i < min(to, len(l.asked[c])); i++ {
-			asked += l.Classes[c].Worth * l.asked[c][i]
+		for i := max(from, 0); i < min(to, len(l.wanted[c])); i++ {
+			asked += l.Classes[c].Worth * l.wanted[c][i]
 			served += l.Classes[c].Worth * l.served[c][i]
 		}
 	}
@@ -187,27 +197,29 @@
 	return served / asked
 }
 
-// Seconds is how many seconds the run counts.
-func (l *Ledger) Seconds() int { return len(l.asked[0]) - 1 }
+// Seconds returns the number of seconds of the run that count.
+func (l *Ledger) Seconds() int { return len(l.wanted[0]) - 1 }
 
-// worstSpan is the window of which the worst one counts.
-const worstSpan = 10
+// worstWindowSeconds is the length of the window in WorstWindow.
+const worstWindowSeconds = 10
 
-// Worst is the service in the worst window of 10 s, and the second in which that begins. A shorter run is one window.
-func (l *Ledger) Worst() (service float64, from int) {
+// WorstWindow returns the lowest service of any window of 10 s and the second in which that window
+// begins. A run shorter than 10 s is one window.
+func (l *Ledger) WorstWindow() (service float64, from int) {
 	service = math.Inf(1)
-	for i := 0; i+min(worstSpan, l.Seconds()) <= l.Seconds(); i++ {
-		if s := l.Service(-1, i, i+worstSpan); s < service {
+	for i := 0; i+min(worstWindowSeconds, l.Seconds()) <= l.Seconds(); i++ {
+		if s := l.Service(-1, i, i+worstWindowSeconds); s < service {
 			service, from = s, i
 		}
 	}
 	return service, from
 }
 
-// Goal mixes the whole run (35 parts in 100), the worst window (45) and the worst-served class (20), less 3.2 points for
-// each client being moved once and 2.2 for each request crossing sites once.
+// Goal returns the weighted service of the whole run (35%), of the worst window (45%) and of the
+// worst-served class (20%), less 3.2 percentage points for one move per client and 2.2 for one
+// request per request that crosses sites.
 func (l *Ledger) Goal() float64 {
-	worst, _ := l.Worst()
+	worst, _ := l.WorstWindow()
 	class := math.Inf(1)
 	for c := range l.Classes {
 		if s := l.Service(c, 0, l.Seconds()); s < class {
@@ -215,15 +227,15 @@
 		}
 	}
 	g := 0.35*l.Service(-1, 0, l.Seconds()) + 0.45*worst + 0.20*class
-	if l.Count.Clients > 0 {
-		g -= 0.032 * float64(l.Count.Moved) / float64(l.Count.Clients)
+	if l.Counts.Clients > 0 {
+		g -= 0.032 * float64(l.Counts.Moved) / float64(l.Counts.Clients)
 	}
-	if l.Count.Requests > 0 {
-		g -= 0.022 * float64(l.Count.Crossing) / float64(l.Count.Requests)
+	if l.Counts.Requests > 0 {
+		g -= 0.022 * float64(l.Counts.Crossing) / float64(l.Counts.Requests)
 	}
 	return g
 }
 
-func (l *Ledger) broken(rule, format string, args ...any) {
-	l.Broken(rule, fmt.Sprintf(format, args...))
+func (l *Ledger) reportViolation(rule, format string, args ...any) {
+	l.OnViolation(rule, fmt.Sprintf(format, args...))
 }
--- a/internal/fleet/text.go
+++ b/internal/fleet/text.go
@@ -9,25 +9,26 @@
 	"ospreyspan/internal/inifile"
 )
 
-// A Range is written 0.2..0.4, Spans 1s..2s; where both ends are the same, one figure will do.
+// A Range is written as 0.2..0.4 and a DurationRange as 1s..2s. A single value stands for both
+// bounds.
 
-// UnmarshalText reads a Range.
+// UnmarshalText parses a Range.
 func (r *Range) UnmarshalText(text []byte) error {
-	return ends(string(text), inifile.ParseNumber, &r.From, &r.To)
+	return parseEnds(string(text), inifile.ParseNumber, &r.From, &r.To)
 }
 
-// Bounds are the range's ends.
+// Bounds returns the bounds of the range.
 func (r *Range) Bounds() (least, most float64) { return r.From, r.To }
 
-// UnmarshalText reads Spans.
-func (s *Spans) UnmarshalText(text []byte) error {
-	return ends(string(text), inifile.ParseDuration, &s.From, &s.To)
+// UnmarshalText parses a DurationRange.
+func (r *DurationRange) UnmarshalText(text []byte) error {
+	return parseEnds(string(text), inifile.ParseDuration, &r.From, &r.To)
 }
 
-// Bounds are the ends in seconds.
-func (s *Spans) Bounds() (least, most float64) { return s.From.Seconds(), s.To.Seconds() }
+// Bounds returns the bounds in seconds.
+func (r *DurationRange) Bounds() (least, most float64) { return r.From.Seconds(), r.To.Seconds() }
 
-func ends[T float64 | time.Duration](text string, read func(string) (T, error), from, to *T) error {
+func parseEnds[T float64 | time.Duration](text string, read func(string) (T, error), from, to *T) error {
 	first, last, both := strings.Cut(text, "..")
 	if !both {
 		last = first
@@ -45,10 +46,12 @@
 	return nil
 }
 
-// MarshalText writes a Range as UnmarshalText reads it.
+// MarshalText formats a Range in the form that UnmarshalText parses.
 func (r Range) MarshalText() ([]byte, error) {
 	return fmt.Appendf(nil, "%s..%s", strconv.FormatFloat(r.From, 'g', -1, 64), strconv.FormatFloat(r.To, 'g', -1, 64)), nil
 }
 
-// MarshalText writes Spans as UnmarshalText reads them.
-func (s Spans) MarshalText() ([]byte, error) { return fmt.Appendf(nil, "%v..%v", s.From, s.To), nil }
+// MarshalText formats a DurationRange in the form that UnmarshalText parses.
+func (r DurationRange) MarshalText() ([]byte, error) {
+	return fmt.Appendf(nil, "%v..%v", r.From, r.To), nil
+}
--- a/internal/lab/attempts.go
+++ b/internal/lab/attempts.go
@@ -8,69 +8,70 @@
 	"ospreyspan/internal/vnet"
 )
 
-// attempt sees a proxy ask a relay.
-func (j *judge) attempt(c *vnet.Conn, w *tapped) {
-	o, err := line.ParseOpen(line.TrimLineEnd(w.first))
-	asks := bytes.HasPrefix(w.first, openWord)
-	w.first = nil
-	if !asks {
+// onAttempt handles the complete first line that a proxy sends to a relay.
+func (j *judge) onAttempt(c *vnet.Conn, attempt *tappedConn) {
+	o, err := line.ParseOpen(line.TrimLineEnd(attempt.firstLine))
+	isOpen := bytes.HasPrefix(attempt.firstLine, openPrefix)
+	attempt.firstLine = nil
+	if !isOpen {
 		return // a probe
 	}
 	proxy, id := c.Dialler, j.relayID[c.Listener]
 	if err != nil {
-		j.broken("syntax", "%s sends %s a first line that is none", proxy.Name(), id)
+		j.reportViolation("syntax", "%s sends %s a malformed first line", proxy.Name(), id)
 		return
 	}
 	j.Attempts++
 	now := j.world.Now()
-	if since, told := j.ledger.ToldSince(proxy.Addr(), id); told && now.Sub(since) > j.rules.DrainGrace {
-		j.broken("drain-grace", "%s sends request %s to %s %v after it was told that this one takes no new work",
+	if since, told := j.ledger.NotServingSince(proxy.Addr(), id); told && now.Sub(since) > j.rules.DrainGrace {
+		j.reportViolation("drain-grace", "%s sends request %s to %s %v after it was told that this one takes no new work",
 			proxy.Name(), o.ID, id, now.Sub(since))
 	}
-	if since, told := j.clock.goneSince(proxy.Addr(), id); told && j.staleFor(proxy, since) > j.rules.DrainGrace {
-		j.broken("stale-list", "%s sends request %s to %s %v after it counts as told that this one takes no new work",
+	if since, told := j.changeClock.unavailableSince(proxy.Addr(), id); told && j.staleFor(proxy, since) > j.rules.DrainGrace {
+		j.reportViolation("stale-list", "%s sends request %s to %s %v after it is deemed to know that this one takes no new work",
 			proxy.Name(), o.ID, id, now.Sub(since))
 	}
-	j.judgeCold(proxy.Addr(), proxy.Name(), id, o.Class)
+	j.checkColdBudget(proxy.Addr(), proxy.Name(), id, o.Class)
 	r := j.requests[o.ID]
 	if r == nil {
-		j.broken("one-final-answer", "%s sends %s a request %s that no client has made", proxy.Name(), id, o.ID)
+		j.reportViolation("one-final-answer", "%s sends %s a request %s that no client has made", proxy.Name(), id, o.ID)
 		return
 	}
-	w.req, w.relay, w.sentAt = r, id, now
-	if late := now.Sub(r.leftAt); !r.leftAt.IsZero() && late > leftGrace {
-		j.broken("sent-after-leaving", "%s sends request %s to %s %v after its client left", proxy.Name(), o.ID, id, late)
+	attempt.request, attempt.relay, attempt.sentAt = r, id, now
+	if late := now.Sub(r.clientLeftAt); !r.clientLeftAt.IsZero() && late > departedClientGrace {
+		j.reportViolation("sent-after-leaving", "%s sends request %s to %s %v after its client left", proxy.Name(), o.ID, id, late)
 	}
-	if ran := r.ran(); ran != nil && !j.mayRepeat(r, ran, now, id) {
-		j.broken("effect-twice", "%s sends request %s of class %s to %s, which may have run at %s %v before", proxy.Name(), o.ID, r.class.Name,
-			id, ran.relay, now.Sub(ran.sentAt))
+	if earlier := r.firstPossibleRun(); earlier != nil && !j.mayRepeat(r, earlier, now, id) {
+		j.reportViolation("effect-twice", "%s sends request %s of class %s to %s, which may have run at %s %v before", proxy.Name(), o.ID, r.class.Name,
+			id, earlier.relay, now.Sub(earlier.sentAt))
 	}
-	r.tries = append(r.tries, w)
-	if r.out != nil {
-		j.broken("two-attempts", "%s sends request %s to %s while another attempt is out", proxy.Name(), o.ID, id)
+	r.attempts = append(r.attempts, attempt)
+	if r.current != nil {
+		j.reportViolation("two-attempts", "%s sends request %s to %s while another attempt is open", proxy.Name(), o.ID, id)
 	}
-	if r.answered && !r.left {
-		j.broken("one-final-answer", "%s sends request %s to %s after its answer", proxy.Name(), o.ID, id)
+	if r.answered && !r.clientEnded {
+		j.reportViolation("one-final-answer", "%s sends request %s to %s after its answer", proxy.Name(), o.ID, id)
 	}
-	r.out, r.last = w, w
+	r.current, r.lastAttempt = attempt, attempt
 }
 
-// asksAgain looks whether a proxy whose call failed rests for so long that what it misses counts as told before it can hear of it.
-// One that shares news with others is not held to it: another may ask in its place.
-func (j *judge) asksAgain(proxy *vnet.Host) {
-	most := j.rules.AskAgain
-	if most <= 0 || j.ledger.Shared || j.world.Now().Before(j.excused[proxy]) {
+// checkAskAgain checks that a proxy whose discovery call failed calls again before the changes it
+// has missed are deemed known. Proxies that share discovery's answers are exempt, since another one
+// may call in their place.
+func (j *judge) checkAskAgain(proxy *vnet.Host) {
+	limit := j.rules.AskAgain
+	if limit <= 0 || j.ledger.ListShared || j.world.Now().Before(j.excusedUntil[proxy]) {
 		return
 	}
-	if rest := j.clock.restsFor(proxy.Addr()); rest > most+clockSlack+j.lag[proxy] {
-		j.broken("ask-again", "%s has not asked discovery for %v after a call that failed", proxy.Name(), rest)
+	if idle := j.changeClock.idleAfterFailure(proxy.Addr()); idle > limit+clockSlack+j.maxClockLag[proxy] {
+		j.reportViolation("ask-again", "%s has not called discovery again for %v after a failed call", proxy.Name(), idle)
 	}
 }
 
-// staleFor is how long a proxy that could run has known what counts as told since then.
+// staleFor returns for how long a proxy that could run has been deemed to know a change.
 func (j *judge) staleFor(proxy *vnet.Host, since time.Time) time.Duration {
-	if until, ok := j.excused[proxy]; ok {
+	if until, ok := j.excusedUntil[proxy]; ok {
 		since = later(since, until)
 	}
-	return j.world.Now().Sub(since) - clockSlack - j.lag[proxy]
+	return j.world.Now().Sub(since) - clockSlack - j.maxClockLag[proxy]
 }
--- a/internal/lab/effects.go
+++ b/internal/lab/effects.go
@@ -2,48 +2,51 @@
 
 import "time"
 
-// The rules on effects, as the judge knows them: from the protocol's page, and from nothing of the proxy.
+// The rules on repeats follow the specification of the protocol alone and share no code with the
+// proxy.
 
 const (
-	// leftGrace is how long a request may still be sent on whose client has left.
-	leftGrace = 100 * time.Millisecond
-	// windowSlack is by how much each limit of time is longer on sockets.
-	windowSlack = 50 * time.Millisecond
+	// departedClientGrace is how long a request may still be sent to a relay after its client left.
+	departedClientGrace = 100 * time.Millisecond
+	// repeatWindowSlack is added to each repeat window for delays on sockets.
+	repeatWindowSlack = 50 * time.Millisecond
 )
 
-// ran is the first attempt that may have run: all of it was written, and the relay did not refuse it. nil: none may have.
-func (r *request) ran() *tapped {
-	for _, w := range r.tries {
-		if !w.refused {
-			return w
+// firstPossibleRun returns the first attempt that may have run, which was written completely and
+// not refused by the relay, or nil.
+func (r *request) firstPossibleRun() *tappedConn {
+	for _, attempt := range r.attempts {
+		if !attempt.refused {
+			return attempt
 		}
 	}
 	return nil
 }
 
-// mayRepeat tells whether a request that may have run may be sent to a relay.
-func (j *judge) mayRepeat(r *request, ran *tapped, now time.Time, relay string) bool {
+// mayRepeat reports whether a request that may have run may be sent to a relay again.
+func (j *judge) mayRepeat(r *request, earlier *tappedConn, now time.Time, relay string) bool {
 	switch c := r.class; {
 	case c == nil || c.repeat() == "free":
 		return true
-	case c.repeat() == "single_shot" || now.Sub(ran.sentAt) > c.Window+windowSlack+j.lag[r.proxy]:
+	case c.repeat() == "single_shot" || now.Sub(earlier.sentAt) > c.Window+repeatWindowSlack+j.maxClockLag[r.proxy]:
 		return false
 	case c.scope() == "zone":
-		return j.sites[ran.relay] == j.sites[relay]
+		return j.sites[earlier.relay] == j.sites[relay]
 	case c.scope() == "cell":
-		return j.blocks[ran.relay] == j.blocks[relay]
+		return j.blocks[earlier.relay] == j.blocks[relay]
 	}
 	return true
 }
 
-// refuses looks at a refusal, after which the client comes again, perhaps after the advice.
-func (j *judge) refuses(r *request, advice time.Duration) {
-	ran := r.ran()
-	if ran == nil || r.class == nil || r.class.repeat() == "free" {
+// checkRefusal checks a refusal, after which the client may repeat the request once the advised
+// wait has passed.
+func (j *judge) checkRefusal(r *request, advice time.Duration) {
+	earlier := r.firstPossibleRun()
+	if earlier == nil || r.class == nil || r.class.repeat() == "free" {
 		return
 	}
-	if since := j.world.Now().Sub(ran.sentAt) + advice; r.class.repeat() == "single_shot" || r.class.scope() != "all" || since > r.class.Window+windowSlack+j.lag[r.proxy] {
-		j.broken("repeat-invited", "%s refuses request %s of class %s, which may have run at %s %v before, with advice of %v", r.proxy.Name(), r.id,
-			r.class.Name, ran.relay, since-advice, advice)
+	if since := j.world.Now().Sub(earlier.sentAt) + advice; r.class.repeat() == "single_shot" || r.class.scope() != "all" || since > r.class.Window+repeatWindowSlack+j.maxClockLag[r.proxy] {
+		j.reportViolation("repeat-invited", "%s refuses request %s of class %s, which may have run at %s %v before, with advice of %v", r.proxy.Name(), r.id,
+			r.class.Name, earlier.relay, since-advice, advice)
 	}
 }
--- a/internal/lab/fuzz.go
+++ b/internal/lab/fuzz.go
@@ -16,7 +16,8 @@
 	"ospreyspan/internal/vnet"
 )
 
-// Text is the scenario as a file that Read reads, without what is as by default.
+// Text returns the scenario in the file format that Read reads, without the values that equal the
+// defaults.
 func (s *Scenario) Text() string {
 	var b strings.Builder
 	d := defaults()
@@ -28,7 +29,7 @@
 	inifile.Encode(&b, "discovery", s.Discovery, d.Discovery)
 	inifile.Encode(&b, "front", s.Front, d.Front)
 	inifile.Encode(&b, "rules", s.Rules, d.Rules)
-	inifile.Encode(&b, "allow", s.Allow, d.Allow)
+	inifile.Encode(&b, "allow", s.Permissions, d.Permissions)
 	kinds, classes := s.Kinds, s.Classes
 	if reflect.DeepEqual(kinds, defaultKinds()) {
 		kinds = nil
@@ -37,7 +38,7 @@
 		classes = nil
 	}
 	for _, k := range kinds {
-		inifile.Encode(&b, "kind "+k.Name, kind{k.Share, k.Cores, k.Speed, k.ColdFrom, k.Cold, k.Errors}, nil)
+		inifile.Encode(&b, "kind "+k.Name, kindSection{k.Share, k.Cores, k.Speed, k.ColdFrom, k.WarmUp, k.ErrorFraction}, nil)
 	}
 	for _, c := range classes {
 		inifile.Encode(&b, "class "+c.Name, c, nil)
@@ -45,13 +46,14 @@
 	for _, w := range s.Waves {
 		inifile.Encode(&b, "wave "+w.Name, w, nil)
 	}
-	for _, t := range s.Troubles {
-		inifile.Encode(&b, "trouble "+t.Name, t, Trouble{})
+	for _, t := range s.Faults {
+		inifile.Encode(&b, "trouble "+t.Name, t, Fault{})
 	}
 	return b.String()
 }
 
-// Parse reads a scenario from the text of a file with that name. Set is as in Read.
+// Parse reads a scenario from the text of a file with the given name. The values of set replace
+// those of the file, as with Read.
 func Parse(name string, text string, set ...string) (*Scenario, error) {
 	f, err := inifile.Parse(name, []byte(text))
 	if err != nil {
@@ -65,66 +67,71 @@
 	return decode(strings.TrimSuffix(name, ".ini"), f)
 }
 
-// draws are the figures of a made-up scenario, each drawn once and for all.
-type draws struct{ r *rand.Rand }
+// scenarioDraws draws random values for a generated scenario. Both ends of each drawn range are
+// equal, so that the scenario has one fixed value.
+type scenarioDraws struct{ r *rand.Rand }
 
-func newDraws(r *rand.Rand) *draws { return &draws{r} }
+func newDraws(r *rand.Rand) *scenarioDraws { return &scenarioDraws{r} }
 
-// span draws a time in whole milliseconds, one at least: a file leaves out what is nothing.
-func (d *draws) span(from, to time.Duration) fleet.Spans {
-	t := max(fleet.Spans{From: from, To: to}.Draw(d.r).Round(time.Millisecond), time.Millisecond)
-	return fleet.Spans{From: t, To: t}
+// span draws a duration in whole milliseconds, at least 1 ms, because the file format leaves out
+// zero values.
+func (d *scenarioDraws) span(from, to time.Duration) fleet.DurationRange {
+	t := max(fleet.DurationRange{From: from, To: to}.Draw(d.r).Round(time.Millisecond), time.Millisecond)
+	return fleet.DurationRange{From: t, To: t}
 }
 
-func (d *draws) one(from, to float64) fleet.Range {
+// value draws a number and rounds it to five decimal places.
+func (d *scenarioDraws) value(from, to float64) fleet.Range {
 	x := round(fleet.Range{From: from, To: to}.Draw(d.r))
 	return fleet.Range{From: x, To: x}
 }
 
-// MakeScenario makes up a scenario from a seed.
-type MakeScenario func(seed uint64) *Scenario
+// ScenarioGenerator generates a scenario from a seed.
+type ScenarioGenerator func(seed uint64) *Scenario
 
-// FuzzDays are what Fuzz plays.
-type FuzzDays struct {
-	MakeUp MakeScenario
-	Set    []string // section.key=value pairs that go before what is made up
+// FuzzConfig says which scenarios Fuzz plays.
+type FuzzConfig struct {
+	Generate  ScenarioGenerator
+	Overrides []string // section.key=value pairs that replace generated values
 }
 
-// scenario makes up a day. It is what a file of it says, so that the file repeats it.
-func (d *FuzzDays) scenario(seed uint64) (*Scenario, error) {
-	return Parse(fmt.Sprintf("fuzz-%d.ini", seed), d.MakeUp(seed).Text(), d.Set...)
+// scenario generates the scenario of a seed. It is parsed from its own text, so that a saved file
+// reproduces it exactly.
+func (d *FuzzConfig) scenario(seed uint64) (*Scenario, error) {
+	return Parse(fmt.Sprintf("fuzz-%d.ini", seed), d.Generate(seed).Text(), d.Overrides...)
 }
 
-// MadeUp are the kinds of made-up days, by their names.
-func MadeUp() map[string]MakeScenario {
-	return map[string]MakeScenario{"any": Random, "throng": RandomThrong}
+// ScenarioGenerators returns the generators by the names that the flag --days accepts.
+func ScenarioGenerators() map[string]ScenarioGenerator {
+	return map[string]ScenarioGenerator{"any": RandomScenario, "throng": RandomThrong}
 }
 
-// Random makes up a scenario: a small fleet, and a few troubles of any kind that may overlap in any way.
-func Random(seed uint64) *Scenario {
-	d := newDraws(stream(seed, "fuzz"))
-	r, span, one := d.r, d.span, d.one
+// RandomScenario generates a small fleet with a few faults of any kind, which may overlap in any
+// way.
+func RandomScenario(seed uint64) *Scenario {
+	d := newDraws(randomStream(seed, "fuzz"))
+	r, span, value := d.r, d.span, d.value
 	s := defaults()
 	s.Kinds, s.Classes = defaultKinds(), defaultClasses()
 	s.Name = fmt.Sprintf("fuzz-%d", seed)
-	s.Run.Text = "made up"
+	s.Run.About = "made up"
 	s.Run.Length, s.Run.WarmUp = span(12*time.Second, 30*time.Second).From, span(3*time.Second, 8*time.Second).From
 	s.Sites = s.Run.Sites[:1+r.IntN(3)]
 	s.Run.Sites = s.Sites
 	s.Proxies.Count = 1 + r.IntN(4)
 	s.Relays.Count = 2 + r.IntN(7)
-	s.Traffic.Rate = one(2, 14).From
+	s.Traffic.Rate = value(2, 14).From
 	if r.IntN(3) == 0 {
 		s.Proxies.EventCost = span(10*time.Microsecond, 200*time.Microsecond).From
 	}
 	if r.IntN(3) == 0 {
-		s.Network.Loss = one(0, 0.02).From
+		s.Network.Loss = value(0, 0.02).From
 	}
 	if r.IntN(3) == 0 {
-		s.Proxies.Sockets = 100 + r.IntN(400)
+		s.Proxies.MaxDescriptors = 100 + r.IntN(400)
 	}
 	if r.IntN(4) == 0 {
-		s.Waves = append(s.Waves, Wave{Name: "surge", At: span(4*time.Second, 15*time.Second), For: span(time.Second, 6*time.Second), Times: one(3, 10)})
+		s.Waves = append(s.Waves, Wave{Name: "surge", At: span(4*time.Second, 15*time.Second), For: span(time.Second, 6*time.Second), Times: value(3, 10)})
 	}
 	kinds := []string{
 		"silence", "slow", "neighbour", "costly", "drain", "lose", "grow", "proxy-restart", "proxy-kill", "partition", "isolate",
@@ -132,18 +139,19 @@
 		"late-connects", "leaving",
 	}
 	for i := range 1 + r.IntN(6) {
-		t := Trouble{Name: fmt.Sprintf("t%d", i), Kind: kinds[r.IntN(len(kinds))]}
+		t := Fault{Name: fmt.Sprintf("t%d", i), Kind: kinds[r.IntN(len(kinds))]}
 		t.At = span(0, s.Run.Length)
 		t.For = span(200*time.Millisecond, 8*time.Second)
-		s.fill(&t, r, one, span)
-		s.Troubles = append(s.Troubles, t)
+		s.setFaultParameters(&t, r, value, span)
+		s.Faults = append(s.Faults, t)
 	}
-	s.customer(r, span)
+	s.randomizeSettings(r, span)
 	return &s
 }
 
-// customer draws what another customer's settings may say: effects that must not come twice, and what is permitted.
-func (s *Scenario) customer(r *rand.Rand, span func(from, to time.Duration) fleet.Spans) {
+// randomizeSettings draws settings in which customers differ: effects of requests that must not
+// occur twice, and what the proxies are permitted to do.
+func (s *Scenario) randomizeSettings(r *rand.Rand, span func(from, to time.Duration) fleet.DurationRange) {
 	for i := range s.Classes {
 		c := &s.Classes[i]
 		switch r.IntN(4) {
@@ -156,55 +164,55 @@
 			c.GiveUp = span(c.SetUp, c.GiveUp).From
 		}
 	}
-	s.Allow.Cancel, s.Allow.Probes, s.Allow.Pushed = r.IntN(3) > 0, r.IntN(6) > 0, r.IntN(4) == 0
-	if r.IntN(3) == 0 { // connections that take long to come up, and are waited for
-		s.Allow.Dial = span(300*time.Millisecond, 1200*time.Millisecond).From
-		part := round(fleet.Range{From: 0.2, To: 0.8}.Draw(r))
-		s.Troubles = append(s.Troubles, Trouble{
-			Name: "late", Kind: "late-connects", For: fleet.Spans{From: s.Run.Length, To: s.Run.Length},
-			Size: fleet.Range{From: part, To: part}, Away: span(200*time.Millisecond, 1200*time.Millisecond),
+	s.Permissions.Cancel, s.Permissions.Probes, s.Permissions.ListsPushed = r.IntN(3) > 0, r.IntN(6) > 0, r.IntN(4) == 0
+	if r.IntN(3) == 0 { // connections are established slowly, and proxies wait for them
+		s.Permissions.DialTimeout = span(300*time.Millisecond, 1200*time.Millisecond).From
+		fraction := round(fleet.Range{From: 0.2, To: 0.8}.Draw(r))
+		s.Faults = append(s.Faults, Fault{
+			Name: "late", Kind: "late-connects", For: fleet.DurationRange{From: s.Run.Length, To: s.Run.Length},
+			Size: fleet.Range{From: fraction, To: fraction}, Away: span(200*time.Millisecond, 1200*time.Millisecond),
 		})
 	}
 }
 
-// fill gives a trouble the figures that its kind needs.
-func (s *Scenario) fill(t *Trouble, r *rand.Rand, one func(from, to float64) fleet.Range, span func(from, to time.Duration) fleet.Spans) {
+// setFaultParameters draws the parameters that the kind of the fault needs.
+func (s *Scenario) setFaultParameters(fault *Fault, rng *rand.Rand, value func(from, to float64) fleet.Range, span func(from, to time.Duration) fleet.DurationRange) {
 	second := time.Second
-	switch t.Kind {
+	switch fault.Kind {
 	case "silence", "isolate":
-		t.Part = one(0.1, 0.5)
+		fault.Part = value(0.1, 0.5)
 	case "slow":
-		t.Part, t.Size = one(0.1, 0.6), one(2, 9)
+		fault.Part, fault.Size = value(0.1, 0.6), value(2, 9)
 	case "neighbour":
-		t.Part, t.Size, t.Every = one(0.2, 0.7), one(0.3, 0.8), span(second/2, 4*second).From
+		fault.Part, fault.Size, fault.Every = value(0.2, 0.7), value(0.3, 0.8), span(second/2, 4*second).From
 	case "costly":
-		t.Part, t.Size, t.Class = one(0.01, 0.1), one(5, 26), s.classNames()[r.IntN(2)]
+		fault.Part, fault.Size, fault.Class = value(0.01, 0.1), value(5, 26), s.classNames()[rng.IntN(2)]
 	case "drain":
-		t.Part, t.Away, t.Every = one(0.2, 1), span(0, 3*second), span(0, 3*second).From
+		fault.Part, fault.Away, fault.Every = value(0.2, 1), span(0, 3*second), span(0, 3*second).From
 	case "lose":
-		t.Part = one(0.1, 0.5)
+		fault.Part = value(0.1, 0.5)
 	case "grow":
-		t.Count = 1 + r.IntN(3)
+		fault.Count = 1 + rng.IntN(3)
 	case "proxy-restart":
-		t.Away, t.Every = span(0, 2*second), span(0, 6*second).From
+		fault.Away, fault.Every = span(0, 2*second), span(0, 6*second).From
 	case "proxy-kill":
-		t.Part, t.Away = one(0.1, 1), span(0, 3*second)
+		fault.Part, fault.Away = value(0.1, 1), span(0, 3*second)
 	case "partition":
-		t.Sites = []string{s.Sites[r.IntN(len(s.Sites))]}
+		fault.Sites = []string{s.Sites[rng.IntN(len(s.Sites))]}
 	case "stall":
-		t.For, t.Again, t.After = span(20*time.Millisecond, 900*time.Millisecond), r.IntN(4), span(second, 4*second)
+		fault.For, fault.Repeats, fault.RepeatAfter = span(20*time.Millisecond, 900*time.Millisecond), rng.IntN(4), span(second, 4*second)
 	case "late-clock":
-		t.Away = span(5*time.Millisecond, 400*time.Millisecond)
+		fault.Away = span(5*time.Millisecond, 400*time.Millisecond)
 	case "descriptors":
-		t.Size = one(0, 40)
+		fault.Size = value(0, 40)
 	case "rude":
-		t.Size = one(5, 200)
+		fault.Size = value(5, 200)
 	case "discovery-late":
-		t.Away = span(second, 4*second)
+		fault.Away = span(second, 4*second)
 	case "late-connects":
-		t.Size, t.Away = one(0.1, 1), span(100*time.Millisecond, 1500*time.Millisecond)
+		fault.Size, fault.Away = value(0.1, 1), span(100*time.Millisecond, 1500*time.Millisecond)
 	case "leaving":
-		t.Size = one(0.05, 0.6)
+		fault.Size = value(0.05, 0.6)
 	}
 }
 
@@ -219,18 +227,19 @@
 	return names
 }
 
-// Found is a broken rule that Fuzz came upon.
-type Found struct {
-	Seed     uint64
-	Rule     string
-	Err      error
-	Scenario *Scenario // as it was made up
-	Small    *Scenario // after shrinking; breaks the same rule with the same seed
-	Tried    int       // scenarios tried in shrinking
+// Finding is a broken rule that Fuzz found.
+type Finding struct {
+	Seed      uint64
+	Rule      string
+	Err       error
+	Scenario  *Scenario // as generated
+	Minimized *Scenario // after Shrink; breaks the same rule with the same seed
+	Tried     int       // scenarios played by Shrink
 }
 
-// rule is the name of the rule that an error of Play tells of; empty if it is none.
-func rule(err error) string {
+// brokenRule returns the name of the rule that an error of Play reports as broken, or an empty
+// string if it reports none.
+func brokenRule(err error) string {
 	var v *Violation
 	var f *vnet.Failure
 	switch {
@@ -242,8 +251,8 @@
 	return ""
 }
 
-// playSafely is Play; a panic of the program is a broken rule like others.
-func playSafely(s *Scenario, seed uint64) (err error) {
+// playRecovering plays a day like Play. It reports a panic as a broken rule named panic.
+func playRecovering(s *Scenario, seed uint64) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			buf := make([]byte, 4096)
@@ -254,14 +263,16 @@
 	return err
 }
 
-// Fuzz plays scenarios that are made up from seeds from first on, until one breaks a rule, n were played or the time is over; it
-// returns the lowest such seed of those that were begun, and how many were played. done is called after each.
-func Fuzz(days FuzzDays, first uint64, n int, until time.Time, done func(seed uint64)) (*Found, int, error) {
+// Fuzz plays generated scenarios with seeds from first on, until one breaks a rule, n have been
+// played or the time until has passed. It returns the finding with the lowest seed among those that
+// were started, and the number of days played. done, if not nil, is called after each day, one call
+// at a time.
+func Fuzz(config FuzzConfig, first uint64, n int, until time.Time, done func(seed uint64)) (*Finding, int, error) {
 	var (
-		one    sync.Mutex
+		mu     sync.Mutex
 		next   = first
 		played int
-		found  *Found
+		found  *Finding
 		failed error
 		wait   sync.WaitGroup
 	)
@@ -270,29 +281,29 @@
 		go func() {
 			defer wait.Done()
 			for {
-				one.Lock()
+				mu.Lock()
 				if found != nil || failed != nil || next >= first+uint64(n) || time.Now().After(until) {
-					one.Unlock()
+					mu.Unlock()
 					return
 				}
 				seed := next
 				next++
-				one.Unlock()
-				s, err := days.scenario(seed)
+				mu.Unlock()
+				s, err := config.scenario(seed)
 				if err == nil {
-					err = playSafely(s, seed)
+					err = playRecovering(s, seed)
 				}
-				one.Lock()
+				mu.Lock()
 				played++
-				if r := rule(err); r != "" && (found == nil || seed < found.Seed) {
-					found = &Found{Seed: seed, Rule: r, Err: err, Scenario: s}
+				if r := brokenRule(err); r != "" && (found == nil || seed < found.Seed) {
+					found = &Finding{Seed: seed, Rule: r, Err: err, Scenario: s}
 				} else if err != nil && r == "" {
 					failed = err
 				}
 				if done != nil {
 					done(seed)
 				}
-				one.Unlock()
+				mu.Unlock()
 			}
 		}()
 	}
@@ -300,52 +311,57 @@
 	return found, played, failed
 }
 
-// Shrink looks for a smaller scenario that breaks the same rule with the same seed, until nothing can be left out or the
-// time is over.
-func (f *Found) Shrink(until time.Time) {
-	f.Small = f.Scenario
-	for again := true; again; {
-		again = false
-		for _, c := range f.Small.smaller() {
+// Shrink looks for a smaller scenario that breaks the same rule with the same seed, until no
+// reduction does or the time until has passed.
+func (f *Finding) Shrink(until time.Time) {
+	f.Minimized = f.Scenario
+	for reduced := true; reduced; {
+		reduced = false
+		for _, c := range f.Minimized.reductions() {
 			if time.Now().After(until) {
 				return
 			}
 			f.Tried++
-			if rule(playSafely(c, f.Seed)) == f.Rule {
-				f.Small, again = c, true
+			if brokenRule(playRecovering(c, f.Seed)) == f.Rule {
+				f.Minimized, reduced = c, true
 				break
 			}
 		}
 	}
 }
 
-// smaller returns scenarios with something left out, the boldest first.
-func (s *Scenario) smaller() []*Scenario {
-	var list []*Scenario
+// reductions returns copies of the scenario with one thing left out or made smaller, the largest
+// reductions first.
+func (s *Scenario) reductions() []*Scenario {
+	var candidates []*Scenario
 	try := func(change func(c *Scenario) bool) {
 		c := *s
-		c.Troubles, c.Waves = slices.Clone(s.Troubles), slices.Clone(s.Waves)
+		c.Faults, c.Waves = slices.Clone(s.Faults), slices.Clone(s.Waves)
 		if change(&c) {
-			list = append(list, &c)
+			candidates = append(candidates, &c)
 		}
 	}
-	for i := range s.Troubles {
-		try(func(c *Scenario) bool { c.Troubles = slices.Delete(c.Troubles, i, i+1); return true })
+	for i := range s.Faults {
+		try(func(c *Scenario) bool { c.Faults = slices.Delete(c.Faults, i, i+1); return true })
 	}
 	for i := range s.Waves {
 		try(func(c *Scenario) bool { c.Waves = slices.Delete(c.Waves, i, i+1); return true })
 	}
-	for i := range s.Troubles {
-		try(func(c *Scenario) bool { t := &c.Troubles[i]; was := t.Again; t.Again = 0; return was > 0 })
+	for i := range s.Faults {
+		try(func(c *Scenario) bool { t := &c.Faults[i]; was := t.Repeats; t.Repeats = 0; return was > 0 })
 	}
 	try(func(c *Scenario) bool { was := c.Network.Loss; c.Network.Loss = 0; return was > 0 })
 	try(func(c *Scenario) bool { was := c.Proxies.EventCost; c.Proxies.EventCost = 0; return was > 0 })
-	try(func(c *Scenario) bool { was := c.Proxies.Sockets; c.Proxies.Sockets = 1024; return was != 1024 })
-	for _, by := range []int{2, 1} {
+	try(func(c *Scenario) bool {
+		was := c.Proxies.MaxDescriptors
+		c.Proxies.MaxDescriptors = 1024
+		return was != 1024
+	})
+	for _, step := range []int{2, 1} {
 		less := func(n *int) bool {
 			was := *n
 			*n = max(was/2, 1)
-			if by == 1 {
+			if step == 1 {
 				*n = max(was-1, 1)
 			}
 			return *n < was
@@ -367,5 +383,5 @@
 			return c.Traffic.Rate >= 0.2
 		})
 	}
-	return list
+	return candidates
 }
--- a/internal/lab/proxies.go
+++ b/internal/lab/proxies.go
@@ -14,27 +14,28 @@
 	"ospreyspan/internal/vnet"
 )
 
+// proxyNode is the machine of a proxy.
 type proxyNode struct {
-	name  string
-	site  string
-	host  machine
-	loop  *poll.Loop
-	inst  *instance.Instance // nil: none runs, or it is a process of its own
-	rng   *rand.Rand         // seeds of its lives
-	audit time.Time
-	lives int
+	name       string
+	site       string
+	host       machine
+	loop       *poll.Loop
+	inst       *instance.Instance // nil: none runs, or it is a separate process
+	seedSource *rand.Rand         // one seed for each start of the process
+	nextAudit  time.Time
+	starts     int
 }
 
 func (p *proxyNode) addr() netip.AddrPort { return netip.AddrPortFrom(p.host.Addr(), proxyPort) }
 
 func (s *stage) addProxy(i int) error {
-	site := i % len(s.s.Sites)
+	site := i % len(s.scenario.Sites)
 	name := fmt.Sprintf("proxy-%03d", i)
-	h := s.machine(name, at(site, atProxy, i), vnet.Limits{
-		Descriptors: s.s.Proxies.Sockets, EventCost: s.s.Proxies.EventCost,
+	h := s.addMachine(name, machineAddr(site, addrProxy, i), vnet.Limits{
+		Descriptors: s.scenario.Proxies.MaxDescriptors, EventCost: s.scenario.Proxies.EventCost,
 	})
-	s.is(h, roleProxy, "")
-	p := &proxyNode{name: name, site: s.s.Sites[site], host: h, rng: stream(s.seed, "proxy "+name)}
+	s.setRole(h, roleProxy, "")
+	p := &proxyNode{name: name, site: s.scenario.Sites[site], host: h, seedSource: randomStream(s.seed, "proxy "+name)}
 	s.proxies = append(s.proxies, p)
 	return s.startProxy(p)
 }
@@ -44,16 +45,16 @@
 	if err != nil {
 		return err
 	}
-	p.lives++
+	p.starts++
 	if s.real != nil {
 		return s.real.startProxy(s, p)
 	}
 	c := instance.Config{
 		Name: p.name, Listen: p.addr(), Discovery: netip.AddrPortFrom(s.discovery.host.Addr(), discoveryPort),
-		Seed: p.rng.Uint64(), MaxDescriptors: s.s.Proxies.Sockets, KnownList: s.known(), Settings: set, Tuning: s.s.Tuning(),
-		Log: log.New(logTo{s, p.name}, "", 0),
+		Seed: p.seedSource.Uint64(), MaxDescriptors: s.scenario.Proxies.MaxDescriptors, KnownList: s.knownList(), Settings: set, Tuning: s.scenario.Tuning(),
+		Log: log.New(proxyLogWriter{s, p.name}, "", 0),
 	}
-	if c.Fleet, err = s.shares(p); err != nil {
+	if c.Fleet, err = s.fleetConfig(p); err != nil {
 		return err
 	}
 	return p.host.Start(func(k poll.Kernel) (func() error, error) {
@@ -64,38 +65,38 @@
 			return nil, err
 		}
 		p.inst, p.loop = inst, loop
-		s.judge.clock.begins(p.host.Addr())
-		s.agents(0)
-		return func() error { return s.turn(p, inst) }, nil
+		s.judge.changeClock.proxyStarted(p.host.Addr())
+		s.markPushedLists(0)
+		return func() error { return s.runTurn(p, inst) }, nil
 	})
 }
 
-// turn is one turn of a proxy, with a look at its books.
-func (s *stage) turn(p *proxyNode, inst *instance.Instance) error {
+// runTurn runs one turn of a proxy and audits its bookkeeping when that is due.
+func (s *stage) runTurn(p *proxyNode, inst *instance.Instance) error {
 	if err := inst.Turn(); err != nil {
 		return err
 	}
 	if inst.Done() {
-		if err := s.judge.exits(p.host.(*vnet.Host)); err != nil {
-			s.judge.audit(p.name, err)
+		if err := s.judge.checkProxyExit(p.host.(*vnet.Host)); err != nil {
+			s.judge.reportAuditError(p.name, err)
 		}
-		s.ended.Add(&inst.Count)
-		s.meshEnded(inst)
+		s.endedCounters.Add(&inst.Count)
+		s.addMeshStats(inst)
 		p.inst = nil
 		return vnet.ErrExit
 	}
-	if now := s.world.Now(); !now.Before(p.audit) {
-		p.audit = now.Add(s.s.Run.Audit)
-		s.judge.audit(p.name, inst.Audit())
+	if now := s.world.Now(); !now.Before(p.nextAudit) {
+		p.nextAudit = now.Add(s.scenario.Run.AuditPeriod)
+		s.judge.reportAuditError(p.name, inst.Audit())
 	}
 	return nil
 }
 
-// known is the list that a proxy starts with.
-func (s *stage) known() *routes.List {
+// knownList returns the relay list that a proxy starts with.
+func (s *stage) knownList() *routes.List {
 	l := &routes.List{Whole: true}
 	for i := range s.relays {
-		if s.relays[i].late {
+		if s.relays[i].startsLate {
 			continue
 		}
 		n := s.nodes[i]
@@ -107,15 +108,15 @@
 	return l
 }
 
-// excuse lets a proxy's answers be late for a while.
+// excuse permits late answers of a proxy for a while.
 func (s *stage) excuse(p *proxyNode, d time.Duration) {
 	if s.judge != nil {
 		s.judge.excuse(p.host.(*vnet.Host), s.now().Add(d))
 	}
 }
 
-// virtual is the proxy's machine where it is one of the virtual network.
-func (p *proxyNode) virtual() *vnet.Host { return p.host.(*vnet.Host) }
+// vnetHost returns the proxy's machine on the virtual network.
+func (p *proxyNode) vnetHost() *vnet.Host { return p.host.(*vnet.Host) }
 
 func (p *proxyNode) running() bool {
 	if r, ok := p.host.(*realMachine); ok {
@@ -124,8 +125,8 @@
 	return p.inst != nil
 }
 
-// term is SIGTERM.
-func (p *proxyNode) term() {
+// terminate sends SIGTERM to the proxy.
+func (p *proxyNode) terminate() {
 	if r, ok := p.host.(*realMachine); ok {
 		r.signal(syscall.SIGTERM)
 		return
@@ -133,11 +134,12 @@
 	p.loop.Wake()
 }
 
+// stall stops a proxy's process for a while.
 func (p *proxyNode) stall(s *stage, d time.Duration) {
 	if r, ok := p.host.(*realMachine); ok {
 		r.signal(syscall.SIGSTOP)
 		s.after(d, func() { r.signal(syscall.SIGCONT) })
 		return
 	}
-	p.virtual().Stall(d)
+	p.vnetHost().Stall(d)
 }
--- a/internal/lab/requests.go
+++ b/internal/lab/requests.go
@@ -10,126 +10,131 @@
 	"ospreyspan/internal/vnet"
 )
 
-// request is one first line of a client, from when it was sent to the end of its connection.
+// request is a client's request, from when its first line is sent to the end of its connection.
 type request struct {
-	id       string
-	proxy    *vnet.Host
-	life     int // of the proxy's process
-	wait     time.Duration
-	taken    bool      // it is at the proxy's machine...
-	deadline time.Time // ...since wait before this
-	answered bool
-	standing bool
-	sent     bool      // a last line, MOVE or the relay's own, has gone to the client
-	left     bool      // the client has ended its side
-	leftAt   time.Time // when that was at the proxy's machine, before the answer; zero: it was not
-	out      *tapped   // the attempt that is out
-	last     *tapped   // the latest one
-	class    *Class    // nil: unknown
-	tries    []*tapped // attempts that were sent whole, in turn
-	ends     int       // sides of the client's connection that have ended
+	id            string
+	proxy         *vnet.Host
+	proxyLife     int // number of the proxy's process that got it
+	clientTimeout time.Duration
+	arrived       bool      // at the proxy's machine
+	deadline      time.Time // time of arrival plus clientTimeout
+	answered      bool
+	established   bool
+	finalLineSent bool          // MOVE or the relay's own last line was sent to the client
+	clientEnded   bool          // the client has closed its side
+	clientLeftAt  time.Time     // when that reached the proxy, if before the answer; else zero
+	current       *tappedConn   // the attempt in progress, or nil
+	lastAttempt   *tappedConn   // the latest attempt, or nil
+	class         *Class        // nil: unknown
+	attempts      []*tappedConn // attempts that were sent completely, in order
+	endedSides    int           // sides of the client's connection that have ended
 }
 
-// asked sees the first line of a client.
-func (j *judge) asked(c *vnet.Conn, w *tapped) {
-	o, err := line.ParseOpen(line.TrimLineEnd(w.first))
-	w.first = nil
+// onClientRequest handles the complete first line of a client.
+func (j *judge) onClientRequest(c *vnet.Conn, tap *tappedConn) {
+	o, err := line.ParseOpen(line.TrimLineEnd(tap.firstLine))
+	tap.firstLine = nil
 	if err != nil {
-		return // a check of the front's, or a bad client
+		return // a health check of the load balancer, or a bad client
 	}
 	if j.requests[o.ID] != nil {
 		return
 	}
 	j.Requests++
-	r := &request{id: o.ID, proxy: c.Listener, life: c.Listener.Life(), wait: o.MaxWait, class: j.classes[o.Class]}
-	w.req = r
+	r := &request{id: o.ID, proxy: c.Listener, proxyLife: c.Listener.Incarnation(), clientTimeout: o.MaxWait, class: j.classes[o.Class]}
+	tap.request = r
 	j.requests[o.ID] = r
 }
 
-// due is called when the answer must have come.
-func (j *judge) due(r *request) {
-	if !r.taken || r.answered || r.left || r.proxy.Life() != r.life || !r.proxy.Up() {
+// checkAnswerDue checks that a request was answered once its deadline and the slack have passed.
+func (j *judge) checkAnswerDue(r *request) {
+	if !r.arrived || r.answered || r.clientEnded || r.proxy.Incarnation() != r.proxyLife || !r.proxy.Up() {
 		return
 	}
-	if until, ok := j.excused[r.proxy]; ok && r.deadline.Before(until) {
+	if until, ok := j.excusedUntil[r.proxy]; ok && r.deadline.Before(until) {
 		return
 	}
-	j.broken("answer-in-time", "%s: request %s has no answer %v after its client gave up", r.proxy.Name(), r.id, j.rules.AnswerSlack)
+	j.reportViolation("answer-in-time", "%s: request %s has no answer %v after its client gave up", r.proxy.Name(), r.id, j.rules.AnswerSlack)
 }
 
-// answers sees what a proxy writes to a client.
-func (j *judge) answers(r *request, data []byte) {
+// onProxyWrite handles what a proxy writes to a client.
+func (j *judge) onProxyWrite(r *request, data []byte) {
 	now := j.world.Now()
-	if r.standing {
+	if r.established {
 		for _, word := range []string{"MOVE\r\n", "BYE\r\n"} {
 			if bytes.HasSuffix(data, []byte(word)) || bytes.HasPrefix(data, []byte(word)) {
-				r.sent = true
+				r.finalLineSent = true
 			}
 		}
 		return
 	}
 	if r.answered {
-		j.broken("one-final-answer", "%s: request %s had its answer, and now gets %.40q", r.proxy.Name(), r.id, data)
+		j.reportViolation("one-final-answer", "%s: request %s was already answered and now gets %.40q", r.proxy.Name(), r.id, data)
 		return
 	}
 	first, rest := line.Next(data)
 	if len(first) == 0 {
-		first = data // in pieces: its beginning tells enough
+		first = data // incomplete line: its beginning is enough
 	}
 	r.answered = true
 	word, advice := line.ParseWord(line.TrimLineEnd(first))
-	if word == line.Busy && j.cold != nil {
-		j.cold.refused = now
+	if word == line.Busy && j.coldBudget != nil {
+		j.coldBudget.lastRefusal = now
 	}
-	if word == line.Busy && !r.left {
+	if word == line.Busy && !r.clientEnded {
 		ms, _ := strconv.Atoi(string(advice))
-		j.refuses(r, time.Duration(ms)*time.Millisecond)
+		j.checkRefusal(r, time.Duration(ms)*time.Millisecond)
 	}
-	r.standing = word == line.Up
+	r.established = word == line.Up
 	if word == line.Up {
-		if r.last == nil || !r.last.heard {
-			j.broken("one-final-answer", "%s: request %s is told UP, and no relay has said so", r.proxy.Name(), r.id)
+		if r.lastAttempt == nil || !r.lastAttempt.replySeen {
+			j.reportViolation("one-final-answer", "%s: request %s is answered UP, but no relay has answered UP", r.proxy.Name(), r.id)
 		}
 		if len(rest) > 0 {
-			j.answers(r, rest)
+			j.onProxyWrite(r, rest)
 		}
 	}
-	if late := now.Sub(r.deadline); r.taken && late > j.rules.AnswerSlack && !r.left { // one may be turned away unread
-		if until, ok := j.excused[r.proxy]; !ok || r.deadline.After(until) {
-			j.broken("answer-in-time", "%s: request %s is answered %v after its client gave up", r.proxy.Name(), r.id, late)
+	// A request may be refused before it is read.
+	if late := now.Sub(r.deadline); r.arrived && late > j.rules.AnswerSlack && !r.clientEnded {
+		if until, ok := j.excusedUntil[r.proxy]; !ok || r.deadline.After(until) {
+			j.reportViolation("answer-in-time", "%s: request %s is answered %v after its client gave up", r.proxy.Name(), r.id, late)
 		}
 	}
 }
 
-// closes sees a proxy end a client's connection.
-func (j *judge) closes(r *request) {
+// onProxyClose handles a proxy that closes a client's connection.
+func (j *judge) onProxyClose(r *request) {
 	switch {
-	case r.taken && !r.answered:
-		j.broken("one-final-answer", "%s ends the connection of request %s without an answer", r.proxy.Name(), r.id)
-	case r.standing && !r.sent && j.answersStill(r):
-		j.broken("standing-lost", "%s cuts off %s, whose relay answers", r.proxy.Name(), r.id)
+	case r.arrived && !r.answered:
+		j.reportViolation("one-final-answer", "%s ends the connection of request %s without an answer", r.proxy.Name(), r.id)
+	case r.established && !r.finalLineSent && j.relayStillConnected(r):
+		j.reportViolation("standing-lost", "%s closes the connection of request %s without a last line though its relay still answers", r.proxy.Name(), r.id)
 	}
 }
 
-func (j *judge) answersStill(r *request) bool {
-	return r.last != nil && !r.last.relayEnded && j.world.Reaches(r.last.conn.Listener, r.proxy)
+// relayStillConnected reports whether the relay of the latest attempt keeps its connection open and
+// can be reached.
+func (j *judge) relayStillConnected(r *request) bool {
+	return r.lastAttempt != nil && !r.lastAttempt.relayEnded && j.world.Reaches(r.lastAttempt.conn.Listener, r.proxy)
 }
 
-// exits checks that a proxy which ends in order leaves nobody behind.
-func (j *judge) exits(proxy *vnet.Host) error {
-	for _, r := range j.requests { // any one will do; which one is told may differ, that there is one does not
-		if r.proxy != proxy || r.life != proxy.Life() || r.left || !r.taken {
+// checkProxyExit checks that a proxy which exits in order leaves no client unanswered or unmoved.
+func (j *judge) checkProxyExit(proxy *vnet.Host) error {
+	// Any violation will do: the map's order does not decide whether there is one.
+	for _, r := range j.requests {
+		if r.proxy != proxy || r.proxyLife != proxy.Incarnation() || r.clientEnded || !r.arrived {
 			continue
 		}
-		if !r.answered || r.standing && !r.sent && j.answersStill(r) {
-			return errors.New("standing-lost: it ends with a client that was neither answered nor moved")
+		if !r.answered || r.established && !r.finalLineSent && j.relayStillConnected(r) {
+			return errors.New("standing-lost: the process exits with a client that was neither answered nor moved")
 		}
 	}
 	return nil
 }
 
-func (j *judge) forget(r *request) {
-	if r.ends++; r.ends == 2 {
+// sideEnded counts the ended sides of a client's connection, and forgets the request after both.
+func (j *judge) sideEnded(r *request) {
+	if r.endedSides++; r.endedSides == 2 {
 		delete(j.requests, r.id)
 	}
 }
--- a/internal/lab/shares.go
+++ b/internal/lab/shares.go
@@ -15,42 +15,43 @@
 	"ospreyspan/internal/vnet"
 )
 
-const meshPort = 7946
+const meshPort = 7946 // UDP port of the mesh on each proxy
 
-// shares is what a proxy needs that shares work with the others, nil where the scenario has no keepers.
-func (s *stage) shares(p *proxyNode) (*instance.FleetConfig, error) {
-	n := s.s.Proxies.Keepers
-	if n == 0 || s.real != nil {
+// fleetConfig returns the configuration of a proxy that cooperates with the others, or nil if the
+// scenario has no keepers or runs on real sockets.
+func (s *stage) fleetConfig(p *proxyNode) (*instance.FleetConfig, error) {
+	keeperCount := s.scenario.Proxies.Keepers
+	if keeperCount == 0 || s.real != nil {
 		return nil, nil
 	}
-	var at []mesh.KeeperAddress
+	var keepers []mesh.KeeperAddress
 	self := uint64(0)
-	for i := range n {
-		site := i % len(s.s.Sites)
-		addr := netip.AddrPortFrom(proxyAt(site, i), meshPort)
-		at = append(at, mesh.KeeperAddress{ID: uint64(i + 1), Addr: addr})
+	for i := range keeperCount {
+		site := i % len(s.scenario.Sites)
+		addr := netip.AddrPortFrom(proxyAddr(site, i), meshPort)
+		keepers = append(keepers, mesh.KeeperAddress{ID: uint64(i + 1), Addr: addr})
 		if addr.Addr() == p.host.Addr() {
 			self = uint64(i + 1)
 		}
 	}
 	m := mesh.Config{
-		Cluster: "lab", Name: p.name, Zone: p.site, Listen: netip.AddrPortFrom(p.host.Addr(), meshPort), Session: p.rng.Uint64() | 1,
-		Keepers: at, Terms: owner.DefaultTerms(), Duties: s.duties(), Seed: s.seed,
-		Seeds: []netip.AddrPort{at[0].Addr, at[1].Addr, at[2].Addr},
+		Cluster: "lab", Name: p.name, Zone: p.site, Listen: netip.AddrPortFrom(p.host.Addr(), meshPort), Session: p.seedSource.Uint64() | 1,
+		Keepers: keepers, Terms: owner.DefaultTerms(), Duties: s.duties(), Seed: s.seed,
+		Seeds: []netip.AddrPort{keepers[0].Addr, keepers[1].Addr, keepers[2].Addr},
 	}
 	if self != 0 {
-		if err := s.keeps(p, &m, self); err != nil {
+		if err := s.configureKeeper(p, &m, self); err != nil {
 			return nil, err
 		}
 	}
-	f := &instance.FleetConfig{Mesh: m, SameAddresses: true, MovesPerSecond: s.s.Proxies.PerS}
-	if s.s.Proxies.Verdicts {
+	f := &instance.FleetConfig{Mesh: m, SameAddresses: true, MovesPerSecond: s.scenario.Proxies.MovesPerSecond}
+	if s.scenario.Proxies.Verdicts {
 		v := instance.DefaultVerdictConfig()
-		v.OnChange = func(c instance.VerdictChange) { s.judged(p, c) }
+		v.OnChange = func(c instance.VerdictChange) { s.recordVerdict(p, c) }
 		f.Verdicts = &v
 	}
-	if part := s.s.Proxies.Retries; part > 0 {
-		f.Retries = &limit.RetryBudget{Fraction: part, Period: 10 * time.Second, Min: 10}
+	if fraction := s.scenario.Proxies.Retries; fraction > 0 {
+		f.Retries = &limit.RetryBudget{Fraction: fraction, Period: 10 * time.Second, Min: 10}
 	}
 	if l := s.limit(); l != nil {
 		f.Limits = &instance.LimitsConfig{Soft: limit.DefaultSoftConfig(), List: []limit.Limit{*l}}
@@ -58,73 +59,76 @@
 	return f, nil
 }
 
-// limit is what all proxies together may have, nil if that is not limited.
+// limit returns the limit of connections that all proxies share, or nil if the scenario has none.
 func (s *stage) limit() *limit.Limit {
-	most := s.s.Proxies.Limit
-	if most == 0 {
+	maximum := s.scenario.Proxies.Limit
+	if maximum == 0 {
 		return nil
 	}
-	if s.slices == 0 {
-		s.slices = min(most, 2*s.s.Proxies.Count, limit.MaxSlices)
+	if s.limitSlices == 0 {
+		s.limitSlices = min(maximum, 2*s.scenario.Proxies.Count, limit.MaxSlices)
 	}
-	l := &limit.Limit{Name: "all", Max: most, Slices: s.slices, Period: s.s.Proxies.LimitWithin}
-	if s.s.Proxies.LimitKind == "strict" {
+	l := &limit.Limit{Name: "all", Max: maximum, SliceCount: s.limitSlices, Period: s.scenario.Proxies.LimitWithin}
+	if s.scenario.Proxies.LimitKind == "strict" {
 		l.Kind = limit.StrictKind
 	}
 	return l
 }
 
-// relimit has a proxy take another limit, as SIGHUP does; later lives of it start with that.
-func (s *stage) relimit(p *proxyNode, most int) {
-	s.s.Proxies.Limit = most
+// setLimit changes the shared limit of a proxy, as a reload on SIGHUP does. A proxy that is started
+// later begins with the new limit.
+func (s *stage) setLimit(p *proxyNode, maximum int) {
+	s.scenario.Proxies.Limit = maximum
 	if inst := p.inst; inst != nil {
 		list := []limit.Limit{*s.limit()}
-		list[0].Slices = s.slices
+		list[0].SliceCount = s.limitSlices
 		inst.SetLimits(list)
 	}
 }
 
-// standing is how many connections the relays hold, by their own count.
-func (s *stage) standing() int {
+// openConnections returns the number of connections that the relays hold, by their own count.
+func (s *stage) openConnections() int {
 	n := 0
 	for _, r := range s.nodes {
 		if r.relay != nil {
-			n += r.relay.Standing()
+			n += r.relay.ConnectionCount()
 		}
 	}
 	return n
 }
 
-// watchLimit looks at the relays' count ten times a second.
-func (s *stage) watchLimit() {
-	if s.s.Proxies.Limit == 0 || time.Duration(s.looked)*100*time.Millisecond >= s.s.Run.WarmUp+s.s.Run.Length {
+// sampleConnections samples the relays' count of connections ten times per second, if there is a
+// limit.
+func (s *stage) sampleConnections() {
+	if s.scenario.Proxies.Limit == 0 || time.Duration(s.limitChecks)*100*time.Millisecond >= s.scenario.Run.WarmUp+s.scenario.Run.Length {
 		return
 	}
-	s.after(100*time.Millisecond, s.watchLimit)
-	s.shared.Last = s.standing()
-	s.shared.Standing = max(s.shared.Standing, s.shared.Last)
-	if s.looked++; time.Duration(s.looked)*100*time.Millisecond > s.s.Run.WarmUp {
-		s.shared.Held += float64(s.standing()) / 10
+	s.after(100*time.Millisecond, s.sampleConnections)
+	s.shared.LastConnections = s.openConnections()
+	s.shared.PeakConnections = max(s.shared.PeakConnections, s.shared.LastConnections)
+	if s.limitChecks++; time.Duration(s.limitChecks)*100*time.Millisecond > s.scenario.Run.WarmUp {
+		s.shared.ConnectionSeconds += float64(s.openConnections()) / 10
 	}
 }
 
 func (s *stage) duties() []string {
-	if len(s.s.Proxies.Duties) == 0 {
+	if len(s.scenario.Proxies.Duties) == 0 {
 		return []string{duty.Discovery}
 	}
-	return s.s.Proxies.Duties
+	return s.scenario.Proxies.Duties
 }
 
-func proxyAt(site, i int) netip.Addr { return at(site, atProxy, i) }
+func proxyAddr(site, i int) netip.Addr { return machineAddr(site, addrProxy, i) }
 
-// keeps gives a proxy its keeper, with a disk that outlives it.
-func (s *stage) keeps(p *proxyNode, m *mesh.Config, self uint64) error {
-	d := p.virtual().Disk("keeper")
-	if len(d.Text()) == 0 {
+// configureKeeper gives a proxy its keeper, with a disk whose contents survive restarts of the
+// proxy.
+func (s *stage) configureKeeper(p *proxyNode, m *mesh.Config, self uint64) error {
+	d := p.vnetHost().Disk("keeper")
+	if len(d.Contents()) == 0 {
 		d.SetFaults(vnet.DiskFaults{Delay: 1e6, Jitter: 4e6, Torn: 0.7, Scrambled: 0.3})
-		d.SetText(keeper.InitialRecord(p.rng.Uint64() | 1))
+		d.SetContents(keeper.InitialRecord(p.seedSource.Uint64() | 1))
 	}
-	log, err := keeper.Restore(d.Text())
+	log, err := keeper.Restore(d.Contents())
 	if err != nil {
 		return err
 	}
@@ -138,50 +142,54 @@
 	return nil
 }
 
-// judged takes a verdict that a proxy has come to, and counts those against relays to which nothing had happened.
-func (s *stage) judged(p *proxyNode, c instance.VerdictChange) {
+// recordVerdict takes a verdict that a proxy has reached. It counts the verdict as false if the
+// relay had no fault and was not overloaded within the last faultGracePeriod.
+func (s *stage) recordVerdict(p *proxyNode, c instance.VerdictChange) {
 	if !c.Unhealthy() || c.Previous.Unhealthy() {
 		return
 	}
 	for _, n := range s.nodes {
-		if n.plan.id == c.Target && s.now().Sub(n.trouble) > falseAfter && !(c.Verdict == verdict.Slow && n.wasBehind(s.now())) {
-			s.shared.False++
-			if s.o.Log != nil {
-				fmt.Fprintf(s.o.Log, "%v %s: without a cause: %s is %v, was %v, age %v, %d witnesses, %d against\n",
+		if n.plan.id == c.Target && s.now().Sub(n.faultUntil) > faultGracePeriod && !(c.Verdict == verdict.Slow && n.wasOverloaded(s.now())) {
+			s.shared.FalseVerdicts++
+			if s.options.Log != nil {
+				fmt.Fprintf(s.options.Log, "%v %s: false verdict: %s is %v, was %v, age %v, %d witnesses, %d against\n",
 					s.world.Elapsed(), p.name, c.Target, c.Verdict, c.Previous, c.Age, c.Witnesses, c.Opposing)
 			}
 		}
 	}
 }
 
-// wasBehind tells whether the relay was really slow of late, for more clients than it can take.
-func (n *relayNode) wasBehind(now time.Time) bool {
-	return n.relay != nil && !n.relay.Behind().IsZero() && now.Sub(n.relay.Behind()) <= falseAfter
+// wasOverloaded reports whether the relay was slow within the last faultGracePeriod because it had
+// more clients than its capacity allows.
+func (n *relayNode) wasOverloaded(now time.Time) bool {
+	return n.relay != nil && !n.relay.LastSlowSetUp().IsZero() && now.Sub(n.relay.LastSlowSetUp()) <= faultGracePeriod
 }
 
-// falseAfter is how long after the end of a relay's trouble a verdict against it still rests on that.
-const falseAfter = 6 * time.Second
-
-// Shared is what the proxies' conversation cost, of all of them together.
-type Shared struct {
-	Datagrams uint64 `json:"datagrams"` // sent
-	Bytes     uint64 `json:"bytes"`     // of them
-	Words     uint64 `json:"words"`     // of owners, taken
-	Refused   uint64 `json:"refused"`   // of former owners
-	False     int    `json:"false"`     // verdicts against relays to which nothing had happened
-
-	Standing int     `json:"standing"` // most connections at a time, by the relays' count; where there is a limit
-	Last     int     `json:"standing_last"`
-	Held     float64 `json:"held_s"` // seconds of connections that counted, likewise
+// faultGracePeriod is the time after the end of a relay's fault during which a verdict against the
+// relay still counts as justified.
+const faultGracePeriod = 6 * time.Second
+
+// SharedStats holds the cost and the results of the cooperation of all proxies together.
+type SharedStats struct {
+	Datagrams          uint64 `json:"datagrams"` // datagrams that proxies sent to each other
+	Bytes              uint64 `json:"bytes"`     // bytes of these datagrams
+	Announcements      uint64 `json:"words"`     // announcements of owners that were accepted
+	StaleAnnouncements uint64 `json:"refused"`   // announcements of former owners, which were refused
+	FalseVerdicts      int    `json:"false"`     // verdicts against relays without a recent fault
+
+	// These count connections at the relays and are 0 without a limit.
+	PeakConnections   int     `json:"standing"`      // most at a time
+	LastConnections   int     `json:"standing_last"` // at the last sample
+	ConnectionSeconds float64 `json:"held_s"`        // connection-seconds in the counted time
 }
 
-func (s *Shared) add(n *mesh.Node) {
+func (s *SharedStats) add(n *mesh.Node) {
 	if n != nil {
 		s.Datagrams += n.Counters.Sent
 		s.Bytes += n.Counters.BytesSent
-		s.Words += n.Counters.AnnouncementsAccepted
-		s.Refused += n.Counters.AnnouncementsStale
+		s.Announcements += n.Counters.AnnouncementsAccepted
+		s.StaleAnnouncements += n.Counters.AnnouncementsStale
 	}
 }
 
-func (s *stage) meshEnded(i *instance.Instance) { s.shared.add(i.Node()) }
+func (s *stage) addMeshStats(i *instance.Instance) { s.shared.add(i.Node()) }
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// program builds the program that is tested.
-func program(t *testing.T) string {
+// buildProgram builds the program under test.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "ospreyspan")
 	if out, err := exec.Command("go", "build", "-o", path, "../../cmd/ospreyspan").CombinedOutput(); err != nil {
@@ -19,41 +19,44 @@
 	return path
 }
 
-// Twelve real processes with five keepers: stopped, killed, deaf and mute owners, and links that lose, delay, repeat and hold
-// what a former owner said until a later one has spoken. Whatever the machine's speed, no receiver may take it.
-func TestRealProcessesTakeNoStaleEffect(t *testing.T) {
-	r, err := New(Options{Program: program(t), Dir: t.TempDir(), Processes: 12, Keepers: 5, Seed: 1, Lease: 800 * time.Millisecond})
+// Runs twelve real processes with five keepers, stops and kills owners and drops their inbound or
+// outbound traffic. The links lose, delay and duplicate datagrams, and hold announcements of a
+// former owner until a later one has made its own. Whatever the machine's speed, no receiver may
+// accept a stale announcement.
+func TestRealProcessesAcceptNoStaleAnnouncement(t *testing.T) {
+	r, err := New(Options{Program: buildProgram(t), Dir: t.TempDir(), Processes: 12, Keepers: 5, Seed: 1, Lease: 800 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	err = r.Trouble(15 * time.Second)
-	t.Log(r.Count)
+	err = r.InjectFaults(15 * time.Second)
+	t.Log(r.Counts)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Count.StaleSent == 0 {
-		t.Error("no stale effect was sent: the run shows nothing")
+	if r.Counts.StaleSent == 0 {
+		t.Error("no stale announcement was sent, so the run proves nothing")
 	}
 }
 
-// A keeper that has lost its log serves as a proxy and is none; a second process with its folder does not start.
+// A keeper that has lost its log serves as a proxy but not as a keeper. Initializing a keeper whose
+// log exists fails.
 func TestKeeperWithoutLog(t *testing.T) {
-	bin, dir := program(t), t.TempDir()
+	bin, dir := buildProgram(t), t.TempDir()
 	r, err := New(Options{Program: bin, Dir: dir, Processes: 3, Keepers: 3, Seed: 1, Lease: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	r.calm = true
+	r.lossless = true
 	if err := r.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	if !r.until(time.Minute, r.agreed) {
-		t.Fatal("three processes do not agree")
+	if !r.waitUntil(time.Minute, r.agreed) {
+		t.Fatal("three processes do not agree on an owner")
 	}
 	if out, err := r.procs[0].command("keepers", "init").CombinedOutput(); err == nil || !strings.Contains(string(out), "is there already") {
-		t.Errorf("a log that is there: %v: %s", err, out)
+		t.Errorf("keepers init with an existing log: %v: %s", err, out)
 	}
 	p := r.procs[1]
 	p.kill()
@@ -63,44 +66,45 @@
 	if err := p.start(); err != nil {
 		t.Fatal(err)
 	}
-	none := func() bool {
-		return strings.Contains(strings.Join(p.tail, "\n"), "this process is no keeper until")
+	notKeeper := func() bool {
+		return strings.Contains(strings.Join(p.logTail, "\n"), "this process is no keeper until")
 	}
-	if !r.until(time.Minute, none) || !r.until(time.Minute, r.agreed) {
-		t.Errorf("its log: %s", strings.Join(p.tail, "\n"))
+	if !r.waitUntil(time.Minute, notKeeper) || !r.waitUntil(time.Minute, r.agreed) {
+		t.Errorf("keeper without a log: unexpected state; its output: %s", strings.Join(p.logTail, "\n"))
 	}
 }
 
-// A keeper whose disk was lost is replaced as the operators' page says: its number is removed, all files get a new one, the
-// processes are restarted one after the other, and the new number is added. Then another keeper may be lost.
+// A keeper whose disk was lost is replaced by the documented procedure: its number is removed, all
+// files get a new one, the processes are restarted one after the other, and the new number is
+// added. After that another keeper may be lost.
 func TestKeeperIsReplaced(t *testing.T) {
-	r, err := New(Options{Program: program(t), Dir: t.TempDir(), Processes: 4, Keepers: 3, Seed: 1, Lease: time.Second})
+	r, err := New(Options{Program: buildProgram(t), Dir: t.TempDir(), Processes: 4, Keepers: 3, Seed: 1, Lease: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	r.calm = true
-	agree := func(what string) {
+	r.lossless = true
+	requireAgreement := func(what string) {
 		t.Helper()
-		if !r.until(time.Minute, r.agreed) {
-			t.Fatalf("%s: no agreement: %v", what, r.failed)
+		if !r.waitUntil(time.Minute, r.agreed) {
+			t.Fatalf("%s: processes do not agree on an owner: %v", what, r.failed)
 		}
 	}
-	// change asks the keepers in turn until one of them, which leads, takes it.
-	change := func(what string, id string) {
+	// changeKeepers asks the keepers in turn until the leader accepts the changeKeepers.
+	changeKeepers := func(what string, id string) {
 		t.Helper()
-		said := ""
-		taken := r.until(time.Minute, func() bool {
+		output := ""
+		accepted := r.waitUntil(time.Minute, func() bool {
 			for _, p := range r.procs[:2] {
 				out, err := p.command("keepers", what, id).CombinedOutput()
-				if said = string(out); err == nil && strings.Contains(said, "taken") {
+				if output = string(out); err == nil && strings.Contains(output, "taken") {
 					return true
 				}
 			}
 			return false
 		})
-		if !taken {
-			t.Fatalf("keepers %s %s: %s", what, id, said)
+		if !accepted {
+			t.Fatalf("keepers %s %s: %s", what, id, output)
 		}
 	}
 	voters := func(p *proc, want string) bool {
@@ -110,16 +114,16 @@
 	if err := r.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	agree("at the start")
+	requireAgreement("at the start")
 	lost := r.procs[2]
 	lost.kill()
 	if err := os.RemoveAll(filepath.Join(lost.dir, "keeper-3")); err != nil {
 		t.Fatal(err)
 	}
-	change("remove", "3")
-	r.numbers = map[int]int{2: 4}
+	changeKeepers("remove", "3")
+	r.replacedKeepers = map[int]int{2: 4}
 	for _, p := range r.procs {
-		if err := p.write(); err != nil {
+		if err := p.writeConfig(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -128,50 +132,54 @@
 		if err := p.start(); err != nil {
 			t.Fatal(err)
 		}
-		r.until(time.Second, func() bool { return false })
+		r.waitUntil(time.Second, func() bool { return false })
 	}
 	if out, err := lost.command("keepers", "init").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("keepers init: %v: %s", err, out)
 	}
 	if err := lost.start(); err != nil {
 		t.Fatal(err)
 	}
-	change("add", "4")
-	if !r.until(time.Minute, func() bool { return voters(lost, "[1 2 4]") }) {
-		t.Fatal("the new keeper has not the others' voters")
+	changeKeepers("add", "4")
+	if !r.waitUntil(time.Minute, func() bool { return voters(lost, "[1 2 4]") }) {
+		t.Fatal("the new keeper does not report the voters [1 2 4]")
 	}
 	r.procs[1].kill()
-	// A process that starts now learns the floors through the log of keepers 1 and 4.
+	// A process that starts now learns the token floors through the log of keepers 1 and 4.
 	p := r.procs[3]
 	p.kill()
-	p.tail = nil
+	p.logTail = nil
 	if err := p.start(); err != nil {
 		t.Fatal(err)
 	}
-	if !r.until(time.Minute, func() bool { return strings.Contains(strings.Join(p.tail, "\n"), "fence-open") }) {
-		t.Error("keepers 1 and 4 do not answer")
+	if !r.waitUntil(time.Minute, func() bool { return strings.Contains(strings.Join(p.logTail, "\n"), "fence-open") }) {
+		t.Error("the process got no floors from keepers 1 and 4 (no fence-open in its log)")
 	}
 }
 
-// The judge finds what must never happen in what receivers say.
-func TestJudgeFindsHarm(t *testing.T) {
-	judge := func() *Rig { return &Rig{holders: make(map[uint64]string), taken: make(map[string]uint64)} }
-	r := judge()
-	p, q := &proc{rig: r, name: "p", life: 1, owns: make(map[string]uint64)}, &proc{rig: r, name: "q", life: 1, owns: make(map[string]uint64)}
-	word := func(p *proc, token uint64) { r.heard(p, &line{Message: "fleet: word", Duty: duty, Token: token}) }
-	word(p, 4)
-	p.life++ // a restart is no excuse
-	if word(p, 4); r.failed != nil {
+// The rig detects violated invariants from the logs of receivers.
+func TestInvariantViolationsAreDetected(t *testing.T) {
+	newRig := func() *Rig {
+		return &Rig{tokenHolders: make(map[uint64]string), acceptedTokens: make(map[string]uint64)}
+	}
+	r := newRig()
+	p, q := &proc{rig: r, name: "p", incarnation: 1, ownedTokens: make(map[string]uint64)}, &proc{rig: r, name: "q", incarnation: 1, ownedTokens: make(map[string]uint64)}
+	logAnnouncement := func(p *proc, token uint64) {
+		r.handleLogEntry(p, &logEntry{Message: "fleet: word", Duty: duty, Token: token})
+	}
+	logAnnouncement(p, 4)
+	p.incarnation++ // a restart does not excuse a stale token
+	if logAnnouncement(p, 4); r.failed != nil {
 		t.Fatal(r.failed)
 	}
-	if word(p, 3); r.failed == nil || r.Count.StaleTaken != 1 {
-		t.Error("a stale effect passes")
+	if logAnnouncement(p, 3); r.failed == nil || r.Counts.StaleAccepted != 1 {
+		t.Error("a stale announcement was not reported")
 	}
-	r = judge()
+	r = newRig()
 	p.rig, q.rig = r, r
-	r.heard(p, &line{Message: "fleet: own", Duty: duty, Token: 5})
-	r.heard(q, &line{Message: "fleet: own", Duty: duty, Token: 5})
-	if r.failed == nil || r.Count.Overlaps != 1 {
-		t.Error("two owners of one token pass")
+	r.handleLogEntry(p, &logEntry{Message: "fleet: own", Duty: duty, Token: 5})
+	r.handleLogEntry(q, &logEntry{Message: "fleet: own", Duty: duty, Token: 5})
+	if r.failed == nil || r.Counts.Overlaps != 1 {
+		t.Error("two owners of one token were not reported")
 	}
 }
